--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -428,7 +428,7 @@
         random_disk()
     };
     let mut group = GroupSettings::new("linnethitch", FolderRole::Control, own, new_disk);
-    group.most_voters = MOST_VOTERS;
+    group.max_voters = MOST_VOTERS;
     group.seed ^= u64::from(own.0);
     group.first_members = forms.then(|| {
         let members = seeds.iter().map(|machine| MemberId {
--- a/crates/cluster/src/driver/formats.rs
+++ b/crates/cluster/src/driver/formats.rs
@@ -19,7 +19,7 @@
     /// `DataFolderRefused` where the group stores in a newer format than this program may speak.
     pub(super) fn check_format(&self) -> Result<(), Report<ErrorKind>> {
         let stored = self.member.state().format();
-        if self.stored_format.is_understood(stored) {
+        if self.stored_format.is_supported(stored) {
             return Ok(());
         }
         let newest = self.links.newest_format();
@@ -48,7 +48,8 @@
 
     /// The format in which this member writes if it leads.
     pub(super) fn format(&self) -> Format {
-        self.stored_format.written(self.member.state().format())
+        self.stored_format
+            .write_format(self.member.state().format())
     }
 
     /// Whether what the format lacks cannot wait for a newer one.
--- a/crates/cluster/src/driver/mod.rs
+++ b/crates/cluster/src/driver/mod.rs
@@ -272,7 +272,7 @@
             }
             Input::Retiring(machines) => self.member.set_retiring(machines),
             Input::Stop(done) => {
-                self.member.hand_leadership_over();
+                self.member.transfer_leadership();
                 self.stopping = Some(done);
             }
         }
@@ -304,7 +304,7 @@
         let now = self.now();
         self.member.tick(now.steady_ms);
         if !self.member.is_leader() {
-            self.stored_format.note_not_leading();
+            self.stored_format.clear_proposed();
         } else if self.stopping.is_none() {
             self.raise_format_if_due();
             for command in self.service.upkeep(&self.member, now) {
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -155,10 +155,10 @@
         };
         let mut group = GroupSettings::new(CLUSTER, FolderRole::Store, own, new_disk);
         group.first_members = first;
-        group.most_voters = self.settings.voters;
+        group.max_voters = self.settings.voters;
         group.snapshot_log_bytes = SNAPSHOT_LOG_BYTES;
         group.log_limits.segment_bytes = SEGMENT_BYTES;
-        group.kept_snapshots = KEPT_SNAPSHOTS;
+        group.retained_snapshots = KEPT_SNAPSHOTS;
         group.seed ^= u64::from(own.0);
         let kept_ms = self.settings.kept.as_millis() as u64;
         let service = StoreService::new(kept_ms, self.seen.clone());
--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -291,7 +291,7 @@
     let led = member.is_leader().then(|| {
         let status = member.status();
         let healthy = status.peers.iter().filter(|peer| {
-            peer.voter && peer.member != status.id && peer.ticks_since_heard < HEALTHY_TICKS
+            peer.voter && peer.member != status.id && peer.ticks_since_contact < HEALTHY_TICKS
         });
         StoreGroupView {
             term: status.term,
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -264,7 +264,7 @@
                 matched: progress.matched,
                 next: progress.next,
                 state: progress.peer_state(),
-                ticks_since_heard: progress.ticks_since_heard,
+                ticks_since_contact: progress.ticks_since_contact,
             })
             .collect()
     }
--- a/crates/consensus/src/node/leadership.rs
+++ b/crates/consensus/src/node/leadership.rs
@@ -117,7 +117,7 @@
     /// Whether a quorum of voters was heard of within some ticks.
     pub(super) fn has_quorum(&self, id: MemberId, latest: &Membership, ticks: u32) -> bool {
         self.quorum_value(id, true, latest, |progress| {
-            progress.ticks_since_heard < ticks
+            progress.ticks_since_contact < ticks
         })
     }
 
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -47,7 +47,7 @@
     pub(crate) next: LogIndex,
     pub(crate) state: SendState,
     pub(crate) inflight: InflightAppends,
-    pub(crate) ticks_since_heard: u32,
+    pub(crate) ticks_since_contact: u32,
     /// The highest round that it answered.
     pub(crate) acknowledged_round: u64,
     /// The commit index that it was told last.
@@ -64,7 +64,7 @@
             next,
             state: SendState::Probe { sent: false },
             inflight: InflightAppends::default(),
-            ticks_since_heard: 0,
+            ticks_since_contact: 0,
             acknowledged_round: 0,
             told_commit: LogIndex(0),
             heartbeat_due: true,
@@ -72,7 +72,7 @@
     }
 
     pub(crate) fn tick(&mut self) {
-        self.ticks_since_heard = self.ticks_since_heard.saturating_add(1);
+        self.ticks_since_contact = self.ticks_since_contact.saturating_add(1);
         if let SendState::Snapshot(transfer) = &mut self.state {
             transfer.ticks_since_sent = transfer.ticks_since_sent.saturating_add(1);
         }
@@ -88,7 +88,7 @@
 
     /// The member answered in this term.
     pub(crate) fn heard(&mut self, round: u64) {
-        self.ticks_since_heard = 0;
+        self.ticks_since_contact = 0;
         self.acknowledged_round = self.acknowledged_round.max(round);
     }
 
--- a/crates/consensus/src/repair.rs
+++ b/crates/consensus/src/repair.rs
@@ -222,7 +222,7 @@
     }
 
     fn silence(&self, member: MemberId) -> u32 {
-        self.peer(member).map_or(0, |peer| peer.ticks_since_heard)
+        self.peer(member).map_or(0, |peer| peer.ticks_since_contact)
     }
 
     fn is_lost(&self, member: MemberId) -> bool {
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -187,7 +187,7 @@
         progress: &mut Progress,
         outbox: &mut Vec<ConsensusMessage>,
     ) {
-        if progress.ticks_since_heard >= self.settings.election_ticks {
+        if progress.ticks_since_contact >= self.settings.election_ticks {
             return;
         }
         let SendState::Snapshot(transfer) = &mut progress.state else {
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -43,7 +43,7 @@
     /// How the leader sends to it.
     pub state: PeerState,
     /// Ticks since it was heard of in this leader's term.
-    pub ticks_since_heard: u32,
+    pub ticks_since_contact: u32,
 }
 
 /// A member at a glance.
--- a/crates/consensus/tests/all/repair.rs
+++ b/crates/consensus/tests/all/repair.rs
@@ -21,14 +21,14 @@
 };
 
 /// A peer of the leader 1: matched index and silence.
-fn peer(id: MemberId, matched: u64, ticks_since_heard: u32) -> PeerStatus {
+fn peer(id: MemberId, matched: u64, ticks_since_contact: u32) -> PeerStatus {
     PeerStatus {
         member: id,
         voter: true, // Not read by the decisions.
         matched: LogIndex(matched),
         next: LogIndex(matched + 1),
         state: PeerState::Replicate,
-        ticks_since_heard,
+        ticks_since_contact,
     }
 }
 
--- a/crates/control/src/member/core.rs
+++ b/crates/control/src/member/core.rs
@@ -209,7 +209,7 @@
     pub fn hand_leadership_over(&mut self) {
         let status = self.node.status();
         let voters = status.peers.iter().filter(|peer| peer.voter);
-        let successor = voters.max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_heard)));
+        let successor = voters.max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_contact)));
         if let Some(peer) = successor {
             // A refusal means that this member no longer leads.
             let _ = self.node.transfer_leadership(peer.member);
--- a/crates/control/src/member/snapshots.rs
+++ b/crates/control/src/member/snapshots.rs
@@ -134,10 +134,9 @@
     /// must not keep this one from its own.
     fn is_snapshot_awaited(&self) -> bool {
         let status = self.node.status();
-        status
-            .peers
-            .iter()
-            .any(|peer| peer.state == PeerState::Snapshot && peer.ticks_since_heard < PRESENT_TICKS)
+        status.peers.iter().any(|peer| {
+            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PRESENT_TICKS
+        })
     }
 
     fn newest_snapshot(&self) -> LogIndex {
--- a/crates/control/src/member/view.rs
+++ b/crates/control/src/member/view.rs
@@ -108,7 +108,7 @@
             .peers
             .iter()
             .filter(|peer| peer.voter)
-            .map(|peer| peer.ticks_since_heard)
+            .map(|peer| peer.ticks_since_contact)
             .collect();
         silences.push(0);
         silences.sort_unstable();
@@ -133,7 +133,7 @@
             voter: peer.voter,
             leader: false,
             matched: peer.matched.0,
-            silent_ms: u64::from(peer.ticks_since_heard) * TICK_MILLISECONDS,
+            silent_ms: u64::from(peer.ticks_since_contact) * TICK_MILLISECONDS,
         });
         std::iter::once(own).chain(others).collect()
     }
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -23,5 +23,5 @@
 pub use opening::{bootstrap_disk, is_reserved_for_first_member};
 pub use output::{CallFailure, GroupNotice, GroupOutput};
 pub use settings::GroupSettings;
-pub use state_machine::{SnapshotSource, StateMachine, WholeSnapshot, read_whole_snapshot};
+pub use state_machine::{InMemorySnapshot, SnapshotSource, StateMachine, read_full_snapshot};
 pub use stored_format::StoredFormat;
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -202,14 +202,14 @@
     }
 
     /// Asks the member with the longest log to lead instead of this one.
-    pub fn hand_leadership_over(&mut self) {
+    pub fn transfer_leadership(&mut self) {
         let status = self.node.status();
         let own = status.id;
         let peers = status.peers.iter();
         let successor = peers
             .filter(|peer| peer.voter && peer.member != own)
             .filter(|peer| !self.retiring.contains(&peer.member.machine))
-            .max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_heard)));
+            .max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_contact)));
         if let Some(peer) = successor {
             // A refusal means that this member no longer leads.
             let _ = self.node.transfer_leadership(peer.member);
--- a/crates/group/src/opening.rs
+++ b/crates/group/src/opening.rs
@@ -147,7 +147,7 @@
         OpenedLog::Damaged(damage) => return Ok(Err(damage.to_string())),
         OpenedLog::Intact(log) => log,
     };
-    let snapshots = SnapshotStore::open_keeping(folder.file_system(), settings.kept_snapshots)?;
+    let snapshots = SnapshotStore::open_keeping(folder.file_system(), settings.retained_snapshots)?;
     if let Some(gap) = find_gap(&log, &snapshots) {
         return Ok(Err(gap));
     }
--- a/crates/group/src/repair.rs
+++ b/crates/group/src/repair.rs
@@ -36,7 +36,7 @@
         let step = repair::next_change(&policy, &status, &joining);
         let change = step.map(|step| step.change).or_else(|| {
             let staying = status.membership.voters.len().saturating_sub(1);
-            let has_successor = staying >= wanted.max(self.settings.most_voters.min(FEWEST_LEFT));
+            let has_successor = staying >= wanted.max(self.settings.max_voters.min(FEWEST_LEFT));
             let gone = leaving.first().filter(|_| has_successor);
             gone.map(|member| MembershipChange::Remove(*member))
         });
@@ -47,7 +47,7 @@
 
     fn propose_change(&mut self, change: MembershipChange) {
         if change == MembershipChange::Remove(self.id()) {
-            self.hand_leadership_over();
+            self.transfer_leadership();
             return;
         }
         let text = format!("{change:?}");
@@ -82,7 +82,7 @@
         let staying = |member: &MemberId| !self.retiring.contains(&member.machine);
         let peers = status.peers.iter();
         let mut machines: Vec<MachineId> = peers
-            .filter(|peer| peer.ticks_since_heard < lost_ticks)
+            .filter(|peer| peer.ticks_since_contact < lost_ticks)
             .map(|peer| peer.member)
             .chain(std::iter::once(status.id))
             .chain(joining.iter().copied())
@@ -96,6 +96,6 @@
         machines
             .len()
             .max(staying_voters)
-            .min(self.settings.most_voters)
+            .min(self.settings.max_voters)
     }
 }
--- a/crates/group/src/settings.rs
+++ b/crates/group/src/settings.rs
@@ -19,7 +19,7 @@
     /// The first members of a new cluster, given only on its first start.
     pub first_members: Option<Vec<MemberId>>,
     /// Most voters; further machines are kept in reserve.
-    pub most_voters: usize,
+    pub max_voters: usize,
     /// Length of a tick, in milliseconds.
     pub tick_ms: u64,
     /// Shortest silence of the leader before an election, in ticks.
@@ -32,7 +32,7 @@
     pub snapshot_log_bytes: u64,
     /// Complete snapshots that are kept, at least one. Log entries since the
     /// snapshot before the newest one are kept in any case.
-    pub kept_snapshots: usize,
+    pub retained_snapshots: usize,
     /// Bounds of the log.
     pub log_limits: LogLimits,
     /// Seed of the election jitter.
@@ -57,13 +57,13 @@
             machine,
             new_disk,
             first_members: None,
-            most_voters: 5,
+            max_voters: 5,
             tick_ms: DEFAULT_TICK_MS,
             election_ticks: DEFAULT_ELECTION_TICKS,
             heartbeat_ticks: DEFAULT_HEARTBEAT_TICKS,
             lost_ticks: DEFAULT_LOST_TICKS,
             snapshot_log_bytes: DEFAULT_SNAPSHOT_LOG_BYTES,
-            kept_snapshots: KEPT_SNAPSHOTS,
+            retained_snapshots: KEPT_SNAPSHOTS,
             log_limits: LogLimits {
                 segment_bytes: DEFAULT_SEGMENT_BYTES,
                 cache_bytes: DEFAULT_CACHE_BYTES,
--- a/crates/group/src/snapshots.rs
+++ b/crates/group/src/snapshots.rs
@@ -63,8 +63,9 @@
     fn is_snapshot_being_sent(&self) -> bool {
         let status = self.node.status();
         let mut peers = status.peers.iter();
-        peers
-            .any(|peer| peer.state == PeerState::Snapshot && peer.ticks_since_heard < PRESENT_TICKS)
+        peers.any(|peer| {
+            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PRESENT_TICKS
+        })
     }
 
     fn begin_snapshot(&mut self) -> Result<(), Report<ErrorKind>> {
--- a/crates/group/src/state_machine.rs
+++ b/crates/group/src/state_machine.rs
@@ -56,17 +56,17 @@
 
 /// A snapshot small enough to be one piece.
 #[derive(Clone, Debug)]
-pub struct WholeSnapshot(Option<Vec<u8>>);
+pub struct InMemorySnapshot(Option<Vec<u8>>);
 
-impl WholeSnapshot {
+impl InMemorySnapshot {
     /// A snapshot of this content.
     #[must_use]
     pub fn new(content: Vec<u8>) -> Self {
-        WholeSnapshot(Some(content))
+        InMemorySnapshot(Some(content))
     }
 }
 
-impl SnapshotSource for WholeSnapshot {
+impl SnapshotSource for InMemorySnapshot {
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>, Report<ErrorKind>> {
         Ok(self.0.take())
     }
@@ -76,6 +76,6 @@
 ///
 /// # Errors
 /// `Corrupted` when the file ends early, `Io`.
-pub fn read_whole_snapshot(content: &SnapshotReader) -> Result<Vec<u8>, Report<ErrorKind>> {
+pub fn read_full_snapshot(content: &SnapshotReader) -> Result<Vec<u8>, Report<ErrorKind>> {
     content.read(0, content.content_bytes() as usize)
 }
--- a/crates/group/src/stored_format.rs
+++ b/crates/group/src/stored_format.rs
@@ -34,18 +34,18 @@
 
     /// Whether the program may speak what its group stores; if not it must end.
     #[must_use]
-    pub fn is_understood(&self, stored: Format) -> bool {
+    pub fn is_supported(&self, stored: Format) -> bool {
         stored <= self.newest
     }
 
     /// The format in which the member writes if it leads: what is stored, or was proposed.
     #[must_use]
-    pub fn written(&self, stored: Format) -> Format {
+    pub fn write_format(&self, stored: Format) -> Format {
         stored.max(self.proposed)
     }
 
     /// The member does not lead: what it proposed may be lost.
-    pub fn note_not_leading(&mut self) {
+    pub fn clear_proposed(&mut self) {
         self.proposed = Format::OLDEST;
     }
 
@@ -56,7 +56,8 @@
         mut others: impl Iterator<Item = Option<Format>>,
     ) -> Option<Format> {
         let newest = self.newest;
-        let is_due = self.written(stored) < newest && others.all(|spoken| spoken >= Some(newest));
+        let is_due =
+            self.write_format(stored) < newest && others.all(|spoken| spoken >= Some(newest));
         if is_due {
             self.proposed = newest;
         }
@@ -76,19 +77,19 @@
         let reads_less = |spoken: Option<Format>| spoken.is_some_and(|spoken| spoken < self.newest);
         let is_long_open = now_ms.saturating_sub(self.opened_ms) >= LINKED_WITHIN_MS;
         let is_held_back = is_long_open || others.any(reads_less);
-        self.written(stored) >= self.newest || (is_current && is_held_back)
+        self.write_format(stored) >= self.newest || (is_current && is_held_back)
     }
 
     /// Whether a machine reads what the group stores, so that it may join.
     #[must_use]
     pub fn may_join(&self, stored: Format, speaks: Option<Format>) -> bool {
-        let written = self.written(stored);
+        let written = self.write_format(stored);
         written == Format::OLDEST || speaks >= Some(written)
     }
 
     /// Whether a member can be sent what is stored. One without a link cannot be sent anything.
     #[must_use]
     pub fn can_be_sent(&self, stored: Format, spoken: Option<Format>) -> bool {
-        spoken.is_none_or(|spoken| spoken >= self.written(stored))
+        spoken.is_none_or(|spoken| spoken >= self.write_format(stored))
     }
 }
--- a/crates/group/tests/all/support/builds.rs
+++ b/crates/group/tests/all/support/builds.rs
@@ -171,7 +171,7 @@
         };
         let rules = builds.rules.get_mut(&machine).expect("it runs");
         if !is_leader {
-            rules.note_not_leading();
+            rules.clear_proposed();
         } else if rules.raise(stored, spoken.into_iter()).is_some() {
             self.propose_at(machine, "raise");
         }
@@ -225,7 +225,7 @@
         let Some(builds) = &mut self.builds else {
             return word.to_owned();
         };
-        let format = builds.rules[&machine].written(stored);
+        let format = builds.rules[&machine].write_format(stored);
         if format == Format::Second {
             builds.hold_second.insert(machine);
         }
--- a/crates/group/tests/all/support/mod.rs
+++ b/crates/group/tests/all/support/mod.rs
@@ -11,7 +11,7 @@
 use linnethitch_errors::ErrorKind;
 use linnethitch_group::{
     CallFailure, GroupMember, GroupOutput, GroupSettings, SnapshotSource, StateMachine,
-    StoredFormat, bootstrap_disk, is_reserved_for_first_member, read_whole_snapshot,
+    StoredFormat, bootstrap_disk, is_reserved_for_first_member, read_full_snapshot,
 };
 use linnethitch_protocol::{
     consensus::ConsensusMessage,
@@ -61,7 +61,7 @@
     }
 
     fn from_snapshot(content: SnapshotReader) -> Result<Self, Report<ErrorKind>> {
-        let bytes = read_whole_snapshot(&content)?;
+        let bytes = read_full_snapshot(&content)?;
         let text = String::from_utf8_lossy(&bytes);
         let lines = text.lines().filter(|line| !line.is_empty());
         let words = lines.map(str::to_owned).collect();
@@ -106,7 +106,7 @@
     network: Vec<ConsensusMessage>,
     pub(crate) now_ms: u64,
     random: Pcg64Mcg,
-    most_voters: usize,
+    max_voters: usize,
     next_call: u64,
     pub(crate) ended: BTreeMap<u64, Ended>,
     /// Words whose proposals were answered.
@@ -117,7 +117,7 @@
 
 impl Cluster {
     /// A new cluster of these machines, all blank.
-    pub(crate) fn form(machines: &[u32], most_voters: usize, seed: u64) -> Self {
+    pub(crate) fn form(machines: &[u32], max_voters: usize, seed: u64) -> Self {
         let mut cluster = Cluster {
             disks: BTreeMap::new(),
             members: BTreeMap::new(),
@@ -126,7 +126,7 @@
             network: Vec::new(),
             now_ms: 0,
             random: Pcg64Mcg::seed_from_u64(seed),
-            most_voters,
+            max_voters,
             next_call: 0,
             ended: BTreeMap::new(),
             acknowledged: Vec::new(),
@@ -173,7 +173,7 @@
             None => DiskId(self.random.random::<u64>() | 1),
         };
         let mut settings = GroupSettings::new("test", FolderRole::Store, own, new_disk);
-        settings.most_voters = self.most_voters;
+        settings.max_voters = self.max_voters;
         settings.snapshot_log_bytes = 2_000;
         settings.seed = self.random.random();
         settings.first_members = first.map(|machines| {
--- a/crates/job-store/tests/all/formats.rs
+++ b/crates/job-store/tests/all/formats.rs
@@ -1,6 +1,6 @@
 //! A job store is stored as every member of its group reads it.
 
-use linnethitch_group::{SnapshotSource, StateMachine, WholeSnapshot};
+use linnethitch_group::{InMemorySnapshot, SnapshotSource, StateMachine};
 use linnethitch_job_store::{JobStore, StoreCommand};
 use linnethitch_protocol::{format::Format, ids::LogIndex};
 
@@ -16,7 +16,7 @@
 }
 
 fn restored(bytes: Vec<u8>) -> JobStore {
-    let mut source = WholeSnapshot::new(bytes);
+    let mut source = InMemorySnapshot::new(bytes);
     let content = store_snapshot(&mut snapshots(), 1, &mut source);
     JobStore::from_snapshot(content).expect("it is read")
 }
--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_group::{
-    GroupMember, GroupOutput, GroupSettings, StateMachine, WholeSnapshot, bootstrap_disk,
+    GroupMember, GroupOutput, GroupSettings, InMemorySnapshot, StateMachine, bootstrap_disk,
 };
 use linnethitch_job_store::{Dispatcher, ItemOutcome, JobStore, RunMark, StoreCommand};
 use linnethitch_protocol::ids::{MachineId, MemberId};
@@ -60,7 +60,7 @@
 #[case::damaged_runs(&[4, 9, 9, 9, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::Corrupted)]
 #[case::other_layout(&[5, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::DataFolderRefused)]
 fn damage_and_other_layouts_are_told_apart(#[case] content: &[u8], #[case] kind: ErrorKind) {
-    let mut source = WholeSnapshot::new(content.to_vec());
+    let mut source = InMemorySnapshot::new(content.to_vec());
     let content = store_snapshot(&mut snapshots(), 1, &mut source);
     let refused = JobStore::from_snapshot(content).map(|_| ());
     assert_eq!(*refused.expect_err("refused").current_context(), kind);
@@ -79,7 +79,7 @@
     let mut settings = GroupSettings::new("test", FolderRole::Store, own, disk_id);
     settings.snapshot_log_bytes = SNAPSHOT_LOG_BYTES;
     settings.log_limits.segment_bytes = SNAPSHOT_LOG_BYTES / 2;
-    settings.kept_snapshots = 1;
+    settings.retained_snapshots = 1;
     settings.first_members = first.then(|| {
         vec![MemberId {
             machine: own,
@@ -153,7 +153,7 @@
 #[test]
 fn a_snapshot_without_marks_of_runs_is_read() {
     let bytes = unhex(UNMARKED_SNAPSHOT);
-    let mut source = WholeSnapshot::new(bytes);
+    let mut source = InMemorySnapshot::new(bytes);
     let content = store_snapshot(&mut snapshots(), 1, &mut source);
     let store = JobStore::from_snapshot(content).expect("it is read");
     assert!(store.is_visible("j", Some("t")) && !store.is_visible("j", Some("u")));
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -4,7 +4,7 @@
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
-use linnethitch_group::{StateMachine, WholeSnapshot, read_whole_snapshot};
+use linnethitch_group::{InMemorySnapshot, StateMachine, read_full_snapshot};
 use linnethitch_protocol::{
     format::Format,
     ids::{LogIndex, MachineId, MemberId},
@@ -323,7 +323,7 @@
 
 impl StateMachine for Registry {
     type Answer = RegistryAnswer;
-    type Snapshot = WholeSnapshot;
+    type Snapshot = InMemorySnapshot;
 
     fn apply(
         &mut self,
@@ -391,7 +391,7 @@
         Ok(RegistryAnswer::Done)
     }
 
-    fn begin_snapshot(&self) -> Result<WholeSnapshot, Report<ErrorKind>> {
+    fn begin_snapshot(&self) -> Result<InMemorySnapshot, Report<ErrorKind>> {
         let snapshot = RegistrySnapshot {
             table: self.table().map(|table| table.as_ref().clone()),
             document: self.document.as_ref().clone(),
@@ -413,11 +413,11 @@
             Format::First => stored::encode(FOURTH_LAYOUT, &FourthSnapshot::try_from(snapshot)?),
             Format::Second => stored::encode(SNAPSHOT_LAYOUT, &snapshot),
         };
-        stored.map(WholeSnapshot::new)
+        stored.map(InMemorySnapshot::new)
     }
 
     fn from_snapshot(content: SnapshotReader) -> Result<Self, Report<ErrorKind>> {
-        let bytes = read_whole_snapshot(&content)?;
+        let bytes = read_full_snapshot(&content)?;
         let snapshot = decode_snapshot(&bytes)?;
         let format = match stored::layout_of(&bytes) {
             Some(layout) if layout > FOURTH_LAYOUT => Format::Second,
--- a/crates/registry/tests/all/formats.rs
+++ b/crates/registry/tests/all/formats.rs
@@ -1,7 +1,7 @@
 //! A registry is stored as every member of its group reads it.
 
 use linnethitch_errors::ErrorKind;
-use linnethitch_group::{SnapshotSource, StateMachine, WholeSnapshot};
+use linnethitch_group::{InMemorySnapshot, SnapshotSource, StateMachine};
 use linnethitch_protocol::{
     format::Format,
     ids::{LogIndex, MachineId},
@@ -24,7 +24,7 @@
 }
 
 fn restored(bytes: Vec<u8>) -> Registry {
-    Registry::from_snapshot(store_snapshot(WholeSnapshot::new(bytes))).expect("it is read")
+    Registry::from_snapshot(store_snapshot(InMemorySnapshot::new(bytes))).expect("it is read")
 }
 
 fn snapshot_of(registry: &Registry) -> Vec<u8> {
--- a/crates/registry/tests/all/fourth_layout.rs
+++ b/crates/registry/tests/all/fourth_layout.rs
@@ -1,6 +1,6 @@
 //! Values as the first and the third to fifth layouts store them stay readable.
 
-use linnethitch_group::{StateMachine, WholeSnapshot};
+use linnethitch_group::{InMemorySnapshot, StateMachine};
 use linnethitch_registry::{Registry, RegistryCommand, ReplicaState};
 use linnethitch_tenants::KeyDigest;
 use rstest::rstest;
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_snapshot_without_evacuations_is_read() {
-    let snapshot = WholeSnapshot::new(hex_bytes(SNAPSHOT));
+    let snapshot = InMemorySnapshot::new(hex_bytes(SNAPSHOT));
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     assert_eq!(restored.table().map(|table| table.version), Some(7));
     let replica = restored.replica("i-7").expect("it is held");
@@ -98,7 +98,7 @@
 #[case::fourth(SUSPICIONS, 0)]
 #[case::fifth(LATER_SUSPICIONS, 1)]
 fn what_is_suspected_stays_so(#[case] stored: &str, #[case] evacuated: usize) {
-    let snapshot = WholeSnapshot::new(hex_bytes(stored));
+    let snapshot = InMemorySnapshot::new(hex_bytes(stored));
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     let suspicions = restored.suspicions();
     let mut held: Vec<_> = suspicions
--- a/crates/registry/tests/all/registry.rs
+++ b/crates/registry/tests/all/registry.rs
@@ -1,7 +1,7 @@
 //! The replicated state: versions, incarnations, snapshots.
 
 use linnethitch_errors::ErrorKind;
-use linnethitch_group::{StateMachine, WholeSnapshot};
+use linnethitch_group::{InMemorySnapshot, StateMachine};
 use linnethitch_protocol::ids::{LogIndex, MachineId};
 use linnethitch_registry::{Registry, RegistryAnswer, RegistryCommand, ReplicaState};
 use rstest::rstest;
@@ -130,7 +130,7 @@
 #[case::empty(&[])]
 #[case::noise(&[7; 40])]
 fn damaged_bytes_are_refused(#[case] bytes: &[u8]) {
-    let snapshot = WholeSnapshot::new(bytes.to_vec());
+    let snapshot = InMemorySnapshot::new(bytes.to_vec());
     assert!(Registry::from_snapshot(store_snapshot(snapshot)).is_err());
     let mut registry = Registry::default();
     assert!(registry.apply(Default::default(), bytes).is_err());
@@ -212,7 +212,7 @@
      00646f6300000000000100000000000000070000000000000050ffffff01000000b0ffffff01000000004000\
      0000004000b80b000000000000983a000000000000c0ffffff030000000100000000000000b8ffffff000000\
      00b0ffffff00000000a8ffffff000000000000000000000000010000000000000090ffffff00000000";
-    let snapshot = WholeSnapshot::new(hex_bytes(stored));
+    let snapshot = InMemorySnapshot::new(hex_bytes(stored));
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     assert_eq!(restored.table().map(|table| table.version), Some(7));
     assert_eq!(restored.document().as_slice(), b"doc");
