--- a/crates/consensus/src/error.rs
+++ b/crates/consensus/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a call into the node was refused. Nothing was appended in any of these cases.
+//! Errors of calls into the node. A call that returns one of them has appended nothing.
 
 use std::fmt;
 
@@ -7,12 +7,13 @@
 /// Why a proposal was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposeError {
-    /// This member does not lead.
+    /// This member is not the leader.
     NotLeader {
-        /// Who does, as far as is known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// Too much is uncommitted, or leadership is being transferred; a retry can help.
+    /// Too many bytes are uncommitted, or leadership is being transferred; a later
+    /// retry can succeed.
     Overloaded,
     /// The payload is larger than [`crate::MAX_ENTRY_BYTES`].
     TooLarge,
@@ -21,22 +22,22 @@
 /// Why a membership change was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MembershipError {
-    /// This member does not lead.
+    /// This member is not the leader.
     NotLeader {
-        /// Who does, as far as is known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
     /// The leader has not yet committed an entry of its own term.
     LeaderNotReady,
     /// An earlier change is not yet committed.
     ChangeInProgress,
-    /// The member to add takes part already.
+    /// The member to add is already a voter or learner.
     AlreadyMember,
     /// The member to promote is not a learner.
     NotLearner,
-    /// The member to remove does not take part.
+    /// The member to remove is neither a voter nor a learner.
     NotMember,
-    /// The learner has not synced everything that is committed.
+    /// The learner has not synced all committed entries.
     NotCaughtUp,
     /// The last voter cannot be removed.
     LastVoter,
@@ -47,29 +48,29 @@
 /// Why a read was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReadError {
-    /// This member does not lead.
+    /// This member is not the leader.
     NotLeader {
-        /// Who does, as far as is known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// Too many reads wait for confirmation.
+    /// Too many reads are waiting for confirmation.
     Overloaded,
 }
 
 /// Why leadership cannot be transferred.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TransferError {
-    /// This member does not lead.
+    /// This member is not the leader.
     NotLeader {
-        /// Who does, as far as is known.
+        /// The leader, if known.
         leader: Option<MemberId>,
     },
-    /// The member named is not a voter, or is this member.
+    /// The target is not a voter, or is this member.
     NotAnotherVoter,
 }
 
-/// Implements `Display` by the debug form, and `Error`.
-macro_rules! plain_error {
+/// Implements `Error`, and `Display` as the debug output.
+macro_rules! impl_error {
     ($($name:ident),+) => { $(
         impl fmt::Display for $name {
             fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -81,4 +82,4 @@
     )+ };
 }
 
-plain_error!(ProposeError, MembershipError, ReadError, TransferError);
+impl_error!(ProposeError, MembershipError, ReadError, TransferError);
--- a/crates/consensus/src/inflight.rs
+++ b/crates/consensus/src/inflight.rs
@@ -1,16 +1,16 @@
-//! Append messages under way to one member.
+//! Flow control of append messages to one member.
 
 use std::collections::VecDeque;
 
 use linnethitch_protocol::ids::LogIndex;
 
-/// One append message.
+/// An unacknowledged append message.
 struct InflightAppend {
     last_index: LogIndex,
     bytes: usize,
 }
 
-/// The append messages that are not yet acknowledged.
+/// The unacknowledged append messages to one member.
 #[derive(Default)]
 pub(crate) struct InflightAppends {
     appends: VecDeque<InflightAppend>,
@@ -18,8 +18,8 @@
 }
 
 impl InflightAppends {
-    /// Whether another message may be sent; one always may when none is under way.
-    pub(crate) fn has_room(&self, max_appends: usize, max_bytes: usize) -> bool {
+    /// Whether another message may be sent. With nothing in flight a message of any size may.
+    pub(crate) fn has_capacity(&self, max_appends: usize, max_bytes: usize) -> bool {
         self.appends.is_empty() || (self.appends.len() < max_appends && self.bytes < max_bytes)
     }
 
@@ -28,7 +28,7 @@
         self.appends.push_back(InflightAppend { last_index, bytes });
     }
 
-    /// Frees the messages whose entries are all acknowledged.
+    /// Removes the messages whose entries are all acknowledged.
     pub(crate) fn acknowledge(&mut self, matched: LogIndex) {
         while let Some(append) = self.appends.front()
             && append.last_index <= matched
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,23 +1,23 @@
 //! A replicated log (Raft) without input or output of its own.
 //!
 //! A [`Node`] is driven by calls: [`Node::tick`] for time, [`Node::step`] for
-//! messages, [`Node::propose`] for new entries. What has to be stored and sent
-//! comes out of [`Node::ready`]. The caller, called the driver here, owns the
-//! clock, the disk and the network:
+//! messages, [`Node::propose`] for new entries. [`Node::ready`] returns what must
+//! be stored and sent. The caller, called the driver here, owns the clock, the
+//! disk and the network:
 //!
-//! 1. Call `tick`, `step`, `propose`, … any number of times.
+//! 1. Call `tick`, `step`, `propose`, … in any order and number.
 //! 2. Call [`Node::ready`] and, before the next call into the node, append
 //!    [`Ready::entries`] (after [`Ready::truncate_after`]), write
 //!    [`Ready::hard_state`] and [`Ready::snapshot_chunks`]; send
 //!    [`Ready::messages_before_sync`] at any time.
-//! 3. If [`Ready::must_sync`] is set, sync. Several `Ready`s may share one sync.
+//! 3. If [`Ready::must_sync`] is set, sync. One sync may cover several `Ready`s.
 //! 4. Send [`Ready::messages_after_sync`] and call [`Node::advance`] with
-//!    [`Ready::number`], in the order of the numbers.
+//!    [`Ready::number`], in ascending order of the numbers.
 //! 5. Apply the log's entries up to [`Ready::committed`]; answer
 //!    [`Ready::confirmed_reads`] once the state machine has reached their index.
 //!
-//! Nothing here reads a clock or a random source other than the seeded
-//! generator of [`Settings::seed`], so a run can be repeated exactly.
+//! The crate reads no clock, and its only random source is the generator seeded
+//! with [`Settings::seed`], so a run can be reproduced exactly.
 
 mod error;
 mod inflight;
--- a/crates/consensus/src/membership.rs
+++ b/crates/consensus/src/membership.rs
@@ -1,4 +1,4 @@
-//! Memberships in the log and the rules of changing them.
+//! Memberships in the log, and the rules for changing them.
 
 use linnethitch_protocol::{
     consensus::{Entry, EntryPayload, Membership, MembershipChange},
@@ -7,22 +7,22 @@
 
 use crate::error::MembershipError;
 
-/// Voters that form a quorum.
+/// Number of voters that form a quorum of a membership.
 pub(crate) fn quorum(membership: &Membership) -> usize {
-    quorum_of(membership.voters.len())
+    quorum_size(membership.voters.len())
 }
 
-/// How many of some voters form a quorum.
-pub(crate) fn quorum_of(voters: usize) -> usize {
+/// Size of a quorum of this many voters.
+pub(crate) fn quorum_size(voters: usize) -> usize {
     voters / 2 + 1
 }
 
-/// Whether a member counts.
+/// Whether a member is a voter.
 pub(crate) fn is_voter(membership: &Membership, member: MemberId) -> bool {
     membership.voters.contains(&member)
 }
 
-/// Every voter and learner.
+/// All voters and learners.
 pub(crate) fn members(membership: &Membership) -> impl Iterator<Item = MemberId> + '_ {
     membership
         .voters
@@ -31,7 +31,7 @@
         .copied()
 }
 
-/// The membership that a change results in.
+/// The membership after a change.
 pub(crate) fn changed(
     membership: &Membership,
     change: &MembershipChange,
@@ -81,15 +81,15 @@
     membership: Membership,
 }
 
-/// The memberships of the log's uncommitted part and the last committed one.
+/// The last committed membership and those in the uncommitted part of the log.
 ///
-/// The newest counts as soon as it is in the log.
+/// A membership takes effect as soon as its entry is in the log.
 pub(crate) struct MembershipHistory {
     recorded: Vec<RecordedMembership>,
 }
 
 impl MembershipHistory {
-    /// Starts from the membership as of an index.
+    /// Starts from the membership at an index.
     pub(crate) fn new(index: LogIndex, membership: Membership) -> Self {
         let base = RecordedMembership { index, membership };
         MembershipHistory {
@@ -102,12 +102,12 @@
         &self.newest().membership
     }
 
-    /// Where the newest membership stands in the log.
+    /// Log index of the newest membership.
     pub(crate) fn latest_index(&self) -> LogIndex {
         self.newest().index
     }
 
-    /// Takes note of an appended entry; true when it changes the membership.
+    /// Records an appended entry; true if the entry changes the membership.
     pub(crate) fn record(&mut self, entry: &Entry) -> bool {
         let EntryPayload::Membership(_, membership) = &entry.payload else {
             return false;
@@ -119,15 +119,19 @@
         true
     }
 
-    /// Forgets memberships above an index.
+    /// Removes memberships above an index.
     pub(crate) fn truncate_after(&mut self, index: LogIndex) {
-        let keep = self.recorded.partition_point(|held| held.index <= index);
-        self.recorded.truncate(keep.max(1));
+        let retained = self
+            .recorded
+            .partition_point(|recorded| recorded.index <= index);
+        self.recorded.truncate(retained.max(1));
     }
 
-    /// Forgets memberships below the newest committed one.
+    /// Removes memberships older than the newest committed one.
     pub(crate) fn compact(&mut self, commit: LogIndex) {
-        let committed = self.recorded.partition_point(|held| held.index <= commit);
+        let committed = self
+            .recorded
+            .partition_point(|recorded| recorded.index <= commit);
         self.recorded.drain(..committed.saturating_sub(1));
     }
 
--- a/crates/consensus/src/node.rs
+++ b/crates/consensus/src/node.rs
@@ -2,10 +2,10 @@
 
 mod election;
 mod follower;
-mod handover;
 mod leader;
 mod leadership;
 mod membership_changes;
+mod ready;
 mod snapshot;
 
 use std::collections::{BTreeMap, VecDeque};
@@ -28,49 +28,49 @@
 };
 use leadership::Leadership;
 
-/// Bytes that are read at once when the log is searched for memberships at the start.
+/// Bytes of entries read at a time while the log is searched for memberships at start-up.
 const RESTORE_READ_BYTES: usize = 1024 * 1024;
 
-/// A snapshot that was received in part.
+/// A partially received snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PartialSnapshot {
-    /// The member that sends it.
+    /// The member that sends the snapshot.
     pub from: MemberId,
-    /// What it stands for.
+    /// Index, term and membership of the snapshot.
     pub meta: SnapshotMeta,
-    /// The next byte wanted; everything before is written and synced.
+    /// The next byte expected; all earlier bytes are written and synced.
     pub next_offset: u64,
 }
 
-/// What a member found on its disk.
+/// State that a member restored from its disk.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RestoredState {
-    /// The stored hard state; the default on a blank disk.
+    /// The stored hard state; the default if the disk is blank.
     pub hard_state: HardState,
-    /// The membership that a new cluster starts from. It counts only until the
-    /// log or a snapshot holds another. Empty on a disk that is to join.
+    /// The first membership of a new cluster. It applies only until the log or a
+    /// snapshot contains a membership. Empty on a disk that joins an existing cluster.
     pub membership: Membership,
-    /// Set when the log was found damaged and cut: the highest index that may
-    /// have been acknowledged. The member neither votes nor stands for
-    /// election until a leader has brought its log back up to there.
+    /// Set when the log was damaged and truncated: the highest index that may have
+    /// been acknowledged. The member neither votes nor starts an election until a
+    /// leader has restored its log up to this index.
     pub damaged_up_to: Option<LogIndex>,
-    /// A snapshot of which the first part is stored.
+    /// A partially received snapshot on the disk.
     pub partial_snapshot: Option<PartialSnapshot>,
 }
 
-/// What a `Ready` that is not yet synced holds.
+/// Contents of a `Ready` that is not yet synced.
 struct UnsyncedReady {
     number: u64,
-    /// The last index of the log once it is synced.
+    /// The last index of the log after the sync.
     last_index: LogIndex,
-    /// The term in which it holds this member's vote for itself.
+    /// The term of this member's vote for itself, if the `Ready` contains one.
     vote_for_self: Option<Term>,
 }
 
 /// A snapshot being received.
-struct Receiving {
+struct IncomingSnapshot {
     partial: PartialSnapshot,
-    /// Whether all of it has arrived; it waits to be installed.
+    /// Whether all chunks were received, so that the snapshot waits to be installed.
     complete: bool,
 }
 
@@ -83,45 +83,46 @@
     role: Role,
     leader: Option<MemberId>,
     commit: LogIndex,
-    /// The highest commit index that the present leader told.
-    told_commit: LogIndex,
-    /// Whether an entry of the present leader's term is known to be committed.
+    /// The highest commit index received from the current leader.
+    leader_commit: LogIndex,
+    /// Whether an entry of the current leader's term is known to be committed.
     term_committed: bool,
     synced: LogIndex,
     pending: PendingLog,
     membership: MembershipHistory,
-    /// Ticks since the leader was heard of or the election began.
+    /// Ticks since the last contact with the leader or the start of the election.
     election_elapsed: u32,
     election_timeout: u32,
-    /// Whether a leader was heard of since this member was opened.
-    knew_leader: bool,
-    /// Answers to this member's (pre-)vote requests.
+    /// Whether any leader sent a message since this member was started.
+    has_seen_leader: bool,
+    /// Responses to this member's pre-vote or vote requests.
     votes: BTreeMap<MemberId, bool>,
-    /// Whether the vote for itself waits to be handed over.
+    /// Whether the vote for itself is to be included in the next `Ready`.
     vote_for_self_pending: bool,
-    /// Set while this member leads.
+    /// Set while this member is the leader.
     leadership: Option<Leadership>,
-    receiving: Option<Receiving>,
-    /// Ticks for which no snapshot is taken, since the driver refused one.
-    snapshot_pause_ticks: u32,
+    incoming_snapshot: Option<IncomingSnapshot>,
+    /// Remaining ticks during which snapshot chunks are ignored because the driver
+    /// refused a snapshot.
+    snapshot_backoff_ticks: u32,
     damaged_up_to: Option<LogIndex>,
-    /// Identity under which the current message is answered.
-    answers_as: MemberId,
-    /// Highest round of this leader that was answered.
+    /// Sender identity of replies to the current message.
+    reply_identity: MemberId,
+    /// The last heartbeat round of the current leader that was answered.
     answered_round: u64,
     before_sync: Vec<ConsensusMessage>,
     after_sync: Vec<ConsensusMessage>,
     chunks: Vec<ReceivedChunk>,
     refused_reads: Vec<u64>,
-    handed_hard_state: HardState,
+    last_hard_state: HardState,
     unsynced: VecDeque<UnsyncedReady>,
     ready_number: u64,
-    /// Whether anything happened since the last `Ready`.
-    touched: bool,
+    /// Whether the state may have changed since the last `Ready`.
+    dirty: bool,
 }
 
 impl Node {
-    /// Starts a member from what its disk holds.
+    /// Starts a member from the state on its disk.
     #[must_use]
     pub fn new(settings: Settings, restored: RestoredState, log: &dyn LogView) -> Self {
         let hard_state = restored.hard_state;
@@ -136,47 +137,47 @@
             role: Role::Follower,
             leader: None,
             commit,
-            told_commit: LogIndex(0),
+            leader_commit: LogIndex(0),
             term_committed: false,
             synced: last_index,
             pending: PendingLog::new(log),
             membership: restore_membership(restored.membership, log),
             election_elapsed: 0,
             election_timeout: 0,
-            knew_leader: false,
+            has_seen_leader: false,
             votes: BTreeMap::new(),
             vote_for_self_pending: false,
             leadership: None,
-            receiving: None,
-            snapshot_pause_ticks: 0,
+            incoming_snapshot: None,
+            snapshot_backoff_ticks: 0,
             damaged_up_to: None,
-            answers_as: settings.id,
+            reply_identity: settings.id,
             answered_round: 0,
             before_sync: Vec::new(),
             after_sync: Vec::new(),
             chunks: Vec::new(),
             refused_reads: Vec::new(),
-            handed_hard_state: hard_state,
+            last_hard_state: hard_state,
             unsynced: VecDeque::new(),
             ready_number: 0,
-            touched: true,
+            dirty: true,
             settings,
         };
         node.membership.compact(commit);
-        node.receiving = restored.partial_snapshot.map(|partial| Receiving {
+        node.incoming_snapshot = restored.partial_snapshot.map(|partial| IncomingSnapshot {
             partial,
             complete: false,
         });
         if let Some(damaged_up_to) = restored.damaged_up_to {
             node.mark_damaged(damaged_up_to);
         }
-        node.draw_election_timeout();
+        node.randomize_election_timeout();
         node
     }
 
-    /// Lets one tick of [`crate::TICK_MILLISECONDS`] pass.
+    /// Advances time by one tick of [`crate::TICK_MILLISECONDS`].
     pub fn tick(&mut self) {
-        self.touched = true;
+        self.dirty = true;
         if self.role == Role::Leader {
             self.tick_leader();
         } else {
@@ -184,21 +185,21 @@
         }
     }
 
-    /// Takes a message of another member. Messages that are for another disk,
-    /// late, or not well-formed are dropped.
+    /// Handles a message of another member. Messages that are addressed to another
+    /// disk, outdated or malformed are dropped.
     pub fn step(&mut self, message: ConsensusMessage, log: &dyn LogView) {
         if !self.is_addressed(&message) || !plausible::is_plausible(&message) {
             return;
         }
-        self.touched = true;
-        self.answers_as = message.to;
+        self.dirty = true;
+        self.reply_identity = message.to;
         if self.accept_term(&message) {
             self.dispatch(message, log);
         }
-        self.answers_as = self.settings.id;
+        self.reply_identity = self.settings.id;
     }
 
-    /// This member at a glance.
+    /// The status of this member.
     #[must_use]
     pub fn status(&self) -> Status {
         let latest = self.membership.latest();
@@ -219,13 +220,13 @@
         }
     }
 
-    /// Whether this member leads.
+    /// Whether this member is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.role == Role::Leader
     }
 
-    /// The leader of the current term, as far as is known.
+    /// The leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<MemberId> {
         self.leader
@@ -247,8 +248,10 @@
 
     fn known_commit(&self) -> Option<LogIndex> {
         match &self.leadership {
-            Some(leadership) => self.is_settled(leadership).then_some(self.commit),
-            None => self.term_committed.then_some(self.told_commit),
+            Some(leadership) => self
+                .has_committed_own_term(leadership)
+                .then_some(self.commit),
+            None => self.term_committed.then_some(self.leader_commit),
         }
     }
 
@@ -269,7 +272,7 @@
             .collect()
     }
 
-    /// Whether a message is for this disk and not from itself.
+    /// Whether a message is addressed to this disk and sent by another.
     fn is_addressed(&self, message: &ConsensusMessage) -> bool {
         let id = self.settings.id;
         let same_machine = message.to.machine == id.machine;
@@ -306,29 +309,31 @@
         }
     }
 
-    fn answer(&self, to: MemberId, term: Term, body: ConsensusBody) -> ConsensusMessage {
+    fn new_message(&self, to: MemberId, term: Term, body: ConsensusBody) -> ConsensusMessage {
         ConsensusMessage {
-            from: self.answers_as,
+            from: self.reply_identity,
             to,
             term,
             body,
         }
     }
 
-    fn draw_election_timeout(&mut self) {
-        let usual = self.settings.election_ticks;
-        // A member that has just started asks sooner: where all were restarted,
-        // nobody leads, and where somebody does, its voters refuse the question.
-        let range = if self.knew_leader {
-            usual..usual * 2
+    fn randomize_election_timeout(&mut self) {
+        let election_ticks = self.settings.election_ticks;
+        // A member that has just started uses a shorter timeout: after a restart of
+        // all members nobody leads, and where there is a leader, the voters that are
+        // in contact with it refuse the pre-vote.
+        let range = if self.has_seen_leader {
+            election_ticks..election_ticks * 2
         } else {
-            (usual / FIRST_ELECTION_PART).max(1)..usual.max(2)
+            (election_ticks / FIRST_ELECTION_DIVISOR).max(1)..election_ticks.max(2)
         };
         self.election_timeout = self.random.random_range(range);
     }
 
-    /// A damaged log must not vote. Raising the term makes a leader that
-    /// counts on what was lost step down, so that its successor asks anew.
+    /// A member with a damaged log must not vote. Raising the term makes a leader
+    /// that has counted the lost entries as acknowledged step down, so that the next
+    /// leader determines the acknowledged entries again.
     fn mark_damaged(&mut self, damaged_up_to: LogIndex) {
         self.damaged_up_to = Some(damaged_up_to);
         self.term = Term(self.term.0 + 1);
@@ -344,10 +349,10 @@
     }
 }
 
-/// A member that knows no leader yet stands from this part of the usual silence on.
-const FIRST_ELECTION_PART: u32 = 3;
+/// Before the first contact with a leader the election timeout is divided by this.
+const FIRST_ELECTION_DIVISOR: u32 = 3;
 
-/// Collects the memberships that the log holds above its snapshot.
+/// Collects the memberships in the log above its snapshot.
 fn restore_membership(initial: Membership, log: &dyn LogView) -> MembershipHistory {
     let snapshot = log.snapshot_meta();
     let base = if snapshot.index.0 == 0 {
--- a/crates/consensus/src/node/election.rs
+++ b/crates/consensus/src/node/election.rs
@@ -1,4 +1,4 @@
-//! Terms, votes and changes of role.
+//! Terms, votes and role changes.
 
 use linnethitch_protocol::{
     consensus::{
@@ -13,22 +13,22 @@
 impl Node {
     pub(super) fn tick_follower(&mut self) {
         self.election_elapsed = self.election_elapsed.saturating_add(1);
-        self.snapshot_pause_ticks = self.snapshot_pause_ticks.saturating_sub(1);
-        if self.election_elapsed >= self.election_timeout && self.may_stand() {
+        self.snapshot_backoff_ticks = self.snapshot_backoff_ticks.saturating_sub(1);
+        if self.election_elapsed >= self.election_timeout && self.is_promotable() {
             self.start_pre_vote();
         }
     }
 
-    /// Whether this member may be elected at all.
-    pub(super) fn may_stand(&self) -> bool {
+    /// Whether this member may become leader.
+    pub(super) fn is_promotable(&self) -> bool {
         let voter = membership::is_voter(self.membership.latest(), self.settings.id);
         voter && self.damaged_up_to.is_none()
     }
 
-    /// Brings the term up to date; false when the message must not be handled.
+    /// Updates the term from a message; false if the message must not be handled.
     pub(super) fn accept_term(&mut self, message: &ConsensusMessage) -> bool {
         if message.term < self.term {
-            self.answer_late(message);
+            self.reply_with_current_term(message);
             return false;
         }
         if message.term > self.term && !is_about_future_term(&message.body) {
@@ -43,9 +43,9 @@
         true
     }
 
-    /// Tells the sender of an outdated message about the current term, so that
-    /// it cannot stay behind for good.
-    fn answer_late(&mut self, message: &ConsensusMessage) {
+    /// Replies to a message of an earlier term with the current term, so that the
+    /// sender does not remain in the earlier term indefinitely.
+    fn reply_with_current_term(&mut self, message: &ConsensusMessage) {
         let body = match &message.body {
             ConsensusBody::Append(Append { round, .. })
             | ConsensusBody::SnapshotChunk(SnapshotChunk { round, .. }) => {
@@ -61,17 +61,17 @@
             ConsensusBody::VoteRequest { .. } => ConsensusBody::VoteResponse { granted: false },
             _ => return,
         };
-        let answer = self.answer(message.from, self.term, body);
-        self.after_sync.push(answer);
+        let response = self.new_message(message.from, self.term, body);
+        self.after_sync.push(response);
     }
 
-    /// Takes the sender as the leader of the current term; false when that
-    /// cannot be, because this member leads it.
+    /// Accepts the sender as leader of the current term; false if this member is
+    /// itself the leader of that term.
     fn follow(&mut self, leader: MemberId) -> bool {
         if self.role == Role::Leader {
             return false;
         }
-        self.knew_leader = true;
+        self.has_seen_leader = true;
         if self.role != Role::Follower || self.leader != Some(leader) {
             self.become_follower(self.term, Some(leader));
         }
@@ -79,19 +79,19 @@
         true
     }
 
-    /// A candidate is not listened to while the leader is alive, unless the
-    /// leader itself asked it to stand.
+    /// Vote requests are ignored while the leader is alive, unless the leader itself
+    /// requested the election by a leadership transfer.
     fn ignores_candidate(&self, body: &ConsensusBody) -> bool {
         match body {
             ConsensusBody::VoteRequest {
                 leadership_transfer,
                 ..
-            } => !leadership_transfer && self.hears_leader(),
+            } => !leadership_transfer && self.has_live_leader(),
             _ => false,
         }
     }
 
-    fn hears_leader(&self) -> bool {
+    fn has_live_leader(&self) -> bool {
         let recent = self.election_elapsed < self.settings.election_ticks;
         self.leader.is_some() && (self.role == Role::Leader || recent)
     }
@@ -103,13 +103,13 @@
         }
         self.role = Role::Follower;
         self.leader = leader;
-        self.told_commit = LogIndex(0);
+        self.leader_commit = LogIndex(0);
         self.term_committed = false;
         self.votes.clear();
         self.vote_for_self_pending = false;
         self.answered_round = 0;
         self.election_elapsed = 0;
-        self.draw_election_timeout();
+        self.randomize_election_timeout();
         if let Some(leadership) = self.leadership.take() {
             self.refused_reads.extend(leadership.reads.refuse_all());
         }
@@ -127,11 +127,11 @@
             last_index: self.pending.last_index(),
             last_term: self.pending.last_term(),
         };
-        let requests = self.to_other_voters(Term(self.term.0 + 1), &body);
+        let requests = self.requests_to_other_voters(Term(self.term.0 + 1), &body);
         self.before_sync.extend(requests);
     }
 
-    /// Stands for election. The vote for itself counts once it is synced.
+    /// Starts an election. The member's own vote counts once it is synced.
     pub(super) fn start_election(&mut self, leadership_transfer: bool) {
         self.become_follower(Term(self.term.0 + 1), None);
         self.role = Role::Candidate;
@@ -141,7 +141,7 @@
             last_term: self.pending.last_term(),
             leadership_transfer,
         };
-        let requests = self.to_other_voters(self.term, &body);
+        let requests = self.requests_to_other_voters(self.term, &body);
         if self.settings.safety.skip_vote_sync {
             self.before_sync.extend(requests);
             self.count_own_vote(self.term);
@@ -151,16 +151,16 @@
         }
     }
 
-    fn to_other_voters(&self, term: Term, body: &ConsensusBody) -> Vec<ConsensusMessage> {
+    fn requests_to_other_voters(&self, term: Term, body: &ConsensusBody) -> Vec<ConsensusMessage> {
         let id = self.settings.id;
         let voters = self.membership.latest().voters.iter();
         voters
             .filter(|voter| **voter != id)
-            .map(|voter| self.answer(*voter, term, body.clone()))
+            .map(|voter| self.new_message(*voter, term, body.clone()))
             .collect()
     }
 
-    /// Counts the synced vote for itself, unless the election is over.
+    /// Counts the member's own vote after its sync, unless the election is over.
     pub(super) fn count_own_vote(&mut self, term: Term) {
         if self.role == Role::Candidate && self.term == term {
             self.votes.insert(self.settings.id, true);
@@ -184,11 +184,11 @@
         self.role = Role::Leader;
         self.leader = Some(self.settings.id);
         self.votes.clear();
-        self.receiving = None;
+        self.incoming_snapshot = None;
         let first_index = LogIndex(self.pending.last_index().0 + 1);
         let leadership = Leadership::new(self.settings.id, self.membership.latest(), first_index);
         self.leadership = Some(leadership);
-        self.append_own(EntryPayload::Empty);
+        self.append_entry(EntryPayload::Empty);
     }
 
     pub(super) fn on_pre_vote_request(
@@ -199,13 +199,13 @@
         last_term: Term,
     ) {
         let granted = term > self.term
-            && !self.hears_leader()
-            && self.may_give_votes()
+            && !self.has_live_leader()
+            && self.may_vote()
             && self.is_up_to_date(last_index, last_term);
-        let answer_term = if granted { term } else { self.term };
+        let response_term = if granted { term } else { self.term };
         let body = ConsensusBody::PreVoteResponse { granted };
-        let answer = self.answer(from, answer_term, body);
-        self.before_sync.push(answer);
+        let response = self.new_message(from, response_term, body);
+        self.before_sync.push(response);
     }
 
     pub(super) fn on_pre_vote_response(&mut self, from: MemberId, term: Term, granted: bool) {
@@ -225,18 +225,18 @@
         last_index: LogIndex,
         last_term: Term,
     ) {
-        let free = self.vote == Some(from) || (self.vote.is_none() && self.leader.is_none());
-        let granted = free && self.may_give_votes() && self.is_up_to_date(last_index, last_term);
+        let may_grant = self.vote == Some(from) || (self.vote.is_none() && self.leader.is_none());
+        let granted = may_grant && self.may_vote() && self.is_up_to_date(last_index, last_term);
         if granted {
             self.vote = Some(from);
             self.election_elapsed = 0;
         }
         let body = ConsensusBody::VoteResponse { granted };
-        let answer = self.answer(from, self.term, body);
+        let response = self.new_message(from, self.term, body);
         if self.settings.safety.skip_vote_sync {
-            self.before_sync.push(answer);
+            self.before_sync.push(response);
         } else {
-            self.after_sync.push(answer);
+            self.after_sync.push(response);
         }
     }
 
@@ -247,29 +247,30 @@
         }
     }
 
-    /// The leader asks this member to take over.
+    /// Handles the leader's request to start an election for a leadership transfer.
     pub(super) fn on_transfer_request(&mut self, from: MemberId) {
-        if self.leader == Some(from) && self.may_stand() {
+        if self.leader == Some(from) && self.is_promotable() {
             self.start_election(true);
         }
     }
 
-    /// A blank disk gives no votes, nor does one that lost acknowledged entries.
-    fn may_give_votes(&self) -> bool {
+    /// A member with a blank disk grants no votes, nor does one that may have lost
+    /// acknowledged entries.
+    fn may_vote(&self) -> bool {
         let latest = self.membership.latest();
         let blank = latest.voters.is_empty() && self.pending.last_index().0 == 0;
         let allowed = !blank || self.settings.safety.blank_disk_may_vote;
         allowed && self.damaged_up_to.is_none()
     }
 
-    /// Whether a candidate's log holds at least what this member's log holds.
+    /// Whether a candidate's log is at least as up to date as this member's log.
     fn is_up_to_date(&self, last_index: LogIndex, last_term: Term) -> bool {
         let own = (self.pending.last_term(), self.pending.last_index());
         (last_term, last_index) >= own
     }
 }
 
-/// Whether the term of a message is one that its sender has not entered.
+/// Whether the term of a message is one that its sender has not yet entered.
 fn is_about_future_term(body: &ConsensusBody) -> bool {
     matches!(
         body,
--- a/crates/consensus/src/node/follower.rs
+++ b/crates/consensus/src/node/follower.rs
@@ -1,4 +1,4 @@
-//! How a member takes entries from the leader.
+//! How a follower handles appends of the leader.
 
 use linnethitch_protocol::{
     consensus::{Append, AppendResponse, ConsensusBody, Entry},
@@ -8,22 +8,22 @@
 use super::Node;
 use crate::log_view::LogView;
 
-/// Whether the entries follow each other and none is of a term above `term`.
+/// Whether the entries have consecutive indexes and non-decreasing terms up to `term`.
 fn is_well_formed(append: &Append, term: Term) -> bool {
     let mut index = append.previous_index;
-    let mut least_term = append.previous_term;
+    let mut lowest_term = append.previous_term;
     for entry in &append.entries {
-        let follows = index.0.checked_add(1) == Some(entry.index.0);
-        if !follows || entry.term < least_term || entry.term > term {
+        let is_next = index.0.checked_add(1) == Some(entry.index.0);
+        if !is_next || entry.term < lowest_term || entry.term > term {
             return false;
         }
         index = entry.index;
-        least_term = entry.term;
+        lowest_term = entry.term;
     }
     true
 }
 
-/// The index of the last entry, or of the point where a heartbeat stands.
+/// The index of the last entry, or the previous index if there are no entries.
 fn last_index(append: &Append) -> LogIndex {
     LogIndex(append.previous_index.0 + append.entries.len() as u64)
 }
@@ -33,18 +33,18 @@
         if !is_well_formed(&append, self.term) {
             return;
         }
-        self.told_commit = self.told_commit.max(append.commit);
+        self.leader_commit = self.leader_commit.max(append.commit);
         self.skip_committed(&mut append, log);
-        let held_term = self.pending.term(append.previous_index, log);
-        if held_term != Some(append.previous_term) {
-            self.refuse_append(from, &append, log);
+        let local_term = self.pending.term(append.previous_index, log);
+        if local_term != Some(append.previous_term) {
+            self.reject_append(from, &append, log);
             return;
         }
         let round = append.round;
         let matched = last_index(&append);
         let has_entries = !append.entries.is_empty();
         let commit = append.commit.min(matched);
-        self.take_entries(append.entries, log);
+        self.merge_entries(append.entries, log);
         self.commit_to(commit);
         self.term_committed |= self.pending.term(self.commit, log) == Some(self.term);
         if has_entries {
@@ -54,7 +54,8 @@
         }
     }
 
-    /// Cuts off what is committed here; those entries are the leader's as well.
+    /// Removes entries that are committed on this member, since they are identical to
+    /// the leader's.
     fn skip_committed(&self, append: &mut Append, log: &dyn LogView) {
         if append.previous_index >= self.commit {
             return;
@@ -64,8 +65,8 @@
         append.previous_term = self.pending.term(self.commit, log).unwrap_or_default();
     }
 
-    /// Appends what is new, after dropping what conflicts with it.
-    fn take_entries(&mut self, entries: Vec<Entry>, log: &dyn LogView) {
+    /// Appends the new entries, after removing own entries that conflict with them.
+    fn merge_entries(&mut self, entries: Vec<Entry>, log: &dyn LogView) {
         for entry in entries {
             match self.pending.term(entry.index, log) {
                 Some(term) if term == entry.term => continue,
@@ -101,16 +102,16 @@
             matched,
             round,
         });
-        let answer = self.answer(to, self.term, body);
+        let response = self.new_message(to, self.term, body);
         if self.settings.safety.skip_append_sync {
-            self.before_sync.push(answer);
+            self.before_sync.push(response);
         } else {
-            self.after_sync.push(answer);
+            self.after_sync.push(response);
         }
     }
 
-    /// Answers a heartbeat without waiting for the disk, telling only of what is
-    /// synced. News of a commit index within a round need no answer.
+    /// Answers a heartbeat without waiting for the disk, reporting only synced
+    /// entries. Further updates of the commit index in the same round need no answer.
     fn answer_heartbeat(&mut self, to: MemberId, matched: LogIndex, round: u64) {
         if self.answered_round == round {
             return;
@@ -121,23 +122,23 @@
             matched: matched.min(self.synced),
             round,
         });
-        let answer = self.answer(to, self.term, body);
-        self.before_sync.push(answer);
+        let response = self.new_message(to, self.term, body);
+        self.before_sync.push(response);
     }
 
-    fn refuse_append(&mut self, to: MemberId, append: &Append, log: &dyn LogView) {
+    fn reject_append(&mut self, to: MemberId, append: &Append, log: &dyn LogView) {
         let body = ConsensusBody::AppendResponse(AppendResponse {
             accepted: false,
-            matched: self.agreement_hint(append, log),
+            matched: self.reject_hint(append, log),
             round: append.round,
         });
-        let answer = self.answer(to, self.term, body);
-        self.before_sync.push(answer);
+        let response = self.new_message(to, self.term, body);
+        self.before_sync.push(response);
     }
 
-    /// The highest index below the refused one where the logs may agree: terms
-    /// never fall along a log, so nothing of a later term can.
-    fn agreement_hint(&self, append: &Append, log: &dyn LogView) -> LogIndex {
+    /// The highest index below the rejected one where the logs may match. Terms
+    /// never decrease along a log, so entries of a later term cannot match.
+    fn reject_hint(&self, append: &Append, log: &dyn LogView) -> LogIndex {
         let below = LogIndex(append.previous_index.0.saturating_sub(1));
         let mut hint = below.min(self.pending.last_index());
         while hint > self.commit {
--- a/crates/consensus/src/node/leader.rs
+++ b/crates/consensus/src/node/leader.rs
@@ -18,8 +18,9 @@
 };
 
 impl Node {
-    /// Appends a command to the log. It takes effect once it is committed; the
-    /// index is its place if this member still leads until then.
+    /// Appends a command to the log and returns its index. The command takes effect
+    /// once it is committed, which is certain only if this member is still the
+    /// leader by then.
     ///
     /// # Errors
     /// Nothing was appended; see [`ProposeError`].
@@ -38,15 +39,15 @@
         }
         let index = LogIndex(self.pending.last_index().0 + 1);
         leadership.uncommitted.add(index, bytes);
-        self.append_own(EntryPayload::Command(command));
+        self.append_entry(EntryPayload::Command(command));
         Ok(index)
     }
 
-    /// Asks for a linearizable read. The context comes back in
+    /// Requests a linearizable read. The context is returned in
     /// [`crate::Ready::confirmed_reads`], or in [`crate::Ready::refused_reads`].
     ///
     /// # Errors
-    /// This member does not lead, or too many reads wait.
+    /// This member is not the leader, or too many reads are pending.
     pub fn read_index(&mut self, context: u64) -> Result<(), ReadError> {
         let leader = self.leader;
         let Some(leadership) = &mut self.leadership else {
@@ -56,15 +57,15 @@
             return Err(ReadError::Overloaded);
         }
         leadership.reads.add(context);
-        self.touched = true;
+        self.dirty = true;
         Ok(())
     }
 
-    /// Hands leadership to another voter once that has everything. Proposals
-    /// are refused meanwhile; the transfer is given up after an election timeout.
+    /// Transfers leadership to another voter once its log is complete. Proposals
+    /// are refused until then; the transfer is aborted after an election timeout.
     ///
     /// # Errors
-    /// This member does not lead, or the other is not a voter.
+    /// This member is not the leader, or the target is not another voter.
     pub fn transfer_leadership(&mut self, to: MemberId) -> Result<(), TransferError> {
         let leader = self.leader;
         let Some(leadership) = &mut self.leadership else {
@@ -77,15 +78,15 @@
         leadership.transfer = Some(Transfer {
             to,
             ticks: 0,
-            asked: false,
+            request_sent: false,
         });
-        self.touched = true;
-        self.ask_successor_if_ready();
+        self.dirty = true;
+        self.send_transfer_if_caught_up();
         Ok(())
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload) {
-        self.touched = true;
+    pub(super) fn append_entry(&mut self, payload: EntryPayload) {
+        self.dirty = true;
         let entry = Entry {
             term: self.term,
             index: LogIndex(self.pending.last_index().0 + 1),
@@ -102,7 +103,7 @@
         let next = LogIndex(self.pending.last_index().0 + 1);
         let latest = self.membership.latest();
         if let Some(leadership) = &mut self.leadership {
-            leadership.adopt(self.settings.id, latest, next);
+            leadership.update_peers(self.settings.id, latest, next);
         }
     }
 
@@ -163,18 +164,18 @@
         if response.matched > last_index || response.round > leadership.round {
             return;
         }
-        progress.heard(response.round);
+        progress.record_response(response.round);
         if response.accepted {
             progress.accepted(response.matched);
             self.commit_if_possible(log);
-            self.ask_successor_if_ready();
+            self.send_transfer_if_caught_up();
         } else {
             progress.rejected(response.matched);
         }
     }
 
-    /// Commits what a quorum has synced, if it is of this leader's term. What
-    /// earlier terms left is committed along with it.
+    /// Commits the highest index that a quorum has synced, if that entry is of this
+    /// leader's term. Entries of earlier terms are committed with it.
     pub(super) fn commit_if_possible(&mut self, log: &dyn LogView) {
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -191,11 +192,11 @@
     }
 
     /// Whether an entry of this leader's own term is committed.
-    pub(super) fn is_settled(&self, leadership: &Leadership) -> bool {
+    pub(super) fn has_committed_own_term(&self, leadership: &Leadership) -> bool {
         self.commit >= leadership.first_index
     }
 
-    pub(super) fn ask_successor_if_ready(&mut self) {
+    pub(super) fn send_transfer_if_caught_up(&mut self) {
         let last_index = self.pending.last_index();
         let Some(leadership) = &mut self.leadership else {
             return;
@@ -207,16 +208,16 @@
             leadership.transfer = None;
             return;
         };
-        if progress.matched < last_index || transfer.asked {
+        if progress.matched < last_index || transfer.request_sent {
             return;
         }
-        transfer.asked = true;
+        transfer.request_sent = true;
         let to = transfer.to;
-        let message = self.answer(to, self.term, ConsensusBody::TransferLeadership);
+        let message = self.new_message(to, self.term, ConsensusBody::TransferLeadership);
         self.before_sync.push(message);
     }
 
-    /// A leader that is no longer a voter leaves once that is committed.
+    /// A leader that is no longer a voter steps down once its removal is committed.
     pub(super) fn step_down_if_removed(&mut self) {
         let latest = self.membership.latest();
         let removed = !membership::is_voter(latest, self.settings.id);
--- a/crates/consensus/src/node/leadership.rs
+++ b/crates/consensus/src/node/leadership.rs
@@ -1,4 +1,4 @@
-//! What a member holds only while it leads.
+//! State of a member that exists only while it is the leader.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,12 +9,12 @@
 
 use crate::{membership, progress::Progress, reads::ReadQueue};
 
-/// A transfer of leadership under way.
+/// A leadership transfer in progress.
 pub(super) struct Transfer {
     pub(super) to: MemberId,
     pub(super) ticks: u32,
-    /// Whether the successor was asked to stand.
-    pub(super) asked: bool,
+    /// Whether the transferee was sent the request to start an election.
+    pub(super) request_sent: bool,
 }
 
 struct UncommittedEntry {
@@ -22,7 +22,7 @@
     bytes: usize,
 }
 
-/// Payload bytes that were proposed in this leadership and are not committed.
+/// Uncommitted payload bytes proposed during this leadership.
 #[derive(Default)]
 pub(super) struct UncommittedSize {
     entries: VecDeque<UncommittedEntry>,
@@ -30,7 +30,7 @@
 }
 
 impl UncommittedSize {
-    /// Whether a proposal fits; one that is alone always does.
+    /// Whether a proposal is within the limit. With nothing uncommitted any size is.
     pub(super) fn fits(&self, bytes: usize, limit: usize) -> bool {
         self.total == 0 || self.total + bytes <= limit
     }
@@ -47,13 +47,13 @@
     }
 }
 
-/// What a member holds only while it leads.
+/// State of a member that exists only while it is the leader.
 pub(super) struct Leadership {
     /// The other members.
     pub(super) peers: BTreeMap<MemberId, Progress>,
-    /// Where this leadership's first entry stands.
+    /// Index of the first entry of this leadership.
     pub(super) first_index: LogIndex,
-    /// Counts the heartbeat rounds, from 1.
+    /// Number of the current heartbeat round, from 1.
     pub(super) round: u64,
     pub(super) heartbeat_elapsed: u32,
     pub(super) reads: ReadQueue,
@@ -72,12 +72,12 @@
             uncommitted: UncommittedSize::default(),
             transfer: None,
         };
-        leadership.adopt(id, latest, first_index);
+        leadership.update_peers(id, latest, first_index);
         leadership
     }
 
-    /// Follows a changed membership; sending to new members starts at `next`.
-    pub(super) fn adopt(&mut self, id: MemberId, latest: &Membership, next: LogIndex) {
+    /// Adds and removes peers after a membership change; sending to new peers starts at `next`.
+    pub(super) fn update_peers(&mut self, id: MemberId, latest: &Membership, next: LogIndex) {
         let is_peer = |member: &MemberId| *member != id;
         self.peers
             .retain(|member, _| membership::members(latest).any(|known| known == *member));
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Starts a round: every member is sent a heartbeat in the next `Ready`.
+    /// Starts a heartbeat round: the next `Ready` includes a message to every peer.
     pub(super) fn start_round(&mut self) {
         self.round += 1;
         self.heartbeat_elapsed = 0;
@@ -114,14 +114,14 @@
         })
     }
 
-    /// Whether a quorum of voters was heard of within some ticks.
+    /// Whether a quorum of voters responded within the last `ticks`.
     pub(super) fn has_quorum(&self, id: MemberId, latest: &Membership, ticks: u32) -> bool {
         self.quorum_value(id, true, latest, |progress| {
             progress.ticks_since_contact < ticks
         })
     }
 
-    /// The highest value that at least a quorum of voters reaches.
+    /// The highest value that a quorum of voters has reached.
     fn quorum_value<T: Ord + Copy + Default>(
         &self,
         id: MemberId,
--- a/crates/consensus/src/node/membership_changes.rs
+++ b/crates/consensus/src/node/membership_changes.rs
@@ -1,4 +1,4 @@
-//! Proposals that change the membership.
+//! Proposals of membership changes.
 
 use linnethitch_protocol::{
     consensus::{EntryPayload, MembershipChange},
@@ -9,7 +9,7 @@
 use crate::{error::MembershipError, membership};
 
 impl Node {
-    /// Appends a change of the membership, which counts at once for the quorum.
+    /// Appends a membership change, which takes effect for quorums at once.
     ///
     /// # Errors
     /// Nothing was appended; see [`MembershipError`].
@@ -25,18 +25,18 @@
             self.check_caught_up(leadership, *member)?;
         }
         let result = membership::changed(self.membership.latest(), &change)?;
-        self.append_own(EntryPayload::Membership(change, result));
+        self.append_entry(EntryPayload::Membership(change, result));
         Ok(self.pending.last_index())
     }
 
-    /// One change at a time, and none before this leader has committed an
-    /// entry: two leaders with different uncommitted changes could otherwise
-    /// have quorums that do not meet.
+    /// Allows one change at a time, and none before this leader has committed an
+    /// entry of its own term: otherwise two leaders with different uncommitted
+    /// changes could have quorums that do not intersect.
     fn check_change_allowed(&self, leadership: &Leadership) -> Result<(), MembershipError> {
         if leadership.transfer.is_some() {
             return Err(MembershipError::TransferInProgress);
         }
-        if !self.is_settled(leadership) {
+        if !self.has_committed_own_term(leadership) {
             return Err(MembershipError::LeaderNotReady);
         }
         if self.membership.latest_index() > self.commit {
@@ -45,7 +45,7 @@
         Ok(())
     }
 
-    /// A learner is promoted only once it has synced all that is committed.
+    /// A learner may be promoted only once it has synced all committed entries.
     fn check_caught_up(
         &self,
         leadership: &Leadership,
--- a/crates/consensus/src/node/handover.rs
+++ b/crates/consensus/src/node/ready.rs
@@ -1,4 +1,4 @@
-//! Hands work to the driver and takes note of what it has synced.
+//! Collects work for the driver and records what the driver has synced.
 
 use linnethitch_protocol::{
     consensus::HardState,
@@ -13,25 +13,25 @@
 };
 
 impl Node {
-    /// Whether anything happened since the last [`Node::ready`] that may have
-    /// produced work.
+    /// Whether the state changed since the last [`Node::ready`], so that there may
+    /// be work.
     #[must_use]
     pub fn has_ready(&self) -> bool {
-        self.touched
+        self.dirty
     }
 
-    /// Takes everything that has to be stored, sent and applied; see the crate's
-    /// documentation for the order. Many proposals and messages before one
-    /// call share one write and one sync.
+    /// Returns everything that has to be stored, sent and applied; see the crate's
+    /// documentation for the order. All proposals and messages before one call
+    /// share one write and one sync.
     pub fn ready(&mut self, log: &dyn LogView) -> Ready {
         let confirmed_reads = self.confirm_reads();
         self.replicate(log);
         self.step_down_if_removed();
         let change = self.pending.take();
-        let vote_changed = self.has_new_vote();
+        let vote_changed = self.has_new_term_or_vote();
         let hard_state = self.take_hard_state();
         self.ready_number += 1;
-        self.touched = false;
+        self.dirty = false;
         let mut ready = Ready {
             number: self.ready_number,
             hard_state,
@@ -46,33 +46,39 @@
             refused_reads: std::mem::take(&mut self.refused_reads),
         };
         ready.must_sync |= ready.has_log_writes();
-        self.remember_unsynced();
+        self.record_unsynced();
         ready
     }
 
-    /// Everything of the `Ready` with this number, and of all before, is synced.
-    /// This can commit entries and win elections: take another `Ready` after it.
+    /// Reports that the `Ready` with this number and all earlier ones are synced.
+    /// This can commit entries and win elections, so check for another `Ready`
+    /// afterwards.
     pub fn advance(&mut self, number: u64, log: &dyn LogView) {
         let synced_before = self.synced;
-        let count = self.unsynced.partition_point(|held| held.number <= number);
+        let count = self
+            .unsynced
+            .partition_point(|unsynced| unsynced.number <= number);
         let all_synced: Vec<UnsyncedReady> = self.unsynced.drain(..count).collect();
         for synced in all_synced {
             self.synced = self.synced.max(synced.last_index);
             if let Some(term) = synced.vote_for_self {
                 self.count_own_vote(term);
-                self.touched = true;
+                self.dirty = true;
             }
         }
-        self.touched |= self.synced > synced_before;
+        self.dirty |= self.synced > synced_before;
         self.clear_damage_if_restored();
         self.commit_if_possible(log);
     }
 
-    /// A damaged log is whole again once all that it may have acknowledged is
-    /// committed and synced here.
+    /// A damaged log counts as restored once every entry that it may have
+    /// acknowledged is committed and synced on this member.
     pub(super) fn clear_damage_if_restored(&mut self) {
         let restored = self.commit.min(self.synced);
-        if self.damaged_up_to.is_some_and(|lost| lost <= restored) {
+        if self
+            .damaged_up_to
+            .is_some_and(|damaged| damaged <= restored)
+        {
             self.damaged_up_to = None;
         }
     }
@@ -114,24 +120,24 @@
         }
     }
 
-    /// Whether term or vote changed since they were handed over last. The commit
-    /// index alone need not be synced: a leader tells it again.
-    fn has_new_vote(&self) -> bool {
-        let handed = &self.handed_hard_state;
-        self.term != handed.term || self.vote != handed.vote
+    /// Whether term or vote changed since the last `Ready`. A change of only the
+    /// commit index needs no sync, since a leader sends the commit index again.
+    fn has_new_term_or_vote(&self) -> bool {
+        let last = &self.last_hard_state;
+        self.term != last.term || self.vote != last.vote
     }
 
-    /// The hard state if it changed since it was handed over last.
+    /// The hard state if it changed since the last `Ready`.
     fn take_hard_state(&mut self) -> Option<HardState> {
         let current = self.current_hard_state();
-        if current == self.handed_hard_state {
+        if current == self.last_hard_state {
             return None;
         }
-        self.handed_hard_state = current.clone();
+        self.last_hard_state = current.clone();
         Some(current)
     }
 
-    fn remember_unsynced(&mut self) {
+    fn record_unsynced(&mut self) {
         let vote_for_self: Option<Term> = self.vote_for_self_pending.then_some(self.term);
         self.vote_for_self_pending = false;
         let last_index: LogIndex = self.pending.last_index();
--- a/crates/consensus/src/node/snapshot.rs
+++ b/crates/consensus/src/node/snapshot.rs
@@ -1,22 +1,22 @@
-//! Snapshots for members that are behind the log's start.
+//! Snapshots for members that need entries which the leader's log no longer has.
 
 use linnethitch_protocol::{
     consensus::{ConsensusBody, SnapshotChunk, SnapshotMeta, SnapshotResponse},
     ids::{LogIndex, MemberId},
 };
 
-use super::{Node, PartialSnapshot, Receiving};
+use super::{IncomingSnapshot, Node, PartialSnapshot};
 use crate::{
     log_view::LogView, membership::MembershipHistory, pending_log::PendingLog, ready::ReceivedChunk,
 };
 
 impl Node {
-    /// The driver has installed and synced a received snapshot, and its log now
-    /// starts after it. Entries beyond it may be kept only where the log holds
-    /// the snapshot's last index with the same term.
+    /// Reports that the driver has installed and synced a received snapshot, and
+    /// that its log now starts after the snapshot. The driver may retain later
+    /// entries only if its log has the snapshot's last index with the same term.
     pub fn report_snapshot_installed(&mut self, meta: &SnapshotMeta, log: &dyn LogView) {
-        self.touched = true;
-        let Some(receiving) = self.receiving.take() else {
+        self.dirty = true;
+        let Some(incoming) = self.incoming_snapshot.take() else {
             return;
         };
         if meta.index <= self.commit {
@@ -25,22 +25,22 @@
         self.pending = PendingLog::new(log);
         self.commit = meta.index;
         self.synced = self.synced.max(meta.index).min(log.last_index());
-        self.unsynced_end_at(log.last_index());
+        self.cap_unsynced(log.last_index());
         self.membership = MembershipHistory::new(meta.index, meta.membership.clone());
         self.clear_damage_if_restored();
-        let offset = receiving.partial.next_offset;
-        self.answer_snapshot(receiving.partial.from, meta.index, offset, true);
+        let offset = incoming.partial.next_offset;
+        self.answer_snapshot(incoming.partial.from, meta.index, offset, true);
     }
 
-    /// The driver found a received snapshot to be damaged, or has no room for
-    /// it. It is asked for anew after an election timeout: at once would send
-    /// it to a full disk without end.
+    /// Reports that a received snapshot is damaged or that the disk has no space
+    /// for it. Chunks are ignored for an election timeout: an immediate retry
+    /// would make the leader send the snapshot to a full disk continuously.
     pub fn report_snapshot_refused(&mut self) {
-        self.receiving = None;
-        self.snapshot_pause_ticks = self.settings.election_ticks;
+        self.incoming_snapshot = None;
+        self.snapshot_backoff_ticks = self.settings.election_ticks;
     }
 
-    fn unsynced_end_at(&mut self, last_index: LogIndex) {
+    fn cap_unsynced(&mut self, last_index: LogIndex) {
         for unsynced in &mut self.unsynced {
             unsynced.last_index = unsynced.last_index.min(last_index);
         }
@@ -54,12 +54,12 @@
             self.answer_snapshot(from, index, 0, has_all);
             return;
         }
-        if self.snapshot_pause_ticks > 0 {
-            // The leader takes the chunk for lost and sends it again.
+        if self.snapshot_backoff_ticks > 0 {
+            // The leader treats the unanswered chunk as lost and sends it again.
             return;
         }
         if !self.is_receiving(from, &chunk.meta) {
-            self.receiving = (chunk.offset == 0).then(|| Receiving {
+            self.incoming_snapshot = (chunk.offset == 0).then(|| IncomingSnapshot {
                 partial: PartialSnapshot {
                     from,
                     meta: chunk.meta.clone(),
@@ -73,19 +73,19 @@
     }
 
     fn is_receiving(&self, from: MemberId, meta: &SnapshotMeta) -> bool {
-        self.receiving.as_ref().is_some_and(|receiving| {
-            receiving.partial.from == from && receiving.partial.meta == *meta
-        })
+        self.incoming_snapshot
+            .as_ref()
+            .is_some_and(|incoming| incoming.partial.from == from && incoming.partial.meta == *meta)
     }
 
-    /// Takes the chunk if it is the one wanted; tells the next byte wanted.
+    /// Stores the chunk if it is the expected one; returns the next byte expected.
     fn receive(&mut self, from: MemberId, chunk: SnapshotChunk) -> u64 {
-        let Some(receiving) = &mut self.receiving else {
+        let Some(incoming) = &mut self.incoming_snapshot else {
             return 0;
         };
-        if chunk.offset == receiving.partial.next_offset && !receiving.complete {
-            receiving.partial.next_offset += chunk.data.len() as u64;
-            receiving.complete = chunk.last;
+        if chunk.offset == incoming.partial.next_offset && !incoming.complete {
+            incoming.partial.next_offset += chunk.data.len() as u64;
+            incoming.complete = chunk.last;
             self.chunks.push(ReceivedChunk {
                 from,
                 meta: chunk.meta,
@@ -94,7 +94,7 @@
                 last: chunk.last,
             });
         }
-        receiving.partial.next_offset
+        incoming.partial.next_offset
     }
 
     fn answer_snapshot(
@@ -110,14 +110,14 @@
             installed,
             round: self.answered_round,
         });
-        let answer = self.answer(to, self.term, body);
-        self.after_sync.push(answer);
+        let response = self.new_message(to, self.term, body);
+        self.after_sync.push(response);
     }
 
     pub(super) fn on_snapshot_response(
         &mut self,
         from: MemberId,
-        answer: &SnapshotResponse,
+        response: &SnapshotResponse,
         log: &dyn LogView,
     ) {
         let last_index = self.pending.last_index();
@@ -127,15 +127,15 @@
         let Some(progress) = leadership.peers.get_mut(&from) else {
             return;
         };
-        if answer.index > last_index || answer.round > leadership.round {
+        if response.index > last_index || response.round > leadership.round {
             return;
         }
-        progress.heard(answer.round);
-        if answer.installed {
-            progress.snapshot_installed(answer.index);
+        progress.record_response(response.round);
+        if response.installed {
+            progress.snapshot_installed(response.index);
             self.commit_if_possible(log);
         } else {
-            progress.snapshot_wanted(answer.index, answer.next_offset);
+            progress.snapshot_requested(response.index, response.next_offset);
         }
     }
 }
--- a/crates/consensus/src/pending_log.rs
+++ b/crates/consensus/src/pending_log.rs
@@ -1,5 +1,5 @@
-//! The log as the node sees it: what the driver holds and what the next
-//! `Ready` will hand over.
+//! The log as the node sees it: the entries stored by the driver, followed by
+//! those that the next `Ready` will contain.
 
 use linnethitch_protocol::{
     consensus::{Entry, EntryPayload},
@@ -8,10 +8,10 @@
 
 use crate::log_view::LogView;
 
-/// What an entry weighs besides its command, in bytes.
+/// Counted size of an entry besides its command, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
-/// The size of an entry as limits count it.
+/// The size of an entry as counted against limits.
 pub(crate) fn entry_bytes(entry: &Entry) -> usize {
     let payload = match &entry.payload {
         EntryPayload::Command(command) => command.len(),
@@ -20,7 +20,7 @@
     payload + ENTRY_OVERHEAD_BYTES
 }
 
-/// Entries to hand over, on top of the valid part of the driver's log.
+/// Entries not yet passed to the driver, following the valid part of the driver's log.
 pub(crate) struct PendingLog {
     stored_last: LogIndex,
     truncated: bool,
@@ -28,14 +28,14 @@
     last_term: Term,
 }
 
-/// What the driver has to do to its log.
+/// Changes that the driver must make to its log.
 pub(crate) struct LogChange {
     pub(crate) truncate_after: Option<LogIndex>,
     pub(crate) entries: Vec<Entry>,
 }
 
 impl PendingLog {
-    /// Starts with the driver's log as it is.
+    /// Starts without pending entries.
     pub(crate) fn new(log: &dyn LogView) -> Self {
         let last = log.last_index();
         PendingLog {
@@ -54,7 +54,7 @@
         self.last_term
     }
 
-    /// The term of an index; 0 for index 0, `None` when it is not held.
+    /// The term of an index; 0 for index 0, `None` when the log does not have the entry.
     pub(crate) fn term(&self, index: LogIndex, log: &dyn LogView) -> Option<Term> {
         if index.0 == 0 {
             return Some(Term(0));
@@ -68,8 +68,8 @@
         self.entries.get(self.offset(index)).map(|entry| entry.term)
     }
 
-    /// Entries from an index, of about `max_bytes` but at least one; empty
-    /// when the index is below the log's start or above its end.
+    /// Entries from an index on, of about `max_bytes` but at least one; empty
+    /// when the index is below the first or above the last of the log.
     pub(crate) fn entries(
         &self,
         from: LogIndex,
@@ -98,7 +98,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops everything above an index.
+    /// Removes all entries above an index.
     pub(crate) fn truncate_after(&mut self, index: LogIndex, log: &dyn LogView) {
         let term = self.term(index, log).unwrap_or_default();
         if index >= self.stored_last {
@@ -112,7 +112,7 @@
         self.last_term = term;
     }
 
-    /// Takes what the driver has to do; from here on it counts as stored.
+    /// Returns the pending changes for the driver; the entries then count as stored.
     pub(crate) fn take(&mut self) -> LogChange {
         let truncate_after = self.truncated.then_some(self.stored_last);
         self.stored_last = self.last_index();
@@ -137,13 +137,13 @@
     }
 
     fn pending_within(&self, from: LogIndex, max_bytes: usize) -> Vec<Entry> {
-        let mut left = max_bytes;
+        let mut remaining = max_bytes;
         let mut taken = Vec::new();
         for entry in self.entries.iter().skip(self.offset(from)) {
-            let Some(rest) = left.checked_sub(entry_bytes(entry)) else {
+            let Some(after) = remaining.checked_sub(entry_bytes(entry)) else {
                 break;
             };
-            left = rest;
+            remaining = after;
             taken.push(entry.clone());
         }
         taken
--- a/crates/consensus/src/plausible.rs
+++ b/crates/consensus/src/plausible.rs
@@ -1,11 +1,12 @@
-//! Drops messages whose numbers no working member can have reached.
+//! Rejects messages with terms or indexes that no correct member can have reached.
 
 use linnethitch_protocol::consensus::{ConsensusBody, ConsensusMessage};
 
-/// Far above what a cluster reaches, far below where counting overflows.
+/// Far above any term or index that a cluster reaches, and far enough below the
+/// maximum of `u64` that increments cannot overflow.
 const MAX_NUMBER: u64 = 1 << 60;
 
-/// Whether the numbers of a message leave room to count on from.
+/// Whether the term and indexes of a message can be incremented without overflow.
 pub(crate) fn is_plausible(message: &ConsensusMessage) -> bool {
     let highest_index = match &message.body {
         ConsensusBody::SnapshotChunk(chunk) => chunk.meta.index.0.max(chunk.offset),
--- a/crates/consensus/src/progress.rs
+++ b/crates/consensus/src/progress.rs
@@ -1,17 +1,17 @@
-//! What the leader knows of another member.
+//! Replication progress of a peer, as tracked by the leader.
 
 use linnethitch_protocol::{consensus::SnapshotMeta, ids::LogIndex};
 
 use crate::{inflight::InflightAppends, status::PeerState};
 
-/// A snapshot on its way to a member.
+/// A snapshot being sent to a peer.
 pub(crate) struct SnapshotTransfer {
     pub(crate) meta: SnapshotMeta,
-    /// The next byte that the member wants.
+    /// The next byte to send.
     pub(crate) offset: u64,
-    /// Where the snapshot ends, once the last chunk was read.
+    /// Size of the snapshot in bytes, known once the last chunk was read.
     pub(crate) end: Option<u64>,
-    /// Whether a chunk at `offset` is under way.
+    /// Whether a chunk at `offset` is in flight.
     pub(crate) sent: bool,
     pub(crate) ticks_since_sent: u32,
 }
@@ -28,36 +28,36 @@
     }
 }
 
-/// How the leader sends to the member.
+/// Replication state of a peer.
 pub(crate) enum SendState {
-    /// One message at a time until the logs agree.
+    /// One message at a time until a matching entry is found.
     Probe {
-        /// Whether that message is under way.
+        /// Whether that message is in flight.
         sent: bool,
     },
-    /// Appends follow each other without waiting.
+    /// Appends are sent without waiting for acknowledgements.
     Replicate,
-    /// The member is behind the log's start.
+    /// The peer needs entries that the leader's log no longer has.
     Snapshot(SnapshotTransfer),
 }
 
-/// What the leader knows of another member.
+/// Replication progress of a peer.
 pub(crate) struct Progress {
     pub(crate) matched: LogIndex,
     pub(crate) next: LogIndex,
     pub(crate) state: SendState,
     pub(crate) inflight: InflightAppends,
     pub(crate) ticks_since_contact: u32,
-    /// The highest round that it answered.
+    /// The highest heartbeat round that the peer answered.
     pub(crate) acknowledged_round: u64,
-    /// The commit index that it was told last.
-    pub(crate) told_commit: LogIndex,
-    /// Whether it must be sent something in the next `Ready`.
+    /// The highest commit index sent to the peer.
+    pub(crate) sent_commit: LogIndex,
+    /// Whether the next `Ready` must include a message to the peer.
     pub(crate) heartbeat_due: bool,
 }
 
 impl Progress {
-    /// A member of which nothing is known; sending starts at `next`.
+    /// A peer of unknown state; sending starts at `next`.
     pub(crate) fn new(next: LogIndex) -> Self {
         Progress {
             matched: LogIndex(0),
@@ -66,7 +66,7 @@
             inflight: InflightAppends::default(),
             ticks_since_contact: 0,
             acknowledged_round: 0,
-            told_commit: LogIndex(0),
+            sent_commit: LogIndex(0),
             heartbeat_due: true,
         }
     }
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Makes the next `Ready` send something, and a lost probe be repeated.
+    /// Makes the next `Ready` include a message to the peer, and repeats a probe that may be lost.
     pub(crate) fn request_heartbeat(&mut self) {
         self.heartbeat_due = true;
         if let SendState::Probe { sent } = &mut self.state {
@@ -86,13 +86,13 @@
         }
     }
 
-    /// The member answered in this term.
-    pub(crate) fn heard(&mut self, round: u64) {
+    /// Records a response of the peer in this term.
+    pub(crate) fn record_response(&mut self, round: u64) {
         self.ticks_since_contact = 0;
         self.acknowledged_round = self.acknowledged_round.max(round);
     }
 
-    /// The member's log agrees, and is synced up to `matched`.
+    /// The peer's log matches and is synced up to `matched`.
     pub(crate) fn accepted(&mut self, matched: LogIndex) {
         self.matched = self.matched.max(matched);
         self.next = self.next.max(LogIndex(self.matched.0 + 1));
@@ -107,21 +107,21 @@
         }
     }
 
-    /// The member's log does not agree; `hint` is the highest index where it may.
+    /// The peer rejected an append; `hint` is the highest index that may still match.
     pub(crate) fn rejected(&mut self, hint: LogIndex) {
         if matches!(self.state, SendState::Snapshot(_)) {
             return;
         }
-        let wanted = LogIndex(hint.0.max(self.matched.0) + 1);
-        if wanted >= self.next {
+        let requested = LogIndex(hint.0.max(self.matched.0) + 1);
+        if requested >= self.next {
             return;
         }
-        self.next = wanted;
+        self.next = requested;
         self.inflight.clear();
         self.state = SendState::Probe { sent: false };
     }
 
-    /// The member has an index from a snapshot.
+    /// The peer installed a snapshot that ends at this index.
     pub(crate) fn snapshot_installed(&mut self, index: LogIndex) {
         self.matched = self.matched.max(index);
         self.next = LogIndex(self.matched.0 + 1);
@@ -129,8 +129,8 @@
         self.state = SendState::Probe { sent: false };
     }
 
-    /// The member wants the snapshot's byte `next_offset` next.
-    pub(crate) fn snapshot_wanted(&mut self, index: LogIndex, next_offset: u64) {
+    /// The peer requests the snapshot from byte `next_offset` on.
+    pub(crate) fn snapshot_requested(&mut self, index: LogIndex, next_offset: u64) {
         let SendState::Snapshot(transfer) = &mut self.state else {
             return;
         };
--- a/crates/consensus/src/reads.rs
+++ b/crates/consensus/src/reads.rs
@@ -1,4 +1,4 @@
-//! Linearizable reads that wait for the leader to be confirmed.
+//! Linearizable reads waiting for a quorum to confirm the leadership.
 
 use std::collections::VecDeque;
 
@@ -6,7 +6,7 @@
 
 use crate::ready::ConfirmedRead;
 
-/// Reads that may wait at once.
+/// Maximum number of pending reads.
 const MAX_PENDING_READS: usize = 16 * 1024;
 
 struct SentRead {
@@ -14,12 +14,12 @@
     round: u64,
 }
 
-/// Reads in the order in which they were asked.
+/// Pending reads, in order of arrival.
 #[derive(Default)]
 pub(crate) struct ReadQueue {
-    /// Not yet part of a heartbeat round.
+    /// Contexts of reads that no heartbeat round covers yet.
     waiting: Vec<u64>,
-    /// Part of a round that is not yet confirmed.
+    /// Reads covered by a round that is not yet confirmed.
     sent: VecDeque<SentRead>,
 }
 
@@ -36,7 +36,7 @@
         self.waiting.push(context);
     }
 
-    /// Makes the waiting reads part of a round that starts now.
+    /// Assigns the waiting reads to a round that starts now.
     pub(crate) fn start_round(&mut self, round: u64, commit: LogIndex) {
         for context in self.waiting.drain(..) {
             let read = ConfirmedRead {
@@ -47,13 +47,13 @@
         }
     }
 
-    /// Takes the reads of all rounds up to one that a quorum answered.
+    /// Removes and returns the reads of all rounds up to one that a quorum answered.
     pub(crate) fn confirm(&mut self, round: u64) -> Vec<ConfirmedRead> {
         let count = self.sent.partition_point(|sent| sent.round <= round);
         self.sent.drain(..count).map(|sent| sent.read).collect()
     }
 
-    /// Takes the contexts of all reads, none of which can be confirmed any more.
+    /// The contexts of all pending reads, none of which can be confirmed after a loss of leadership.
     pub(crate) fn refuse_all(self) -> Vec<u64> {
         let sent = self.sent.into_iter().map(|sent| sent.read.context);
         sent.chain(self.waiting).collect()
--- a/crates/consensus/src/ready.rs
+++ b/crates/consensus/src/ready.rs
@@ -1,62 +1,62 @@
-//! What the driver has to store, send and apply.
+//! Work for the driver: what to store, send and apply.
 
 use linnethitch_protocol::{
     consensus::{ConsensusMessage, Entry, HardState, SnapshotMeta},
     ids::{LogIndex, MemberId},
 };
 
-/// A read that may be answered once the state machine has reached an index.
+/// A linearizable read that may be answered once the state machine has applied an index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConfirmedRead {
-    /// What the caller passed to [`crate::Node::read_index`].
+    /// The value that the caller passed to [`crate::Node::read_index`].
     pub context: u64,
-    /// The state machine must have applied this index before it answers.
+    /// The state machine must have applied this index before the read is answered.
     pub index: LogIndex,
 }
 
-/// A piece of a snapshot that was received and must be written.
+/// A received snapshot chunk that must be written.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceivedChunk {
     /// The member that sends the snapshot.
     pub from: MemberId,
-    /// What the snapshot stands for.
+    /// Index, term and membership of the snapshot.
     pub meta: SnapshotMeta,
-    /// Where the piece belongs; 0 starts a new file and drops an unfinished one.
+    /// Offset of the chunk, in bytes; 0 starts a new file and discards an incomplete one.
     pub offset: u64,
-    /// The piece.
+    /// The bytes of the chunk.
     pub data: Vec<u8>,
-    /// Whether the snapshot is whole with this piece. The driver then installs
-    /// it and calls [`crate::Node::report_snapshot_installed`] or
+    /// Whether this chunk completes the snapshot. The driver then installs the
+    /// snapshot and calls [`crate::Node::report_snapshot_installed`] or
     /// [`crate::Node::report_snapshot_refused`].
     pub last: bool,
 }
 
-/// What has to be done before and after the next sync; see the crate's documentation.
+/// Work to be done before and after the next sync; see the crate's documentation.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Counts from 1; passed to [`crate::Node::advance`].
+    /// Sequence number from 1, to be passed to [`crate::Node::advance`].
     pub number: u64,
-    /// To be written when present.
+    /// The hard state to be written, if it changed.
     pub hard_state: Option<HardState>,
-    /// Entries above this index are dropped from the log before `entries` are appended.
+    /// Entries above this index must be removed from the log before `entries` are appended.
     pub truncate_after: Option<LogIndex>,
-    /// To be appended to the log before the next call into the node.
+    /// Entries to be appended to the log before the next call into the node.
     pub entries: Vec<Entry>,
-    /// To be written to the snapshot being received.
+    /// Chunks to be written to the snapshot being received.
     pub snapshot_chunks: Vec<ReceivedChunk>,
-    /// Whether something must be synced before `messages_after_sync` are sent
-    /// and `number` is advanced. Without it they may follow at once, yet
-    /// never overtake those of an earlier `Ready`.
+    /// Whether a sync is required before `messages_after_sync` are sent and
+    /// `number` is passed to `advance`. If not, both may happen at once, but never
+    /// before those of an earlier `Ready`.
     pub must_sync: bool,
-    /// May be sent at once.
+    /// Messages that may be sent at once.
     pub messages_before_sync: Vec<ConsensusMessage>,
-    /// May be sent once this and every earlier `Ready` is synced.
+    /// Messages that may be sent once this and every earlier `Ready` is synced.
     pub messages_after_sync: Vec<ConsensusMessage>,
-    /// Entries up to this index are committed and synced here: they may be applied.
+    /// Entries up to this index are committed and synced on this member, and may be applied.
     pub committed: LogIndex,
-    /// Reads that may be answered.
+    /// Confirmed reads, which may be answered.
     pub confirmed_reads: Vec<ConfirmedRead>,
-    /// Contexts of reads that cannot be confirmed here, since leadership was lost.
+    /// Contexts of reads that cannot be confirmed because leadership was lost.
     pub refused_reads: Vec<u64>,
 }
 
--- a/crates/consensus/src/repair.rs
+++ b/crates/consensus/src/repair.rs
@@ -1,15 +1,15 @@
 //! Decides how the leader replaces lost members, one change at a time.
 //!
-//! The rules are pure functions of [`Status`] and of the members that asked to
-//! join. The leader's driver calls [`next_change`] once in a while and proposes
-//! what it returns; the log makes sure that only one change is under way.
+//! The rules are pure functions of [`Status`] and of the members that requested to
+//! join. The leader's driver calls [`next_change`] periodically and proposes the
+//! returned change; the node accepts only one change at a time.
 //!
-//! A silent voter alone changes nothing: it is replaced only when another disk
-//! can take its place, be it a new disk of the same machine or a spare machine.
-//! The steps are: add the replacement as a learner, wait until it has synced
-//! everything committed, promote it, remove the silent voter. Promotion comes
-//! first so that an acknowledged entry is never on fewer disks than before. No
-//! step leaves fewer healthy voters than a quorum.
+//! An unreachable voter is replaced only when another disk is available, either a
+//! new disk of the same machine or a disk of a spare machine. The steps are: add the
+//! replacement as a learner, wait until it has synced all committed entries, promote
+//! it, remove the unreachable voter. Promotion precedes removal so that an
+//! acknowledged entry is never on fewer disks than before. No step leaves fewer
+//! healthy voters than a quorum.
 
 use linnethitch_protocol::{
     consensus::MembershipChange,
@@ -21,21 +21,21 @@
     status::{PeerStatus, Status},
 };
 
-/// Ten seconds of silence before a voter counts as lost.
+/// A voter counts as lost after ten seconds without contact.
 const DEFAULT_LOST_TICKS: u32 = 500;
-/// Half a second of silence before a member no longer counts as healthy.
+/// A member no longer counts as healthy after half a second without contact.
 const DEFAULT_HEALTHY_TICKS: u32 = 25;
-/// Voters of a cluster in which any two disks may be lost at once.
+/// With five voters any two disks may be lost at once.
 const DEFAULT_VOTERS: usize = 5;
 
-/// Limits of the automatic repair.
+/// Limits of the automatic membership repair.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RepairPolicy {
-    /// Silence, in ticks, after which a member may be replaced.
+    /// Ticks without contact after which a member may be replaced.
     pub lost_ticks: u32,
-    /// Silence, in ticks, up to which a member counts as healthy.
+    /// Ticks without contact up to which a member counts as healthy.
     pub healthy_ticks: u32,
-    /// How many voters there should be.
+    /// Desired number of voters.
     pub voters: usize,
 }
 
@@ -49,40 +49,40 @@
     }
 }
 
-/// Why a change is proposed, for logs and operators.
+/// Reason of a proposed change, for logs and operators.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RepairReason {
-    /// A disk that asked to join can take a lost or missing voter's place.
+    /// A disk that requested to join can replace a lost or missing voter.
     ReplacementJoins,
-    /// The voter was silent for too long and another has taken its place.
+    /// The voter is lost and another voter has replaced it.
     VoterLost,
-    /// The learner has synced everything and a voter is lost or missing.
+    /// The learner has synced all committed entries, and a voter is lost or missing.
     LearnerCaughtUp,
-    /// There are more voters than wanted, since a lost one came back.
+    /// There are more voters than desired, because a lost one returned.
     SurplusVoter,
-    /// The learner was silent for too long and another disk waits to join.
+    /// The learner is lost and another disk waits to join.
     LearnerLost,
 }
 
 /// A change to propose.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RepairStep {
-    /// The change.
+    /// The membership change.
     pub change: MembershipChange,
-    /// Why.
+    /// The reason of the change.
     pub reason: RepairReason,
 }
 
-/// What is known of the cluster when a step is decided.
-struct Situation<'a> {
+/// State of the cluster from which a step is decided.
+struct RepairContext<'a> {
     policy: &'a RepairPolicy,
     status: &'a Status,
-    /// Disks that asked to join and take no part yet.
+    /// Disks that requested to join and are not members yet.
     joining: Vec<MemberId>,
 }
 
-/// The next change to propose on the leader, if any. `joining` are the members
-/// that lately asked to join; those that take part already are passed over.
+/// The next change to propose on the leader, if any. `joining` are the members that
+/// recently requested to join; current members among them are ignored.
 #[must_use]
 pub fn next_change(
     policy: &RepairPolicy,
@@ -92,26 +92,26 @@
     if status.leader != Some(status.id) || !status.membership_committed {
         return None;
     }
-    let takes_part = |id: &MemberId| membership::members(&status.membership).any(|m| m == *id);
+    let is_member = |id: &MemberId| membership::members(&status.membership).any(|m| m == *id);
     let mut waiting: Vec<MemberId> = joining.to_vec();
-    waiting.retain(|id| !takes_part(id));
+    waiting.retain(|id| !is_member(id));
     waiting.sort_unstable();
-    let situation = Situation {
+    let context = RepairContext {
         policy,
         status,
         joining: waiting,
     };
-    situation
+    context
         .remove_lost_voter()
-        .or_else(|| situation.promote())
-        .or_else(|| situation.remove_surplus_voter())
-        .or_else(|| situation.remove_lost_learner())
-        .or_else(|| situation.add_replacement())
+        .or_else(|| context.promote())
+        .or_else(|| context.remove_surplus_voter())
+        .or_else(|| context.remove_lost_learner())
+        .or_else(|| context.add_replacement())
 }
 
-impl Situation<'_> {
-    /// Removes a lost voter once another has taken its place: a voter on the
-    /// same machine, or one more than are wanted.
+impl RepairContext<'_> {
+    /// Removes a lost voter once it has been replaced: there is a live voter on the
+    /// same machine, or there are more voters than desired.
     fn remove_lost_voter(&self) -> Option<RepairStep> {
         let surplus = self.voters().len() > self.policy.voters;
         let lost = self
@@ -120,25 +120,25 @@
         self.remove_voter(lost, RepairReason::VoterLost)
     }
 
-    /// Makes a learner that has everything a voter, in a lost or missing one's place.
+    /// Promotes a caught-up learner that replaces a lost or missing voter.
     fn promote(&self) -> Option<RepairStep> {
-        let room = self.voters().len() <= self.policy.voters;
-        if self.wanted_voters() == 0 || !room {
+        let has_capacity = self.voters().len() <= self.policy.voters;
+        if self.missing_voters() == 0 || !has_capacity {
             return None;
         }
         let learner = self
             .caught_up_learners()
             .find(|learner| !self.has_live_voter_on(learner.machine))?;
         let healthy = self.healthy_voters() + 1;
-        let quorum = membership::quorum_of(self.voters().len() + 1);
+        let quorum = membership::quorum_size(self.voters().len() + 1);
         (healthy >= quorum).then_some(RepairStep {
             change: MembershipChange::PromoteLearner(learner),
             reason: RepairReason::LearnerCaughtUp,
         })
     }
 
-    /// Removes a voter that is one too many, though it is alive: one that shares
-    /// its machine with another, else the last.
+    /// Removes a live voter in excess of the desired number: preferably one that
+    /// shares its machine with another voter, otherwise the last.
     fn remove_surplus_voter(&self) -> Option<RepairStep> {
         if self.voters().len() <= self.policy.voters {
             return None;
@@ -157,14 +157,14 @@
     fn remove_voter(&self, voter: MemberId, reason: RepairReason) -> Option<RepairStep> {
         let others = self.voters().iter().filter(|other| **other != voter);
         let healthy = others.filter(|other| self.is_healthy(**other)).count();
-        let quorum = membership::quorum_of(self.voters().len() - 1);
+        let quorum = membership::quorum_size(self.voters().len() - 1);
         (healthy >= quorum).then_some(RepairStep {
             change: MembershipChange::Remove(voter),
             reason,
         })
     }
 
-    /// Removes a lost learner when another disk could join in its place.
+    /// Removes a lost learner if another disk can replace it.
     fn remove_lost_learner(&self) -> Option<RepairStep> {
         let lost = self.lost_learners().find(|lost| {
             let mut joining = self.joining.iter();
@@ -179,7 +179,7 @@
     /// Adds a learner for a lost or missing voter that has no replacement yet.
     fn add_replacement(&self) -> Option<RepairStep> {
         let lost: Vec<MemberId> = self.lost_voters().collect();
-        if self.live_learners().count() >= self.wanted_voters() {
+        if self.live_learners().count() >= self.missing_voters() {
             return None;
         }
         let same_machine =
@@ -195,8 +195,8 @@
         })
     }
 
-    /// Whether a disk can stand in for another: it is on the same machine, or on
-    /// one that has no voter.
+    /// Whether a disk can replace another: it is on the same machine, or on a machine
+    /// without a live voter.
     fn replaces(&self, replacement: MemberId, lost: MemberId) -> bool {
         replacement.machine == lost.machine || !self.has_live_voter_on(replacement.machine)
     }
@@ -205,8 +205,8 @@
         &self.status.membership.voters
     }
 
-    /// How many voters are lost or missing.
-    fn wanted_voters(&self) -> usize {
+    /// Number of lost or missing voters.
+    fn missing_voters(&self) -> usize {
         let live = self.voters().len() - self.lost_voters().count();
         self.policy.voters.saturating_sub(live)
     }
@@ -221,19 +221,19 @@
         peers.find(|peer| peer.member == member)
     }
 
-    fn silence(&self, member: MemberId) -> u32 {
+    fn silent_ticks(&self, member: MemberId) -> u32 {
         self.peer(member).map_or(0, |peer| peer.ticks_since_contact)
     }
 
     fn is_lost(&self, member: MemberId) -> bool {
-        self.silence(member) >= self.policy.lost_ticks
+        self.silent_ticks(member) >= self.policy.lost_ticks
     }
 
     fn is_healthy(&self, member: MemberId) -> bool {
-        self.silence(member) <= self.policy.healthy_ticks
+        self.silent_ticks(member) <= self.policy.healthy_ticks
     }
 
-    /// Voters heard of lately; the leader is one of them if it votes.
+    /// Number of voters with recent contact, including the leader if it is a voter.
     fn healthy_voters(&self) -> usize {
         let voters = self.voters().iter();
         voters.filter(|voter| self.is_healthy(**voter)).count()
@@ -258,10 +258,10 @@
 
     fn caught_up_learners(&self) -> impl Iterator<Item = MemberId> {
         self.learners()
-            .filter(|learner| self.is_healthy(*learner) && self.has_everything(*learner))
+            .filter(|learner| self.is_healthy(*learner) && self.is_caught_up(*learner))
     }
 
-    fn has_everything(&self, member: MemberId) -> bool {
+    fn is_caught_up(&self, member: MemberId) -> bool {
         let matched = self.peer(member).map_or(LogIndex(0), |peer| peer.matched);
         matched >= self.status.committed
     }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,4 +1,4 @@
-//! Builds the leader's messages to one member.
+//! Builds the leader's messages to one peer.
 
 use linnethitch_protocol::{
     consensus::{Append, ConsensusBody, ConsensusMessage, Entry, SnapshotChunk},
@@ -12,11 +12,11 @@
     settings::Settings,
 };
 
-/// Bytes of entries in a probe, about: it may have to be sent many times, and
-/// its answer is only whether the logs agree.
+/// Approximate bytes of entries in a probe. A probe may have to be sent many times,
+/// and its answer only says whether the logs match.
 const PROBE_BYTES: usize = 16 * 1024;
 
-/// What all messages of one `Ready` share.
+/// State shared by all replication messages of one `Ready`.
 pub(crate) struct Replication<'a> {
     pub(crate) settings: &'a Settings,
     pub(crate) term: Term,
@@ -26,7 +26,7 @@
     pub(crate) log: &'a dyn LogView,
 }
 
-/// Entries and the point of the log that they follow.
+/// Entries, and the index and term of the entry before them.
 struct Batch {
     previous_index: LogIndex,
     previous_term: Term,
@@ -34,7 +34,7 @@
 }
 
 impl Replication<'_> {
-    /// Adds everything that may be sent to a member now.
+    /// Adds all messages that may be sent to a peer now.
     pub(crate) fn send(
         &self,
         to: MemberId,
@@ -48,8 +48,8 @@
             SendState::Replicate => self.send_appends(to, progress, outbox),
             SendState::Snapshot(_) => self.send_snapshot_chunk(to, progress, outbox),
         }
-        let silent = outbox.len() == before;
-        if silent && (progress.heartbeat_due || self.has_commit_news(progress)) {
+        let nothing_sent = outbox.len() == before;
+        if nothing_sent && (progress.heartbeat_due || self.has_commit_update(progress)) {
             self.send_heartbeat(to, progress, outbox);
         }
         progress.heartbeat_due = false;
@@ -82,27 +82,27 @@
         outbox: &mut Vec<ConsensusMessage>,
     ) {
         let last_index = self.pending.last_index();
-        while progress.next <= last_index && self.has_room(progress) {
+        while progress.next <= last_index && self.has_capacity(progress) {
             let Some(batch) = self.batch(progress.next, self.settings.max_append_bytes) else {
                 self.start_snapshot(to, progress, outbox);
                 return;
             };
-            let sent_to = LogIndex(batch.previous_index.0 + batch.entries.len() as u64);
+            let last_sent = LogIndex(batch.previous_index.0 + batch.entries.len() as u64);
             let bytes = batch.entries.iter().map(entry_bytes).sum();
-            progress.inflight.add(sent_to, bytes);
-            progress.next = LogIndex(sent_to.0 + 1);
+            progress.inflight.add(last_sent, bytes);
+            progress.next = LogIndex(last_sent.0 + 1);
             outbox.push(self.append(to, progress, batch));
         }
     }
 
-    fn has_room(&self, progress: &Progress) -> bool {
+    fn has_capacity(&self, progress: &Progress) -> bool {
         let settings = self.settings;
         progress
             .inflight
-            .has_room(settings.max_inflight_appends, settings.max_inflight_bytes)
+            .has_capacity(settings.max_inflight_appends, settings.max_inflight_bytes)
     }
 
-    /// The entries from an index on; `None` when the log does not reach back to it.
+    /// The entries from an index on; `None` if the log starts after that index.
     fn batch(&self, next: LogIndex, max_bytes: usize) -> Option<Batch> {
         let previous_index = LogIndex(next.0 - 1);
         let previous_term = self.pending.term(previous_index, self.log)?;
@@ -122,7 +122,7 @@
 
     fn append(&self, to: MemberId, progress: &mut Progress, batch: Batch) -> ConsensusMessage {
         let covered = LogIndex(batch.previous_index.0 + batch.entries.len() as u64);
-        progress.told_commit = progress.told_commit.max(self.commit.min(covered));
+        progress.sent_commit = progress.sent_commit.max(self.commit.min(covered));
         self.message(
             to,
             ConsensusBody::Append(Append {
@@ -135,15 +135,15 @@
         )
     }
 
-    fn has_commit_news(&self, progress: &Progress) -> bool {
+    fn has_commit_update(&self, progress: &Progress) -> bool {
         let deliverable = self.commit.min(LogIndex(progress.next.0 - 1));
-        matches!(progress.state, SendState::Replicate) && progress.told_commit < deliverable
+        matches!(progress.state, SendState::Replicate) && progress.sent_commit < deliverable
     }
 
-    /// An append without entries. It stands at the end of what was sent, so that
-    /// a lost append is noticed. Where the log no longer reaches back to there,
-    /// the entry that has to follow is gone as well, and a snapshot is due.
-    /// While a snapshot is sent it stands at index 0, where all logs agree.
+    /// Sends an append without entries. Its previous index is the last one sent, so
+    /// that the peer rejects it if an append was lost. If the log no longer has the
+    /// term of that index, the next entry is removed as well, and a snapshot is
+    /// needed. While a snapshot is sent the previous index is 0, where all logs match.
     fn send_heartbeat(
         &self,
         to: MemberId,
@@ -179,8 +179,8 @@
         self.send_snapshot_chunk(to, progress, outbox);
     }
 
-    /// Sends the next chunk, or a lost one again. A member that is silent gets
-    /// heartbeats only until it answers one.
+    /// Sends the next chunk, or repeats one that may be lost. A peer without contact
+    /// for an election timeout receives only heartbeats until it answers one.
     fn send_snapshot_chunk(
         &self,
         to: MemberId,
@@ -204,8 +204,8 @@
         }
     }
 
-    /// The chunk that the member wants. When the snapshot was replaced by a
-    /// newer one in the meantime, the transfer starts again with that.
+    /// The chunk that the peer expects next. If the snapshot was replaced by a newer
+    /// one in the meantime, the transfer restarts with the newer one.
     fn snapshot_chunk(&self, transfer: &mut SnapshotTransfer) -> Option<ConsensusBody> {
         if transfer.end == Some(transfer.offset) {
             return Some(self.chunk_body(transfer, Vec::new(), true));
--- a/crates/consensus/src/settings.rs
+++ b/crates/consensus/src/settings.rs
@@ -1,10 +1,10 @@
-//! Settings of a member.
+//! Settings of a consensus member.
 
 use linnethitch_protocol::ids::MemberId;
 
-/// How long a tick lasts in a running system, in milliseconds.
+/// Length of a tick in production, in milliseconds.
 pub const TICK_MILLISECONDS: u64 = 20;
-/// Largest payload of one entry, in bytes; it must fit into a frame.
+/// Largest payload of one entry, in bytes; an entry must fit into a frame.
 pub const MAX_ENTRY_BYTES: usize = 8 * 1024 * 1024;
 
 const DEFAULT_ELECTION_TICKS: u32 = 25;
@@ -15,31 +15,32 @@
 const DEFAULT_UNCOMMITTED_BYTES: usize = 64 * 1024 * 1024;
 const DEFAULT_SNAPSHOT_CHUNK_BYTES: usize = 1024 * 1024;
 
-/// Settings of a member.
+/// Settings of a consensus member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settings {
     /// This member: its machine and the id of the disk it runs on.
     pub id: MemberId,
-    /// Silence of the leader, in ticks, after which an election may start.
-    /// Each member waits for a random time from this to twice this.
+    /// Minimum election timeout, in ticks. Each member waits without contact with
+    /// the leader for a random time between this and twice this.
     pub election_ticks: u32,
     /// Ticks between heartbeats of a leader.
     pub heartbeat_ticks: u32,
-    /// Payload bytes of one append message; one larger entry is sent alone.
+    /// Maximum payload bytes of one append message; a larger entry is sent in a
+    /// message of its own.
     pub max_append_bytes: usize,
-    /// Append messages under way to one member before the leader waits.
+    /// Maximum number of unacknowledged append messages to one member.
     pub max_inflight_appends: usize,
-    /// Bytes of entries under way to one member after which no further append
-    /// is sent. All of it may be read and encoded between two heartbeats, so it
+    /// Unacknowledged bytes of entries to one member at which no further append
+    /// is sent. All of them may be read and encoded between two heartbeats, which
     /// must take far less time than an election timeout.
     pub max_inflight_bytes: usize,
-    /// Payload bytes proposed and not yet committed before proposals are refused.
+    /// Maximum uncommitted payload bytes; further proposals are refused.
     pub max_uncommitted_bytes: usize,
-    /// Bytes of one snapshot chunk.
+    /// Size of one snapshot chunk, in bytes.
     pub snapshot_chunk_bytes: usize,
-    /// Seed of the election jitter.
+    /// Seed of the random election timeouts.
     pub seed: u64,
-    /// Safety rules that are switched off; none in a running system.
+    /// Disabled safety rules; none in production.
     #[doc(hidden)]
     pub safety: SafetyOverrides,
 }
@@ -63,15 +64,15 @@
     }
 }
 
-/// Switches off safety rules, to show that a test or simulation notices.
+/// Disables safety rules, to show that a test or simulation detects the violation.
 ///
-/// All are off by default, and no program sets them outside of tests.
+/// All overrides are off by default and set only in tests.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SafetyOverrides {
-    /// A member answers messages addressed to another disk of its machine
-    /// under that disk's identity, and a blank disk gives votes.
+    /// A member handles messages addressed to another disk of its machine and
+    /// replies under that disk's identity, and a member with a blank disk grants votes.
     pub blank_disk_may_vote: bool,
-    /// A vote is answered and counted before it is synced.
+    /// A vote is sent and counted before it is synced.
     pub skip_vote_sync: bool,
     /// The leader commits entries of earlier terms by counting replicas.
     pub commit_old_terms_by_count: bool,
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,81 +1,82 @@
-//! What operators are told of a member.
+//! Status of a member, for drivers and operators.
 
 use linnethitch_protocol::{
     consensus::Membership,
     ids::{LogIndex, MemberId, Term},
 };
 
-/// What a member does at the moment.
+/// Raft role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Role {
     /// Follows a leader, or waits for one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Runs a pre-vote.
     PreCandidate,
-    /// Stands for election.
+    /// Runs an election.
     Candidate,
-    /// Leads.
+    /// Leader of its term.
     Leader,
 }
 
-/// How the leader sends to another member.
+/// Replication state of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum PeerState {
-    /// It looks for the point where the logs agree, one message at a time.
+    /// The leader searches for the last matching entry, one message at a time.
     Probe,
-    /// It sends without waiting.
+    /// The leader sends appends without waiting for acknowledgements.
     Replicate,
-    /// It sends a snapshot.
+    /// The leader sends a snapshot.
     Snapshot,
 }
 
-/// The leader's knowledge of another member.
+/// The leader's view of a peer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// Which.
+    /// The peer.
     pub member: MemberId,
-    /// Whether it counts.
+    /// Whether the peer is a voter.
     pub voter: bool,
-    /// Its log is synced and agrees up to here.
+    /// The peer's log is synced and matches the leader's up to this index.
     pub matched: LogIndex,
-    /// The next index to send.
+    /// The next index to send to the peer.
     pub next: LogIndex,
-    /// How the leader sends to it.
+    /// Replication state of the peer.
     pub state: PeerState,
-    /// Ticks since it was heard of in this leader's term.
+    /// Ticks since the last response in this leader's term.
     pub ticks_since_contact: u32,
 }
 
-/// A member at a glance.
+/// Status of a member.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Status {
-    /// Which.
+    /// This member.
     pub id: MemberId,
-    /// What it does.
+    /// Its role.
     pub role: Role,
-    /// Its term.
+    /// Its current term.
     pub term: Term,
-    /// The leader of that term, as far as is known.
+    /// The leader of that term, if known.
     pub leader: Option<MemberId>,
-    /// Ticks since the leader was heard of; 0 on the leader itself.
+    /// Ticks since the last contact with the leader; 0 on the leader itself.
     pub ticks_since_leader: u32,
     /// Highest index known to be committed.
     pub committed: LogIndex,
-    /// What the leader of this term told to be committed, or knows so itself, once an
-    /// entry of this term is committed here: whatever was committed in earlier terms is
-    /// below it. `None` until then, and while no leader is known.
+    /// The commit index of the leader of this term, as received from the leader or, on
+    /// the leader, its own. It is set once an entry of this term is committed here, and
+    /// then covers everything committed in earlier terms. `None` until then, and while
+    /// no leader is known.
     pub known_commit: Option<LogIndex>,
-    /// Highest index synced here.
+    /// Highest index synced on this member's disk.
     pub synced: LogIndex,
-    /// Last index of the log here.
+    /// Last index of this member's log.
     pub last_index: LogIndex,
     /// Newest membership in the log.
     pub membership: Membership,
     /// Whether that membership is committed.
     pub membership_committed: bool,
-    /// Set while this member's log has lost entries that it may have
-    /// acknowledged: it does not vote before it has them back.
+    /// Set while this member's log lacks entries that it lost and may have
+    /// acknowledged. The member does not vote until they are restored.
     pub damaged_up_to: Option<LogIndex>,
-    /// The other members, on the leader only, in the order of their ids.
+    /// The other members, ordered by id; empty except on the leader.
     pub peers: Vec<PeerStatus>,
 }
--- a/crates/consensus/tests/all/cluster.rs
+++ b/crates/consensus/tests/all/cluster.rs
@@ -1,4 +1,4 @@
-//! Members, their disks and a network, all in memory and in one thread.
+//! A cluster of members with in-memory disks and network, in one thread.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -13,7 +13,7 @@
 
 use crate::disk::DiskContent;
 
-/// More rounds of messages than any test needs to come to rest.
+/// Maximum rounds of messages before a cluster counts as not settling.
 const MAX_SETTLE_ROUNDS: usize = 2_000;
 
 /// The first disk of a machine.
@@ -21,7 +21,7 @@
     member_on(machine, u64::from(machine) * 100)
 }
 
-/// A machine with some disk.
+/// A member by its machine and disk.
 pub(crate) fn member_on(machine: u32, disk: u64) -> MemberId {
     MemberId {
         machine: MachineId(machine),
@@ -37,7 +37,7 @@
     }
 }
 
-/// What is held back until the disk is synced.
+/// Work delayed until the disk is synced.
 struct Unsynced {
     number: u64,
     messages: Vec<ConsensusMessage>,
@@ -50,9 +50,9 @@
     pub(crate) initial: Membership,
     /// `None` while the process is down.
     pub(crate) node: Option<Node>,
-    /// What was written.
+    /// All writes, including unsynced ones.
     pub(crate) disk: DiskContent,
-    /// What a crash leaves.
+    /// The content that survives a crash.
     pub(crate) synced_disk: DiskContent,
     unsynced: VecDeque<Unsynced>,
     pub(crate) applied: LogIndex,
@@ -63,42 +63,42 @@
     pub(crate) refused_reads: Vec<u64>,
 }
 
-/// Facts that hold across the cluster for good.
+/// Leaders and committed entries observed on any member.
 #[derive(Default)]
 pub(crate) struct Observed {
     pub(crate) leaders: BTreeMap<Term, MemberId>,
     pub(crate) committed: BTreeMap<LogIndex, Entry>,
 }
 
-/// What becomes of a message on its way.
+/// How the network delivers a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    /// It arrives, and may have been changed.
-    Arrives,
-    /// It is lost.
+pub(crate) enum Delivery {
+    /// Delivered once, possibly modified.
+    Once,
+    /// Lost.
     Lost,
-    /// It arrives, and again after everything under way now.
-    ArrivesTwice,
+    /// Delivered now, and again after all messages currently in flight.
+    Twice,
 }
 
-/// A fault of the network that meets a number of messages.
+/// A network fault that affects a number of messages.
 pub(crate) struct NetworkFault {
-    /// `None` for a message that it does not meet.
-    pub(crate) meets: fn(&mut ConsensusBody) -> Option<Fate>,
-    pub(crate) left: u32,
+    /// How a message is delivered; `None` if the fault does not affect it.
+    pub(crate) deliver_as: fn(&mut ConsensusBody) -> Option<Delivery>,
+    pub(crate) remaining: u32,
 }
 
-/// The cluster.
+/// A cluster under test.
 pub(crate) struct Cluster {
     pub(crate) members: BTreeMap<MemberId, Member>,
     pub(crate) network: VecDeque<ConsensusMessage>,
-    /// Pairs of sender and receiver that lose every message.
+    /// Pairs of sender and receiver between which every message is lost.
     pub(crate) cut: BTreeSet<(MemberId, MemberId)>,
     pub(crate) network_fault: Option<NetworkFault>,
     pub(crate) observed: Observed,
     /// Whether disks are synced as soon as they are written.
     pub(crate) sync_at_once: bool,
-    /// Whether broken invariants are returned by `violation` instead of a panic.
+    /// The first violated invariant; `check` panics if there is one.
     pub(crate) violation: Option<String>,
 }
 
@@ -157,7 +157,7 @@
         self.members[&id].node.is_some()
     }
 
-    /// Stops a process; what was not synced is lost.
+    /// Stops a process; unsynced writes are lost.
     pub(crate) fn crash(&mut self, id: MemberId) {
         let member = self.members.get_mut(&id).expect("a known member");
         member.node = None;
@@ -166,12 +166,12 @@
         self.network.retain(|message| message.to != id);
     }
 
-    /// Starts a process from what its disk holds.
+    /// Starts a process from its disk.
     pub(crate) fn restart(&mut self, id: MemberId) {
         self.restart_damaged(id, None);
     }
 
-    /// Starts a process whose log was found damaged and cut.
+    /// Starts a process whose log was damaged and truncated.
     pub(crate) fn restart_damaged(&mut self, id: MemberId, damaged_up_to: Option<LogIndex>) {
         let member = self.members.get_mut(&id).expect("a known member");
         let restored = RestoredState {
@@ -189,13 +189,13 @@
         let lost = self.members.remove(&old).expect("a known member");
         let settings = lost.settings;
         self.network.retain(|message| message.to != old);
-        self.add(new, Membership::default(), |fresh| {
-            *fresh = settings.clone();
-            fresh.id = new;
+        self.add(new, Membership::default(), |new_settings| {
+            *new_settings = settings.clone();
+            new_settings.id = new;
         });
     }
 
-    /// Runs a call into a node, then carries out what it asks for.
+    /// Calls into a node, then handles its `Ready`s.
     pub(crate) fn with_node<T>(
         &mut self,
         id: MemberId,
@@ -208,7 +208,7 @@
         result
     }
 
-    /// Carries out everything that a node asks for.
+    /// Handles all `Ready`s of a node.
     pub(crate) fn drive(&mut self, id: MemberId) {
         for _ in 0..MAX_SETTLE_ROUNDS {
             let member = self.members.get_mut(&id).expect("a known member");
@@ -221,7 +221,7 @@
             let ready = node.ready(&member.disk);
             self.handle_ready(id, ready);
         }
-        panic!("member {id} asks for work without end");
+        panic!("member {id} does not stop producing work");
     }
 
     fn handle_ready(&mut self, id: MemberId, ready: Ready) {
@@ -240,13 +240,13 @@
         self.network.extend(ready.messages_before_sync);
         self.observe_leader(id);
         self.apply(id, ready.committed);
-        let nothing_waits = self.members[&id].unsynced.len() == 1;
-        if self.sync_at_once || (nothing_waits && !ready.must_sync) {
+        let nothing_else_unsynced = self.members[&id].unsynced.len() == 1;
+        if self.sync_at_once || (nothing_else_unsynced && !ready.must_sync) {
             self.sync(id);
         }
     }
 
-    /// Syncs a disk and releases what waits for that.
+    /// Syncs a disk and completes the work that waited for the sync.
     pub(crate) fn sync(&mut self, id: MemberId) {
         let member = self.members.get_mut(&id).expect("a known member");
         member.synced_disk = member.disk.clone();
@@ -284,7 +284,7 @@
         node.report_snapshot_installed(meta, &member.disk);
     }
 
-    /// Takes a snapshot of what a member has applied and drops its log.
+    /// Takes a snapshot of the applied commands of a member and compacts its log.
     pub(crate) fn compact(&mut self, id: MemberId) {
         let member = self.members.get_mut(&id).expect("a known member");
         let index = member.applied;
@@ -293,12 +293,15 @@
         }
         let meta = SnapshotMeta {
             index,
-            term: member.disk.term(index).expect("applied entries are held"),
+            term: member
+                .disk
+                .term(index)
+                .expect("applied entries are in the log"),
             membership: member.applied_membership.clone(),
         };
         let data = encode_commands(&member.commands);
         member.disk.compact(&meta, data.clone());
-        // A real disk syncs the snapshot on its own, not the log's unsynced tail.
+        // On a real disk the snapshot is synced separately from the log's unsynced tail.
         let tail = member.synced_disk.last_index();
         if tail >= index {
             member.synced_disk.compact(&meta, data);
@@ -309,7 +312,11 @@
         let member = self.members.get_mut(&id).expect("a known member");
         while member.applied < committed {
             let index = LogIndex(member.applied.0 + 1);
-            let entry = member.disk.entry(index).expect("committed is held").clone();
+            let entry = member
+                .disk
+                .entry(index)
+                .expect("committed entries are in the log")
+                .clone();
             member.applied = index;
             match &entry.payload {
                 EntryPayload::Command(command) => member.commands.push(command.clone()),
@@ -342,7 +349,7 @@
         }
     }
 
-    /// Panics when an invariant was broken.
+    /// Panics if an invariant is violated.
     pub(crate) fn check(&self) {
         assert_eq!(self.violation, None);
         self.check_logs_match();
@@ -350,7 +357,7 @@
         self.check_known_commits();
     }
 
-    /// Whatever was committed before a member's term is below what it knows of that term.
+    /// The known commit index of a member covers everything committed in earlier terms.
     fn check_known_commits(&self) {
         let nodes = self
             .members
@@ -365,12 +372,12 @@
             let newest = earlier.map(|(index, _)| *index).next_back();
             assert!(
                 newest <= Some(known),
-                "{newest:?} was committed: {status:?}"
+                "{newest:?} was committed earlier: {status:?}"
             );
         }
     }
 
-    /// Equal index and term mean equal logs up to there.
+    /// Logs with an entry of equal index and term are equal up to that entry.
     fn check_logs_match(&self) {
         let disks: Vec<&DiskContent> = self.members.values().map(|member| &member.disk).collect();
         for (position, left) in disks.iter().enumerate() {
@@ -380,7 +387,7 @@
         }
     }
 
-    /// The newest leader holds everything that was ever committed before its term.
+    /// The leader of the highest term has all entries committed in earlier terms.
     fn check_leader_completeness(&self) {
         let leaders = self.members.values().filter_map(|member| {
             let status = member.node.as_ref()?.status();
@@ -401,7 +408,7 @@
         }
     }
 
-    /// Delivers the oldest message, if its way is open and its receiver up.
+    /// Delivers the oldest message, unless the link is cut or the receiver is down.
     pub(crate) fn deliver_next(&mut self) -> bool {
         let Some(message) = self.network.pop_front() else {
             return false;
@@ -414,10 +421,10 @@
         if self.cut.contains(&(message.from, message.to)) {
             return;
         }
-        match self.fate_of(&mut message.body) {
-            Fate::Arrives => {}
-            Fate::Lost => return,
-            Fate::ArrivesTwice => self.network.push_back(message.clone()),
+        match self.delivery_of(&mut message.body) {
+            Delivery::Once => {}
+            Delivery::Lost => return,
+            Delivery::Twice => self.network.push_back(message.clone()),
         }
         let receiver = self.receiver_of(&message);
         if let Some(id) = receiver.filter(|id| self.is_up(*id)) {
@@ -425,19 +432,22 @@
         }
     }
 
-    fn fate_of(&mut self, body: &mut ConsensusBody) -> Fate {
-        let fault = self.network_fault.as_mut().filter(|fault| fault.left > 0);
-        let Some((fault, fate)) = fault.and_then(|fault| {
-            let fate = (fault.meets)(body)?;
-            Some((fault, fate))
+    fn delivery_of(&mut self, body: &mut ConsensusBody) -> Delivery {
+        let fault = self
+            .network_fault
+            .as_mut()
+            .filter(|fault| fault.remaining > 0);
+        let Some((fault, delivery)) = fault.and_then(|fault| {
+            let delivery = (fault.deliver_as)(body)?;
+            Some((fault, delivery))
         }) else {
-            return Fate::Arrives;
+            return Delivery::Once;
         };
-        fault.left -= 1;
-        fate
+        fault.remaining -= 1;
+        delivery
     }
 
-    /// Messages travel to machines; the disk is checked by the node.
+    /// Messages are routed to machines; the node itself checks the disk.
     fn receiver_of(&self, message: &ConsensusMessage) -> Option<MemberId> {
         if self.members.contains_key(&message.to) {
             return Some(message.to);
@@ -446,7 +456,7 @@
         self.members.keys().find(same_machine).copied()
     }
 
-    /// Delivers messages until none is left, and checks the invariants.
+    /// Delivers messages until none remain, and checks the invariants.
     pub(crate) fn settle(&mut self) {
         self.settle_unchecked();
         self.check();
@@ -462,7 +472,7 @@
                 return;
             }
         }
-        panic!("the messages do not come to an end");
+        panic!("the members do not stop sending messages");
     }
 
     pub(crate) fn tick(&mut self, id: MemberId) {
@@ -471,7 +481,7 @@
         }
     }
 
-    /// Lets ticks pass on all members, delivering all messages after each.
+    /// Ticks all members, delivering all messages after each tick.
     pub(crate) fn run(&mut self, ticks: u32) {
         for _ in 0..ticks {
             self.run_unchecked(1);
@@ -479,7 +489,7 @@
         }
     }
 
-    /// As `run`, leaving the checks to the caller.
+    /// Like `run`, without checking invariants.
     pub(crate) fn run_unchecked(&mut self, ticks: u32) {
         let all: Vec<MemberId> = self.members.keys().copied().collect();
         for _ in 0..ticks {
@@ -490,7 +500,7 @@
         }
     }
 
-    /// Lets time pass until somebody leads with a quorum.
+    /// Ticks until there is a leader.
     pub(crate) fn elect(&mut self) -> MemberId {
         for _ in 0..1_000 {
             if let Some(leader) = self.leader() {
@@ -498,10 +508,10 @@
             }
             self.run(1);
         }
-        panic!("nobody was elected");
+        panic!("no leader was elected");
     }
 
-    /// Lets time pass until somebody leads, for a limited time.
+    /// Ticks until there is a leader, but at most this many ticks.
     pub(crate) fn elect_for(&mut self, ticks: u32) -> Option<MemberId> {
         for _ in 0..ticks {
             if self.leader().is_some() {
@@ -512,7 +522,7 @@
         self.leader()
     }
 
-    /// Some member that is up and is not the leader.
+    /// A member that is up and is not the leader.
     pub(crate) fn follower_of(&self, leader: MemberId) -> MemberId {
         let mut others = self.members.keys().copied();
         others
@@ -520,12 +530,12 @@
             .expect("another member")
     }
 
-    /// Delivers messages until only unsynced disks hold things up.
+    /// Delivers messages until the remaining work waits for syncs.
     pub(crate) fn deliver_all_without_sync(&mut self) {
         while self.deliver_next() {}
     }
 
-    /// Whether a granted vote is on its way to a member; takes it off the network.
+    /// Whether a granted vote to a member is in flight; removes it from the network.
     pub(crate) fn vote_granted(&mut self, to: MemberId) -> bool {
         let granted = |message: &ConsensusMessage| {
             message.to == to && message.body == ConsensusBody::VoteResponse { granted: true }
@@ -549,13 +559,13 @@
 
     pub(crate) fn propose(&mut self, id: MemberId, command: &str) -> LogIndex {
         self.with_node(id, |node, _| node.propose(command.as_bytes().to_vec()))
-            .expect("the proposal is taken")
+            .expect("the proposal is accepted")
     }
 
-    /// Proposes a membership change and lets it commit.
+    /// Proposes a membership change and delivers messages until it is committed.
     pub(crate) fn change_membership(&mut self, id: MemberId, change: MembershipChange) {
         self.with_node(id, |node, _| node.propose_membership(change))
-            .expect("the change is taken");
+            .expect("the change is accepted");
         self.settle();
     }
 
@@ -566,7 +576,7 @@
             .collect()
     }
 
-    /// The commands of everything that was ever seen committed, in order.
+    /// All commands observed as committed, in order.
     pub(crate) fn committed_commands(&self) -> Vec<Vec<u8>> {
         let entries = self.observed.committed.values();
         entries
@@ -577,7 +587,7 @@
             .collect()
     }
 
-    /// Cuts a member off from all others, both ways.
+    /// Cuts the links between a member and all others, in both directions.
     pub(crate) fn isolate(&mut self, id: MemberId) {
         let others: Vec<MemberId> = self.members.keys().copied().collect();
         for other in others {
@@ -592,11 +602,12 @@
 }
 
 impl Member {
-    /// Forgets what was applied and starts from the stored snapshot.
+    /// Resets the state machine to the stored snapshot.
     fn restore_state_machine(&mut self) {
         let snapshot = &self.disk.snapshot;
         self.applied = LogIndex(snapshot.meta.index);
-        self.commands = decode_commands(&snapshot.data).expect("it was checked when received");
+        self.commands =
+            decode_commands(&snapshot.data).expect("the snapshot was checked when received");
         self.applied_membership = if snapshot.meta.index == 0 {
             self.initial.clone()
         } else {
@@ -608,10 +619,10 @@
 fn check_pair_matches(left: &DiskContent, right: &DiskContent) {
     let start = left.start.max(right.start).0 + 1;
     let end = left.last_index().min(right.last_index()).0;
-    let agreed = (start..=end)
+    let last_match = (start..=end)
         .rev()
         .find(|index| left.term(LogIndex(*index)) == right.term(LogIndex(*index)));
-    for index in start..=agreed.unwrap_or(0) {
+    for index in start..=last_match.unwrap_or(0) {
         let index = LogIndex(index);
         assert_eq!(
             left.entry(index),
@@ -630,14 +641,14 @@
     data
 }
 
-/// `None` when the data is no snapshot.
+/// `None` if the data is not a valid snapshot.
 fn decode_commands(mut data: &[u8]) -> Option<Vec<Vec<u8>>> {
     let mut commands = Vec::new();
-    while let Some((length, rest)) = data.split_first_chunk::<4>() {
+    while let Some((length, remaining)) = data.split_first_chunk::<4>() {
         let length = u32::from_le_bytes(*length) as usize;
-        let (command, rest) = rest.split_at_checked(length)?;
+        let (command, remaining) = remaining.split_at_checked(length)?;
         commands.push(command.to_vec());
-        data = rest;
+        data = remaining;
     }
     data.is_empty().then_some(commands)
 }
--- a/crates/consensus/tests/all/disk.rs
+++ b/crates/consensus/tests/all/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: what was written, and what of it a crash leaves.
+//! An in-memory disk that stores the log, the hard state and snapshots.
 
 use linnethitch_consensus::{LogView, PartialSnapshot, Ready, ReceivedChunk, SnapshotPiece};
 use linnethitch_protocol::{
@@ -13,7 +13,7 @@
     pub(crate) data: Vec<u8>,
 }
 
-/// `SnapshotMeta` with the traits that states of the model check need.
+/// `SnapshotMeta` in a form that implements `Hash`.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SnapshotMetaKey {
     pub(crate) index: u64,
@@ -49,7 +49,7 @@
 pub(crate) struct DiskContent {
     pub(crate) hard_state: HardState,
     pub(crate) snapshot: StoredSnapshot,
-    /// Entries above `start`.
+    /// Entries after `start`.
     pub(crate) entries: Vec<Entry>,
     /// The index just before the first entry, and its term.
     pub(crate) start: LogIndex,
@@ -59,7 +59,8 @@
 }
 
 impl DiskContent {
-    /// Writes what a `Ready` asks for; the last chunk of a snapshot is returned.
+    /// Writes the contents of a `Ready`; returns the metadata of a snapshot whose last
+    /// chunk was written.
     pub(crate) fn write(&mut self, ready: &Ready) -> Option<SnapshotMeta> {
         if let Some(hard_state) = &ready.hard_state {
             self.hard_state = hard_state.clone();
@@ -68,7 +69,11 @@
             self.entries.truncate((index.0 - self.start.0) as usize);
         }
         for entry in &ready.entries {
-            assert_eq!(entry.index.0, self.last_index().0 + 1, "a gap in the log");
+            assert_eq!(
+                entry.index.0,
+                self.last_index().0 + 1,
+                "the log must have no gap"
+            );
             self.entries.push(entry.clone());
         }
         let mut complete = None;
@@ -83,7 +88,11 @@
 
     fn write_chunk(&mut self, chunk: &ReceivedChunk) {
         self.partial_data.truncate(chunk.offset as usize);
-        assert_eq!(self.partial_data.len() as u64, chunk.offset, "a gap");
+        assert_eq!(
+            self.partial_data.len() as u64,
+            chunk.offset,
+            "chunks must have no gap"
+        );
         self.partial_data.extend_from_slice(&chunk.data);
         self.partial = Some(PartialSnapshot {
             from: chunk.from,
@@ -92,13 +101,13 @@
         });
     }
 
-    /// Drops a received snapshot that turned out to be damaged.
+    /// Discards a received snapshot that is damaged.
     pub(crate) fn discard_partial(&mut self) {
         self.partial = None;
         self.partial_data.clear();
     }
 
-    /// Replaces the log by the received snapshot, keeping what follows it.
+    /// Replaces the log up to the end of the received snapshot.
     pub(crate) fn install(&mut self, meta: &SnapshotMeta) {
         let data = std::mem::take(&mut self.partial_data);
         self.partial = None;
@@ -115,7 +124,7 @@
         };
     }
 
-    /// Takes a snapshot of the applied commands and drops the log up to there.
+    /// Stores a snapshot and removes the log entries that it covers.
     pub(crate) fn compact(&mut self, meta: &SnapshotMeta, data: Vec<u8>) {
         self.entries.retain(|entry| entry.index > meta.index);
         self.start = meta.index;
@@ -126,7 +135,7 @@
         };
     }
 
-    /// The memberships that the log and the snapshot hold.
+    /// All memberships in the log and the snapshot.
     pub(crate) fn memberships(&self) -> Vec<Membership> {
         let in_log = self
             .entries
@@ -191,12 +200,12 @@
         max_bytes: usize,
     ) -> Option<SnapshotPiece> {
         let stored = &self.snapshot;
-        let held = stored.meta.index > 0 && stored.meta.to_meta() == *meta;
-        let rest = stored.data.get(offset as usize..).filter(|_| held)?;
-        let length = rest.len().min(max_bytes);
+        let is_stored = stored.meta.index > 0 && stored.meta.to_meta() == *meta;
+        let remaining = stored.data.get(offset as usize..).filter(|_| is_stored)?;
+        let length = remaining.len().min(max_bytes);
         Some(SnapshotPiece {
-            data: rest[..length].to_vec(),
-            last: length == rest.len(),
+            data: remaining[..length].to_vec(),
+            last: length == remaining.len(),
         })
     }
 }
--- a/crates/consensus/tests/all/elections.rs
+++ b/crates/consensus/tests/all/elections.rs
@@ -1,4 +1,4 @@
-//! Scenarios of elections.
+//! Elections and leadership transfers.
 
 use linnethitch_consensus::Role;
 use linnethitch_protocol::{
@@ -24,7 +24,7 @@
     assert_eq!(
         cluster.leader(),
         Some(leader),
-        "a quiet cluster keeps its leader"
+        "an idle cluster keeps its leader"
     );
     assert_eq!(cluster.observed.leaders.len(), 1);
     for machine in 1..=count {
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_cut_off_member_does_not_raise_its_term() {
+fn an_isolated_member_does_not_raise_its_term() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     let other = cluster.follower_of(leader);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_half_cut_member_does_not_depose_the_leader() {
+fn a_member_that_receives_nothing_from_the_leader_does_not_depose_it() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     let other = cluster.follower_of(leader);
@@ -100,7 +100,7 @@
     };
     cluster.deliver(request);
     assert_eq!(cluster.node(other).term(), term);
-    assert_eq!(cluster.network.len(), 0, "it is not even answered");
+    assert_eq!(cluster.network.len(), 0, "the request must not be answered");
 }
 
 #[test]
@@ -157,7 +157,7 @@
 #[rstest]
 #[case::to_the_lost_disk(member(3), false)]
 #[case::to_the_new_disk(member_on(3, 301), false)]
-fn a_blank_disk_gives_no_vote(
+fn a_blank_disk_grants_no_vote(
     #[case] addressed: linnethitch_protocol::ids::MemberId,
     #[case] granted: bool,
 ) {
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn a_transfer_to_a_dead_member_is_given_up() {
+fn a_transfer_to_a_crashed_member_is_aborted() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     let successor = cluster.follower_of(leader);
--- a/crates/consensus/tests/all/hostile_input.rs
+++ b/crates/consensus/tests/all/hostile_input.rs
@@ -1,4 +1,4 @@
-//! Bytes and messages of a peer that is broken or hostile.
+//! Bytes and messages from faulty or hostile peers.
 
 use linnethitch_protocol::{
     attach::{ControlMessage, GatewayMessage, PeerMessage},
@@ -16,9 +16,9 @@
 use crate::{cluster::Cluster, messages};
 
 const RUNS: u32 = 1_000;
-/// Runs that drive whole clusters, which take longer.
+/// Runs that simulate a cluster, which take longer.
 const CLUSTER_RUNS: u32 = 300;
-/// A decoded value may take this many bytes for each byte received.
+/// Maximum bytes of a decoded value in memory for each byte received.
 const MAX_EXPANSION: usize = 16;
 
 fn runner(cases: u32) -> TestRunner {
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a decoded message takes in memory.
+/// Bytes that a decoded message takes in memory.
 fn decoded_bytes(message: &ConsensusMessage) -> usize {
     let inner = match &message.body {
         ConsensusBody::Append(append) => append
@@ -102,7 +102,7 @@
     inner + size_of_val(message)
 }
 
-/// Decodes as every kind of message; none may panic.
+/// Decodes the bytes as every kind of message; none may panic.
 fn decode_as_everything(bytes: &[u8]) {
     let _ = frame::decode::<PeerMessage>(bytes);
     let _ = frame::decode::<GatewayMessage>(bytes);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn messages_survive_their_encoding() {
+fn encoded_messages_decode_to_the_same_message() {
     let outcome = runner(RUNS).run(&messages::message(), |message| {
         let bytes =
             frame::write_frame(FrameKind::Peer, Format::NEWEST, &message).expect("it is small");
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_mutated_frame_is_noticed_by_its_checksum() {
+fn a_mutated_frame_is_detected_by_its_checksum() {
     let outcome = runner(RUNS).run(
         &(messages::message(), any::<prop::sample::Index>()),
         |case| {
@@ -177,8 +177,8 @@
     outcome.unwrap_or_else(|failure| panic!("{failure}"));
 }
 
-/// Whatever peers say, in whatever state, the node neither panics nor asks its
-/// driver for writes that do not fit its log.
+/// For any messages in any state, the node neither panics nor requests writes that do
+/// not fit its log.
 #[rstest]
 #[case::before_an_election(false)]
 #[case::with_a_leader(true)]
--- a/crates/consensus/tests/all/known_commit.rs
+++ b/crates/consensus/tests/all/known_commit.rs
@@ -1,4 +1,4 @@
-//! What a member knows to be committed in the term of the leader that it hears.
+//! The known commit index: what a member knows to be committed in the current leader's term.
 
 use crate::cluster::{Cluster, member};
 
@@ -6,7 +6,7 @@
 const LONG_TICKS: u32 = 120;
 
 #[test]
-fn every_member_of_a_quiet_cluster_knows_the_newest_commit() {
+fn every_member_of_an_idle_cluster_knows_the_newest_commit() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     let index = cluster.propose(leader, "a");
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_member_that_is_cut_off_knows_nothing_until_it_is_back() {
+fn an_isolated_member_has_no_known_commit_until_it_reconnects() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     cluster.run(LONG_TICKS);
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn a_leader_that_is_cut_off_knows_nothing_once_it_has_stepped_down() {
+fn an_isolated_leader_has_no_known_commit_after_it_steps_down() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     cluster.run(LONG_TICKS);
@@ -43,10 +43,10 @@
     assert_eq!(cluster.node(leader).status().known_commit, None);
 }
 
-/// What an earlier leader committed is not known to be committed before an entry of
-/// the new term is.
+/// Entries of an earlier leader are not known to be committed before an entry of the
+/// new term is committed.
 #[test]
-fn a_member_that_was_restarted_knows_nothing_until_it_hears_a_leader() {
+fn a_restarted_member_has_no_known_commit_until_a_leader_contacts_it() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     cluster.propose(leader, "a");
@@ -67,16 +67,17 @@
     }
 }
 
-/// A new leader may not know yet what the one before committed and nobody else was
-/// told of. The invariant is checked after each message.
+/// The previous leader may have committed an entry without reporting that to any other
+/// member, so that a new leader does not know of it yet. The invariant is checked after
+/// each message.
 #[test]
-fn a_new_leaders_first_words_do_not_count() {
+fn the_commit_index_of_a_new_leader_counts_only_in_its_own_term() {
     let mut cluster = Cluster::new(3);
     let leader = cluster.elect();
     cluster.run(LONG_TICKS);
     let index = cluster.propose(leader, "a");
     while cluster.node(leader).status().committed < index {
-        assert!(cluster.deliver_next(), "it is committed");
+        assert!(cluster.deliver_next(), "the entry must be committed");
     }
     let other = cluster.follower_of(leader);
     assert!(cluster.node(other).status().committed < index);
@@ -90,5 +91,8 @@
         }
     }
     let known = cluster.node(other).status().known_commit;
-    assert!(known > Some(index), "a new leader has told: {known:?}");
+    assert!(
+        known > Some(index),
+        "no commit index of a new leader: {known:?}"
+    );
 }
--- a/crates/consensus/tests/all/messages.rs
+++ b/crates/consensus/tests/all/messages.rs
@@ -1,4 +1,4 @@
-//! Arbitrary messages, for property tests.
+//! Strategies for arbitrary consensus messages.
 
 use linnethitch_protocol::{
     consensus::{
@@ -11,7 +11,7 @@
 
 use crate::cluster::{member, member_on};
 
-/// Small numbers, which meet the state of a small cluster, and extreme ones.
+/// Small numbers, which match the state of a small cluster, and extreme ones.
 fn number() -> impl Strategy<Value = u64> {
     prop_oneof![
         8 => 0..12_u64,
@@ -77,7 +77,7 @@
     })
 }
 
-/// Entries that follow an index, in a term: what a leader would send.
+/// Consecutive entries of one term after an index, as a leader would send them.
 fn following(previous: LogIndex, term: Term, payloads: Vec<EntryPayload>) -> Vec<Entry> {
     let numbered = payloads.into_iter().zip(1_u64..);
     numbered
@@ -171,7 +171,7 @@
     ]
 }
 
-/// Any message, of a peer that may be wrong in everything.
+/// Any message, as a faulty or hostile peer may send it.
 pub(crate) fn message() -> impl Strategy<Value = ConsensusMessage> {
     (member_id(), member_id(), term(), body()).prop_map(|(from, to, term, body)| ConsensusMessage {
         from,
--- a/crates/consensus/tests/all/random_faults.rs
+++ b/crates/consensus/tests/all/random_faults.rs
@@ -1,6 +1,6 @@
-//! Random faults: loss, duplication, reordering, cuts, crashes, lost unsynced
-//! writes, replaced disks, compaction and membership repair, with the
-//! invariants of the log checked all along and liveness at the end.
+//! Random faults: message loss, duplication and reordering, network partitions, crashes
+//! that lose unsynced writes, replaced disks, compaction and membership repair. The
+//! invariants of the log are checked after every step, and liveness at the end.
 
 use std::collections::BTreeMap;
 
@@ -17,24 +17,24 @@
 
 use crate::cluster::{Cluster, member_on};
 
-/// Runs of a test, unless `CONSENSUS_RANDOM_RUNS` asks for more.
+/// Runs of a test, unless `CONSENSUS_RANDOM_RUNS` sets another number.
 const DEFAULT_RUNS: u32 = 60;
-/// Runs within which a broken rule must be found.
+/// Runs within which the violation of a disabled rule must be found.
 const RUNS_FOR_BROKEN_RULES: u32 = 2_000;
-/// Attempts to shorten a failing run.
+/// Maximum attempts to shrink a failing run.
 const MAX_SHRINK_STEPS: u32 = 5_000;
-/// Steps of one run, at most.
+/// Maximum steps of one run.
 const MAX_STEPS: usize = 500;
-/// Ticks within which a healed cluster must come to rest.
+/// Ticks within which a cluster without further faults must recover.
 const RECOVERY_TICKS: u32 = 3_000;
-/// Short, so that repairs happen within a run.
+/// Short time-outs, so that repairs happen within a run.
 const POLICY: RepairPolicy = RepairPolicy {
     lost_ticks: 60,
     healthy_ticks: 25,
     voters: 5,
 };
 
-/// One step of a run. Numbers choose among what there is at that moment.
+/// One step of a run. Numbers select among the members or messages at that moment.
 #[derive(Clone, Debug)]
 enum Step {
     TickAll,
@@ -80,12 +80,12 @@
     ]
 }
 
-/// A cluster under faults, with what the run must remember.
+/// A cluster under faults, with the state that the checks need.
 struct Run {
     cluster: Cluster,
     proposed: u64,
     reads: u64,
-    /// The highest index committed anywhere when a read was asked.
+    /// The highest index committed on any member when each read was requested.
     committed_at_read: BTreeMap<u64, LogIndex>,
     disks: u64,
 }
@@ -226,28 +226,29 @@
         }
     }
 
-    /// Loses a disk, unless more would be lost than the cluster is made for.
+    /// Replaces a disk by a blank one, unless more disks would be lost than the cluster
+    /// tolerates.
     fn replace_disk(&mut self, id: MemberId) {
         let memberships: Vec<_> = self.memberships();
-        let bearable = memberships.iter().all(|membership| {
-            let gone =
+        let is_tolerated = memberships.iter().all(|membership| {
+            let is_lost =
                 |voter: &&MemberId| **voter == id || !self.cluster.members.contains_key(*voter);
-            let lost = membership.voters.iter().filter(gone).count();
+            let lost = membership.voters.iter().filter(is_lost).count();
             lost <= membership.voters.len().saturating_sub(1) / 2
         });
-        if bearable {
+        if is_tolerated {
             self.disks += 1;
-            let fresh = member_on(id.machine.0, 10_000 + self.disks);
-            self.cluster.replace_disk(id, fresh);
+            let new_id = member_on(id.machine.0, 10_000 + self.disks);
+            self.cluster.replace_disk(id, new_id);
         }
     }
 
-    /// Every membership that any log holds.
+    /// All memberships in any log.
     fn memberships(&self) -> Vec<linnethitch_protocol::consensus::Membership> {
         let mut memberships = Vec::new();
-        for held in self.cluster.members.values() {
-            memberships.push(held.applied_membership.clone());
-            for disk in [&held.disk, &held.synced_disk] {
+        for member in self.cluster.members.values() {
+            memberships.push(member.applied_membership.clone());
+            for disk in [&member.disk, &member.synced_disk] {
                 memberships.extend(disk.memberships());
             }
         }
@@ -268,23 +269,24 @@
         }
     }
 
-    /// Each term has one leader, committed entries agree, reads miss nothing.
+    /// Checks that each term has one leader, that committed entries agree, and that reads
+    /// include everything committed before them.
     fn check(&self) -> Result<(), String> {
         if let Some(violation) = &self.cluster.violation {
             return Err(violation.clone());
         }
-        for held in self.cluster.members.values() {
-            for (context, index) in &held.confirmed_reads {
-                let least = self.committed_at_read[context];
-                if *index < least {
-                    return Err(format!("read {context} at {index} misses {least}"));
+        for member in self.cluster.members.values() {
+            for (context, index) in &member.confirmed_reads {
+                let required = self.committed_at_read[context];
+                if *index < required {
+                    return Err(format!("read {context} at {index} misses {required}"));
                 }
             }
         }
         Ok(())
     }
 
-    /// Ends all faults; the cluster must come to rest with one common state.
+    /// Ends all faults; the cluster must then converge to one state.
     fn recover(&mut self) -> Result<(), String> {
         self.cluster.heal();
         self.cluster.sync_at_once = true;
@@ -297,29 +299,29 @@
             self.cluster.run_unchecked(1);
             self.check()?;
             self.repair();
-            if self.is_at_rest() {
+            if self.has_converged() {
                 return self.check_nothing_lost();
             }
         }
         Err("the cluster does not recover".to_owned())
     }
 
-    fn is_at_rest(&self) -> bool {
+    fn has_converged(&self) -> bool {
         let Some(leader) = self.cluster.leader() else {
             return false;
         };
         let status = self.cluster.node(leader).status();
         let voters = &status.membership.voters;
-        let whole = voters
+        let all_present = voters
             .iter()
             .all(|id| self.cluster.members.contains_key(id));
         let caught_up = |id: &MemberId| self.cluster.members[id].applied == status.last_index;
-        whole && status.membership_committed && voters.iter().all(caught_up)
+        all_present && status.membership_committed && voters.iter().all(caught_up)
     }
 
     fn check_nothing_lost(&self) -> Result<(), String> {
         self.cluster.check();
-        let leader = self.cluster.leader().ok_or("nobody leads")?;
+        let leader = self.cluster.leader().ok_or("no leader")?;
         let status = self.cluster.node(leader).status();
         if status.committed < self.highest_committed() {
             return Err("committed entries are lost".to_owned());
@@ -327,7 +329,7 @@
         let commands = self.cluster.committed_commands();
         for id in &status.membership.voters {
             if self.cluster.members[id].commands != commands {
-                return Err(format!("{id} applied something else"));
+                return Err(format!("{id} applied other commands"));
             }
         }
         Ok(())
@@ -335,8 +337,8 @@
 }
 
 fn runs() -> u32 {
-    let asked = std::env::var("CONSENSUS_RANDOM_RUNS").ok();
-    asked
+    let requested = std::env::var("CONSENSUS_RANDOM_RUNS").ok();
+    requested
         .and_then(|text| text.parse().ok())
         .unwrap_or(DEFAULT_RUNS)
 }
@@ -359,7 +361,7 @@
     TestRunner::new_with_rng(config, TestRng::from_seed(algorithm, &bytes))
 }
 
-/// Runs random steps and the recovery; the failure is shrunk.
+/// Runs random steps and the recovery; a failing run is shrunk.
 fn run_random(
     mut runner: TestRunner,
     members: u32,
@@ -378,9 +380,9 @@
 
 #[rstest]
 #[case::three_that_sync_at_once(3, true)]
-#[case::three_that_sync_late(3, false)]
+#[case::three_with_delayed_sync(3, false)]
 #[case::five_that_sync_at_once(5, true)]
-#[case::five_that_sync_late(5, false)]
+#[case::five_with_delayed_sync(5, false)]
 fn invariants_hold_under_random_faults(#[case] members: u32, #[case] sync_at_once: bool) {
     let result = run_random(
         runner(runs(), MAX_SHRINK_STEPS),
@@ -391,14 +393,14 @@
     assert_eq!(result, Ok(()));
 }
 
-/// The same faults find a rule that is switched off: two leaders in a term,
-/// diverging commits, or a cluster that relies on what is lost and gets stuck.
+/// The same faults reveal a disabled rule: two leaders in a term, diverging commits, or a
+/// cluster that depends on lost data and does not recover.
 #[rstest]
 #[case::append_sync(SafetyOverrides { skip_append_sync: true, ..SafetyOverrides::default() })]
 #[case::blank_disk(SafetyOverrides { blank_disk_may_vote: true, ..SafetyOverrides::default() })]
-fn broken_rules_are_found(#[case] safety: SafetyOverrides) {
+fn disabled_rules_are_detected(#[case] safety: SafetyOverrides) {
     let result = run_random(runner(RUNS_FOR_BROKEN_RULES, 0), 3, false, safety);
-    let failure = result.expect_err("the broken rule is not found");
+    let failure = result.expect_err("the disabled rule was not detected");
     let known = ["both led in term", "was committed as", "does not recover"];
     assert!(known.iter().any(|text| failure.contains(text)), "{failure}");
 }
--- a/crates/consensus/tests/all/safety_rules.rs
+++ b/crates/consensus/tests/all/safety_rules.rs
@@ -1,5 +1,5 @@
-//! One history for each safety rule that breaks the log when the rule is
-//! switched off, and is harmless when it is on.
+//! For each safety rule, a sequence of events that violates an invariant when the rule
+//! is disabled, and does not when it is enabled.
 
 use linnethitch_consensus::{Role, SafetyOverrides};
 use linnethitch_protocol::ids::{LogIndex, MemberId};
@@ -26,8 +26,8 @@
     })
 }
 
-/// Makes one member stand, alone in hearing time pass, until it leads. The
-/// others are restarted first, so that they know of no live leader.
+/// Advances time only on one member until it is elected. The others are restarted
+/// first, so that they know of no live leader.
 fn lead(cluster: &mut Cluster, id: MemberId) {
     let up = |other: &MemberId| *other != id && cluster.is_up(*other);
     let others: Vec<MemberId> = cluster.members.keys().copied().filter(up).collect();
@@ -45,7 +45,7 @@
     panic!("{id} was not elected");
 }
 
-/// A member votes, loses its vote in a crash and votes again in the same term.
+/// A member votes, loses the unsynced vote in a crash and votes again in the same term.
 #[rstest]
 #[case::rule_holds(NONE, false)]
 #[case::rule_off(SafetyOverrides { skip_vote_sync: true, ..NONE }, true)]
@@ -72,7 +72,7 @@
     assert_eq!(cluster.violation.is_some(), broken);
 }
 
-/// A follower acknowledges an entry and loses it in a crash; the leader is cut off.
+/// A follower acknowledges an entry and loses it in a crash; then the leader is isolated.
 #[rstest]
 #[case::rule_holds(NONE, false)]
 #[case::rule_off(SafetyOverrides { skip_append_sync: true, ..NONE }, true)]
@@ -102,8 +102,8 @@
     assert_eq!(cluster.violation.is_some(), broken);
 }
 
-/// The history of figure 8 of the Raft paper: an entry of an old term is on a
-/// quorum, yet a member without it can still be elected.
+/// Figure 8 of the Raft paper: an entry of an earlier term is on a quorum, but a member
+/// without the entry can still be elected.
 #[rstest]
 #[case::rule_holds(NONE, false)]
 #[case::rule_off(SafetyOverrides { commit_old_terms_by_count: true, ..NONE }, true)]
@@ -112,21 +112,21 @@
     let (first, second, third) = (member(1), member(2), member(3));
     lead(&mut cluster, first);
     cluster.settle();
-    // `first` writes an entry that nobody else receives.
+    // `first` appends an entry that no other member receives.
     cluster.isolate(first);
     let index = cluster.propose(first, "of the first leader");
     cluster.settle();
     cluster.crash(first);
-    // `third` leads with the vote of `second`, and its entry is not received either.
+    // `third` is elected with the vote of `second`; its entry is not received either.
     lead(&mut cluster, third);
     cluster.network.clear();
     cluster.crash(third);
-    // `first` leads again and brings its old entry, alone, to `second`.
+    // `first` is elected again and replicates only its old entry to `second`.
     cluster.heal();
     cluster.restart(first);
     lead(&mut cluster, first);
     while cluster.members[&second].disk.entry(index).is_none() {
-        assert!(cluster.deliver_next(), "the entry is on its way");
+        assert!(cluster.deliver_next(), "the entry must be in flight");
     }
     while let Some(message) = cluster.network.pop_front() {
         if message.to == first {
@@ -136,7 +136,7 @@
     }
     cluster.network.clear();
     cluster.crash(first);
-    // `third` wins with its later last term and overwrites the entry.
+    // `third` is elected because its last term is higher, and overwrites the entry.
     cluster.restart(third);
     cluster.run_unchecked(4 * LONG_TICKS);
     assert_eq!(cluster.leader(), Some(third));
@@ -145,8 +145,8 @@
     assert_eq!(cluster.violation.is_some(), broken);
 }
 
-/// A wiped disk votes under the identity of the lost one and elects a member
-/// that misses an acknowledged entry.
+/// A member with a blank disk votes under the identity of the lost disk and elects a
+/// member that lacks an acknowledged entry.
 #[rstest]
 #[case::rule_holds(NONE, false)]
 #[case::rule_off(SafetyOverrides { blank_disk_may_vote: true, ..NONE }, true)]
@@ -171,7 +171,7 @@
     assert_eq!(cluster.violation.is_some(), broken);
 }
 
-/// A leader that was deposed without knowing answers a read.
+/// A leader that does not know that it was deposed answers a read.
 #[rstest]
 #[case::rule_holds(NONE, false)]
 #[case::rule_off(SafetyOverrides { skip_read_confirmation: true, ..NONE }, true)]
@@ -181,7 +181,7 @@
     lead(&mut cluster, old);
     cluster.settle();
     cluster.isolate(old);
-    // Time stands still on the old leader, as on a machine that was frozen.
+    // No time passes on the old leader, as on a paused machine.
     for _ in 0..4 * LONG_TICKS {
         cluster.tick(new);
         cluster.tick(member(3));
@@ -192,7 +192,7 @@
     cluster.settle();
     cluster
         .with_node(old, |node, _| node.read_index(1))
-        .expect("it believes that it leads");
+        .expect("the old leader still considers itself leader");
     cluster.settle();
     let stale = |(_, index): &(u64, LogIndex)| *index < written;
     let reads = &cluster.members[&old].confirmed_reads;
