--- a/crates/group/src/apply.rs
+++ b/crates/group/src/apply.rs
@@ -1,4 +1,4 @@
-//! Applying committed entries and answering calls.
+//! Applies committed entries and answers calls.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -13,12 +13,12 @@
     state_machine::StateMachine,
 };
 
-/// Bytes of entries that are applied in one flush, about.
+/// Approximate bytes of entries applied in one flush.
 const APPLY_BYTES: usize = 4 * 1024 * 1024;
 
 impl<S: StateMachine> GroupMember<S> {
-    /// Applies committed entries, at most so much that messages and time do not
-    /// wait long for it.
+    /// Applies committed entries, up to `APPLY_BYTES` per call so that messages and
+    /// ticks are not delayed.
     pub(crate) fn apply_committed(&mut self) -> Result<(), Report<ErrorKind>> {
         if !self.has_unapplied() {
             return Ok(());
@@ -32,7 +32,7 @@
         Ok(())
     }
 
-    /// The last index that is committed and stored here.
+    /// The last index that is committed, and synced on this member.
     pub(crate) fn appliable(&self) -> LogIndex {
         let status = self.node.status();
         status.committed.min(status.synced)
--- a/crates/group/src/lib.rs
+++ b/crates/group/src/lib.rs
@@ -1,10 +1,10 @@
-//! One member of a replicated group: consensus, log, snapshots and repair
-//! around any deterministic state machine.
+//! One member of a replicated group: consensus, log, snapshots and membership repair
+//! for any deterministic state machine.
 //!
 //! A [`GroupMember`] reads no clock and opens no socket. Its driver passes in
 //! the time ([`GroupMember::tick`]), messages ([`GroupMember::receive`]) and
-//! calls, lets it write and sync ([`GroupMember::flush`]) and carries out what
-//! [`GroupMember::take_outputs`] returns. Files are reached through
+//! calls, has it write and sync ([`GroupMember::flush`]) and carries out what
+//! [`GroupMember::take_outputs`] returns. Files are accessed through
 //! [`linnethitch_storage::FileSystem`], so the same code runs on a virtual disk.
 
 mod apply;
--- a/crates/group/src/log_store.rs
+++ b/crates/group/src/log_store.rs
@@ -1,4 +1,4 @@
-//! The durable log and its snapshots, as consensus reads them.
+//! The durable log and snapshots, with the read access that consensus needs.
 
 use std::cell::RefCell;
 
@@ -11,11 +11,12 @@
 };
 use linnethitch_storage::{log::Log, snapshot::SnapshotStore};
 
-/// Log and snapshots of one member.
+/// The log and snapshots of one member.
 pub(crate) struct LogStore {
     pub(crate) log: Log,
     pub(crate) snapshots: SnapshotStore,
-    /// The first failed read; consensus itself is told of an empty result.
+    /// The first read error since the last check; consensus receives an empty result
+    /// instead.
     read_failure: RefCell<Option<Report<ErrorKind>>>,
 }
 
@@ -28,18 +29,18 @@
         }
     }
 
-    /// Fails if a read failed since the last call.
+    /// Returns the first read error since the last call, if any.
     pub(crate) fn check_reads(&self) -> Result<(), Report<ErrorKind>> {
         self.read_failure.take().map_or(Ok(()), Err)
     }
 
-    /// Index of the newest snapshot; 0 where there is none.
+    /// Index of the newest snapshot; 0 if there is none.
     pub(crate) fn newest_snapshot(&self) -> LogIndex {
         let latest = self.snapshots.latest();
         latest.map_or(LogIndex(0), |info| info.meta.index)
     }
 
-    fn note_failure(&self, report: Report<ErrorKind>) {
+    fn record_failure(&self, report: Report<ErrorKind>) {
         self.read_failure.borrow_mut().get_or_insert(report);
     }
 }
@@ -58,14 +59,14 @@
     }
 
     fn entries(&self, from: LogIndex, to_exclusive: LogIndex, max_bytes: usize) -> Vec<Entry> {
-        let held = self.first_index() <= from && from <= self.last_index();
-        if !held || from >= to_exclusive {
+        let is_stored = self.first_index() <= from && from <= self.last_index();
+        if !is_stored || from >= to_exclusive {
             return Vec::new();
         }
         match self.log.entries(from, to_exclusive, max_bytes) {
             Ok(entries) => entries,
             Err(report) => {
-                self.note_failure(report);
+                self.record_failure(report);
                 Vec::new()
             }
         }
@@ -89,7 +90,7 @@
         match self.snapshots.read_chunk(meta.index, offset, max_bytes) {
             Ok((data, last)) => Some(SnapshotPiece { data, last }),
             Err(report) => {
-                self.note_failure(report);
+                self.record_failure(report);
                 None
             }
         }
--- a/crates/group/src/member.rs
+++ b/crates/group/src/member.rs
@@ -1,4 +1,4 @@
-//! The member itself: time, messages, calls and the work between two syncs.
+//! The group member: ticks, messages, calls, and the work between two syncs.
 
 use std::{
     cmp::Reverse,
@@ -25,15 +25,15 @@
     state_machine::StateMachine,
 };
 
-/// Ticks made up for at once after a pause.
+/// Maximum number of ticks processed in one call after a pause.
 const MAX_TICKS_AT_ONCE: u64 = 25;
 
-/// A member that has not heard its leader for so many ticks, about a second, does not
-/// know what is committed: twice the usual silence after which another member may stand
-/// for election.
-const LEADER_SILENT_TICKS: u32 = 25;
+/// After this many ticks, about one second, without contact with the leader a member no
+/// longer knows what is committed. This is about twice the default minimum election
+/// timeout.
+const LEADER_CONTACT_TICKS: u32 = 25;
 
-/// A proposal that waits to be applied.
+/// A proposal waiting to be applied.
 pub(crate) struct PendingProposal {
     pub(crate) term: Term,
     pub(crate) call: u64,
@@ -46,24 +46,25 @@
     pub(crate) store: LogStore,
     pub(crate) node: Node,
     pub(crate) state: S,
-    /// Entries up to here are in the state.
+    /// The last index applied to the state.
     pub(crate) applied: LogIndex,
-    /// The membership as of `applied`.
+    /// The membership at `applied`.
     pub(crate) applied_membership: Membership,
-    /// Size of the log when the last snapshot was stored or given up, in bytes.
+    /// Size of the log in bytes when the last snapshot was stored or abandoned.
     pub(crate) snapshot_retry_bytes: u64,
     pub(crate) snapshot: Option<SnapshotInProgress<S>>,
     pub(crate) outputs: Vec<GroupOutput<S::Answer>>,
     pub(crate) disk_full: bool,
     pub(crate) unsynced: VecDeque<Unsynced>,
-    /// Entries that the log could not take yet, since the disk is full.
+    /// Entries that could not be appended yet because the disk is full.
     pub(crate) unappended: Vec<Entry>,
     pub(crate) proposals: BTreeMap<LogIndex, PendingProposal>,
-    /// Confirmed reads that wait until their index is applied.
+    /// Confirmed reads that wait for their index to be applied, with their calls.
     pub(crate) reads: Vec<(LogIndex, u64)>,
-    /// Disks that asked to join, and when, in milliseconds.
+    /// Disks that reported their presence, and the time of the last report, in
+    /// milliseconds.
     pub(crate) joining: BTreeMap<MachineId, (MemberId, u64)>,
-    /// Machines that are to be emptied, or that said that they stop for good.
+    /// Machines that are being drained, or that announced that they stop permanently.
     pub(crate) retiring: BTreeSet<MachineId>,
     pub(crate) now_ms: u64,
     known_leader: Option<MemberId>,
@@ -72,11 +73,11 @@
 }
 
 impl<S: StateMachine + Default> GroupMember<S> {
-    /// Opens the member's data folder, formatting a blank one.
+    /// Opens the member's data folder, and formats it if it is blank.
     ///
     /// # Errors
-    /// `DataFolderRefused` when the folder is foreign, locked or of another
-    /// format, `StorageFull`, `Io`.
+    /// `DataFolderRefused` if the folder belongs to another member, is locked or has
+    /// another format, `StorageFull`, `Io`.
     pub fn open(
         settings: GroupSettings,
         file_system: Arc<dyn FileSystem>,
@@ -84,7 +85,7 @@
     ) -> Result<Self, Report<ErrorKind>> {
         let opened = opening::open::<S>(&settings, file_system)?;
         let mut outputs = Vec::new();
-        if let Some(damage) = opened.set_aside {
+        if let Some(damage) = opened.set_aside_damage {
             outputs.push(GroupOutput::Notice(GroupNotice::DamageSetAside(damage)));
         }
         Ok(GroupMember {
@@ -114,7 +115,7 @@
 }
 
 impl<S: StateMachine> GroupMember<S> {
-    /// Lets time pass; `now_ms` is a steady clock in milliseconds.
+    /// Advances time to `now_ms`, milliseconds of a monotonic clock.
     pub fn tick(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
         let tick_ms = self.settings.tick_ms;
@@ -132,24 +133,24 @@
         self.repair_membership();
     }
 
-    /// Takes a consensus message of another member.
+    /// Handles a consensus message of another member.
     pub fn receive(&mut self, message: ConsensusMessage) {
         if !self.is_blocked() {
             self.node.step(message, &self.store);
         }
     }
 
-    /// Notes that a disk is present and wants to take part.
+    /// Records that a disk is present and may join the group.
     pub fn note_present(&mut self, member: MemberId, now_ms: u64) {
         self.joining.insert(member.machine, (member, now_ms));
     }
 
-    /// Replaces the set of machines that are to leave the group.
+    /// Replaces the set of machines that are to be removed from the group.
     pub fn set_retiring(&mut self, machines: BTreeSet<MachineId>) {
         self.retiring = machines;
     }
 
-    /// Proposes a command; the answer comes as an output under this number.
+    /// Proposes a command. The outcome is returned as an output with this call number.
     pub fn propose(&mut self, call: u64, command: Vec<u8>) {
         match self.node.propose(command) {
             Ok(index) => {
@@ -167,7 +168,8 @@
         }
     }
 
-    /// Asks whether the state may be read for a call; a linearizable read.
+    /// Requests a linearizable read. The outcome is returned as an output with this
+    /// call number.
     pub fn read(&mut self, call: u64) {
         match self.node.read_index(call) {
             Ok(()) => {}
@@ -178,11 +180,11 @@
         }
     }
 
-    /// Writes, syncs, sends and applies whatever has come up.
+    /// Writes, syncs, sends and applies all pending work.
     ///
     /// # Errors
-    /// `Io` or `Corrupted` when the disk failed. The member must not be used
-    /// any more then. A full disk is not an error: what waits is tried again.
+    /// `Io` or `Corrupted` if the disk failed; the member must not be used after
+    /// that. A full disk is not an error: the pending work is retried.
     pub fn flush(&mut self) -> Result<(), Report<ErrorKind>> {
         loop {
             if !self.unsynced.is_empty() && !self.sync()? {
@@ -193,15 +195,16 @@
             }
             let ready = self.node.ready(&self.store);
             self.store.check_reads()?;
-            self.carry_out(ready)?;
+            self.handle_ready(ready)?;
         }
         self.apply_committed()?;
         self.answer_reads();
-        self.note_leader();
+        self.notify_leader_change();
         self.snapshot_if_due()
     }
 
-    /// Asks the member with the longest log to lead instead of this one.
+    /// Transfers leadership to the voter with the highest matched index whose machine is not
+    /// being drained; the most recent contact decides between equals.
     pub fn transfer_leadership(&mut self) {
         let status = self.node.status();
         let own = status.id;
@@ -211,45 +214,45 @@
             .filter(|peer| !self.retiring.contains(&peer.member.machine))
             .max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_contact)));
         if let Some(peer) = successor {
-            // A refusal means that this member no longer leads.
+            // An error means that this member is no longer the leader.
             let _ = self.node.transfer_leadership(peer.member);
         }
     }
 
-    /// What the driver has to do, in order.
+    /// Removes and returns the outputs for the driver, in order.
     pub fn take_outputs(&mut self) -> Vec<GroupOutput<S::Answer>> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The state up to [`GroupMember::applied`].
+    /// The state at [`GroupMember::applied`].
     #[must_use]
     pub fn state(&self) -> &S {
         &self.state
     }
 
-    /// The last index that the state holds.
+    /// The last index applied to the state.
     #[must_use]
     pub fn applied(&self) -> LogIndex {
         self.applied
     }
 
-    /// Whether committed entries wait to be applied: the next flush goes on with them.
+    /// Whether committed entries wait to be applied by the next flush.
     #[must_use]
     pub fn has_unapplied(&self) -> bool {
         self.applied < self.appliable()
     }
 
-    /// Whether the state holds what the leader, which was heard lately, told to be
-    /// committed. A member that is cut off, whose disk is full, or that catches up may
-    /// hold something older.
+    /// Whether there was recent contact with the leader and the state includes all
+    /// entries that the leader reported as committed. The state may be older on a
+    /// member that is isolated, has a full disk or is still catching up.
     #[must_use]
     pub fn is_current(&self) -> bool {
         let status = self.node.status();
-        let hears_leader =
-            status.leader.is_some() && status.ticks_since_leader < LEADER_SILENT_TICKS;
+        let has_recent_leader =
+            status.leader.is_some() && status.ticks_since_leader < LEADER_CONTACT_TICKS;
         let commit = status.known_commit;
-        let holds_all = commit.is_some_and(|commit| self.applied >= commit);
-        hears_leader && holds_all && !self.is_blocked()
+        let has_applied_all = commit.is_some_and(|commit| self.applied >= commit);
+        has_recent_leader && has_applied_all && !self.is_blocked()
     }
 
     /// This member: its machine and disk.
@@ -258,25 +261,25 @@
         self.folder.member()
     }
 
-    /// The consensus node at a glance.
+    /// The status of the consensus node.
     #[must_use]
     pub fn status(&self) -> Status {
         self.node.status()
     }
 
-    /// Whether this member leads.
+    /// Whether this member is the leader.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.node.is_leader()
     }
 
-    /// The leader, as far as is known.
+    /// The leader, if known.
     #[must_use]
     pub fn leader(&self) -> Option<MemberId> {
         self.node.leader()
     }
 
-    /// The membership as of [`GroupMember::applied`].
+    /// The membership at [`GroupMember::applied`].
     #[must_use]
     pub fn membership(&self) -> &Membership {
         &self.applied_membership
@@ -290,7 +293,7 @@
         self.outputs.push(GroupOutput::Notice(notice));
     }
 
-    fn note_leader(&mut self) {
+    fn notify_leader_change(&mut self) {
         let (leader, term) = (self.node.leader(), self.node.term());
         if leader == self.known_leader && term == self.known_term {
             return;
--- a/crates/group/src/opening.rs
+++ b/crates/group/src/opening.rs
@@ -1,4 +1,4 @@
-//! Opening what a member stored, or a blank state where nothing usable is.
+//! Opens the stored state of a member, or a blank state if nothing usable is stored.
 
 use std::sync::Arc;
 
@@ -19,24 +19,25 @@
 
 /// File that holds the first membership of a new group.
 const FIRST_MEMBERSHIP_FILE: &str = "first-membership";
-/// Multiplier that spreads machine numbers over disk ids (the golden ratio in 64 bits).
+/// Multiplier that spreads machine numbers over disk ids: 2^64 divided by the golden ratio.
 const BOOTSTRAP_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// The id of a machine's disk on the first start of a cluster. Every machine
-/// can work it out, so that the first members need not exchange their ids. It
-/// is used once only: a disk that is formatted later gets a random id.
+/// The id of a machine's disk on the first start of a cluster. Every machine can
+/// compute it, so that the first members need not exchange their ids. The id is used
+/// only once: a disk that is formatted later gets a random id.
 #[must_use]
 pub fn bootstrap_disk(machine: MachineId) -> DiskId {
     DiskId(u64::from(machine.0).wrapping_mul(BOOTSTRAP_SPREAD))
 }
 
-/// Whether this disk may still be one of a new group's first members: it was formatted for
-/// that, and has not learned who the others are. With `may_reserve` a blank disk is formatted
-/// so. A machine that says that it may be a first member does this before, so that it still
-/// is one after an end; a disk that was lost since is not.
+/// Whether this disk may still become one of a new group's first members: it was formatted
+/// as one and does not store the first membership yet. With `may_reserve` a blank disk is
+/// formatted as a first member. A machine must do so before it announces that it may be a
+/// first member: then a restart of the process keeps the reservation, and the loss of the
+/// disk ends it.
 ///
 /// # Errors
-/// As of [`crate::GroupMember::open`].
+/// As for [`crate::GroupMember::open`].
 pub fn is_reserved_for_first_member(
     file_system: Arc<dyn FileSystem>,
     identity: &FolderIdentity,
@@ -55,7 +56,7 @@
     Ok(folder.is_blank() && folder.disk() == disk && !knows_first)
 }
 
-/// What a folder holds.
+/// State restored from a data folder.
 pub(crate) struct Opened<S> {
     pub(crate) folder: DataFolder,
     pub(crate) store: LogStore,
@@ -63,18 +64,18 @@
     pub(crate) state: S,
     pub(crate) applied: LogIndex,
     pub(crate) membership: Membership,
-    /// Why what was stored before had to be set aside, if it had.
-    pub(crate) set_aside: Option<String>,
+    /// The damage because of which the stored data was set aside, if any.
+    pub(crate) set_aside_damage: Option<String>,
 }
 
-/// State as of the newest snapshot.
+/// State of the newest snapshot.
 struct Restored<S> {
     state: S,
     applied: LogIndex,
     membership: Membership,
 }
 
-/// What is stored, or what of it is lost.
+/// The stored state, or a description of its damage.
 type Stored<S> = Result<(LogStore, Restored<S>), String>;
 
 /// Opens or formats the data folder of a member.
@@ -89,11 +90,11 @@
     };
     let mut folder = DataFolder::open_or_format(file_system, &identity, settings.new_disk)?;
     prepare_blank(settings, &mut folder)?;
-    let mut set_aside = None;
+    let mut set_aside_damage = None;
     let (store, restored) = match open_stored::<S>(settings, &mut folder)? {
         Ok(stored) => stored,
         Err(damage) => {
-            set_aside = Some(damage);
+            set_aside_damage = Some(damage);
             folder.reformat(settings.new_disk)?;
             open_stored::<S>(settings, &mut folder)?
                 .map_err(|damage| Report::new(ErrorKind::Corrupted).attach(damage))?
@@ -107,12 +108,12 @@
         state: restored.state,
         applied: restored.applied,
         membership: restored.membership,
-        set_aside,
+        set_aside_damage,
     })
 }
 
-/// Stores the first membership on a disk that starts a cluster. A blank disk
-/// that does not start one gets an id that was never used.
+/// Stores the first membership on the disk of a first member. A blank disk that joins an
+/// existing cluster gets an id that was never used before.
 fn prepare_blank(
     settings: &GroupSettings,
     folder: &mut DataFolder,
@@ -181,14 +182,15 @@
     })
 }
 
-/// Without a whole snapshot that reaches up to the log's start, the state
-/// cannot be built again.
+/// Describes the gap between the newest complete snapshot and the first log entry, if any:
+/// with a gap the state cannot be restored.
 fn find_gap(log: &Log, snapshots: &SnapshotStore) -> Option<String> {
     let latest = snapshots.latest();
     let covered = latest.map_or(LogIndex(0), |info| info.meta.index);
     let first = log.first_index();
-    (first.0 > covered.0 + 1)
-        .then(|| format!("the log begins at {first}, but no whole snapshot goes beyond {covered}"))
+    (first.0 > covered.0 + 1).then(|| {
+        format!("the log begins at {first}, but the newest complete snapshot ends at {covered}")
+    })
 }
 
 fn first_membership_file(folder: &DataFolder) -> RevisionFile {
--- a/crates/group/src/output.rs
+++ b/crates/group/src/output.rs
@@ -1,54 +1,55 @@
-//! What a group member asks its driver to do.
+//! Outputs of a group member for its driver.
 
 use linnethitch_protocol::{
     consensus::ConsensusMessage,
     ids::{LogIndex, MemberId, Term},
 };
 
-/// Why a call was not answered.
+/// Reason for which a call failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallFailure {
-    /// This member does not lead; nothing was appended.
+    /// This member is not the leader; nothing was appended.
     NotLeader(Option<MemberId>),
-    /// Too much waits to be committed; nothing was appended.
+    /// Too many proposals or reads are pending, or leadership is being transferred;
+    /// nothing was appended.
     Overloaded,
     /// The command exceeds the limit of an entry; nothing was appended.
     TooLarge,
-    /// Another entry took its place: it is not and will not be applied.
+    /// Another entry was committed at the index of the proposal, which will not be applied.
     Replaced,
-    /// It may or may not be applied.
+    /// The outcome is unknown: the proposal may or may not be applied.
     Unknown,
 }
 
-/// What the driver has to do, in order.
+/// An output that the driver must handle, in order.
 #[derive(Debug)]
 pub enum GroupOutput<Answer> {
-    /// Send a message to its machine.
+    /// A message to be sent to its target machine.
     Send(ConsensusMessage),
-    /// A proposal was committed and applied here.
+    /// A proposal was committed and applied on this member.
     Applied {
-        /// The driver's number of the call.
+        /// The call number chosen by the driver.
         call: u64,
-        /// What the state machine answers.
+        /// The answer of the state machine.
         answer: Answer,
     },
-    /// The state here may be read for this call.
+    /// The state of this member may be read for this call.
     ReadConfirmed {
-        /// The driver's number of the call.
+        /// The call number chosen by the driver.
         call: u64,
     },
-    /// A proposal or read ended without an answer.
+    /// A proposal or read failed.
     Failed {
-        /// The driver's number of the call.
+        /// The call number chosen by the driver.
         call: u64,
-        /// Why.
+        /// The reason.
         failure: CallFailure,
     },
-    /// Something worth a log line.
+    /// An event to be logged.
     Notice(GroupNotice),
 }
 
-/// A change of what a member believes.
+/// An event to be logged.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum GroupNotice {
     /// The leader or the term changed.
@@ -58,14 +59,15 @@
         /// The leader, if one is known.
         leader: Option<MemberId>,
     },
-    /// This leader proposed a change of the membership.
+    /// This leader proposed a membership change.
     MembershipProposed(String),
-    /// A snapshot was stored.
+    /// A snapshot up to this index was stored.
     SnapshotStored(LogIndex),
-    /// A snapshot of the leader replaced the state.
+    /// A snapshot received from the leader replaced the state.
     SnapshotInstalled(LogIndex),
-    /// The stored state was damaged; the disk starts blank under a new id.
+    /// The stored state was damaged and set aside; the member starts blank with a new
+    /// disk id.
     DamageSetAside(String),
-    /// The disk has no space left, or has some again.
+    /// The disk became full (`true`), or has free space again.
     DiskFull(bool),
 }
--- a/crates/group/src/persist.rs
+++ b/crates/group/src/persist.rs
@@ -1,4 +1,4 @@
-//! Writing and syncing what consensus hands out, and sending what may be sent then.
+//! Writes and syncs the work of each `Ready`, and sends the messages that wait for the sync.
 
 use error_stack::Report;
 use linnethitch_consensus::Ready;
@@ -11,14 +11,14 @@
     state_machine::StateMachine,
 };
 
-/// Work handed out by consensus whose sync is outstanding.
+/// A `Ready` that is not yet synced.
 pub(crate) struct Unsynced {
     number: u64,
     messages: Vec<ConsensusMessage>,
 }
 
 impl<S: StateMachine> GroupMember<S> {
-    pub(crate) fn carry_out(&mut self, ready: Ready) -> Result<(), Report<ErrorKind>> {
+    pub(crate) fn handle_ready(&mut self, ready: Ready) -> Result<(), Report<ErrorKind>> {
         if let Some(index) = ready.truncate_after {
             self.store.log.truncate_after(index)?;
         }
@@ -50,13 +50,14 @@
         Ok(())
     }
 
-    /// Whether a full disk keeps the member from storing what consensus handed
-    /// out. It then takes no part in consensus; the others go on without it.
+    /// Whether a full disk prevents this member from storing a `Ready`. Until it can,
+    /// the member does not take part in consensus, and the other members continue
+    /// without it.
     pub(crate) fn is_blocked(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
-    /// Appends what waits; false when the disk is full.
+    /// Appends the waiting entries; false if the disk is full.
     fn append_waiting(&mut self) -> Result<bool, Report<ErrorKind>> {
         let last = self.store.log.last_index();
         self.unappended.retain(|entry| entry.index > last);
@@ -70,7 +71,7 @@
         }
     }
 
-    /// Stores what was handed out; false when the disk is full.
+    /// Appends and syncs all unsynced work; false if the disk is full.
     pub(crate) fn sync(&mut self) -> Result<bool, Report<ErrorKind>> {
         let synced = match self.append_waiting()? {
             true => self.store.log.sync(),
--- a/crates/group/src/settings.rs
+++ b/crates/group/src/settings.rs
@@ -8,34 +8,33 @@
 pub struct GroupSettings {
     /// The cluster that the data folder must belong to.
     pub cluster: String,
-    /// What the data folder is for.
+    /// The purpose that the data folder must have.
     pub role: FolderRole,
     /// This machine.
     pub machine: MachineId,
-    /// The id that the disk gets should it have to be formatted. On the first
-    /// start of a cluster it is [`crate::bootstrap_disk`], else it must never
-    /// have been used before.
+    /// The id for the disk if it must be formatted: [`crate::bootstrap_disk`] on the
+    /// first start of a cluster, otherwise an id that was never used before.
     pub new_disk: DiskId,
-    /// The first members of a new cluster, given only on its first start.
+    /// The first members of a new cluster; set only on its first start.
     pub first_members: Option<Vec<MemberId>>,
-    /// Most voters; further machines are kept in reserve.
+    /// Maximum number of voters; further machines are spares.
     pub max_voters: usize,
     /// Length of a tick, in milliseconds.
     pub tick_ms: u64,
-    /// Shortest silence of the leader before an election, in ticks.
+    /// Minimum election timeout, in ticks.
     pub election_ticks: u32,
     /// Ticks between heartbeats of the leader.
     pub heartbeat_ticks: u32,
-    /// Silence after which a voter may be replaced, in ticks.
+    /// Time without contact after which a voter may be replaced, in ticks.
     pub lost_ticks: u32,
     /// Log size at which a snapshot is taken, in bytes.
     pub snapshot_log_bytes: u64,
-    /// Complete snapshots that are kept, at least one. Log entries since the
-    /// snapshot before the newest one are kept in any case.
+    /// Number of complete snapshots to retain, at least one. Log entries after the
+    /// snapshot before the newest one are always retained.
     pub retained_snapshots: usize,
-    /// Bounds of the log.
+    /// Limits of the log.
     pub log_limits: LogLimits,
-    /// Seed of the election jitter.
+    /// Seed of the random election timeouts.
     pub seed: u64,
 }
 
--- a/crates/group/src/snapshots.rs
+++ b/crates/group/src/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots of the state: taken, received from the leader, installed.
+//! Takes snapshots of the state, and receives and installs snapshots of the leader.
 
 use error_stack::Report;
 use linnethitch_consensus::{PeerState, ReceivedChunk};
@@ -12,23 +12,23 @@
     state_machine::{SnapshotSource, StateMachine},
 };
 
-/// A member that was heard of within so many ticks can take a snapshot.
-const PRESENT_TICKS: u32 = 50;
-/// While a member takes a snapshot no other is begun; the log may become so
-/// many times as long for that.
-const LONGEST_WAIT: u64 = 4;
+/// A peer with contact within this many ticks can receive a snapshot.
+const PEER_CONTACT_TICKS: u32 = 50;
+/// While a snapshot is sent to a peer, no new snapshot is begun until the log has grown to
+/// this many times the usual limit.
+const MAX_GROWTH_FACTOR: u64 = 4;
 
-/// Bytes of a snapshot that are written in one flush, about; messages and time wait for it.
+/// Approximate bytes of a snapshot written in one flush, which delays messages and ticks.
 const WRITE_BYTES: usize = 1024 * 1024;
 
-/// A snapshot that is being written while the state goes on.
+/// A snapshot that is being written while further entries are applied to the state.
 pub(crate) struct SnapshotInProgress<S: StateMachine> {
     writer: SnapshotWriter,
     source: S::Snapshot,
 }
 
 impl<S: StateMachine> GroupMember<S> {
-    /// Goes on with a snapshot, or begins one when the log has grown enough.
+    /// Continues writing a snapshot, or begins one if the log has grown enough.
     pub(crate) fn snapshot_if_due(&mut self) -> Result<(), Report<ErrorKind>> {
         let written = match self.snapshot.take() {
             Some(snapshot) => self.write_snapshot(snapshot),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Whether a snapshot is being written: the next flush goes on with it.
+    /// Whether a snapshot is being written, which the next flush continues.
     #[must_use]
     pub fn is_writing_snapshot(&self) -> bool {
         self.snapshot.is_some()
@@ -54,17 +54,17 @@
         let log_bytes = self.store.log.disk_bytes();
         let grown = log_bytes.saturating_sub(self.snapshot_retry_bytes);
         let limit = self.settings.snapshot_log_bytes;
-        let may_wait = grown < limit.saturating_mul(LONGEST_WAIT);
+        let may_defer = grown < limit.saturating_mul(MAX_GROWTH_FACTOR);
         grown >= limit
             && self.applied > self.store.newest_snapshot()
-            && !(may_wait && self.is_snapshot_being_sent())
+            && !(may_defer && self.is_snapshot_being_sent())
     }
 
     fn is_snapshot_being_sent(&self) -> bool {
         let status = self.node.status();
         let mut peers = status.peers.iter();
         peers.any(|peer| {
-            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PRESENT_TICKS
+            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PEER_CONTACT_TICKS
         })
     }
 
@@ -103,19 +103,19 @@
         &mut self,
         snapshot: SnapshotInProgress<S>,
     ) -> Result<(), Report<ErrorKind>> {
-        let before = self.store.snapshots.latest().map(|info| info.meta.clone());
+        let previous = self.store.snapshots.latest().map(|info| info.meta.clone());
         let stored = self.store.snapshots.finish(snapshot.writer)?;
         let index = stored.meta.index;
         let content = self.store.snapshots.reader(index)?;
         self.state.snapshot_stored(snapshot.source, content);
         self.notice(GroupNotice::SnapshotStored(index));
-        self.compact_log(before)
+        self.compact_log(previous)
     }
 
-    /// Gives the log back up to the snapshot before the newest one, so that a
-    /// member that is a little behind needs no snapshot.
-    fn compact_log(&mut self, before: Option<SnapshotMeta>) -> Result<(), Report<ErrorKind>> {
-        if let Some(SnapshotMeta { index, term, .. }) = before {
+    /// Removes the log up to the snapshot before the newest one. The remaining log lets
+    /// a member that is slightly behind catch up without a snapshot.
+    fn compact_log(&mut self, previous: Option<SnapshotMeta>) -> Result<(), Report<ErrorKind>> {
+        if let Some(SnapshotMeta { index, term, .. }) = previous {
             self.store.log.compact_to(index, term)?;
         }
         self.snapshot_retry_bytes = self.store.log.disk_bytes();
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Stores a piece of the leader's snapshot and installs it when it is whole.
+    /// Stores a chunk of the leader's snapshot, and installs the snapshot when complete.
     pub(crate) fn receive_snapshot_chunk(
         &mut self,
         chunk: &ReceivedChunk,
@@ -167,14 +167,14 @@
             self.store.log.reset_to(meta.index, meta.term)?;
         }
         self.snapshot_retry_bytes = self.store.log.disk_bytes();
-        self.skip_proposals_through(meta.index);
+        self.fail_proposals_through(meta.index);
         self.node.report_snapshot_installed(meta, &self.store);
         self.notice(GroupNotice::SnapshotInstalled(meta.index));
         Ok(())
     }
 
-    /// What became of proposals that a snapshot covers is not known here.
-    fn skip_proposals_through(&mut self, index: LogIndex) {
+    /// Fails proposals that a snapshot covers, since their outcome is unknown on this member.
+    fn fail_proposals_through(&mut self, index: LogIndex) {
         let later = self.proposals.split_off(&LogIndex(index.0 + 1));
         let covered = std::mem::replace(&mut self.proposals, later);
         for proposal in covered.into_values() {
@@ -183,7 +183,7 @@
     }
 }
 
-/// Writes the next pieces; true when there are no more.
+/// Writes the next pieces; true if the snapshot is complete.
 fn write_pieces<S: StateMachine>(
     snapshot: &mut SnapshotInProgress<S>,
 ) -> Result<bool, Report<ErrorKind>> {
--- a/crates/group/src/stored_format.rs
+++ b/crates/group/src/stored_format.rs
@@ -1,28 +1,31 @@
-//! Which format a group stores in, and who may be a member of it.
+//! Rules for the format in which a group stores its entries, and for the machines that may
+//! be members.
 //!
-//! An entry that a member cannot read would stop it, and stay on its disk. So a leader writes
-//! what all members read, and raises that by an entry of the newer format once its links to
-//! all of them speak it. From then on nothing that is stored goes to a machine that reads less.
+//! A member stops at an entry that it cannot read, and the entry stays on its disk. A leader
+//! therefore writes a format that all members can read. Once its links to all members use a
+//! newer format, the leader raises the stored format by proposing an entry in the newer one.
+//! From then on no stored data is sent to a machine that cannot read the newer format.
 
 use linnethitch_protocol::format::Format;
 
-/// A member that was not linked to for so long after the start of this one is away, in
-/// milliseconds: links are opened within a second, also beside much other work.
-const LINKED_WITHIN_MS: u64 = 10_000;
+/// Time after the start of this member, in milliseconds, after which a member without a link
+/// counts as unavailable. Links are established within a second, even under load.
+const LINK_TIMEOUT_MS: u64 = 10_000;
 
-/// The rules of one member. It is told what it stores, and what the links to other members
-/// speak: `None` where there is none.
+/// The format rules of one member. Callers pass the format that is stored, and the formats
+/// of the links to other members: `None` for a member without a link.
 #[derive(Clone, Copy, Debug)]
 pub struct StoredFormat {
-    /// The newest format that this program may speak.
+    /// The newest format that this program may use.
     newest: Format,
-    /// The newest format among entries that this member proposed as the leader.
+    /// The newest format of entries that this member proposed as leader.
     proposed: Format,
     opened_ms: u64,
 }
 
 impl StoredFormat {
-    /// The rules of a member that is opened now, in a program that may speak this format.
+    /// The rules of a member opened at `now_ms` by a program that may use formats up to
+    /// `newest`.
     #[must_use]
     pub fn new(newest: Format, now_ms: u64) -> Self {
         StoredFormat {
@@ -32,64 +35,70 @@
         }
     }
 
-    /// Whether the program may speak what its group stores; if not it must end.
+    /// Whether the program supports the stored format; if not, the program must exit.
     #[must_use]
     pub fn is_supported(&self, stored: Format) -> bool {
         stored <= self.newest
     }
 
-    /// The format in which the member writes if it leads: what is stored, or was proposed.
+    /// The format in which this member writes as leader: the newer of the stored and the
+    /// proposed format.
     #[must_use]
     pub fn write_format(&self, stored: Format) -> Format {
         stored.max(self.proposed)
     }
 
-    /// The member does not lead: what it proposed may be lost.
+    /// Resets the proposed format while this member is not the leader, since its proposals
+    /// may be lost.
     pub fn clear_proposed(&mut self) {
         self.proposed = Format::OLDEST;
     }
 
-    /// The format that the leader raises the group to now; it must propose an entry of that.
+    /// Returns the newest format if the leader must raise the stored format now. The leader
+    /// must then propose an entry in the returned format.
     pub fn raise(
         &mut self,
         stored: Format,
-        mut others: impl Iterator<Item = Option<Format>>,
+        mut link_formats: impl Iterator<Item = Option<Format>>,
     ) -> Option<Format> {
         let newest = self.newest;
-        let is_due =
-            self.write_format(stored) < newest && others.all(|spoken| spoken >= Some(newest));
+        let is_due = self.write_format(stored) < newest
+            && link_formats.all(|link_format| link_format >= Some(newest));
         if is_due {
             self.proposed = newest;
         }
         is_due.then_some(newest)
     }
 
-    /// Whether the format is the newest, or a member keeps it from being raised: one that is
-    /// known to read no more, or one that stays away. A new leader does not know until it is
-    /// current: the one before may have raised it.
+    /// Whether the format is the newest, or cannot be raised at present because a member
+    /// reads only an older format or remains unavailable. The latter case requires that the
+    /// leader is current, because the previous leader may have raised the format.
     pub fn is_settled(
         &self,
         stored: Format,
         is_current: bool,
-        mut others: impl Iterator<Item = Option<Format>>,
+        mut link_formats: impl Iterator<Item = Option<Format>>,
         now_ms: u64,
     ) -> bool {
-        let reads_less = |spoken: Option<Format>| spoken.is_some_and(|spoken| spoken < self.newest);
-        let is_long_open = now_ms.saturating_sub(self.opened_ms) >= LINKED_WITHIN_MS;
-        let is_held_back = is_long_open || others.any(reads_less);
-        self.write_format(stored) >= self.newest || (is_current && is_held_back)
+        let reads_older = |link_format: Option<Format>| {
+            link_format.is_some_and(|link_format| link_format < self.newest)
+        };
+        let is_link_timeout_over = now_ms.saturating_sub(self.opened_ms) >= LINK_TIMEOUT_MS;
+        let cannot_be_raised = is_link_timeout_over || link_formats.any(reads_older);
+        self.write_format(stored) >= self.newest || (is_current && cannot_be_raised)
     }
 
-    /// Whether a machine reads what the group stores, so that it may join.
+    /// Whether a machine can read the stored format and may therefore join.
     #[must_use]
-    pub fn may_join(&self, stored: Format, speaks: Option<Format>) -> bool {
-        let written = self.write_format(stored);
-        written == Format::OLDEST || speaks >= Some(written)
+    pub fn may_join(&self, stored: Format, link_format: Option<Format>) -> bool {
+        let write_format = self.write_format(stored);
+        write_format == Format::OLDEST || link_format >= Some(write_format)
     }
 
-    /// Whether a member can be sent what is stored. One without a link cannot be sent anything.
+    /// Whether stored data may be sent to a member. Without a link nothing can be sent, so the
+    /// result is `true`.
     #[must_use]
-    pub fn can_be_sent(&self, stored: Format, spoken: Option<Format>) -> bool {
-        spoken.is_none_or(|spoken| spoken >= self.write_format(stored))
+    pub fn can_be_sent(&self, stored: Format, link_format: Option<Format>) -> bool {
+        link_format.is_none_or(|link_format| link_format >= self.write_format(stored))
     }
 }
--- a/crates/group/tests/all/current.rs
+++ b/crates/group/tests/all/current.rs
@@ -1,4 +1,4 @@
-//! Whether a member knows that it holds what is committed.
+//! Whether a member knows that its state includes all committed entries.
 
 use rstest::rstest;
 
@@ -6,10 +6,10 @@
 
 const MACHINES: [u32; 3] = [11, 12, 13];
 const SPARE: u32 = 21;
-/// Longer than any election, in milliseconds.
+/// Longer than any election, in virtual milliseconds.
 const LONG_MS: u64 = 3_000;
 
-/// What keeps a member from taking part.
+/// A condition that prevents a member from taking part in consensus.
 #[derive(Clone, Copy, Debug)]
 enum Hindrance {
     CutOff,
@@ -17,7 +17,7 @@
 }
 
 #[rstest]
-fn a_member_that_takes_no_part_is_not_current(
+fn a_hindered_member_is_not_current(
     #[values(Hindrance::CutOff, Hindrance::FullDisk)] hindrance: Hindrance,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -33,7 +33,7 @@
         .find(|machine| Some(*machine) != leader);
     let hindered = hindered.expect("a follower");
     match hindrance {
-        Hindrance::CutOff => cluster.cut_off(hindered),
+        Hindrance::CutOff => cluster.isolate(hindered),
         Hindrance::FullDisk => cluster.fill_disk(hindered, true),
     }
     for number in 0..20 {
@@ -47,9 +47,9 @@
     assert!(cluster.run_until(2 * LONG_MS, is_current));
 }
 
-/// A member that joins is current only with everything that was committed before.
+/// A member that joins is current only when it has all entries committed before.
 #[rstest]
-fn a_member_that_catches_up_is_not_current_before(#[values(1, 2, 3)] seed: u64) {
+fn a_joining_member_is_not_current_before_it_has_caught_up(#[values(1, 2, 3)] seed: u64) {
     const WORDS: usize = 60;
     let mut cluster = Cluster::form(&MACHINES, 5, seed);
     for number in 0..WORDS {
--- a/crates/group/tests/all/faults.rs
+++ b/crates/group/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! What was acknowledged survives; what was not is told truly.
+//! Acknowledged commands survive faults, and other calls are never reported as applied.
 
 use linnethitch_group::CallFailure;
 use rstest::rstest;
@@ -8,31 +8,31 @@
 const MACHINES: [u32; 3] = [11, 12, 13];
 
 #[rstest]
-fn a_cluster_forms_from_equal_seeds_without_an_exchange(#[values(1, 2, 3, 4)] seed: u64) {
+fn a_cluster_bootstraps_without_exchanging_disk_ids(#[values(1, 2, 3, 4)] seed: u64) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
     assert!(cluster.commit("first", 5_000));
     assert_eq!(cluster.voters(), MACHINES);
     cluster.assert_nothing_lost();
 }
 
-/// Faults that strike right after an acknowledgement.
+/// Faults that occur right after an acknowledgement.
 #[derive(Clone, Copy, Debug)]
 enum Fault {
     LeaderLosesPower,
     AllLosePower,
     LeaderLosesDisk,
-    LeaderLosesDiskAllOthersPower,
-    FollowerLosesDiskAllOthersPower,
+    LeaderLosesDiskOthersLosePower,
+    FollowerLosesDiskOthersLosePower,
 }
 
 #[rstest]
-fn what_was_acknowledged_survives(
+fn acknowledged_commands_survive(
     #[values(
         Fault::LeaderLosesPower,
         Fault::AllLosePower,
         Fault::LeaderLosesDisk,
-        Fault::LeaderLosesDiskAllOthersPower,
-        Fault::FollowerLosesDiskAllOthersPower
+        Fault::LeaderLosesDiskOthersLosePower,
+        Fault::FollowerLosesDiskOthersLosePower
     )]
     fault: Fault,
     #[values(1, 2, 3, 4, 5, 6)] seed: u64,
@@ -44,26 +44,26 @@
     let leader = cluster.leader().expect("a leader");
     let follower = MACHINES.into_iter().find(|machine| *machine != leader);
     let follower = follower.expect("a follower");
-    let (wiped, dark): (Option<u32>, Vec<u32>) = match fault {
+    let (wiped, powered_off): (Option<u32>, Vec<u32>) = match fault {
         Fault::LeaderLosesPower => (None, vec![leader]),
         Fault::AllLosePower => (None, MACHINES.to_vec()),
         Fault::LeaderLosesDisk => (Some(leader), vec![leader]),
-        Fault::LeaderLosesDiskAllOthersPower => (Some(leader), MACHINES.to_vec()),
-        Fault::FollowerLosesDiskAllOthersPower => (Some(follower), MACHINES.to_vec()),
+        Fault::LeaderLosesDiskOthersLosePower => (Some(leader), MACHINES.to_vec()),
+        Fault::FollowerLosesDiskOthersLosePower => (Some(follower), MACHINES.to_vec()),
     };
-    for machine in &dark {
+    for machine in &powered_off {
         if wiped == Some(*machine) {
             cluster.lose_disk(*machine);
         } else {
             cluster.lose_power(*machine);
         }
     }
-    for machine in dark {
+    for machine in powered_off {
         cluster.start(machine, None);
     }
     assert!(cluster.commit("after", 10_000));
     cluster.assert_nothing_lost();
-    assert!(cluster.run_until(5_000, |cluster| cluster.is_whole(&MACHINES)));
+    assert!(cluster.run_until(5_000, |cluster| cluster.has_voters(&MACHINES)));
 }
 
 #[rstest]
@@ -76,19 +76,22 @@
         cluster.lose_disk(machine);
         cluster.run_ms(1_000);
         cluster.start(machine, None);
-        // The next loss may come this long after the machine is back.
-        let whole = cluster.run_until(4_700, |cluster| cluster.is_whole(&MACHINES));
-        assert!(whole, "machine {machine} is not whole in time");
+        // The next disk may be lost this long after the machine has restarted.
+        let is_restored = cluster.run_until(4_700, |cluster| cluster.has_voters(&MACHINES));
+        assert!(
+            is_restored,
+            "the disk of machine {machine} was not replaced in time"
+        );
     }
     cluster.assert_nothing_lost();
 }
 
 #[rstest]
-fn a_member_that_is_cut_off_acknowledges_nothing(#[values(1, 2, 3)] seed: u64) {
+fn an_isolated_member_acknowledges_nothing(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
     assert!(cluster.commit("before", 5_000));
     let old = cluster.leader().expect("a leader");
-    cluster.cut_off(old);
+    cluster.isolate(old);
     let lost = cluster.propose_at(old, "lost");
     cluster.run_ms(3_000);
     assert!(!matches!(cluster.ended.get(&lost), Some(Ended::Applied(_))));
@@ -105,19 +108,23 @@
 }
 
 #[rstest]
-fn a_read_at_a_member_that_is_cut_off_is_never_answered(#[values(1, 2, 3)] seed: u64) {
+fn a_read_at_an_isolated_member_is_never_answered(#[values(1, 2, 3)] seed: u64) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
     assert!(cluster.commit("before", 5_000));
     let old = cluster.leader().expect("a leader");
-    cluster.cut_off(old);
-    cluster.members.get_mut(&old).expect("runs").read(9_999);
+    cluster.isolate(old);
+    cluster
+        .members
+        .get_mut(&old)
+        .expect("the member runs")
+        .read(9_999);
     assert!(cluster.commit("newer", 5_000));
     cluster.run_ms(2_000);
     assert!(!matches!(cluster.ended.get(&9_999), Some(Ended::Read(_))));
 }
 
 #[rstest]
-fn a_follower_says_who_leads(#[values(1, 2)] seed: u64) {
+fn a_refusal_by_a_follower_names_the_leader(#[values(1, 2)] seed: u64) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
     assert!(cluster.commit("before", 5_000));
     cluster.run_ms(500);
@@ -125,8 +132,9 @@
     let follower = MACHINES.into_iter().find(|machine| *machine != leader);
     let call = cluster.propose_at(follower.expect("a follower"), "elsewhere");
     cluster.run_ms(50);
-    let Some(Ended::Failed(CallFailure::NotLeader(Some(told)))) = cluster.ended.get(&call) else {
+    let Some(Ended::Failed(CallFailure::NotLeader(Some(reported)))) = cluster.ended.get(&call)
+    else {
         panic!("not refused: {:?}", cluster.ended.get(&call));
     };
-    assert_eq!(told.machine.0, leader);
+    assert_eq!(reported.machine.0, leader);
 }
--- a/crates/group/tests/all/main.rs
+++ b/crates/group/tests/all/main.rs
@@ -1,8 +1,8 @@
-//! Tests of the group crate, in virtual time on virtual disks.
+//! Tests of the group crate, with virtual time, disks and network.
 
+mod bootstrap;
 mod current;
 mod faults;
-mod founding;
 mod repair;
 mod support;
 mod two_builds;
--- a/crates/group/tests/all/repair.rs
+++ b/crates/group/tests/all/repair.rs
@@ -1,4 +1,4 @@
-//! Machines that are lost, added and emptied.
+//! Machines that are lost, added or drained.
 
 use rstest::rstest;
 
@@ -8,7 +8,7 @@
 const SPARE: u32 = 21;
 
 #[rstest]
-fn a_machine_at_another_address_takes_a_lost_ones_place(
+fn a_spare_machine_replaces_a_lost_one(
     #[values(11, 12, 13)] lost: u32,
     #[values(1, 2, 3)] seed: u64,
 ) {
@@ -17,14 +17,14 @@
     cluster.lose_power(lost);
     cluster.run_ms(1_000);
     cluster.start(SPARE, None);
-    let mut wanted: Vec<u32> = MACHINES.into_iter().filter(|m| *m != lost).collect();
-    wanted.push(SPARE);
-    assert!(cluster.run_until(4_700, |cluster| cluster.is_whole(&wanted)));
+    let mut expected: Vec<u32> = MACHINES.into_iter().filter(|m| *m != lost).collect();
+    expected.push(SPARE);
+    assert!(cluster.run_until(4_700, |cluster| cluster.has_voters(&expected)));
     cluster.assert_nothing_lost();
 }
 
 #[rstest]
-fn an_added_machine_votes_only_within_the_limit(
+fn an_added_machine_becomes_a_voter_only_within_the_limit(
     #[values((3, 3), (5, 4))] limit_and_voters: (usize, usize),
     #[values(1, 2)] seed: u64,
 ) {
@@ -37,8 +37,8 @@
 }
 
 #[rstest]
-fn an_emptied_machine_leaves_only_after_another_has_everything(
-    #[values(11, 12, 13)] emptied: u32,
+fn a_drained_machine_is_removed_only_after_its_replacement_has_caught_up(
+    #[values(11, 12, 13)] drained: u32,
     #[values(1, 2, 3)] seed: u64,
 ) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
@@ -47,21 +47,21 @@
     }
     cluster.start(SPARE, None);
     cluster.run_ms(500);
-    cluster.retire(emptied);
-    let mut wanted: Vec<u32> = MACHINES.into_iter().filter(|m| *m != emptied).collect();
-    wanted.push(SPARE);
-    assert!(cluster.run_until(5_000, |cluster| cluster.is_whole(&wanted)));
-    // The emptied machine goes with its disk, and another disk is lost right after.
-    cluster.lose_disk(emptied);
-    cluster.lose_disk(wanted[0]);
+    cluster.retire(drained);
+    let mut expected: Vec<u32> = MACHINES.into_iter().filter(|m| *m != drained).collect();
+    expected.push(SPARE);
+    assert!(cluster.run_until(5_000, |cluster| cluster.has_voters(&expected)));
+    // The drained machine is shut down with its disk, and another disk is lost right after.
+    cluster.lose_disk(drained);
+    cluster.lose_disk(expected[0]);
     cluster.run_ms(1_000);
-    cluster.start(wanted[0], None);
+    cluster.start(expected[0], None);
     assert!(cluster.commit("after", 8_000));
     cluster.assert_nothing_lost();
 }
 
 #[rstest]
-fn nothing_is_emptied_without_a_machine_to_take_its_place(#[values(1, 2)] seed: u64) {
+fn a_machine_is_not_removed_without_a_replacement(#[values(1, 2)] seed: u64) {
     let mut cluster = Cluster::form(&MACHINES, 3, seed);
     assert!(cluster.commit("before", 5_000));
     cluster.retire(12);
--- a/crates/group/tests/all/support/builds.rs
+++ b/crates/group/tests/all/support/builds.rs
@@ -1,4 +1,4 @@
-//! A group whose machines run two builds.
+//! Support for groups whose machines run two builds.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,20 +10,20 @@
 
 use super::Cluster;
 
-/// A link to a machine that lost its power, or was cut off, is taken for alive this long.
+/// Time for which a link to a machine that lost power or was isolated still counts as open.
 const LINK_IDLE_MS: u64 = 1_500;
-/// What words of the second format begin with.
+/// Prefix of words of the second format.
 pub(super) const SECOND_MARK: &str = "2:";
 
-/// Which builds the machines run, by the newest format that each reads.
+/// The builds that the machines run, identified by the newest format that each reads.
 #[derive(Default)]
 pub(super) struct Builds {
     pub(super) reads: BTreeMap<u32, Format>,
     pub(super) rules: BTreeMap<u32, StoredFormat>,
-    /// What links speak, from one machine to another, and when that was last so.
+    /// Format of the link from one machine to another, and the last time the link was open.
     links: BTreeMap<(u32, u32), (Format, u64)>,
-    /// Machines whose disks may hold an entry of the second format.
-    pub(super) hold_second: BTreeSet<u32>,
+    /// Machines whose disks may contain an entry of the second format.
+    pub(super) may_store_second: BTreeSet<u32>,
 }
 
 impl Cluster {
@@ -39,18 +39,19 @@
         cluster
     }
 
-    /// Starts a machine with a build; false where that refuses the disk, which stays as it is.
+    /// Starts a machine with a build; false if the build refuses the disk, which then stays
+    /// unchanged.
     pub(crate) fn start_build(&mut self, machine: u32, build: Format) -> bool {
         let builds = self.builds.as_mut().expect("a cluster of two builds");
         builds.reads.insert(machine, build);
-        let is_refused = build == Format::First && builds.hold_second.contains(&machine);
+        let is_refused = build == Format::First && builds.may_store_second.contains(&machine);
         if !is_refused {
             self.start(machine, None);
         }
         !is_refused
     }
 
-    /// A machine's process ends, which its links show at once.
+    /// Ends a machine's process, which closes its links at once.
     pub(crate) fn kill(&mut self, machine: u32) {
         self.lose_power(machine);
         if let Some(builds) = &mut self.builds {
@@ -58,8 +59,8 @@
         }
     }
 
-    /// Starts a machine with the build that it had.
-    pub(crate) fn start_again(&mut self, machine: u32) {
+    /// Starts a machine with its previous build.
+    pub(crate) fn restart(&mut self, machine: u32) {
         let builds = self.builds.as_ref().expect("a cluster of two builds");
         let build = builds.reads[&machine];
         self.start_build(machine, build);
@@ -71,14 +72,14 @@
         leader.is_some_and(|leader| leader.state().format() == Format::NEWEST)
     }
 
-    /// Machines with a build that does not read what the group stores.
-    pub(crate) fn left_behind(&self) -> Vec<u32> {
+    /// Machines with a build that cannot read the stored format.
+    pub(crate) fn outdated_machines(&self) -> Vec<u32> {
         let reads = self.builds.iter().flat_map(|builds| &builds.reads);
         let older = reads.filter(|(_, reads)| self.is_raised() && **reads < Format::NEWEST);
         older.map(|(machine, _)| *machine).collect()
     }
 
-    /// Whether a machine, with the disk that it has, votes or learns.
+    /// Whether a machine with its current disk is a voter or learner.
     pub(crate) fn is_member(&self, machine: u32) -> bool {
         let membership = self.membership();
         let own = self.members.get(&machine).map(GroupMember::id);
@@ -86,45 +87,45 @@
         own.is_some_and(|own| members.any(|member| *member == own))
     }
 
-    /// Whether every machine votes that reads what the group stores.
-    pub(crate) fn is_whole_but_left_behind(&self) -> bool {
-        let left_behind = self.left_behind();
+    /// Whether every machine that can read the stored format is a voter.
+    pub(crate) fn all_readers_vote(&self) -> bool {
+        let outdated = self.outdated_machines();
         let voters = self.membership().voters;
         let votes = |machine: &u32| {
             let own = self.members.get(machine).map(GroupMember::id);
             own.is_some_and(|own| voters.contains(&own))
         };
         let reads = self.builds.iter().flat_map(|builds| builds.reads.keys());
-        let mut wanted = reads.filter(|machine| !left_behind.contains(machine));
-        wanted.all(votes)
+        let mut readers = reads.filter(|machine| !outdated.contains(machine));
+        readers.all(votes)
     }
 
-    /// After the raise nothing is acknowledged that was written in the format before.
-    pub(crate) fn assert_nothing_left_out(&self) {
+    /// Asserts that no command written in the older format was acknowledged after the raise.
+    pub(crate) fn assert_nothing_written_in_old_format(&self) {
         let words = self.acknowledged.iter();
         let mut since_raise = words.skip_while(|word| !word.starts_with(SECOND_MARK));
-        let left_out = since_raise.find(|word| !word.starts_with(SECOND_MARK));
-        assert_eq!(left_out, None);
+        let in_old_format = since_raise.find(|word| !word.starts_with(SECOND_MARK));
+        assert_eq!(in_old_format, None);
     }
 
-    /// The members as the leader knows them; none while nobody leads.
+    /// The leader's membership; empty while there is no leader.
     fn membership(&self) -> Membership {
         let leader = self.leader().and_then(|leader| self.members.get(&leader));
         leader.map_or_else(Membership::default, |leader| leader.status().membership)
     }
 
-    /// Links end where a process does, or are found out to be dead after a while.
-    pub(super) fn keep_links(&mut self) {
+    /// Updates the links: a link closes with its process, or after the idle time-out.
+    pub(super) fn update_links(&mut self) {
         let Some(builds) = &mut self.builds else {
             return;
         };
         let now_ms = self.now_ms;
-        let reaches =
+        let is_connected =
             |machine: &u32| self.members.contains_key(machine) && !self.cut.contains(machine);
-        for from in self.members.keys().filter(|from| reaches(from)) {
-            for to in self.members.keys().filter(|to| reaches(to)) {
-                let spoken = builds.reads[from].min(builds.reads[to]);
-                builds.links.insert((*from, *to), (spoken, now_ms));
+        for from in self.members.keys().filter(|from| is_connected(from)) {
+            for to in self.members.keys().filter(|to| is_connected(to)) {
+                let link_format = builds.reads[from].min(builds.reads[to]);
+                builds.links.insert((*from, *to), (link_format, now_ms));
             }
         }
         builds.links.retain(|(from, _), (_, at_ms)| {
@@ -132,47 +133,54 @@
         });
     }
 
-    fn spoken(&self, from: u32, to: u32) -> Option<Format> {
+    fn link_format(&self, from: u32, to: u32) -> Option<Format> {
         let links = &self.builds.as_ref()?.links;
-        links.get(&(from, to)).map(|(spoken, _)| *spoken)
+        links.get(&(from, to)).map(|(link_format, _)| *link_format)
     }
 
     pub(super) fn may_join(&self, machine: u32, other: u32) -> bool {
         let stored = self.members[&machine].state().format();
         let rules = self.builds.as_ref().map(|builds| builds.rules[&machine]);
-        rules.is_none_or(|rules| rules.may_join(stored, self.spoken(machine, other)))
+        rules.is_none_or(|rules| rules.may_join(stored, self.link_format(machine, other)))
     }
 
-    /// Whether a leader may leave out what its format lacks.
+    /// Whether a leader may accept commands, since its format cannot be raised at present.
     pub(super) fn is_settled(&self, leader: u32) -> bool {
         let member = &self.members[&leader];
         let stored = member.state().format();
         let rules = self.builds.as_ref().map(|builds| builds.rules[&leader]);
         rules.is_none_or(|rules| {
-            let spoken = self.spoken_with_others(leader);
-            rules.is_settled(stored, member.is_current(), spoken.into_iter(), self.now_ms)
+            let link_formats = self.link_formats(leader);
+            rules.is_settled(
+                stored,
+                member.is_current(),
+                link_formats.into_iter(),
+                self.now_ms,
+            )
         })
     }
 
-    fn spoken_with_others(&self, machine: u32) -> Vec<Option<Format>> {
+    fn link_formats(&self, machine: u32) -> Vec<Option<Format>> {
         let membership = self.members[&machine].status().membership;
         let members = membership.voters.iter().chain(&membership.learners);
         let others = members.map(|member| member.machine.0);
         let others = others.filter(|other| *other != machine);
-        others.map(|other| self.spoken(machine, other)).collect()
+        others
+            .map(|other| self.link_format(machine, other))
+            .collect()
     }
 
     pub(super) fn raise_if_due(&mut self, machine: u32) {
         let member = &self.members[&machine];
         let (stored, is_leader) = (member.state().format(), member.is_leader());
-        let spoken = self.spoken_with_others(machine);
+        let link_formats = self.link_formats(machine);
         let Some(builds) = &mut self.builds else {
             return;
         };
-        let rules = builds.rules.get_mut(&machine).expect("it runs");
+        let rules = builds.rules.get_mut(&machine).expect("the machine runs");
         if !is_leader {
             rules.clear_proposed();
-        } else if rules.raise(stored, spoken.into_iter()).is_some() {
+        } else if rules.raise(stored, link_formats.into_iter()).is_some() {
             self.propose_at(machine, "raise");
         }
     }
@@ -185,11 +193,11 @@
         let (from, to) = (message.from.machine.0, message.to.machine.0);
         let stored = self.members[&from].state().format();
         let rules = self.builds.as_ref().map(|builds| builds.rules[&from]);
-        !stores || rules.is_none_or(|rules| rules.can_be_sent(stored, self.spoken(from, to)))
+        !stores || rules.is_none_or(|rules| rules.can_be_sent(stored, self.link_format(from, to)))
     }
 
-    /// A member that cannot read an entry must not get it, whether it is committed or not.
-    pub(super) fn note_entries(&mut self, message: &ConsensusMessage) {
+    /// Asserts that no member receives an entry that it cannot read, committed or not.
+    pub(super) fn check_entries(&mut self, message: &ConsensusMessage) {
         let ConsensusBody::Append(append) = &message.body else {
             return;
         };
@@ -202,32 +210,39 @@
         });
         if is_second {
             let to = message.to.machine.0;
-            assert_eq!(builds.reads[&to], Format::Second, "{to} cannot read it");
-            builds.hold_second.insert(to);
+            assert_eq!(
+                builds.reads[&to],
+                Format::Second,
+                "{to} cannot read the entry"
+            );
+            builds.may_store_second.insert(to);
         }
     }
 
-    pub(super) fn assert_reads_what_it_holds(&mut self, machine: u32) {
+    pub(super) fn assert_can_read_applied(&mut self, machine: u32) {
         let Some(builds) = &mut self.builds else {
             return;
         };
-        let holds = self.members[&machine].state().format();
+        let applied = self.members[&machine].state().format();
         let reads = builds.reads[&machine];
-        assert!(holds <= reads, "{machine} applied what it cannot read");
-        if holds == Format::Second {
-            builds.hold_second.insert(machine);
+        assert!(
+            applied <= reads,
+            "{machine} applied an entry that it cannot read"
+        );
+        if applied == Format::Second {
+            builds.may_store_second.insert(machine);
         }
     }
 
-    /// A word as the machine writes it if it leads.
-    pub(super) fn written(&mut self, machine: u32, word: &str) -> String {
+    /// A word in the form in which the machine writes it as leader.
+    pub(super) fn encode_word(&mut self, machine: u32, word: &str) -> String {
         let stored = self.members[&machine].state().format();
         let Some(builds) = &mut self.builds else {
             return word.to_owned();
         };
         let format = builds.rules[&machine].write_format(stored);
         if format == Format::Second {
-            builds.hold_second.insert(machine);
+            builds.may_store_second.insert(machine);
         }
         format!("{format}:{word}")
     }
--- a/crates/group/tests/all/support/mod.rs
+++ b/crates/group/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! A group of members over virtual disks and a virtual network.
+//! A group of members with virtual disks and a virtual network.
 
 mod builds;
 
@@ -24,12 +24,12 @@
 
 use self::builds::{Builds, SECOND_MARK};
 
-/// Line ends after each word of a snapshot.
+/// Line breaks after each word of a snapshot.
 const EMPTY_LINES: usize = 100_000;
-/// Virtual milliseconds of one step.
+/// Length of one step, in virtual milliseconds.
 const STEP_MS: u64 = 10;
 
-/// A state machine that remembers every command in order.
+/// A state machine that records every command in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Words {
     pub(crate) words: Vec<String>,
@@ -55,9 +55,9 @@
     }
 
     fn begin_snapshot(&self) -> Result<WordsSnapshot, Report<ErrorKind>> {
-        let mut left = self.words.clone();
-        left.reverse();
-        Ok(WordsSnapshot { left })
+        let mut remaining = self.words.clone();
+        remaining.reverse();
+        Ok(WordsSnapshot { remaining })
     }
 
     fn from_snapshot(content: SnapshotReader) -> Result<Self, Report<ErrorKind>> {
@@ -69,18 +69,18 @@
     }
 }
 
-/// Words that are still to be written, the next one last. Every word is a piece,
-/// filled up so that a snapshot takes several flushes.
+/// The remaining words to be written, in reverse order. Each word is one piece, padded so
+/// that a snapshot takes several flushes.
 #[derive(Debug)]
 pub(crate) struct WordsSnapshot {
-    left: Vec<String>,
+    remaining: Vec<String>,
 }
 
 impl SnapshotSource for WordsSnapshot {
     fn next_piece(&mut self) -> Result<Option<Vec<u8>>, Report<ErrorKind>> {
-        let word = self.left.pop();
+        let word = self.remaining.pop();
         Ok(word.map(|word| {
-            // Two builds are about what is sent, not about long snapshots.
+            // Tests of two builds need no long snapshots.
             let has_format = word.as_bytes().get(1) == Some(&b':');
             let empty_lines = "\n".repeat(if has_format { 1 } else { EMPTY_LINES });
             format!("{word}{empty_lines}").into_bytes()
@@ -88,7 +88,7 @@
     }
 }
 
-/// How a call ended.
+/// The outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Ended {
     Applied(usize),
@@ -99,9 +99,9 @@
 pub(crate) struct Cluster {
     disks: BTreeMap<u32, VirtualDisk>,
     pub(crate) members: BTreeMap<u32, GroupMember<Words>>,
-    /// Machines that nothing reaches or leaves.
+    /// Isolated machines, which neither send nor receive messages.
     cut: BTreeSet<u32>,
-    /// Machines that are to be emptied.
+    /// Machines that are being drained.
     retiring: BTreeSet<MachineId>,
     network: Vec<ConsensusMessage>,
     pub(crate) now_ms: u64,
@@ -109,14 +109,14 @@
     max_voters: usize,
     next_call: u64,
     pub(crate) ended: BTreeMap<u64, Ended>,
-    /// Words whose proposals were answered.
+    /// Words whose proposals were applied.
     pub(crate) acknowledged: Vec<String>,
     proposed: BTreeMap<u64, String>,
     builds: Option<Builds>,
 }
 
 impl Cluster {
-    /// A new cluster of these machines, all blank.
+    /// A new cluster of these machines, all with blank disks.
     pub(crate) fn form(machines: &[u32], max_voters: usize, seed: u64) -> Self {
         let mut cluster = Cluster {
             disks: BTreeMap::new(),
@@ -145,8 +145,8 @@
         }
     }
 
-    /// Whether a machine's disk may still be one of the first members; `may_reserve` on a
-    /// first start.
+    /// Whether a machine's disk may still become one of the first members; `may_reserve` is set
+    /// on a first start.
     pub(crate) fn is_reserved(&mut self, machine: u32, may_reserve: bool) -> bool {
         let disk = self
             .disks
@@ -192,11 +192,11 @@
         }
     }
 
-    /// The machine loses power: what was not synced is lost or torn.
+    /// The machine loses power: unsynced writes are lost or torn.
     pub(crate) fn lose_power(&mut self, machine: u32) {
         self.members.remove(&machine);
         self.disks[&machine].crash();
-        // What is under way to a process ends with it.
+        // Messages in flight to a process are lost with it.
         self.network
             .retain(|message| message.to.machine.0 != machine);
     }
@@ -206,15 +206,15 @@
         self.lose_power(machine);
         self.disks[&machine].wipe();
         if let Some(builds) = &mut self.builds {
-            builds.hold_second.remove(&machine);
+            builds.may_store_second.remove(&machine);
         }
     }
 
-    pub(crate) fn cut_off(&mut self, machine: u32) {
+    pub(crate) fn isolate(&mut self, machine: u32) {
         self.cut.insert(machine);
     }
 
-    /// The machine's disk takes no more bytes, or takes them again.
+    /// Makes the machine's disk full, or frees it again.
     pub(crate) fn fill_disk(&mut self, machine: u32, full: bool) {
         let disk = &self.disks[&machine];
         let capacity = if full { disk.used_bytes() } else { u64::MAX };
@@ -229,22 +229,26 @@
         self.retiring.insert(MachineId(machine));
     }
 
-    /// Lets virtual time pass.
+    /// Advances virtual time.
     pub(crate) fn run_ms(&mut self, duration_ms: u64) {
         for _ in 0..duration_ms / STEP_MS {
             self.step();
         }
     }
 
-    /// Lets time pass until something holds.
-    pub(crate) fn run_until(&mut self, limit_ms: u64, holds: impl Fn(&Cluster) -> bool) -> bool {
+    /// Advances virtual time until a condition holds; false if it does not within the limit.
+    pub(crate) fn run_until(
+        &mut self,
+        limit_ms: u64,
+        condition: impl Fn(&Cluster) -> bool,
+    ) -> bool {
         for _ in 0..limit_ms / STEP_MS {
-            if holds(self) {
+            if condition(self) {
                 return true;
             }
             self.step();
         }
-        holds(self)
+        condition(self)
     }
 
     fn step(&mut self) {
@@ -255,7 +259,7 @@
             .filter(|(machine, _)| !self.cut.contains(machine))
             .map(|(machine, member)| (*machine, member.id()))
             .collect();
-        self.keep_links();
+        self.update_links();
         for message in std::mem::take(&mut self.network) {
             self.deliver(message);
         }
@@ -276,9 +280,9 @@
             member.tick(self.now_ms);
             self.raise_if_due(machine);
             let member = self.members.get_mut(&machine).expect("a running member");
-            member.flush().expect("a virtual disk works");
+            member.flush().expect("a virtual disk does not fail");
             self.take_outputs(machine);
-            self.assert_reads_what_it_holds(machine);
+            self.assert_can_read_applied(machine);
         }
     }
 
@@ -288,7 +292,7 @@
             return;
         }
         if self.members.contains_key(&to) {
-            self.note_entries(&message);
+            self.check_entries(&message);
         }
         if let Some(member) = self.members.get_mut(&to) {
             member.receive(message);
@@ -334,14 +338,14 @@
     /// Proposes a word at a machine.
     pub(crate) fn propose_at(&mut self, machine: u32, word: &str) -> u64 {
         self.next_call += 1;
-        let word = &self.written(machine, word);
+        let word = &self.encode_word(machine, word);
         self.proposed.insert(self.next_call, word.to_owned());
         let member = self.members.get_mut(&machine).expect("a running member");
         member.propose(self.next_call, word.as_bytes().to_vec());
         self.next_call
     }
 
-    /// Proposes at whichever machine leads, until a proposal is answered.
+    /// Proposes on the current leader until a proposal is applied; false if none is in time.
     pub(crate) fn commit(&mut self, word: &str, limit_ms: u64) -> bool {
         let until_ms = self.now_ms + limit_ms;
         while self.now_ms < until_ms {
@@ -354,8 +358,8 @@
                 continue;
             }
             let call = self.propose_at(leader, word);
-            let answered = |cluster: &Cluster| cluster.ended.contains_key(&call);
-            if self.run_until(1_000, answered)
+            let has_ended = |cluster: &Cluster| cluster.ended.contains_key(&call);
+            if self.run_until(1_000, has_ended)
                 && matches!(self.ended.get(&call), Some(Ended::Applied(_)))
             {
                 return true;
@@ -364,7 +368,7 @@
         false
     }
 
-    /// Reads at whichever machine leads.
+    /// Reads on the current leader.
     pub(crate) fn read(&mut self, limit_ms: u64) -> Option<Vec<String>> {
         let until_ms = self.now_ms + limit_ms;
         while self.now_ms < until_ms {
@@ -383,7 +387,7 @@
         None
     }
 
-    /// Machines whose disks vote, as the leader sees it.
+    /// Machines of the voters in the leader's membership.
     pub(crate) fn voters(&self) -> Vec<u32> {
         let Some(leader) = self.leader() else {
             return Vec::new();
@@ -393,22 +397,22 @@
         voters.map(|voter| voter.machine.0).collect()
     }
 
-    /// Whether exactly these machines vote, each with the disk that it has now.
-    pub(crate) fn is_whole(&self, machines: &[u32]) -> bool {
+    /// Whether exactly these machines, with their current disks, are the voters.
+    pub(crate) fn has_voters(&self, machines: &[u32]) -> bool {
         let Some(leader) = self.leader() else {
             return false;
         };
         let status = self.members[&leader].status();
-        let wanted: BTreeSet<MemberId> = machines
+        let expected: BTreeSet<MemberId> = machines
             .iter()
             .filter_map(|machine| self.members.get(machine))
             .map(GroupMember::id)
             .collect();
-        let held: BTreeSet<MemberId> = status.membership.voters.iter().copied().collect();
-        wanted.len() == machines.len() && held == wanted && status.membership_committed
+        let voters: BTreeSet<MemberId> = status.membership.voters.iter().copied().collect();
+        expected.len() == machines.len() && voters == expected && status.membership_committed
     }
 
-    /// Every acknowledged word is read back.
+    /// Asserts that every acknowledged word is read back.
     pub(crate) fn assert_nothing_lost(&mut self) {
         let words = self.read(10_000).expect("a read is answered");
         for word in &self.acknowledged {
