--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -12,7 +12,7 @@
 use linnethitch_registry::{Route, RouteKind};
 use linnethitch_routing::{
     cold::ColdState,
-    dispatch::{FailureKind, Need},
+    dispatch::{FailureKind, RequestNeeds},
 };
 use slog::info;
 use tokio::sync::mpsc;
@@ -273,8 +273,8 @@
     }
 
     /// What it needs of a replica that it was not sent to.
-    fn need<'b>(&'b self, homes: &'b HomeZones) -> Need<'b> {
-        Need {
+    fn need<'b>(&'b self, homes: &'b HomeZones) -> RequestNeeds<'b> {
+        RequestNeeds {
             service: &self.service,
             prompt: &self.prompt.parts,
             except: &self.tried,
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -6,7 +6,7 @@
 use linnethitch_clock::sleep;
 use linnethitch_job_store::{ItemWork, StoreCall, StoreReply};
 use linnethitch_registry::RouteKind;
-use linnethitch_routing::dispatch::{ItemGrowth, ItemRoom, WorkRhythm, WorkState};
+use linnethitch_routing::dispatch::{ItemCapacity, ItemRampUp, WorkCallSchedule, WorkState};
 use slog::info;
 
 use crate::{
@@ -34,8 +34,8 @@
 /// Runs items until the process stops. What runs then is given back.
 pub async fn run_items(relay: Relay, settings: BatchSettings) {
     let running = RunningItems::default();
-    let mut rhythm = WorkRhythm::somewhere(relay.shared.draw(), gateways(&relay));
-    let mut growth = ItemGrowth::default();
+    let mut rhythm = WorkCallSchedule::with_random_phase(relay.shared.draw(), gateways(&relay));
+    let mut growth = ItemRampUp::default();
     let mut found_none = false;
     loop {
         sleep(WORK_INTERVAL).await;
@@ -47,25 +47,25 @@
             0
         } else {
             let held = running.len() as u32;
-            let wanted = growth.wanted(room_for_items(&relay), held);
+            let wanted = growth.items_to_request(room_for_items(&relay), held);
             let left = settings.most_items.saturating_sub(held);
             wanted.min(left).min(ITEMS_AT_ONCE)
         };
-        let calls = rhythm.after_pause(WorkState {
-            wanted: want,
+        let calls = rhythm.after_interval(WorkState {
+            requested: want,
             holds_items: !running.is_empty(),
-            gave_back: running.has_given_back(),
-            stops: is_stopping,
+            returned_item: running.has_given_back(),
+            stopping: is_stopping,
             found_none,
             gateways: gateways(&relay),
         });
-        if calls.tell_progress {
+        if calls.report_progress {
             tell_progress(&relay, &running).await;
         }
-        if calls.ask_for_work {
+        if calls.request_work {
             let begun = call_for_work(&relay, &settings, &running, want).await;
             found_none = begun == 0;
-            growth.note_held(running.len() as u32);
+            growth.note_running(running.len() as u32);
         }
     }
 }
@@ -124,7 +124,7 @@
     let services = batch_services(relay);
     let times = services.iter().map(|service| {
         let pace = relay.shared.item_pace(service);
-        pace.left_ms(0)
+        pace.remaining_ms(0)
     });
     times.max().unwrap_or(0)
 }
@@ -139,7 +139,7 @@
 }
 
 /// Room for items at the service that has most.
-fn room_for_items(relay: &Relay) -> ItemRoom {
+fn room_for_items(relay: &Relay) -> ItemCapacity {
     let services = batch_services(relay);
     let rooms = services
         .iter()
--- a/crates/relay/src/cold_replicas.rs
+++ b/crates/relay/src/cold_replicas.rs
@@ -6,7 +6,7 @@
 use linnethitch_cluster::{Clock, GatewayNode};
 use linnethitch_registry::{FleetView, ReplicaRecord};
 use linnethitch_routing::cold::{
-    ColdReplica, ColdReplicas, ColdSettings, ColdState, ColdView, Refusal, SendEnd, SendNumber,
+    ColdReplica, ColdReplicas, ColdSettings, ColdState, ColdView, Refusal, SendNumber, SendOutcome,
 };
 use linnethitch_routing::dispatch::CoordinatedReplica;
 use parking_lot::Mutex;
@@ -82,7 +82,9 @@
             replicas.note_gateways(&gateways, now_ms);
         }
         let changes = replicas.take_changes(now_ms);
-        self.counters.cold_replicas.set(replicas.cold() as i64);
+        self.counters
+            .cold_replicas
+            .set(replicas.cold_count() as i64);
         drop(replicas);
         for change in changes {
             info!(self.logger, "replica: cold or warm"; "replica" => change.replica,
@@ -96,7 +98,7 @@
         let replicas = self.replicas.lock();
         match cold_use {
             ColdUse::Never => replicas.not_warm(service, view),
-            ColdUse::Only => replicas.closed(service, view),
+            ColdUse::Only => replicas.blocked(service, view),
         }
     }
 
@@ -111,7 +113,7 @@
 
     /// Whether any replica of a service may be cold.
     pub(crate) fn concerns(&self, service: &str) -> bool {
-        self.replicas.lock().concerns(service)
+        self.replicas.lock().has_replicas_of(service)
     }
 
     /// What keeps a request from all of these replicas.
@@ -142,7 +144,7 @@
     /// A replica broke off or accepts no connection: it may be starting again.
     pub(crate) fn may_have_ended(&self, replica: &str) {
         let now_ms = self.clock.now_ms();
-        self.replicas.lock().may_have_ended(replica, now_ms);
+        self.replicas.lock().note_possible_restart(replica, now_ms);
     }
 
     /// A request is about to be sent; `None` where it must not be.
@@ -165,7 +167,7 @@
                     sends: Arc::clone(self),
                     replica: replica.to_owned(),
                     number,
-                    end: SendEnd::Unknown,
+                    end: SendOutcome::Unknown,
                 })
             }
             Err(refusal) => {
@@ -197,12 +199,12 @@
     sends: Arc<ColdSends>,
     replica: String,
     number: SendNumber,
-    end: SendEnd,
+    end: SendOutcome,
 }
 
 impl CountedSend {
     /// It is known what became of it.
-    pub(crate) fn ended(mut self, end: SendEnd) {
+    pub(crate) fn ended(mut self, end: SendOutcome) {
         self.end = end;
     }
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -12,8 +12,8 @@
 use linnethitch_protocol::slots::RunOutcome;
 use linnethitch_registry::{EndsInRow, RequestContent, RequestFingerprint, parse_start_key};
 use linnethitch_routing::{
-    cold::SendEnd,
-    dispatch::{Chosen, FailureKind, PromptPart},
+    cold::SendOutcome,
+    dispatch::{ChosenReplica, FailureKind, PromptPart},
 };
 use slog::info;
 
@@ -130,7 +130,7 @@
 
 /// Where and how a request is sent.
 pub(crate) struct Target<'a> {
-    pub(crate) chosen: &'a Chosen,
+    pub(crate) chosen: &'a ChosenReplica,
     /// Replicas that ended under such requests, as was known at the choice.
     pub(crate) known_ends: EndsInRow,
     /// The slot of an online request, or of one that runs alone.
@@ -259,7 +259,7 @@
                 return judge(shared, chosen, outgoing, running, connection, response);
             }
             Err(NoHead::Stale) => {
-                counted.ended(SendEnd::NotCounted);
+                counted.ended(SendOutcome::NotCounted);
                 shared.not_sent(outgoing);
             }
             Err(NoHead::Failed) => {
@@ -295,7 +295,7 @@
 }
 
 /// What was to be sent is not: its zone was evacuated since the replica was chosen.
-fn evacuated(shared: &Shared, outgoing: &Outgoing, chosen: &Chosen) -> Exchange {
+fn evacuated(shared: &Shared, outgoing: &Outgoing, chosen: &ChosenReplica) -> Exchange {
     shared.counters.evacuated_sends.inc();
     info!(shared.logger, "request: not sent, zone evacuated"; "request" => outgoing.id(),
         "replica" => &chosen.id, "upto" => shared.gateway.fleet().upto().0);
@@ -304,11 +304,11 @@
 
 /// What an answer tells of its request's arrival at a cold replica: one that was meant for
 /// another incarnation does not count.
-fn arrival(response: &Response<Incoming>) -> SendEnd {
+fn arrival(response: &Response<Incoming>) -> SendOutcome {
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
-        SendEnd::NotCounted
+        SendOutcome::NotCounted
     } else {
-        SendEnd::Arrived
+        SendOutcome::Arrived
     }
 }
 
@@ -322,7 +322,7 @@
 
 async fn send(
     shared: &Shared,
-    chosen: &Chosen,
+    chosen: &ChosenReplica,
     outgoing: &Arc<Outgoing>,
     last_event: Option<u64>,
     connection: &mut Connection,
@@ -342,7 +342,7 @@
 
 fn build(
     shared: &Shared,
-    chosen: &Chosen,
+    chosen: &ChosenReplica,
     outgoing: &Arc<Outgoing>,
     last_event: Option<u64>,
     left: Duration,
@@ -368,7 +368,7 @@
 /// What the head of an answer means.
 fn judge(
     shared: &Shared,
-    chosen: &Chosen,
+    chosen: &ChosenReplica,
     outgoing: &Arc<Outgoing>,
     running: RunningGuard,
     connection: Connection,
--- a/crates/relay/src/item_run.rs
+++ b/crates/relay/src/item_run.rs
@@ -10,7 +10,7 @@
 use linnethitch_clock::{Instant, sleep, timeout};
 use linnethitch_job_store::{ItemOutcome, ItemWork, StoreCall, StoreReply};
 use linnethitch_registry::{Route, RouteKind};
-use linnethitch_routing::dispatch::{Chosen, FailureKind};
+use linnethitch_routing::dispatch::{ChosenReplica, FailureKind};
 use slog::info;
 
 use tokio_util::sync::CancellationToken;
@@ -59,7 +59,7 @@
 
 /// Where an item runs.
 struct ItemPlace {
-    chosen: Chosen,
+    chosen: ChosenReplica,
     /// The slot that it has while online requests do not need it.
     slot: Option<ItemSlot>,
     /// The slot of an item that runs alone.
@@ -254,7 +254,10 @@
     async fn wait_for_slot(&self, service: &str, outgoing: &Outgoing) -> Option<ItemPlace> {
         let homes = self.shared.homes(outgoing);
         let outside = self.shared.coordinated_outside(&homes);
-        let left_ms = self.shared.item_pace(service).left_ms(self.made.events());
+        let left_ms = self
+            .shared
+            .item_pace(service)
+            .remaining_ms(self.made.events());
         let now = Instant::now();
         let time = self.due.saturating_duration_since(now);
         let begin_by = now + time.saturating_sub(Duration::from_millis(left_ms));
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -7,7 +7,7 @@
 use http_body_util::BodyExt;
 use hyper::body::Incoming;
 use linnethitch_clock::{Instant, sleep, sleep_until};
-use linnethitch_routing::dispatch::{Need, PromptPart};
+use linnethitch_routing::dispatch::{PromptPart, RequestNeeds};
 use slog::info;
 use tokio::sync::mpsc;
 
@@ -276,7 +276,7 @@
 
     /// Waits until a cold replica may be sent the stream; `None` where none may in its time.
     async fn wait_for_cold(&self, homes: &HomeZones) -> Option<()> {
-        let need = Need {
+        let need = RequestNeeds {
             service: &self.settings.service,
             prompt: &self.settings.prompt,
             except: &self.settings.tried,
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -86,7 +86,7 @@
             QuotaVerdict::Admitted => Ok(Leave {
                 given_ms: AtomicU64::new(self.clock.now_ms()),
             }),
-            QuotaVerdict::Refused { again_in_ms } => Err(Duration::from_millis(again_in_ms)),
+            QuotaVerdict::Refused { retry_after_ms } => Err(Duration::from_millis(retry_after_ms)),
         }
     }
 
@@ -95,9 +95,9 @@
         let given_ms = leave.given_ms.swap(USED, Ordering::Relaxed);
         let now_ms = self.clock.now_ms();
         if given_ms == USED {
-            self.with_view(|state, view| state.quota.sent_again(tenant, view));
+            self.with_view(|state, view| state.quota.record_resend(tenant, view));
         } else if now_ms > given_ms.saturating_add(LEAVE_MS) {
-            self.with_view(|state, view| state.quota.sent_late(tenant, view));
+            self.with_view(|state, view| state.quota.record_late_send(tenant, view));
         }
     }
 
@@ -108,11 +108,11 @@
 
     /// Takes what another gateway says of limits.
     pub(crate) fn take_message(&self, from: MachineId, message: QuotaMessage) {
-        self.carry_out(|state, view| state.quota.message(from, message, view));
+        self.carry_out(|state, view| state.quota.handle_message(from, message, view));
     }
 
     pub(crate) fn upkeep(&self) {
-        self.carry_out(|state, view| state.quota.upkeep(view));
+        self.carry_out(|state, view| state.quota.run_maintenance(view));
     }
 
     fn ask(&self, tenant: &Tenant) -> (Ticket, oneshot::Receiver<QuotaVerdict>) {
@@ -130,7 +130,7 @@
     /// Nobody answered: the decision is made here, or somebody is asked once more.
     fn no_answer(&self, ticket: Ticket, tenant: &Tenant) {
         self.counters.quota_unanswered.inc();
-        self.carry_out(|state, view| state.quota.no_answer(ticket, tenant, view));
+        self.carry_out(|state, view| state.quota.answer_timed_out(ticket, tenant, view));
     }
 
     fn carry_out(&self, decide: impl FnOnce(&mut State, &QuotaView<'_>) -> Vec<QuotaAction>) {
--- a/crates/relay/src/search.rs
+++ b/crates/relay/src/search.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_clock::Instant;
 use linnethitch_protocol::slots::AskMode;
-use linnethitch_routing::dispatch::{Chosen, Need, PromptPart};
+use linnethitch_routing::dispatch::{ChosenReplica, PromptPart, RequestNeeds};
 
 use crate::{
     cold_replicas::ColdUse,
@@ -48,7 +48,7 @@
 
 /// Where a request goes.
 pub(crate) struct Placed {
-    pub(crate) chosen: Chosen,
+    pub(crate) chosen: ChosenReplica,
     pub(crate) lease: SlotLease,
 }
 
@@ -123,13 +123,13 @@
         None
     }
 
-    fn choose(&self, full: &[String], cold_use: ColdUse) -> Option<Chosen> {
+    fn choose(&self, full: &[String], cold_use: ColdUse) -> Option<ChosenReplica> {
         let except: Vec<String> = self.except.iter().chain(full).cloned().collect();
         self.shared.choose(&self.need(&except), cold_use)
     }
 
-    fn need<'b>(&'b self, except: &'b [String]) -> Need<'b> {
-        Need {
+    fn need<'b>(&'b self, except: &'b [String]) -> RequestNeeds<'b> {
+        RequestNeeds {
             service: self.service,
             prompt: self.prompt,
             except,
@@ -137,7 +137,7 @@
         }
     }
 
-    async fn ask(&self, chosen: &Chosen, mode: AskMode) -> Asked {
+    async fn ask(&self, chosen: &ChosenReplica, mode: AskMode) -> Asked {
         let slots = &self.shared.slots;
         let wait_until = self.due.max(Instant::now() + SHORTEST_WAIT).min(self.until);
         let place = Place {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -18,7 +18,8 @@
 use linnethitch_routing::{
     cold::ColdState,
     dispatch::{
-        Board, Chosen, CoordinatedReplica, FailureKind, ItemPace, Need, ReportedLoad, WeightedTurns,
+        ChosenReplica, CoordinatedReplica, FailureKind, ItemPace, ReplicaTable, ReportedLoad,
+        RequestNeeds, WeightedRoundRobin,
     },
 };
 use parking_lot::Mutex;
@@ -71,9 +72,9 @@
     pub(crate) clock: Clock,
     pub(crate) logger: Logger,
     successes: AtomicU64,
-    pub(crate) board: Mutex<Board>,
+    pub(crate) board: Mutex<ReplicaTable>,
     pub(crate) random: Mutex<Pcg64Mcg>,
-    turns: Mutex<HashMap<String, WeightedTurns>>,
+    turns: Mutex<HashMap<String, WeightedRoundRobin>>,
     /// How long items take, by service.
     item_paces: Mutex<HashMap<String, ItemPace>>,
 }
@@ -113,7 +114,7 @@
             counters,
             logger,
             successes: AtomicU64::new(0),
-            board: Mutex::new(Board::new(&settings.zone)),
+            board: Mutex::new(ReplicaTable::new(&settings.zone)),
             random: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
             turns: Mutex::default(),
             item_paces: Mutex::default(),
@@ -272,13 +273,17 @@
         RunMark::of(self.random.lock().random())
     }
 
-    pub(crate) fn choose(&self, need: &Need<'_>, cold_use: ColdUse) -> Option<Chosen> {
+    pub(crate) fn choose(
+        &self,
+        need: &RequestNeeds<'_>,
+        cold_use: ColdUse,
+    ) -> Option<ChosenReplica> {
         let now_ms = self.clock.now_ms();
         match cold_use {
             ColdUse::Never => {
                 let mut except = self.cold.barred(need.service, ColdUse::Never);
                 except.extend_from_slice(need.except);
-                let need = &Need {
+                let need = &RequestNeeds {
                     except: &except,
                     ..*need
                 };
@@ -296,40 +301,44 @@
 
     /// How long until this gateway may send to a cold replica that is open otherwise and
     /// not excluded; `None` where there is none, or it is not known.
-    pub(crate) fn next_cold_in(&self, need: &Need<'_>) -> Option<Duration> {
+    pub(crate) fn next_cold_in(&self, need: &RequestNeeds<'_>) -> Option<Duration> {
         if !self.cold.concerns(need.service) {
             return None;
         }
         let now_ms = self.clock.now_ms();
-        let candidates = self.board.lock().open_ids(need, now_ms);
+        let candidates = self.board.lock().available_ids(need, now_ms);
         self.cold.next_in(&candidates)
     }
 
     /// What keeps a request from all replicas that are open otherwise and not excluded.
-    pub(crate) fn state_of_open(&self, need: &Need<'_>) -> ColdState {
+    pub(crate) fn state_of_open(&self, need: &RequestNeeds<'_>) -> ColdState {
         if !self.cold.concerns(need.service) {
             return ColdState::Warm;
         }
         let now_ms = self.clock.now_ms();
-        let candidates = self.board.lock().open_ids(need, now_ms);
+        let candidates = self.board.lock().available_ids(need, now_ms);
         self.cold.state_of_all(&candidates)
     }
 
     /// Where a request goes under which replicas ended: each to a replica of its own.
-    pub(crate) fn choose_apart(&self, need: &Need<'_>, outgoing: &Outgoing) -> Option<Chosen> {
+    pub(crate) fn choose_apart(
+        &self,
+        need: &RequestNeeds<'_>,
+        outgoing: &Outgoing,
+    ) -> Option<ChosenReplica> {
         let mut except = self.cold.barred(need.service, ColdUse::Only);
         except.extend_from_slice(need.except);
-        let need = &Need {
+        let need = &RequestNeeds {
             except: &except,
             ..*need
         };
         let now_ms = self.clock.now_ms();
         let number = outgoing.fingerprint().number();
-        self.board.lock().choose_apart(need, number, now_ms)
+        self.board.lock().choose_by_hash(need, number, now_ms)
     }
 
     /// One replica as a choice, if it may be given new work.
-    pub(crate) fn chosen_at(&self, replica: &str) -> Option<Chosen> {
+    pub(crate) fn chosen_at(&self, replica: &str) -> Option<ChosenReplica> {
         let now_ms = self.clock.now_ms();
         self.board.lock().chosen_at(replica, now_ms)
     }
@@ -340,7 +349,7 @@
             return Vec::new();
         };
         let coordinated = self.slots.coordinated();
-        self.board.lock().outside(&coordinated, homes)
+        self.board.lock().outside_homes(&coordinated, homes)
     }
 
     /// Engines, as their coordinators need them.
@@ -359,7 +368,7 @@
         let now_ms = self.clock.now_ms();
         let mut board = self.board.lock();
         for load in loads {
-            board.note_told(load, now_ms);
+            board.note_coordinator_load(load, now_ms);
         }
     }
 
@@ -424,7 +433,7 @@
 
     /// Whether all replicas of a service that could serve in these homes are in evacuated zones.
     pub(crate) fn is_service_evacuated(&self, service: &str, homes: &HomeZones) -> bool {
-        let need = Need {
+        let need = RequestNeeds {
             service,
             prompt: &[],
             except: &[],
@@ -435,7 +444,7 @@
 
     /// Whether a service has a replica in these homes that control says to be ready.
     pub(crate) fn has_ready_replica(&self, service: &str, homes: &HomeZones) -> bool {
-        let need = Need {
+        let need = RequestNeeds {
             service,
             prompt: &[],
             except: &[],
--- a/crates/relay/src/slots/coordination.rs
+++ b/crates/relay/src/slots/coordination.rs
@@ -97,7 +97,9 @@
         }
         for (coordinator, leases) in by_coordinator {
             if coordinator == self.own {
-                let actions = state.coordinator.note_held(self.own, &leases, now_ms);
+                let actions = state
+                    .coordinator
+                    .reconcile_leases(self.own, &leases, now_ms);
                 self.carry_out(&mut state, actions);
             } else {
                 self.send(coordinator, &GatewayDatagram::Held { leases });
@@ -145,11 +147,13 @@
                     holder: from,
                     number,
                 };
-                let mut actions = state.coordinator.note_run(key, outcome, now_ms);
+                let mut actions = state.coordinator.record_run(key, outcome, now_ms);
                 actions.extend(state.coordinator.end(key, now_ms));
                 actions
             }
-            GatewayDatagram::Held { leases } => state.coordinator.note_held(from, &leases, now_ms),
+            GatewayDatagram::Held { leases } => {
+                state.coordinator.reconcile_leases(from, &leases, now_ms)
+            }
             // Not about slots.
             GatewayDatagram::Suspicions(_) | GatewayDatagram::Quota(_) => Vec::new(),
         };
@@ -159,7 +163,7 @@
 
     /// Loads of the replicas that are coordinated here, beside one.
     pub(crate) fn own_loads_beside(&self, replica: &str) -> Vec<SlotLoad> {
-        self.state.lock().coordinator.loads_beside(replica)
+        self.state.lock().coordinator.loads_of_same_service(replica)
     }
 
     /// Loads of all replicas that are coordinated here.
@@ -181,11 +185,11 @@
                     let answer = GatewayDatagram::Answer {
                         number: key.number,
                         verdict,
-                        loads: state.coordinator.loads_beside(&replica),
+                        loads: state.coordinator.loads_of_same_service(&replica),
                     };
                     self.send(key.holder, &answer);
                 }
-                SlotAction::Believe { replica, closed } => {
+                SlotAction::ReportHealth { replica, closed } => {
                     info!(self.logger, "replica: fails for all gateways"; "replica" => replica,
                         "closed" => closed);
                 }
--- a/crates/relay/src/slots/items.rs
+++ b/crates/relay/src/slots/items.rs
@@ -5,7 +5,7 @@
 
 use linnethitch_clock::Instant;
 use linnethitch_protocol::slots::RunOutcome;
-use linnethitch_routing::dispatch::{Due, ItemRoom, RunNumber, WaitingItem};
+use linnethitch_routing::dispatch::{Due, ItemCapacity, RunNumber, WaitingItem};
 use tokio::sync::oneshot;
 use tokio_util::sync::CancellationToken;
 
@@ -57,7 +57,7 @@
             avoid,
             except,
         };
-        let actions = state.coordinator.want_slot(item, now_ms);
+        let actions = state.coordinator.enqueue_item(item, now_ms);
         self.carry_out(&mut state, actions);
         drop(state);
         ItemSlot {
@@ -74,16 +74,16 @@
         let mut state = self.state.lock();
         state.runs.remove(&run);
         let coordinator = &mut state.coordinator;
-        let mut actions = coordinator.note_item_run(run, self.own, outcome, now_ms);
+        let mut actions = coordinator.record_item_run(run, self.own, outcome, now_ms);
         actions.extend(coordinator.item_ended(run, now_ms));
         self.carry_out(&mut state, actions);
     }
 
     /// Room for further items of a service.
-    pub(crate) fn room_for_items(&self, service: &str) -> ItemRoom {
+    pub(crate) fn room_for_items(&self, service: &str) -> ItemCapacity {
         let now_ms = self.clock.now_ms();
         let state = self.state.lock();
-        state.coordinator.room_for_items(service, now_ms)
+        state.coordinator.item_capacity(service, now_ms)
     }
 }
 
--- a/crates/relay/src/slots/mod.rs
+++ b/crates/relay/src/slots/mod.rs
@@ -18,7 +18,7 @@
 };
 use linnethitch_routing::dispatch::{
     Ask, CoordinatorTable, Due, LeaseKey, RunNumber, SilentCoordinators, SlotCoordinator,
-    answer_limit,
+    answer_timeout,
 };
 use parking_lot::Mutex;
 use slog::Logger;
@@ -140,7 +140,7 @@
         if is_silent || mode == AskMode::Take {
             return Asked::Leased(lease);
         }
-        let Ok(first) = timeout(answer_limit(place.round_trip), verdicts.recv()).await else {
+        let Ok(first) = timeout(answer_timeout(place.round_trip), verdicts.recv()).await else {
             self.note_silence(&lease);
             return Asked::Leased(lease);
         };
@@ -264,7 +264,7 @@
         if held.coordinator == self.own {
             let now_ms = self.clock.now_ms();
             let key = self.own_key(number);
-            let mut actions = state.coordinator.note_run(key, outcome, now_ms);
+            let mut actions = state.coordinator.record_run(key, outcome, now_ms);
             actions.extend(state.coordinator.end(key, now_ms));
             self.carry_out(&mut state, actions);
         } else {
--- a/crates/routing/src/cold/mod.rs
+++ b/crates/routing/src/cold/mod.rs
@@ -21,7 +21,7 @@
 
 use self::{known_gateways::KnownGateways, sends::RecentSends};
 pub use self::{
-    sends::{SendEnd, SendNumber},
+    sends::{SendNumber, SendOutcome},
     settings::ColdSettings,
     share::{Share, is_holder},
 };
@@ -218,7 +218,7 @@
 
     /// Whether any replica of a service may be cold.
     #[must_use]
-    pub fn concerns(&self, service: &str) -> bool {
+    pub fn has_replicas_of(&self, service: &str) -> bool {
         let mut known = self.replicas.values();
         known.any(|known| known.told.service == service)
     }
@@ -256,7 +256,7 @@
 
     /// A replica broke off or accepts no connection: it may have ended and be starting again
     /// under the same id.
-    pub fn may_have_ended(&mut self, replica: &str, now_ms: u64) {
+    pub fn note_possible_restart(&mut self, replica: &str, now_ms: u64) {
         if let Some(known) = self.known_mut(replica) {
             known.cold_until_ms = known.cold_until_ms.max(now_ms + known.told.start_ms);
         }
@@ -301,7 +301,7 @@
     }
 
     /// What became of a send.
-    pub fn end(&mut self, replica: &str, number: SendNumber, end: SendEnd, now_ms: u64) {
+    pub fn end(&mut self, replica: &str, number: SendNumber, end: SendOutcome, now_ms: u64) {
         if let Some(known) = self.known_mut(replica) {
             known.sends.end(number, end, now_ms);
         }
@@ -340,7 +340,7 @@
 
     fn part_of(&self, told: &ColdReplica) -> u32 {
         let gateways = self.gateways.list();
-        let most = self.settings.most_in_a_second(told.rate_milli);
+        let most = self.settings.max_per_second(told.rate_milli);
         let share = Share::of(most, gateways.len());
         if is_holder(self.own, &told.id, gateways, share.holders) {
             share.sends
@@ -358,7 +358,7 @@
 
     /// Replicas of a service that are not warm and may be sent nothing now.
     #[must_use]
-    pub fn closed(&self, service: &str, view: ColdView) -> Vec<String> {
+    pub fn blocked(&self, service: &str, view: ColdView) -> Vec<String> {
         let not_warm = self.of(service, view).map(|known| &known.told.id);
         let closed = not_warm.filter(|id| self.may_send(id, view).is_err());
         closed.cloned().collect()
@@ -382,7 +382,7 @@
 
     /// Replicas that were cold when changes were asked for last.
     #[must_use]
-    pub fn cold(&self) -> usize {
+    pub fn cold_count(&self) -> usize {
         let replicas = self.replicas.values();
         replicas.filter(|known| known.was_cold).count()
     }
--- a/crates/routing/src/cold/sends.rs
+++ b/crates/routing/src/cold/sends.rs
@@ -13,7 +13,7 @@
 
 /// What became of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum SendEnd {
+pub enum SendOutcome {
     /// The replica answered: it had arrived by now.
     Arrived,
     /// It did not arrive, or another incarnation refused it: it does not count.
@@ -41,11 +41,11 @@
         });
     }
 
-    pub(super) fn end(&mut self, number: SendNumber, end: SendEnd, now_ms: u64) {
+    pub(super) fn end(&mut self, number: SendNumber, end: SendOutcome, now_ms: u64) {
         let until_ms = match end {
-            SendEnd::Arrived => now_ms + WINDOW_MS,
-            SendEnd::Unknown => now_ms + LATE_ARRIVAL_MS + WINDOW_MS,
-            SendEnd::NotCounted => {
+            SendOutcome::Arrived => now_ms + WINDOW_MS,
+            SendOutcome::Unknown => now_ms + LATE_ARRIVAL_MS + WINDOW_MS,
+            SendOutcome::NotCounted => {
                 self.0.retain(|send| send.number != number);
                 return;
             }
--- a/crates/routing/src/cold/settings.rs
+++ b/crates/routing/src/cold/settings.rs
@@ -22,7 +22,7 @@
     /// Most requests that a cold replica may get in any second, of the whole fleet. The
     /// rate is in thousandths of a request a second.
     #[must_use]
-    pub fn most_in_a_second(&self, rate_milli: u64) -> u32 {
+    pub fn max_per_second(&self, rate_milli: u64) -> u32 {
         let rate = rate_milli as f64 / 1_000.0;
         (rate * self.overshoot + self.slack).max(0.0) as u32
     }
--- a/crates/routing/src/cold/share.rs
+++ b/crates/routing/src/cold/share.rs
@@ -21,9 +21,9 @@
     /// Divides what a replica may get in a second among so many gateways. A bound of one
     /// request cannot be halved; one of none is given to nobody.
     #[must_use]
-    pub fn of(most_in_a_second: u32, gateways: usize) -> Self {
-        let divided = most_in_a_second / LISTS_AT_ONCE;
-        let part = divided.max(most_in_a_second.min(1));
+    pub fn of(max_per_second: u32, gateways: usize) -> Self {
+        let divided = max_per_second / LISTS_AT_ONCE;
+        let part = divided.max(max_per_second.min(1));
         let holders = part.min(gateways.min(u32::MAX as usize) as u32);
         let sends = part.checked_div(holders).unwrap_or(0);
         Share { holders, sends }
--- a/crates/routing/src/dispatch/board/candidates.rs
+++ b/crates/routing/src/dispatch/board/candidates.rs
@@ -4,7 +4,7 @@
 
 use rand::Rng;
 
-use super::{Board, Need};
+use super::{ReplicaTable, RequestNeeds};
 use crate::dispatch::{kept_parts::PromptPart, rendezvous::spread, replica::Replica};
 
 /// All replicas of a service with no more than these are weighed for each request; a request
@@ -39,11 +39,11 @@
     }
 }
 
-impl Board {
+impl ReplicaTable {
     /// Replicas that are weighed for a request, and its prompt's home among them.
     pub(super) fn candidates(
         &self,
-        need: &Need<'_>,
+        need: &RequestNeeds<'_>,
         now_ms: u64,
         rng: &mut impl Rng,
     ) -> Candidates<'_> {
@@ -78,7 +78,12 @@
 
     /// Open replicas among which one belongs to a number, alike for every gateway: all of a
     /// small service.
-    pub(super) fn belonging(&self, number: u64, need: &Need<'_>, now_ms: u64) -> Vec<&Replica> {
+    pub(super) fn belonging(
+        &self,
+        number: u64,
+        need: &RequestNeeds<'_>,
+        now_ms: u64,
+    ) -> Vec<&Replica> {
         let Some(service) = self.services.get(need.service) else {
             return Vec::new();
         };
@@ -90,7 +95,7 @@
 
     /// Open replicas of a larger service to which a number belongs first, alike for every
     /// gateway.
-    fn following(&self, number: u64, need: &Need<'_>, now_ms: u64) -> Vec<&Replica> {
+    fn following(&self, number: u64, need: &RequestNeeds<'_>, now_ms: u64) -> Vec<&Replica> {
         let Some(service) = self.services.get(need.service) else {
             return Vec::new();
         };
@@ -101,7 +106,7 @@
         open.take(HOME_CANDIDATES).collect()
     }
 
-    fn is_open_for(&self, replica: &Replica, need: &Need<'_>, now_ms: u64) -> bool {
+    fn is_open_for(&self, replica: &Replica, need: &RequestNeeds<'_>, now_ms: u64) -> bool {
         need.may_be_in(&replica.traits.zone) && self.is_open(replica, now_ms)
     }
 
@@ -110,7 +115,7 @@
     pub(super) fn open_among<'a>(
         &'a self,
         ids: impl Iterator<Item = &'a str>,
-        need: &Need<'_>,
+        need: &RequestNeeds<'_>,
         now_ms: u64,
     ) -> Vec<&'a Replica> {
         let replicas = ids.filter_map(|id| self.replicas.get(id));
--- a/crates/routing/src/dispatch/board/mod.rs
+++ b/crates/routing/src/dispatch/board/mod.rs
@@ -46,7 +46,7 @@
 const JITTER_MS: f64 = 1.0;
 /// What a request needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct RequestNeeds<'a> {
     /// The service.
     pub service: &'a str,
     /// The parts of its prompt; none for application requests.
@@ -57,7 +57,7 @@
     pub homes: Option<&'a BTreeSet<String>>,
 }
 
-impl Need<'_> {
+impl RequestNeeds<'_> {
     fn may_be_in(&self, zone: &str) -> bool {
         let mut homes = self.homes.into_iter();
         homes.all(|zones| zones.contains(zone))
@@ -66,7 +66,7 @@
 
 /// A choice.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Chosen {
+pub struct ChosenReplica {
     /// The key of the replica's start.
     pub id: String,
     /// Where it listens.
@@ -86,7 +86,7 @@
 
 /// Every replica that this gateway knows.
 #[derive(Clone, Debug, Default)]
-pub struct Board {
+pub struct ReplicaTable {
     zone: String,
     distances: Distances,
     replicas: HashMap<Key, Replica>,
@@ -95,13 +95,13 @@
     evacuated: BTreeSet<String>,
 }
 
-impl Board {
+impl ReplicaTable {
     /// An empty board of a gateway in this zone.
     #[must_use]
     pub fn new(zone: &str) -> Self {
-        Board {
+        ReplicaTable {
             zone: zone.to_owned(),
-            ..Board::default()
+            ..ReplicaTable::default()
         }
     }
 
@@ -192,7 +192,7 @@
     /// Whether all replicas for a need that control says to be ready are in evacuated
     /// zones; false where there are none.
     #[must_use]
-    pub fn is_service_evacuated(&self, need: &Need<'_>) -> bool {
+    pub fn is_service_evacuated(&self, need: &RequestNeeds<'_>) -> bool {
         let mut zones = self.ready_zones(need).peekable();
         zones.peek().is_some() && zones.all(|zone| self.evacuated.contains(zone))
     }
@@ -200,13 +200,13 @@
     /// Whether any replica for a need is one that control says to be ready, and not in an
     /// evacuated zone.
     #[must_use]
-    pub fn has_ready_replica(&self, need: &Need<'_>) -> bool {
+    pub fn has_ready_replica(&self, need: &RequestNeeds<'_>) -> bool {
         let mut zones = self.ready_zones(need);
         zones.any(|zone| !self.evacuated.contains(zone))
     }
 
     /// Zones with ready replicas for a need.
-    fn ready_zones<'a>(&'a self, need: &'a Need<'_>) -> impl Iterator<Item = &'a str> {
+    fn ready_zones<'a>(&'a self, need: &'a RequestNeeds<'_>) -> impl Iterator<Item = &'a str> {
         let service = self.services.get(need.service).into_iter();
         let zones = service.flat_map(|service| service.ready().map(|(zone, _)| zone));
         zones.filter(|zone| need.may_be_in(zone))
@@ -232,7 +232,7 @@
 
     /// Those of some replicas that are outside these zones.
     #[must_use]
-    pub fn outside(&self, ids: &[String], homes: &BTreeSet<String>) -> Vec<String> {
+    pub fn outside_homes(&self, ids: &[String], homes: &BTreeSet<String>) -> Vec<String> {
         let is_outside = |id: &&String| {
             let replica = self.replicas.get(id.as_str());
             replica.is_some_and(|replica| !homes.contains(&replica.traits.zone))
@@ -254,7 +254,12 @@
     }
 
     /// Chooses the replica with the shortest expected time to the first event.
-    pub fn choose(&self, need: &Need<'_>, now_ms: u64, rng: &mut impl Rng) -> Option<Chosen> {
+    pub fn choose(
+        &self,
+        need: &RequestNeeds<'_>,
+        now_ms: u64,
+        rng: &mut impl Rng,
+    ) -> Option<ChosenReplica> {
         let candidates = self.candidates(need, now_ms, rng);
         self.best(candidates, need, now_ms, rng)
     }
@@ -263,10 +268,10 @@
     pub fn choose_among(
         &self,
         ids: &[String],
-        need: &Need<'_>,
+        need: &RequestNeeds<'_>,
         now_ms: u64,
         rng: &mut impl Rng,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenReplica> {
         let open = self.open_among(ids.iter().map(String::as_str), need, now_ms);
         self.best(Candidates::of(open, need.prompt), need, now_ms, rng)
     }
@@ -274,10 +279,10 @@
     fn best(
         &self,
         candidates: Candidates<'_>,
-        need: &Need<'_>,
+        need: &RequestNeeds<'_>,
         now_ms: u64,
         rng: &mut impl Rng,
-    ) -> Option<Chosen> {
+    ) -> Option<ChosenReplica> {
         let home = candidates.home.map(|home| home.traits.id.as_str());
         let mut best: Option<(f64, &Replica)> = None;
         for replica in candidates.open {
@@ -288,7 +293,7 @@
                 best = Some((score, replica));
             }
         }
-        best.map(|(score, replica)| Chosen {
+        best.map(|(score, replica)| ChosenReplica {
             expected_ms: score,
             ..chosen(replica)
         })
@@ -296,7 +301,7 @@
 
     /// One replica as a choice, if it may be given new work.
     #[must_use]
-    pub fn chosen_at(&self, id: &str, now_ms: u64) -> Option<Chosen> {
+    pub fn chosen_at(&self, id: &str, now_ms: u64) -> Option<ChosenReplica> {
         let replica = self.replicas.get(id)?;
         self.is_open(replica, now_ms).then(|| chosen(replica))
     }
@@ -338,16 +343,16 @@
     }
 
     /// Notes what a replica's coordinator told of it.
-    pub fn note_told(&mut self, load: &SlotLoad, now_ms: u64) {
+    pub fn note_coordinator_load(&mut self, load: &SlotLoad, now_ms: u64) {
         if let Some(replica) = self.replicas.get_mut(load.replica.as_str()) {
-            replica.note_told(load, now_ms);
+            replica.note_coordinator_load(load, now_ms);
         }
     }
 
     /// Notes that a request is sent.
     pub fn begin(
         &mut self,
-        chosen: &Chosen,
+        chosen: &ChosenReplica,
         prompt: &[PromptPart],
         kind: WorkKind,
         now_ms: u64,
@@ -407,7 +412,12 @@
     /// Chooses for a request under which replicas ended: copies of one request go to the
     /// same replica, one after the other, and different ones are spread over all, so
     /// that what ends this replica too does so in few companies.
-    pub fn choose_apart(&self, need: &Need<'_>, number: u64, now_ms: u64) -> Option<Chosen> {
+    pub fn choose_by_hash(
+        &self,
+        need: &RequestNeeds<'_>,
+        number: u64,
+        now_ms: u64,
+    ) -> Option<ChosenReplica> {
         let open = self.belonging(number, need, now_ms).into_iter();
         let replica = open.max_by_key(|replica| spread(number, &replica.traits.id))?;
         Some(chosen(replica))
@@ -415,14 +425,20 @@
 
     /// Replicas that may be given a request, cold ones too.
     #[must_use]
-    pub fn open_ids(&self, need: &Need<'_>, now_ms: u64) -> Vec<String> {
+    pub fn available_ids(&self, need: &RequestNeeds<'_>, now_ms: u64) -> Vec<String> {
         let service = self.services.get(need.service);
         let all = service.map_or(&[][..], ServiceReplicas::all);
         let open = self.open_among(all.iter().map(Arc::as_ref), need, now_ms);
         open.into_iter().map(|r| r.traits.id.clone()).collect()
     }
 
-    fn expected_ms(&self, replica: &Replica, need: &Need<'_>, is_home: bool, now_ms: u64) -> f64 {
+    fn expected_ms(
+        &self,
+        replica: &Replica,
+        need: &RequestNeeds<'_>,
+        is_home: bool,
+        now_ms: u64,
+    ) -> f64 {
         let waiting_ms = replica.waiting(now_ms) * COST_PER_WAITING_MS;
         let running_ms = running_cost_ms(replica, now_ms);
         let round_trips = if replica.traits.kv_tokens > 0 {
@@ -455,8 +471,8 @@
     }
 }
 
-fn chosen(replica: &Replica) -> Chosen {
-    Chosen {
+fn chosen(replica: &Replica) -> ChosenReplica {
+    ChosenReplica {
         id: replica.traits.id.clone(),
         address: replica.traits.address.clone(),
         expected_ms: 0.0,
--- a/crates/routing/src/dispatch/coordinator/mod.rs
+++ b/crates/routing/src/dispatch/coordinator/mod.rs
@@ -21,7 +21,7 @@
     slots::{AskMode, HeldLease, RunOutcome, SlotLoad, Verdict},
 };
 
-use super::item_growth::ItemRoom;
+use super::item_growth::ItemCapacity;
 
 pub use self::types::{Ask, CoordinatedReplica, Due, LeaseKey, RunNumber, SlotAction, WaitingItem};
 use self::{
@@ -118,7 +118,12 @@
 
     /// A request that had a slot came out so. Those that wait for a replica that fails go
     /// elsewhere.
-    pub fn note_run(&mut self, key: LeaseKey, outcome: RunOutcome, now_ms: u64) -> Vec<SlotAction> {
+    pub fn record_run(
+        &mut self,
+        key: LeaseKey,
+        outcome: RunOutcome,
+        now_ms: u64,
+    ) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
             if replica.online.contains_key(&key) {
@@ -130,7 +135,7 @@
     }
 
     /// An item's run came out so, as this gateway saw it.
-    pub fn note_item_run(
+    pub fn record_item_run(
         &mut self,
         run: RunNumber,
         own: MachineId,
@@ -161,7 +166,7 @@
 
     /// Takes what a gateway says that it holds: leases that it does not name
     /// have ended, ones that are not known here are noted.
-    pub fn note_held(
+    pub fn reconcile_leases(
         &mut self,
         holder: MachineId,
         leases: &[HeldLease],
@@ -210,7 +215,7 @@
     }
 
     /// An item wants to run.
-    pub fn want_slot(&mut self, item: WaitingItem, now_ms: u64) -> Vec<SlotAction> {
+    pub fn enqueue_item(&mut self, item: WaitingItem, now_ms: u64) -> Vec<SlotAction> {
         self.waiting.insert(item.run, item);
         self.start_items(now_ms)
     }
@@ -275,13 +280,13 @@
 
     /// Slots that further items of a service could have now.
     #[must_use]
-    pub fn free_for_items(&self, service: &str, now_ms: u64) -> u32 {
-        self.room_for_items(service, now_ms).slots
+    pub fn free_item_slots(&self, service: &str, now_ms: u64) -> u32 {
+        self.item_capacity(service, now_ms).slots
     }
 
     /// Room for further items of a service.
     #[must_use]
-    pub fn room_for_items(&self, service: &str, now_ms: u64) -> ItemRoom {
+    pub fn item_capacity(&self, service: &str, now_ms: u64) -> ItemCapacity {
         let of_service = self
             .replicas
             .values()
@@ -292,7 +297,7 @@
             .collect();
         let waiting = self.waiting.values().filter(|w| w.service == service);
         let waiting = waiting.count() as u32;
-        ItemRoom {
+        ItemCapacity {
             slots: free.iter().sum::<u32>().saturating_sub(waiting),
             replicas: (free.len() as u32).saturating_sub(waiting),
         }
@@ -314,7 +319,7 @@
 
     /// Loads of the service to which a replica belongs.
     #[must_use]
-    pub fn loads_beside(&self, replica: &str) -> Vec<SlotLoad> {
+    pub fn loads_of_same_service(&self, replica: &str) -> Vec<SlotLoad> {
         let service = self.replicas.get(replica).map(|r| r.traits.service.clone());
         service.map_or_else(Vec::new, |service| self.loads(&service))
     }
--- a/crates/routing/src/dispatch/coordinator/replica_slots.rs
+++ b/crates/routing/src/dispatch/coordinator/replica_slots.rs
@@ -160,7 +160,7 @@
         let was_closed = self.health.is_closed();
         let has_closed = self.health.ended(run, began_ms, seen_by, outcome, now_ms);
         if was_closed != self.health.is_closed() {
-            actions.push(SlotAction::Believe {
+            actions.push(SlotAction::ReportHealth {
                 replica: self.traits.id.clone(),
                 closed: !was_closed,
             });
--- a/crates/routing/src/dispatch/coordinator/types.rs
+++ b/crates/routing/src/dispatch/coordinator/types.rs
@@ -61,7 +61,7 @@
         verdict: Verdict,
     },
     /// Say that a replica fails what it is given, or no longer does.
-    Believe {
+    ReportHealth {
         /// The replica.
         replica: String,
         /// Whether it is closed.
--- a/crates/routing/src/dispatch/item_pace.rs
+++ b/crates/routing/src/dispatch/item_pace.rs
@@ -29,7 +29,7 @@
     /// Expected time that an item still has to run after so many events, in
     /// milliseconds; 0 where nothing is known.
     #[must_use]
-    pub fn left_ms(&self, made: u32) -> u64 {
+    pub fn remaining_ms(&self, made: u32) -> u64 {
         let (Some(event_ms), Some(events)) = (self.event_ms, self.events) else {
             return 0;
         };
--- a/crates/routing/src/dispatch/replica.rs
+++ b/crates/routing/src/dispatch/replica.rs
@@ -202,7 +202,7 @@
         self.told(now_ms).map(|told| told.others)
     }
 
-    pub(crate) fn note_told(&mut self, load: &SlotLoad, now_ms: u64) {
+    pub(crate) fn note_coordinator_load(&mut self, load: &SlotLoad, now_ms: u64) {
         self.told = Some(ToldLoad {
             others: u32::from(load.online).saturating_sub(self.own),
             waiting: u32::from(load.waiting),
--- a/crates/routing/src/dispatch/silence.rs
+++ b/crates/routing/src/dispatch/silence.rs
@@ -13,7 +13,7 @@
 /// How long a coordinator's answer is waited for. It is near its replica: a word to it and
 /// back takes the round trip to that.
 #[must_use]
-pub fn answer_limit(round_trip: Duration) -> Duration {
+pub fn answer_timeout(round_trip: Duration) -> Duration {
     SILENCE_LIMIT + round_trip
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl SilentCoordinators {
-    /// A coordinator did not answer within [`answer_limit`].
+    /// A coordinator did not answer within [`answer_timeout`].
     pub fn note_silence(&mut self, coordinator: MachineId, now_ms: u64) {
         self.until_ms.insert(coordinator, now_ms + SILENT_FOR_MS);
     }
--- a/crates/routing/src/dispatch/weights.rs
+++ b/crates/routing/src/dispatch/weights.rs
@@ -3,11 +3,11 @@
 /// Smooth weighted turns: of any run of requests each back end gets its share,
 /// off by one at most.
 #[derive(Clone, Debug, Default)]
-pub struct WeightedTurns {
+pub struct WeightedRoundRobin {
     credit: Vec<i64>,
 }
 
-impl WeightedTurns {
+impl WeightedRoundRobin {
     /// The index of the back end whose turn it is; `None` when no weight is above 0.
     pub fn next(&mut self, weights: &[u32]) -> Option<usize> {
         let total: i64 = weights.iter().map(|weight| i64::from(*weight)).sum();
--- a/crates/routing/src/dispatch/work_calls.rs
+++ b/crates/routing/src/dispatch/work_calls.rs
@@ -14,13 +14,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkState {
     /// Items that it could take besides.
-    pub wanted: u32,
+    pub requested: u32,
     /// Whether it holds items, or progress that it has to tell.
     pub holds_items: bool,
     /// Whether an item was given back since the last pause.
-    pub gave_back: bool,
+    pub returned_item: bool,
     /// Whether the process stops.
-    pub stops: bool,
+    pub stopping: bool,
     /// Whether the last call for work brought nothing.
     pub found_none: bool,
     /// Gateways that may ask the same job store.
@@ -31,42 +31,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkCalls {
     /// Tell what items have made.
-    pub tell_progress: bool,
+    pub report_progress: bool,
     /// Renew leases and ask for what is wanted.
-    pub ask_for_work: bool,
+    pub request_work: bool,
 }
 
 /// Counts pauses. Asking for work does not put off telling progress.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct WorkRhythm {
+pub struct WorkCallSchedule {
     /// Since a call that renewed or asked.
     pauses: u32,
 }
 
-impl WorkRhythm {
+impl WorkCallSchedule {
     /// A rhythm that begins somewhere between two calls, so that gateways which started
     /// together do not ask together.
     #[must_use]
-    pub fn somewhere(random: u32, gateways: u32) -> Self {
-        WorkRhythm {
+    pub fn with_random_phase(random: u32, gateways: u32) -> Self {
+        WorkCallSchedule {
             pauses: random % pauses_per_ask(gateways),
         }
     }
 
     /// The calls after one more pause.
-    pub fn after_pause(&mut self, state: WorkState) -> WorkCalls {
+    pub fn after_interval(&mut self, state: WorkState) -> WorkCalls {
         self.pauses += 1;
         let is_long = self.pauses >= PAUSES_PER_RENEWAL;
         let is_due = is_long && state.holds_items;
-        let tell_progress = is_due || state.gave_back || state.stops;
+        let report_progress = is_due || state.returned_item || state.stopping;
         let may_ask = self.pauses >= pauses_per_ask(state.gateways) || !state.found_none;
-        let wants_work = state.wanted > 0 && may_ask;
+        let wants_work = state.requested > 0 && may_ask;
         if is_due || (is_long && wants_work) {
             self.pauses = 0;
         }
         WorkCalls {
-            tell_progress,
-            ask_for_work: is_due || wants_work || state.stops,
+            report_progress,
+            request_work: is_due || wants_work || state.stopping,
         }
     }
 }
--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -65,7 +65,7 @@
 pub(super) struct Granted {
     pub(super) granted: u32,
     /// Where nothing was granted, when the next may be, in milliseconds.
-    pub(super) again_in_ms: u64,
+    pub(super) retry_after_ms: u64,
 }
 
 #[derive(Clone, Debug)]
@@ -192,7 +192,7 @@
         count.sent.add(granted, now_ms);
         Granted {
             granted,
-            again_in_ms: count.bucket.next_in_ms(limit),
+            retry_after_ms: count.bucket.next_in_ms(limit),
         }
     }
 
@@ -216,7 +216,7 @@
 
     /// Forgets tenants that asked for nothing in a window: their bucket is full again, or
     /// is as full as it would be if it were begun anew.
-    pub(super) fn upkeep(&mut self, view: &QuotaView<'_>) {
+    pub(super) fn run_maintenance(&mut self, view: &QuotaView<'_>) {
         let window_ms = self.settings.window_ms;
         for count in self.counts.values_mut() {
             count.sent.keep(window_ms, view.now_ms);
--- a/crates/routing/src/quota/even_parts.rs
+++ b/crates/routing/src/quota/even_shares.rs
@@ -18,24 +18,24 @@
 
 /// Limits held by even parts.
 #[derive(Clone, Debug)]
-pub struct EvenParts {
+pub struct EvenShares {
     /// Whether a part begins with its part of the burst.
     with_burst: bool,
     /// What is left of each tenant's part.
     parts: HashMap<String, Bucket>,
 }
 
-impl Default for EvenParts {
+impl Default for EvenShares {
     fn default() -> Self {
-        EvenParts::new()
+        EvenShares::new()
     }
 }
 
-impl EvenParts {
+impl EvenShares {
     /// No tenant has used anything.
     #[must_use]
     pub fn new() -> Self {
-        EvenParts {
+        EvenShares {
             with_burst: true,
             parts: HashMap::new(),
         }
@@ -43,9 +43,9 @@
 
     /// Parts that begin empty: they go on where another count ended.
     pub(super) fn without_burst() -> Self {
-        EvenParts {
+        EvenShares {
             with_burst: false,
-            ..EvenParts::new()
+            ..EvenShares::new()
         }
     }
 
@@ -59,8 +59,8 @@
         let part = self.part(tenant, limit, view);
         part.refill(limit, view.now_ms);
         if part.tokens() == 0 {
-            let again_in_ms = part.next_in_ms(limit);
-            return QuotaVerdict::Refused { again_in_ms };
+            let retry_after_ms = part.next_in_ms(limit);
+            return QuotaVerdict::Refused { retry_after_ms };
         }
         part.take(1);
         QuotaVerdict::Admitted
@@ -92,7 +92,7 @@
     }
 }
 
-impl FleetQuota for EvenParts {
+impl FleetQuota for EvenShares {
     fn request(
         &mut self,
         ticket: Ticket,
@@ -106,11 +106,11 @@
         vec![decide(ticket, verdict)]
     }
 
-    fn no_answer(&mut self, _: Ticket, _: &Tenant, _: &QuotaView<'_>) -> Vec<QuotaAction> {
+    fn answer_timed_out(&mut self, _: Ticket, _: &Tenant, _: &QuotaView<'_>) -> Vec<QuotaAction> {
         Vec::new()
     }
 
-    fn sent_again(&mut self, tenant: &Tenant, view: &QuotaView<'_>) {
+    fn record_resend(&mut self, tenant: &Tenant, view: &QuotaView<'_>) {
         let Some(quota) = tenant.quota else {
             return;
         };
@@ -118,11 +118,11 @@
         self.part(&tenant.name, limit, view).take(1);
     }
 
-    fn sent_late(&mut self, tenant: &Tenant, view: &QuotaView<'_>) {
-        self.sent_again(tenant, view);
+    fn record_late_send(&mut self, tenant: &Tenant, view: &QuotaView<'_>) {
+        self.record_resend(tenant, view);
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         from: MachineId,
         message: QuotaMessage,
@@ -143,7 +143,7 @@
         }
     }
 
-    fn upkeep(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
+    fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
         self.parts
             .retain(|tenant, _| view.tenants.get(tenant).is_some());
         Vec::new()
--- a/crates/routing/src/quota/lease.rs
+++ b/crates/routing/src/quota/lease.rs
@@ -93,8 +93,8 @@
             self.refused.add(1, view.now_ms);
             let line = self.refused.sum(LINE_MS, view.now_ms) as f64;
             let line_ms = (line / own_rate * 1_000.0) as u64;
-            let again_in_ms = pause_ms.max(line_ms).min(LONGEST_REFUSAL_MS);
-            actions.push(decide(ticket, QuotaVerdict::Refused { again_in_ms }));
+            let retry_after_ms = pause_ms.max(line_ms).min(LONGEST_REFUSAL_MS);
+            actions.push(decide(ticket, QuotaVerdict::Refused { retry_after_ms }));
         }
     }
 
--- a/crates/routing/src/quota/leased.rs
+++ b/crates/routing/src/quota/leased.rs
@@ -11,7 +11,7 @@
     coordinator::{Granted, QuotaCoordinator, Unleased, Wanted},
     decide,
     departed::Departed,
-    even_parts::{EvenParts, part_among},
+    even_shares::{EvenShares, part_among},
     lease::{LONGEST_REFUSAL_MS, Lease},
     witnesses::{Hearing, Silences, Witnessed},
 };
@@ -51,7 +51,7 @@
     leases: HashMap<String, Lease>,
     coordinator: QuotaCoordinator,
     /// What this gateway gives by itself where a coordinator is silent.
-    fallback: EvenParts,
+    fallback: EvenShares,
     /// Coordinators that did not answer.
     silences: Silences,
     /// Coordinators that this gateway is a witness of.
@@ -73,7 +73,7 @@
             settings,
             leases: HashMap::new(),
             coordinator: QuotaCoordinator::new(settings),
-            fallback: EvenParts::without_burst(),
+            fallback: EvenShares::without_burst(),
             silences: Silences::default(),
             hearing: Hearing::default(),
             witnessed: Witnessed::default(),
@@ -179,7 +179,7 @@
         let mut actions = Vec::new();
         if granted.granted == 0 {
             let pause_ms = granted
-                .again_in_ms
+                .retry_after_ms
                 .clamp(SHORTEST_REFUSAL_MS, LONGEST_REFUSAL_MS);
             lease.refused_until_ms = view.now_ms + pause_ms;
             lease.refuse(quota, view, &mut actions);
@@ -219,7 +219,7 @@
                 QuotaVerdict::Refused { .. } => {
                     lease.refused.add(1, view.now_ms);
                     QuotaVerdict::Refused {
-                        again_in_ms: SUCCESSOR_MS,
+                        retry_after_ms: SUCCESSOR_MS,
                     }
                 }
             };
@@ -278,7 +278,7 @@
                 QuotaMessage::Grant {
                     tenant,
                     granted: granted.granted,
-                    again_in_ms: granted.again_in_ms.min(LONGEST_REFUSAL_MS) as u32,
+                    again_in_ms: granted.retry_after_ms.min(LONGEST_REFUSAL_MS) as u32,
                 }
             }
             _ => QuotaMessage::NotHere { tenant },
@@ -327,7 +327,7 @@
         self.serve(&tenant.name, quota, view)
     }
 
-    fn no_answer(
+    fn answer_timed_out(
         &mut self,
         ticket: Ticket,
         tenant: &Tenant,
@@ -362,21 +362,21 @@
         actions
     }
 
-    fn sent_again(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
+    fn record_resend(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
         if tenant.quota.is_some() {
             let lease = self.leases.entry(tenant.name.clone()).or_default();
             lease.untold.sent_again += 1;
         }
     }
 
-    fn sent_late(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
+    fn record_late_send(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
         if tenant.quota.is_some() {
             let lease = self.leases.entry(tenant.name.clone()).or_default();
             lease.untold.sent_late += 1;
         }
     }
 
-    fn message(
+    fn handle_message(
         &mut self,
         from: MachineId,
         message: QuotaMessage,
@@ -411,7 +411,7 @@
                 self.silences.end(from);
                 let granted = Granted {
                     granted,
-                    again_in_ms: u64::from(again_in_ms),
+                    retry_after_ms: u64::from(again_in_ms),
                 };
                 match quota_of(&tenant) {
                     Some(quota) => self.take_grant(&tenant, quota, granted, view),
@@ -463,11 +463,11 @@
         }
     }
 
-    fn upkeep(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
+    fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
         self.departed.follow(view);
         let share = self.share(view);
         self.coordinator.follow(view, share);
-        self.coordinator.upkeep(view);
+        self.coordinator.run_maintenance(view);
         let now_ms = view.now_ms;
         let window_ms = self.settings.window_ms;
         self.without_control
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -1,7 +1,7 @@
 //! Limits of tenants, counted over all gateways of a fleet.
 //!
 //! [`FleetQuota`] is what a gateway asks before a tenant's request takes a slot, a place in
-//! a queue or time of control. Two ways stand behind it: [`EvenParts`] gives each gateway
+//! a queue or time of control. Two ways stand behind it: [`EvenShares`] gives each gateway
 //! its part of the limit and needs no message; [`LeasedQuota`] has one coordinator for each
 //! tenant among the gateways, which leases a few requests ahead, and falls back to even
 //! parts where the coordinator is silent. Design note 0022 compares them.
@@ -13,14 +13,14 @@
 mod coordinator;
 mod demand;
 mod departed;
-mod even_parts;
+mod even_shares;
 mod lease;
 mod leased;
 mod settings;
 mod shares;
 mod witnesses;
 
-pub use even_parts::EvenParts;
+pub use even_shares::EvenShares;
 pub use leased::LeasedQuota;
 use linnethitch_protocol::{ids::MachineId, quota::QuotaMessage};
 use linnethitch_tenants::{Tenant, TenantDirectory};
@@ -61,7 +61,7 @@
     Refused {
         /// When the tenant's rate will have made up for those refused before it, in
         /// milliseconds.
-        again_in_ms: u64,
+        retry_after_ms: u64,
     },
 }
 
@@ -96,7 +96,7 @@
 
     /// A request has waited long for a message. It is decided now, or the message is asked
     /// for once more and it waits again; the second time it is decided.
-    fn no_answer(
+    fn answer_timed_out(
         &mut self,
         ticket: Ticket,
         tenant: &Tenant,
@@ -104,13 +104,13 @@
     ) -> Vec<QuotaAction>;
 
     /// A tenant's request is sent again, or without having been admitted.
-    fn sent_again(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
+    fn record_resend(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
 
     /// An admitted request is sent only now, long after it was admitted.
-    fn sent_late(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
+    fn record_late_send(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
 
     /// Another gateway says something.
-    fn message(
+    fn handle_message(
         &mut self,
         from: MachineId,
         message: QuotaMessage,
@@ -118,7 +118,7 @@
     ) -> Vec<QuotaAction>;
 
     /// Forgets what no longer matters; called ten times a second.
-    fn upkeep(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction>;
+    fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction>;
 }
 
 /// A decision on a request.
--- a/crates/routing/tests/all/cold/mod.rs
+++ b/crates/routing/tests/all/cold/mod.rs
@@ -5,11 +5,12 @@
 
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_routing::cold::{
-    ColdChange, ColdReplicas, ColdSettings, ColdState, ColdView, Refusal, SendEnd, Share, is_holder,
+    ColdChange, ColdReplicas, ColdSettings, ColdState, ColdView, Refusal, SendOutcome, Share,
+    is_holder,
 };
 use rstest::rstest;
 
-use self::model::{Fault, Play, REPLICA, arrivals, cold_replica, most_in_a_second, random_faults};
+use self::model::{Fault, Play, REPLICA, arrivals, cold_replica, max_per_second, random_faults};
 
 /// What a cold replica of the tests bears, in thousandths of a request a second.
 const RATE_MILLI: u64 = 17_000;
@@ -80,7 +81,7 @@
     let mut cold = alone(60_000);
     for _ in 0..15 {
         let number = cold.begin(REPLICA, LATER).expect("a part");
-        cold.end(REPLICA, number, SendEnd::Arrived, LATER.now_ms + 50);
+        cold.end(REPLICA, number, SendOutcome::Arrived, LATER.now_ms + 50);
     }
     assert_eq!(cold.begin(REPLICA, at(11_050)), Err(Refusal::Used));
     assert_eq!(cold.next_in_ms(&[REPLICA.to_owned()], at(11_050)), Some(2));
@@ -102,7 +103,7 @@
 
 /// A second replica that is warm, and one that is not known to be.
 #[rstest]
-#[case::cold(60_000, 0, &[REPLICA], ColdState::Cold)]
+#[case::cold_count(60_000, 0, &[REPLICA], ColdState::Cold)]
 #[case::warm(0, 0, &[REPLICA], ColdState::Warm)]
 #[case::unsure(0, 3_001, &[REPLICA], ColdState::Unsure)]
 #[case::cold_and_unsure(60_000, 3_001, &[REPLICA], ColdState::Cold)]
@@ -139,22 +140,22 @@
     assert_eq!(cold.begin(REPLICA, at(19_000)), Err(Refusal::Used));
     for number in sent {
         let number = number.expect("a part");
-        cold.end(REPLICA, number, SendEnd::Arrived, 19_010);
+        cold.end(REPLICA, number, SendOutcome::Arrived, 19_010);
     }
     assert_eq!(cold.begin(REPLICA, at(20_000)), Err(Refusal::Used));
     assert!(cold.begin(REPLICA, at(20_012)).is_ok());
 }
 
 #[rstest]
-#[case::refused_by_another_incarnation(SendEnd::NotCounted, 10_000)]
-#[case::answered(SendEnd::Arrived, 11_002)]
-#[case::may_still_arrive(SendEnd::Unknown, 12_002)]
-fn a_send_counts_by_what_became_of_it(#[case] end: SendEnd, #[case] free_ms: u64) {
+#[case::refused_by_another_incarnation(SendOutcome::NotCounted, 10_000)]
+#[case::answered(SendOutcome::Arrived, 11_002)]
+#[case::may_still_arrive(SendOutcome::Unknown, 12_002)]
+fn a_send_counts_by_what_became_of_it(#[case] end: SendOutcome, #[case] free_ms: u64) {
     let mut cold = alone(60_000);
     for _ in 0..15 {
         let number = cold.begin(REPLICA, LATER).expect("a part");
         cold.end(REPLICA, number, end, LATER.now_ms);
-        if end == SendEnd::NotCounted {
+        if end == SendOutcome::NotCounted {
             assert!(cold.may_send(REPLICA, LATER).is_ok());
         }
     }
@@ -169,7 +170,7 @@
     let mut cold = alone(0);
     for _ in 0..40 {
         let number = cold.begin(REPLICA, LATER).expect("warm");
-        cold.end(REPLICA, number, SendEnd::Arrived, LATER.now_ms);
+        cold.end(REPLICA, number, SendOutcome::Arrived, LATER.now_ms);
     }
     cold.set_replicas(vec![cold_replica(RATE_MILLI, 3_000, 2)], 10_100);
     assert_eq!(cold.state(REPLICA, at(10_100)), ColdState::Cold);
@@ -192,7 +193,12 @@
     cold.set_replicas(Vec::new(), 10_000);
     let answer = |cold: &mut ColdReplicas, at_ms| {
         for number in &sent {
-            cold.end(REPLICA, number.expect("a part"), SendEnd::Arrived, at_ms);
+            cold.end(
+                REPLICA,
+                number.expect("a part"),
+                SendOutcome::Arrived,
+                at_ms,
+            );
         }
     };
     if let Some(at_ms) = answered_ms {
@@ -212,7 +218,7 @@
 #[rstest]
 fn one_that_may_have_ended_is_cold_when_it_is_back_on_the_list(#[values(1, 2)] changed_at: u64) {
     let mut cold = alone(0);
-    cold.may_have_ended(REPLICA, 10_000);
+    cold.note_possible_restart(REPLICA, 10_000);
     cold.set_replicas(Vec::new(), 10_100);
     assert!(cold.not_warm("service", at(10_200)).is_empty());
     cold.set_replicas(vec![cold_replica(RATE_MILLI, 0, changed_at)], 10_500);
@@ -238,7 +244,7 @@
 #[test]
 fn one_that_failed_may_be_starting_again() {
     let mut cold = alone(0);
-    cold.may_have_ended(REPLICA, 10_000);
+    cold.note_possible_restart(REPLICA, 10_000);
     assert_eq!(cold.state(REPLICA, at(12_999)), ColdState::Cold);
     assert_eq!(cold.state(REPLICA, at(13_000)), ColdState::Warm);
 }
@@ -363,7 +369,7 @@
         &play(gateways, seed, faults(gateways)),
         ColdSettings::default(),
     );
-    let most = most_in_a_second(&arrived);
+    let most = max_per_second(&arrived);
     assert!(most <= MOST, "{most} in a second");
 }
 
@@ -374,6 +380,6 @@
 ) {
     let faults = random_faults(gateways, seed);
     let arrived = arrivals(&play(gateways, seed, faults), ColdSettings::default());
-    let most = most_in_a_second(&arrived);
+    let most = max_per_second(&arrived);
     assert!(most <= MOST, "{most} in a second");
 }
--- a/crates/routing/tests/all/cold/model.rs
+++ b/crates/routing/tests/all/cold/model.rs
@@ -3,7 +3,7 @@
 
 use linnethitch_protocol::ids::{LogIndex, MachineId};
 use linnethitch_routing::cold::{
-    ColdReplica, ColdReplicas, ColdSettings, ColdView, SendEnd, SendNumber,
+    ColdReplica, ColdReplicas, ColdSettings, ColdView, SendNumber, SendOutcome,
 };
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -46,7 +46,7 @@
     number: SendNumber,
     arrives_ms: u64,
     ends_ms: u64,
-    end: SendEnd,
+    end: SendOutcome,
     is_counted: bool,
 }
 
@@ -70,7 +70,7 @@
 }
 
 /// Most of them in any second.
-pub(super) fn most_in_a_second(arrivals: &[u64]) -> usize {
+pub(super) fn max_per_second(arrivals: &[u64]) -> usize {
     let from = arrivals.iter().enumerate();
     from.map(|(index, from_ms)| {
         let later = arrivals[index..].iter();
@@ -303,13 +303,13 @@
             .random_range(now_ms + 1..arrives_ms + LONGEST_HEAD_MS);
         let drawn: f64 = self.random.random();
         let (ends_ms, end, is_counted) = if drawn < 0.8 {
-            (head_ms, SendEnd::Arrived, true)
+            (head_ms, SendOutcome::Arrived, true)
         } else if drawn < 0.9 {
-            (given_up_ms, SendEnd::Unknown, true)
+            (given_up_ms, SendOutcome::Unknown, true)
         } else if drawn < 0.95 {
-            (head_ms, SendEnd::NotCounted, false)
+            (head_ms, SendOutcome::NotCounted, false)
         } else {
-            (given_up_ms, SendEnd::Unknown, false)
+            (given_up_ms, SendOutcome::Unknown, false)
         };
         Flight {
             number,
--- a/crates/routing/tests/all/coordinator.rs
+++ b/crates/routing/tests/all/coordinator.rs
@@ -7,8 +7,8 @@
     slots::{AskMode, HeldLease, Verdict},
 };
 use linnethitch_routing::dispatch::{
-    Ask, Board, CoordinatedReplica, Due, ItemRoom, LeaseKey, Need, ReplicaTraits, RunNumber,
-    SlotAction, SlotCoordinator, WaitingItem, coordinator_of,
+    Ask, CoordinatedReplica, Due, ItemCapacity, LeaseKey, ReplicaTable, ReplicaTraits,
+    RequestNeeds, RunNumber, SlotAction, SlotCoordinator, WaitingItem, coordinator_of,
 };
 use proptest::prelude::*;
 use rand::SeedableRng;
@@ -84,7 +84,7 @@
     let mut coordinator = coordinator(1, slots);
     for run in 1..=u64::from(slots) {
         let due_ms = SETTLED_MS + 10_000 + run * 1_000;
-        let actions = coordinator.want_slot(item(run, due_ms), SETTLED_MS);
+        let actions = coordinator.enqueue_item(item(run, due_ms), SETTLED_MS);
         assert_eq!(actions, [start(run, "r0")]);
     }
     coordinator
@@ -108,7 +108,7 @@
 fn items_that_began_too_late_stop_first() {
     let mut coordinator = coordinator(1, 3);
     for (run, due_ms) in [(1, 9_000), (2, SETTLED_MS - 1), (3, SETTLED_MS + 10)] {
-        coordinator.want_slot(item(run, due_ms), SETTLED_MS);
+        coordinator.enqueue_item(item(run, due_ms), SETTLED_MS);
     }
     let later_ms = SETTLED_MS + 5_000;
     let mut stopped = Vec::new();
@@ -147,7 +147,7 @@
 fn an_ask_for_a_free_slot_stops_no_item(#[case] items: u64, #[case] verdict: Verdict) {
     let mut coordinator = coordinator(1, 2);
     for run in 1..=items {
-        coordinator.want_slot(item(run, 20_000), SETTLED_MS);
+        coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
     }
     let actions = coordinator.ask(ask(1, "r0", 2_000, AskMode::Free), SETTLED_MS);
     assert_eq!(actions, [answer(1, "r0", verdict)]);
@@ -168,10 +168,10 @@
     let mut coordinator = coordinator(3, 2);
     coordinator.ask(ask(1, "r0", 2_000, AskMode::Free), SETTLED_MS);
     for run in 1..=items {
-        coordinator.want_slot(item(run, 20_000), SETTLED_MS);
+        coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
     }
-    let room = coordinator.room_for_items(SERVICE, SETTLED_MS);
-    assert_eq!(room, ItemRoom { slots, replicas });
+    let room = coordinator.item_capacity(SERVICE, SETTLED_MS);
+    assert_eq!(room, ItemCapacity { slots, replicas });
 }
 
 #[test]
@@ -203,7 +203,11 @@
 fn an_item_begins_on_a_slot_that_is_given_back() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
-    assert!(coordinator.want_slot(item(1, 9_000), SETTLED_MS).is_empty());
+    assert!(
+        coordinator
+            .enqueue_item(item(1, 9_000), SETTLED_MS)
+            .is_empty()
+    );
     let actions = coordinator.end(key(1, 1), 5_000);
     assert_eq!(actions, [start(1, "r0")]);
 }
@@ -213,13 +217,13 @@
     let mut coordinator = coordinator(2, 2);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), SETTLED_MS);
     let later_ms = SETTLED_MS + 5_000;
-    coordinator.note_held(MachineId(1), &[held("r0", 1)], later_ms);
-    let actions = coordinator.want_slot(item(1, 90_000), later_ms);
+    coordinator.reconcile_leases(MachineId(1), &[held("r0", 1)], later_ms);
+    let actions = coordinator.enqueue_item(item(1, 90_000), later_ms);
     assert_eq!(actions, [start(1, "r1")]);
     let mut failed = item(2, 90_000);
     failed.avoid = vec!["r1".to_owned()];
     assert_eq!(
-        coordinator.want_slot(failed, later_ms),
+        coordinator.enqueue_item(failed, later_ms),
         [start(2, "r0")],
         "r1 failed it"
     );
@@ -234,13 +238,13 @@
         except: vec!["r0".to_owned()],
         ..item(1, 90_000)
     };
-    let actions = coordinator.want_slot(barred, SETTLED_MS);
+    let actions = coordinator.enqueue_item(barred, SETTLED_MS);
     assert_eq!(actions, [start(1, "r1")]);
     let nowhere = WaitingItem {
         except: vec!["r0".to_owned(), "r1".to_owned()],
         ..item(2, 90_000)
     };
-    assert!(coordinator.want_slot(nowhere, SETTLED_MS).is_empty());
+    assert!(coordinator.enqueue_item(nowhere, SETTLED_MS).is_empty());
 }
 
 fn held(replica: &str, number: u64) -> HeldLease {
@@ -255,9 +259,9 @@
 #[test]
 fn a_new_coordinator_begins_no_items_until_it_was_told() {
     let mut coordinator = coordinator(1, 2);
-    assert!(coordinator.want_slot(item(1, 9_000), 0).is_empty());
-    coordinator.note_held(MachineId(1), &[held("r0", 7)], 10);
-    coordinator.want_slot(item(2, 9_500), 10);
+    assert!(coordinator.enqueue_item(item(1, 9_000), 0).is_empty());
+    coordinator.reconcile_leases(MachineId(1), &[held("r0", 7)], 10);
+    coordinator.enqueue_item(item(2, 9_500), 10);
     // Both leases and no more than the slots, although the holder asked somebody else.
     assert_eq!(coordinator.tick(SETTLED_MS), [start(1, "r0")]);
 }
@@ -274,7 +278,7 @@
 ) {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
-    coordinator.note_held(MachineId(1), leases, after_ms);
+    coordinator.reconcile_leases(MachineId(1), leases, after_ms);
     let actions = coordinator.ask(ask(2, "r0", 900, AskMode::Probe), after_ms);
     let verdict = if kept {
         Verdict::Full
@@ -292,7 +296,11 @@
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     coordinator.ask(ask(2, "r0", 9_000, AskMode::Wait), 0);
     let named = [held("r0", 1), held("r0", 2)];
-    assert!(coordinator.note_held(MachineId(1), &named, 500).is_empty());
+    assert!(
+        coordinator
+            .reconcile_leases(MachineId(1), &named, 500)
+            .is_empty()
+    );
     let actions = coordinator.end(key(1, 1), 510);
     assert_eq!(actions, [answer(2, "r0", Verdict::Granted)]);
 }
@@ -327,8 +335,12 @@
     let mut closed = engine("r0", 2);
     closed.open = false;
     coordinator.set_replicas(vec![closed], SETTLED_MS);
-    assert!(coordinator.want_slot(item(1, 9_000), SETTLED_MS).is_empty());
-    assert_eq!(coordinator.free_for_items(SERVICE, SETTLED_MS), 0);
+    assert!(
+        coordinator
+            .enqueue_item(item(1, 9_000), SETTLED_MS)
+            .is_empty()
+    );
+    assert_eq!(coordinator.free_item_slots(SERVICE, SETTLED_MS), 0);
 }
 
 /// Gateways know the same fleet; all but one agree on nearly every replica when
@@ -367,12 +379,12 @@
     };
     let mut taken = BTreeMap::<String, u32>::new();
     for gateway in 0..200 {
-        let mut board = Board::new("worcester");
+        let mut board = ReplicaTable::new("worcester");
         board.set_replicas((0..replicas).map(traits).collect());
         let mut random = Pcg64Mcg::seed_from_u64(gateway);
         let mut full: Vec<String> = Vec::new();
         loop {
-            let need = Need {
+            let need = RequestNeeds {
                 service: SERVICE,
                 prompt: &[],
                 except: &full,
@@ -434,7 +446,7 @@
                     replica,
                     verdict,
                 } => self.take_answer(key.number, replica, verdict),
-                SlotAction::Believe { .. } => {}
+                SlotAction::ReportHealth { .. } => {}
                 SlotAction::Stop(run) => {
                     self.items.remove(&run.0).expect("it had a slot");
                     self.want(run.0);
@@ -468,7 +480,7 @@
         self.waiting.insert(run);
         let actions = self
             .coordinator
-            .want_slot(item(run, self.now_ms + 9_000), self.now_ms);
+            .enqueue_item(item(run, self.now_ms + 9_000), self.now_ms);
         self.take(actions);
     }
 
@@ -519,7 +531,7 @@
             .map(|(number, replica)| held(replica, *number))
             .collect();
         self.coordinator
-            .note_held(MachineId(1), &leases, self.now_ms)
+            .reconcile_leases(MachineId(1), &leases, self.now_ms)
     }
 
     fn check(&self) {
@@ -539,7 +551,7 @@
             );
         }
         let is_settled = self.now_ms >= SETTLED_MS;
-        let free = self.coordinator.free_for_items(SERVICE, self.now_ms);
+        let free = self.coordinator.free_item_slots(SERVICE, self.now_ms);
         assert!(
             !is_settled || self.waiting.is_empty() || free == 0,
             "{free} slots idle while {} items wait",
@@ -607,7 +619,7 @@
         alone: true,
         ..held("r0", 1)
     };
-    coordinator.note_held(MachineId(1), &[alone], 0);
+    coordinator.reconcile_leases(MachineId(1), &[alone], 0);
     let second = coordinator.ask(ask(2, "r0", 100, AskMode::Alone), 1);
     assert_eq!(second, vec![answer(2, "r0", Verdict::Queued)]);
 }
@@ -622,12 +634,12 @@
 #[test]
 fn a_late_request_waits_behind_requests_on_time_and_never_behind_items() {
     let mut coordinator = coordinator(1, 1);
-    coordinator.want_slot(item(1, 60_000), SETTLED_MS);
+    coordinator.enqueue_item(item(1, 60_000), SETTLED_MS);
     let now_ms = SETTLED_MS + 10;
     let late = coordinator.ask(ask_due(1, now_ms - 1, AskMode::Probe), now_ms);
     let stopped = SlotAction::Stop(RunNumber(1));
     assert_eq!(late, vec![stopped, answer(1, "r0", Verdict::Granted)]);
-    coordinator.want_slot(item(2, 60_000), now_ms);
+    coordinator.enqueue_item(item(2, 60_000), now_ms);
     coordinator.ask(ask_due(2, now_ms, AskMode::Wait), now_ms);
     coordinator.ask(ask_due(3, now_ms + 500, AskMode::Wait), now_ms);
     let granted = |number| vec![answer(number, "r0", Verdict::Granted)];
--- a/crates/routing/tests/all/dispatch.rs
+++ b/crates/routing/tests/all/dispatch.rs
@@ -2,8 +2,8 @@
 
 use linnethitch_protocol::slots::SlotLoad;
 use linnethitch_routing::dispatch::{
-    Board, Chosen, FailureKind, Need, PromptPart, ReplicaTraits, ReportedLoad, WeightedTurns,
-    WorkKind,
+    ChosenReplica, FailureKind, PromptPart, ReplicaTable, ReplicaTraits, ReportedLoad,
+    RequestNeeds, WeightedRoundRobin, WorkKind,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -21,15 +21,15 @@
     }
 }
 
-fn board(count: usize) -> Board {
-    let mut board = Board::new("worcester");
+fn board(count: usize) -> ReplicaTable {
+    let mut board = ReplicaTable::new("worcester");
     let list = (0..count).map(|number| replica(&format!("r{number}")));
     board.set_replicas(list.collect());
     board
 }
 
-fn need<'a>(prompt: &'a [PromptPart], except: &'a [String]) -> Need<'a> {
-    Need {
+fn need<'a>(prompt: &'a [PromptPart], except: &'a [String]) -> RequestNeeds<'a> {
+    RequestNeeds {
         service: "models",
         prompt,
         except,
@@ -41,7 +41,7 @@
     Pcg64Mcg::seed_from_u64(7)
 }
 
-fn choose(board: &Board, now_ms: u64, random: &mut Pcg64Mcg) -> Option<Chosen> {
+fn choose(board: &ReplicaTable, now_ms: u64, random: &mut Pcg64Mcg) -> Option<ChosenReplica> {
     board.choose(&need(&[], &[]), now_ms, random)
 }
 
@@ -189,7 +189,7 @@
     // The other one works on more, but it answers.
     let other = if stuck.id == "r0" { "r1" } else { "r0" };
     for _ in 0..5 {
-        let chosen = Chosen {
+        let chosen = ChosenReplica {
             id: other.to_owned(),
             ..stuck.clone()
         };
@@ -225,8 +225,8 @@
 ) {
     let mut board = board(2);
     let mut random = random();
-    board.note_told(&first, 100);
-    board.note_told(&second, 100);
+    board.note_coordinator_load(&first, 100);
+    board.note_coordinator_load(&second, 100);
     for _ in 0..20 {
         assert_eq!(choose(&board, 100, &mut random).expect("one").id, chosen);
     }
@@ -237,7 +237,7 @@
     let mut random = random();
     let mut board = board(3);
     for (replica, online) in [("r0", 4), ("r1", 0), ("r2", 4)] {
-        board.note_told(&told(replica, online, 0, 0), 0);
+        board.note_coordinator_load(&told(replica, online, 0, 0), 0);
     }
     for _ in 0..20 {
         assert_eq!(choose(&board, 100, &mut random).expect("one").id, "r1");
@@ -251,8 +251,8 @@
 fn own_requests_since_then_count_beside_what_was_told() {
     let mut board = board(2);
     let mut random = random();
-    board.note_told(&told("r0", 1, 0, 0), 0);
-    board.note_told(&told("r1", 2, 0, 0), 0);
+    board.note_coordinator_load(&told("r0", 1, 0, 0), 0);
+    board.note_coordinator_load(&told("r1", 2, 0, 0), 0);
     let first = choose(&board, 1, &mut random).expect("one");
     assert_eq!(first.id, "r0");
     for _ in 0..2 {
@@ -270,7 +270,7 @@
     #[case] requests: usize,
     #[case] expected: &[usize],
 ) {
-    let mut turns = WeightedTurns::default();
+    let mut turns = WeightedRoundRobin::default();
     let mut counts = vec![0; weights.len()];
     for _ in 0..requests {
         counts[turns.next(weights).expect("a turn")] += 1;
@@ -281,7 +281,7 @@
 /// It had turns left when its weight was taken away.
 #[test]
 fn a_back_end_without_weight_has_no_turn() {
-    let mut turns = WeightedTurns::default();
+    let mut turns = WeightedRoundRobin::default();
     assert_eq!(turns.next(&[3, 2]), Some(0));
     let next: Vec<_> = (0..4).map(|_| turns.next(&[1, 0])).collect();
     assert_eq!(next, [Some(0); 4]);
@@ -289,13 +289,13 @@
 
 #[test]
 fn without_weight_nobody_has_a_turn() {
-    assert_eq!(WeightedTurns::default().next(&[0, 0]), None);
+    assert_eq!(WeightedRoundRobin::default().next(&[0, 0]), None);
 }
 
 /// A request under way at one start of a replica is not taken off what the next one has.
 #[test]
 fn work_at_an_earlier_start_does_not_count_for_the_next_one() {
-    let mut board = Board::new("worcester");
+    let mut board = ReplicaTable::new("worcester");
     board.set_replicas(vec![replica("r0#1")]);
     let earlier = board.chosen_at("r0#1", 0).expect("it is open");
     let under_way = board.begin(&earlier, &[], WorkKind::Online, 0);
--- a/crates/routing/tests/all/distance.rs
+++ b/crates/routing/tests/all/distance.rs
@@ -2,7 +2,7 @@
 
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_routing::dispatch::{
-    Board, Distances, NearGateways, Need, ReplicaTraits, WorkKind, coordinator_of,
+    Distances, NearGateways, ReplicaTable, ReplicaTraits, RequestNeeds, WorkKind, coordinator_of,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -97,7 +97,7 @@
 #[case::as_near(0.5, 4)]
 #[case::another_region(24.0, 6)]
 fn requests_stay_near_as_far_as_that_is_quicker(#[case] far_ms: f64, #[case] fewest_near: usize) {
-    let mut board = Board::new("north-a");
+    let mut board = ReplicaTable::new("north-a");
     let list = [replica("near", "north-a"), replica("far", "south-a")];
     board.set_replicas(list.into_iter().collect());
     board.note_connected("near", 0.4);
@@ -105,7 +105,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(3);
     let mut near = 0;
     for _ in 0..8 {
-        let need = Need {
+        let need = RequestNeeds {
             service: "models",
             prompt: &[],
             except: &[],
--- a/crates/routing/tests/all/evacuated_zones.rs
+++ b/crates/routing/tests/all/evacuated_zones.rs
@@ -7,8 +7,8 @@
     slots::{AskMode, HeldLease, RunOutcome, SlotLoad, Verdict},
 };
 use linnethitch_routing::dispatch::{
-    Ask, Board, Chosen, CoordinatedReplica, Due, LeaseKey, Need, PromptPart, ReadyReplicas,
-    ReplicaTraits, RunNumber, SlotAction, SlotCoordinator, WaitingItem, WorkKind,
+    Ask, ChosenReplica, CoordinatedReplica, Due, LeaseKey, PromptPart, ReadyReplicas, ReplicaTable,
+    ReplicaTraits, RequestNeeds, RunNumber, SlotAction, SlotCoordinator, WaitingItem, WorkKind,
 };
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
@@ -20,8 +20,8 @@
 const OWN: MachineId = MachineId(9);
 
 /// Replicas r0 in zone a, r1 in zone b, and so on.
-fn board(zones: &[&str]) -> Board {
-    let mut board = Board::new("a");
+fn board(zones: &[&str]) -> ReplicaTable {
+    let mut board = ReplicaTable::new("a");
     let replicas = zones
         .iter()
         .enumerate()
@@ -42,8 +42,8 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn need<'a>(prompt: &'a [PromptPart]) -> Need<'a> {
-    Need {
+fn need<'a>(prompt: &'a [PromptPart]) -> RequestNeeds<'a> {
+    RequestNeeds {
         service: SERVICE,
         prompt,
         except: &[],
@@ -51,13 +51,13 @@
     }
 }
 
-fn choose(board: &Board, prompt: &[PromptPart]) -> Option<Chosen> {
+fn choose(board: &ReplicaTable, prompt: &[PromptPart]) -> Option<ChosenReplica> {
     let mut random = Pcg64Mcg::seed_from_u64(7);
     board.choose(&need(prompt), NOW_MS, &mut random)
 }
 
 /// Whether an engine is open and whether it is evacuated, as its coordinator is told.
-fn engine_of(board: &Board, id: &str) -> (bool, bool) {
+fn engine_of(board: &ReplicaTable, id: &str) -> (bool, bool) {
     let engine = board.engine(id, NOW_MS).expect("it is an engine");
     (engine.open, engine.evacuated)
 }
@@ -80,7 +80,7 @@
     let mut board = board(&["a", "b"]);
     board.set_evacuated(zones(&["a"]));
     for number in 0..50 {
-        let chosen = board.choose_apart(&need(&[]), number, NOW_MS);
+        let chosen = board.choose_by_hash(&need(&[]), number, NOW_MS);
         assert_eq!(chosen.expect("one is open").id, "r1");
         assert_eq!(choose(&board, &[]).expect("one is open").id, "r1");
     }
@@ -114,7 +114,7 @@
     board.set_evacuated(zones(&[zone]));
     let other = choose(&board, &prompt).expect("one is open");
     assert_ne!(other.id, first.id);
-    board.note_told(&closed(&first.id), NOW_MS);
+    board.note_coordinator_load(&closed(&first.id), NOW_MS);
     board.set_evacuated(zones(&[]));
     assert_eq!(choose(&board, &prompt).expect("both are open").id, first.id);
 }
@@ -144,11 +144,11 @@
     assert!(board.is_evacuated("r0") && !board.is_known_ready("r0"));
     assert_eq!(choose(&board, &[]).expect("one is open").id, "r1");
     assert_eq!(engine_of(&board, "r0"), (false, true));
-    board.note_told(&closed("r0"), NOW_MS);
+    board.note_coordinator_load(&closed("r0"), NOW_MS);
     board.set_replicas(vec![one_in("a"), other()]);
     assert!(!board.is_evacuated("r0") && board.is_known_ready("r0"));
     assert_eq!(engine_of(&board, "r0"), (true, false));
-    assert_eq!(board.open_ids(&need(&[]), NOW_MS), ["r0", "r1"]);
+    assert_eq!(board.available_ids(&need(&[]), NOW_MS), ["r0", "r1"]);
 }
 
 #[rstest]
@@ -162,7 +162,7 @@
     let mut board = board(&["a", "b"]);
     board.set_evacuated(zones(evacuated));
     assert_eq!(board.is_service_evacuated(&need(&[])), expected);
-    let other = Need {
+    let other = RequestNeeds {
         service: "without replicas",
         ..need(&[])
     };
@@ -252,7 +252,7 @@
     assert_eq!(coordinator.all_loads()[0].online, 1);
     assert!(coordinator.end(key(1), NOW_MS).is_empty());
     // Its failure is one like any other, and closes nothing by itself.
-    coordinator.note_run(key(1), RunOutcome::Failed, NOW_MS);
+    coordinator.record_run(key(1), RunOutcome::Failed, NOW_MS);
     coordinator.set_replicas(vec![engine("r0", false)], NOW_MS);
     assert!(!coordinator.all_loads()[0].closed);
     let granted = coordinator.ask(ask(3, AskMode::Probe), NOW_MS);
@@ -268,7 +268,11 @@
         number: 5,
         alone: false,
     };
-    assert!(coordinator.note_held(OWN, &[held], NOW_MS).is_empty());
+    assert!(
+        coordinator
+            .reconcile_leases(OWN, &[held], NOW_MS)
+            .is_empty()
+    );
     assert_eq!(coordinator.all_loads()[0].online, 1);
 }
 
@@ -279,9 +283,9 @@
         run: RunNumber(run),
         replica: replica.to_owned(),
     };
-    assert_eq!(coordinator.want_slot(item(1), NOW_MS), [start(1, "r0")]);
-    assert_eq!(coordinator.room_for_items(SERVICE, NOW_MS).slots, 0);
-    assert!(coordinator.want_slot(item(2), NOW_MS).is_empty());
+    assert_eq!(coordinator.enqueue_item(item(1), NOW_MS), [start(1, "r0")]);
+    assert_eq!(coordinator.item_capacity(SERVICE, NOW_MS).slots, 0);
+    assert!(coordinator.enqueue_item(item(2), NOW_MS).is_empty());
     let moved = vec![engine("r0", true), engine("r1", false)];
     assert!(coordinator.set_replicas(moved, NOW_MS).is_empty());
     assert_eq!(coordinator.all_loads()[0].items, 1);
--- a/crates/routing/tests/all/homes.rs
+++ b/crates/routing/tests/all/homes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use linnethitch_protocol::slots::SlotLoad;
-use linnethitch_routing::dispatch::{Board, Need, ReplicaTraits};
+use linnethitch_routing::dispatch::{ReplicaTable, ReplicaTraits, RequestNeeds};
 use rand_pcg::{Pcg64Mcg, rand_core::SeedableRng};
 use rstest::rstest;
 
@@ -11,8 +11,8 @@
 const NOW_MS: u64 = 1_000;
 
 /// Replicas r0 in zone a, r1 in b and r2 in c.
-fn board() -> Board {
-    let mut board = Board::new("a");
+fn board() -> ReplicaTable {
+    let mut board = ReplicaTable::new("a");
     let replicas = ["a", "b", "c"].iter().enumerate();
     let replicas = replicas.map(|(number, zone)| ReplicaTraits {
         id: format!("r{number}"),
@@ -31,8 +31,8 @@
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn need(homes: &BTreeSet<String>) -> Need<'_> {
-    Need {
+fn need(homes: &BTreeSet<String>) -> RequestNeeds<'_> {
+    RequestNeeds {
         service: SERVICE,
         prompt: &[],
         except: &[],
@@ -50,7 +50,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(7);
     for number in 0..50 {
         let chosen = board.choose(&need(&homes), NOW_MS, &mut random);
-        let apart = board.choose_apart(&need(&homes), number, NOW_MS);
+        let apart = board.choose_by_hash(&need(&homes), number, NOW_MS);
         for chosen in [chosen, apart] {
             let id = chosen.map(|chosen| chosen.id);
             assert_eq!(id.is_none(), expected.is_empty());
@@ -72,9 +72,9 @@
         waiting: 0,
         closed: true,
     };
-    board.note_told(&failing, NOW_MS);
+    board.note_coordinator_load(&failing, NOW_MS);
     let homes = zones(&["b"]);
-    let chosen = board.choose_apart(&need(&homes), 1, NOW_MS);
+    let chosen = board.choose_by_hash(&need(&homes), 1, NOW_MS);
     assert_eq!(chosen.map(|chosen| chosen.id).as_deref(), Some("r1"));
 }
 
--- a/crates/routing/tests/all/item_growth.rs
+++ b/crates/routing/tests/all/item_growth.rs
@@ -1,10 +1,10 @@
 //! How many items a gateway asks for.
 
-use linnethitch_routing::dispatch::{ItemGrowth, ItemRoom};
+use linnethitch_routing::dispatch::{ItemCapacity, ItemRampUp};
 use rstest::rstest;
 
-fn room(slots: u32, replicas: u32) -> ItemRoom {
-    ItemRoom { slots, replicas }
+fn room(slots: u32, replicas: u32) -> ItemCapacity {
+    ItemCapacity { slots, replicas }
 }
 
 /// Items held after the last call and now, the room, and what is asked for.
@@ -17,12 +17,12 @@
 fn a_heap_spreads_and_what_ends_is_replaced(
     #[case] held_before: u32,
     #[case] held: u32,
-    #[case] room: ItemRoom,
-    #[case] wanted: u32,
+    #[case] room: ItemCapacity,
+    #[case] items_to_request: u32,
 ) {
-    let mut growth = ItemGrowth::default();
-    growth.note_held(held_before);
-    assert_eq!(growth.wanted(room, held), wanted);
+    let mut growth = ItemRampUp::default();
+    growth.note_running(held_before);
+    assert_eq!(growth.items_to_request(room, held), items_to_request);
 }
 
 /// The failure this is for: the gateways that asked first filled their replicas,
@@ -30,14 +30,14 @@
 #[test]
 fn a_heap_is_spread_evenly_over_the_replicas_of_all_gateways() {
     let mut heap = 20;
-    let mut gateways = [(ItemGrowth::default(), 0); 10];
+    let mut gateways = [(ItemRampUp::default(), 0); 10];
     while heap > 0 {
         for (growth, held) in &mut gateways {
-            let wanted = growth.wanted(room(8 - *held, 1), *held);
-            let given = wanted.min(heap);
+            let items_to_request = growth.items_to_request(room(8 - *held, 1), *held);
+            let given = items_to_request.min(heap);
             heap -= given;
             *held += given;
-            growth.note_held(*held);
+            growth.note_running(*held);
         }
     }
     assert!(gateways.iter().all(|(_, held)| *held == 2));
--- a/crates/routing/tests/all/item_pace.rs
+++ b/crates/routing/tests/all/item_pace.rs
@@ -18,12 +18,12 @@
     #[case] items: &[u32],
     #[case] runs: &[(u32, u64)],
     #[case] made: u32,
-    #[case] left_ms: u64,
+    #[case] remaining_ms: u64,
 ) {
     let mut pace = ItemPace::default();
     items.iter().for_each(|events| pace.note_item(*events));
     for (events, took_ms) in runs {
         pace.note_run(*events, *took_ms);
     }
-    assert_eq!(pace.left_ms(made), left_ms);
+    assert_eq!(pace.remaining_ms(made), remaining_ms);
 }
--- a/crates/routing/tests/all/large_services.rs
+++ b/crates/routing/tests/all/large_services.rs
@@ -4,7 +4,8 @@
 
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_routing::dispatch::{
-    Board, Chosen, CoordinatorTable, NearGateways, Need, PromptPart, ReplicaTraits, WorkKind,
+    ChosenReplica, CoordinatorTable, NearGateways, PromptPart, ReplicaTable, ReplicaTraits,
+    RequestNeeds, WorkKind,
 };
 use proptest::prelude::*;
 use rand::RngCore;
@@ -64,16 +65,16 @@
 }
 
 /// A gateway of zone a before replicas spread over all zones.
-fn board(count: usize) -> Board {
-    let mut board = Board::new("a");
+fn board(count: usize) -> ReplicaTable {
+    let mut board = ReplicaTable::new("a");
     for number in 0..count {
         board.put(traits(number, ZONES[number % ZONES.len()]));
     }
     board
 }
 
-fn need<'a>(prompt: &'a [PromptPart], homes: Option<&'a BTreeSet<String>>) -> Need<'a> {
-    Need {
+fn need<'a>(prompt: &'a [PromptPart], homes: Option<&'a BTreeSet<String>>) -> RequestNeeds<'a> {
+    RequestNeeds {
         service: SERVICE,
         prompt,
         except: &[],
@@ -85,7 +86,7 @@
     [(shared, 13_000), (shared + 1_000_000, 200)].map(|(id, tokens)| PromptPart { id, tokens })
 }
 
-fn zone_of(chosen: &Chosen) -> &'static str {
+fn zone_of(chosen: &ChosenReplica) -> &'static str {
     let number: usize = chosen.id[1..].parse().expect("a number");
     ZONES[number % ZONES.len()]
 }
@@ -132,7 +133,7 @@
 #[test]
 fn suspected_requests_are_spread_and_stay_where_they_are() {
     let board = board(4_000);
-    let apart = |number| board.choose_apart(&need(&[], None), number, NOW_MS);
+    let apart = |number| board.choose_by_hash(&need(&[], None), number, NOW_MS);
     let places: BTreeSet<String> = (0..200)
         .map(|number| {
             let chosen = apart(number).expect("one is open");
@@ -302,7 +303,7 @@
     /// What the board counts as replicas come, change and go is what a look at all finds.
     #[test]
     fn counts_agree_with_the_replicas(steps in proptest::collection::vec(step(), 1..80)) {
-        let mut board = Board::new("a");
+        let mut board = ReplicaTable::new("a");
         let mut held = std::collections::BTreeMap::new();
         for step in steps {
             match step {
@@ -330,7 +331,7 @@
             prop_assert_eq!(counted.open, open.len());
             let ready = held.values().filter(|traits| traits.ready).count();
             prop_assert_eq!(counted.open + counted.evacuated, ready);
-            prop_assert_eq!(board.open_ids(&need(&[], None), NOW_MS), open);
+            prop_assert_eq!(board.available_ids(&need(&[], None), NOW_MS), open);
         }
     }
 }
--- a/crates/routing/tests/all/quota/mod.rs
+++ b/crates/routing/tests/all/quota/mod.rs
@@ -7,7 +7,7 @@
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_routing::{
     dispatch::coordinator_of,
-    quota::{EvenParts, LeasedQuota, QuotaSettings},
+    quota::{EvenShares, LeasedQuota, QuotaSettings},
 };
 use proptest::{
     prelude::*,
@@ -19,7 +19,7 @@
 use self::model::{Fault, Model, Outcome, Play, Quota, TENANT, machine};
 
 fn even(_: QuotaSettings) -> Quota {
-    Box::new(EvenParts::new())
+    Box::new(EvenShares::new())
 }
 
 fn leased(settings: QuotaSettings) -> Quota {
--- a/crates/routing/tests/all/quota/model.rs
+++ b/crates/routing/tests/all/quota/model.rs
@@ -265,13 +265,13 @@
             } => {
                 if self.gateways[gateway].life == life {
                     self.act(gateway, |quota, tenant, view| {
-                        quota.no_answer(Ticket(ticket), tenant, view)
+                        quota.answer_timed_out(Ticket(ticket), tenant, view)
                     });
                     self.wait_for_answer(gateway, ticket);
                 }
             }
             Event::Look => self.next_arrival(),
-            Event::Upkeep => self.upkeep(),
+            Event::Upkeep => self.run_maintenance(),
             Event::Fault(index) => self.fault(self.play.faults[index].1.clone()),
             Event::Return { gateway, what } => self.come_back(gateway, what),
             Event::ControlBack => {
@@ -416,17 +416,17 @@
             return;
         }
         self.act(to, |quota, _, view| {
-            quota.message(machine(from), message, view)
+            quota.handle_message(machine(from), message, view)
         });
     }
 
-    fn upkeep(&mut self) {
+    fn run_maintenance(&mut self) {
         for index in 0..self.gateways.len() {
             let node = &mut self.gateways[index];
             if node.runs && node.hears && !self.control_away {
                 node.heard_us = self.now_us;
             }
-            self.act(index, |quota, _, view| quota.upkeep(view));
+            self.act(index, |quota, _, view| quota.run_maintenance(view));
         }
         self.after(UPKEEP_US, Event::Upkeep);
     }
--- a/crates/routing/tests/all/quota/unheard.rs
+++ b/crates/routing/tests/all/quota/unheard.rs
@@ -63,7 +63,7 @@
         for from in self.gateways.clone() {
             if from != self.own {
                 self.act(now_ms, |quota, view| {
-                    quota.message(from, message.clone(), view)
+                    quota.handle_message(from, message.clone(), view)
                 });
             }
         }
@@ -74,14 +74,16 @@
         let mut admitted = 0;
         for now_ms in from_ms..until_ms {
             if now_ms % 100 == 0 {
-                let actions = self.act(now_ms, FleetQuota::upkeep);
+                let actions = self.act(now_ms, FleetQuota::run_maintenance);
                 let asks = actions.iter().filter(|action| is_ask_of_witness(action));
                 self.witnesses_asked += asks.count();
             }
             let (ticket, tenant) = (Ticket(now_ms), tenant(RATE as f64, RATE as f64));
             let mut actions = self.act(now_ms, |quota, view| quota.request(ticket, &tenant, view));
             while !matches!(actions.first(), Some(QuotaAction::Decide { .. })) {
-                actions = self.act(now_ms, |quota, view| quota.no_answer(ticket, &tenant, view));
+                actions = self.act(now_ms, |quota, view| {
+                    quota.answer_timed_out(ticket, &tenant, view)
+                });
             }
             let is_admitted = QuotaAction::Decide {
                 ticket,
--- a/crates/routing/tests/all/replica_health.rs
+++ b/crates/routing/tests/all/replica_health.rs
@@ -57,7 +57,7 @@
     for (number, (holder, outcome)) in runs.iter().enumerate() {
         let key = key(*holder, now_ms * 100 + number as u64);
         ask(coordinator, key, AskMode::Take, now_ms);
-        coordinator.note_run(key, *outcome, now_ms);
+        coordinator.record_run(key, *outcome, now_ms);
         coordinator.end(key, now_ms);
     }
 }
@@ -98,7 +98,7 @@
     }
     run(&mut coordinator, &[(4, OK)], START_MS + 500);
     for number in 1..=3 {
-        coordinator.note_run(key(number, 1), HUNG, START_MS + 1_200);
+        coordinator.record_run(key(number, 1), HUNG, START_MS + 1_200);
     }
     assert!(!is_closed(&coordinator));
 }
@@ -116,7 +116,7 @@
         ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
     }
     for holder in 1..=4 {
-        coordinator.note_run(key(holder, 1), BAD, START_MS + 10);
+        coordinator.record_run(key(holder, 1), BAD, START_MS + 10);
         coordinator.end(key(holder, 1), START_MS + 10);
     }
     assert!(!is_closed(&coordinator));
@@ -133,7 +133,7 @@
         ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
     }
     for holder in 1..=3 {
-        coordinator.note_run(key(holder, 1), HUNG, START_MS + 1_200);
+        coordinator.record_run(key(holder, 1), HUNG, START_MS + 1_200);
     }
     assert!(is_closed(&coordinator));
 }
@@ -145,7 +145,7 @@
     ask(&mut coordinator, key(4, 1), AskMode::Take, START_MS);
     run(&mut coordinator, &[(1, BAD), (2, BAD), (3, BAD)], START_MS);
     assert!(is_closed(&coordinator));
-    coordinator.note_run(key(4, 1), OK, START_MS + 50);
+    coordinator.record_run(key(4, 1), OK, START_MS + 50);
     assert!(!is_closed(&coordinator));
 }
 
@@ -193,7 +193,7 @@
         ask(&mut coordinator, key(2, 1), AskMode::Probe, after),
         Verdict::Full
     );
-    coordinator.note_run(key(1, 2), OK, after + 10);
+    coordinator.record_run(key(1, 2), OK, after + 10);
     coordinator.end(key(1, 2), after + 10);
     assert!(!is_closed(&coordinator));
     assert_eq!(
@@ -216,7 +216,7 @@
         while ask(&mut coordinator, key, AskMode::Probe, now_ms) != Verdict::Granted {
             now_ms += 100;
         }
-        coordinator.note_run(key, *outcome, now_ms);
+        coordinator.record_run(key, *outcome, now_ms);
         coordinator.end(key, now_ms);
     }
     let next = key(2, 1);
@@ -243,13 +243,13 @@
         avoid: Vec::new(),
         except: Vec::new(),
     };
-    assert!(coordinator.want_slot(item(1), START_MS + 100).is_empty());
-    coordinator.want_slot(item(2), START_MS + 100);
+    assert!(coordinator.enqueue_item(item(1), START_MS + 100).is_empty());
+    coordinator.enqueue_item(item(2), START_MS + 100);
     let started = coordinator.tick(START_MS + 500);
     assert_eq!(started.len(), 1, "{started:?}");
     let verdict = ask(&mut coordinator, key(1, 1), AskMode::Probe, START_MS + 501);
     assert_eq!(verdict, Verdict::Full);
-    coordinator.note_item_run(RunNumber(1), OWN, OK, START_MS + 600);
+    coordinator.record_item_run(RunNumber(1), OWN, OK, START_MS + 600);
     let started = coordinator.item_ended(RunNumber(1), START_MS + 600);
     assert_eq!(started.len(), 1, "{started:?}");
     assert!(!is_closed(&coordinator));
@@ -265,15 +265,15 @@
         ask(&mut coordinator, key(2, 9), AskMode::Wait, START_MS),
         Verdict::Queued
     );
-    coordinator.note_run(key(1, 0), BAD, START_MS + 1);
+    coordinator.record_run(key(1, 0), BAD, START_MS + 1);
     run(&mut coordinator, &[(3, BAD)], START_MS + 1);
-    let actions = coordinator.note_run(key(1, 1), BAD, START_MS + 1);
+    let actions = coordinator.record_run(key(1, 1), BAD, START_MS + 1);
     let sent_away = SlotAction::Answer {
         key: key(2, 9),
         replica: "a".to_owned(),
         verdict: Verdict::Full,
     };
-    let believed = SlotAction::Believe {
+    let believed = SlotAction::ReportHealth {
         replica: "a".to_owned(),
         closed: true,
     };
--- a/crates/routing/tests/all/silence.rs
+++ b/crates/routing/tests/all/silence.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use linnethitch_protocol::ids::MachineId;
-use linnethitch_routing::dispatch::{SilentCoordinators, answer_limit};
+use linnethitch_routing::dispatch::{SilentCoordinators, answer_timeout};
 use rstest::rstest;
 
 const COORDINATOR: MachineId = MachineId(7);
@@ -12,7 +12,7 @@
 /// work, so many are not coordinated: their answer was not awaited.
 fn uncoordinated(round_trip_ms: u64, work_ms: u64) -> usize {
     let round_trip = Duration::from_millis(round_trip_ms);
-    let limit_ms = answer_limit(round_trip).as_millis() as u64;
+    let limit_ms = answer_timeout(round_trip).as_millis() as u64;
     let mut silent = SilentCoordinators::default();
     let asks = (0..100).map(|number| number * 10);
     let (mut ends, mut missed) = (Vec::new(), 0);
@@ -60,7 +60,7 @@
 #[case::in_the_zone(0, 12)]
 #[case::another_region(24, 22)]
 fn one_that_is_gone_holds_up_few(#[case] round_trip_ms: u64, #[case] most_waits: usize) {
-    let limit = answer_limit(Duration::from_millis(round_trip_ms));
+    let limit = answer_timeout(Duration::from_millis(round_trip_ms));
     let mut silent = SilentCoordinators::default();
     let (mut waits, mut ends) = (0, Vec::new());
     for at_ms in (0..1_000).step_by(10) {
--- a/crates/routing/tests/all/starts.rs
+++ b/crates/routing/tests/all/starts.rs
@@ -61,7 +61,7 @@
         ask(&mut coordinator, FIRST, holder, START_MS);
     }
     for holder in 1..=3 {
-        coordinator.note_run(key(holder), RunOutcome::Failed, START_MS);
+        coordinator.record_run(key(holder), RunOutcome::Failed, START_MS);
         coordinator.end(key(holder), START_MS);
     }
     assert!(coordinator.all_loads()[0].closed);
@@ -83,7 +83,7 @@
     }
     assert_eq!(coordinator.all_loads()[0].online, 4);
     // The end of a lease of the first start frees no slot of the second one.
-    coordinator.note_run(key(4), RunOutcome::Failed, later);
+    coordinator.record_run(key(4), RunOutcome::Failed, later);
     coordinator.end(key(4), later);
     assert_eq!(coordinator.all_loads()[0].online, 4);
 }
