--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -1,4 +1,4 @@
-//! The count of the tenants that one gateway coordinates.
+//! The counts of the tenants that one gateway coordinates.
 
 use std::collections::HashMap;
 
@@ -8,51 +8,52 @@
 use super::{
     QuotaSettings, QuotaView,
     bucket::{Bucket, BucketLimit},
-    demand::RecentCount,
-    shares::Shares,
+    recent_count::RecentCount,
+    shares::ShareHistory,
 };
 use crate::dispatch::coordinator_of;
 
-/// Part of the allowed overshoot that the bucket gives out beyond the limit, so that no
-/// request below the limit is refused for the sake of leases that nobody uses. The rest
-/// is for leases ahead, repeats, and gateways that are cut off and go by even parts.
-const GIVEN_OVERSHOOT: f64 = 0.15;
-/// Part of the overshoot up to which a window may be filled by requests that were
-/// admitted earlier and are sent late: after an outage they all go out at once.
+/// Fraction of the allowed overshoot that the bucket gives out over the limit, so that no request
+/// within the limit is refused because of leases that are not used. The rest of the overshoot
+/// covers leases ahead of demand, resends, and isolated gateways that use their even shares.
+const RATE_OVERSHOOT: f64 = 0.15;
+/// Fraction of the allowed overshoot up to which a window may be filled by requests that were
+/// admitted earlier and are sent late: after an outage they are all sent at once.
 const WINDOW_OVERSHOOT: f64 = 0.7;
-/// Part of what may be gone beyond a limit that the count of a gateway begins with that has
-/// just started. What was sent before is not known then, so that it would begin with
-/// nothing; after a restart of everything nearly all of the first second was refused.
-const FIRST_BEYOND: f64 = 0.1;
-/// Part of the overshoot that gateways which control no longer hears may use: they may be
-/// cut off and give out their even parts, which are not given out here.
+/// Fraction of the allowed overshoot that a gateway which has just started counts with initially.
+/// It does not know what was sent before; when it started with nothing, nearly all requests of the
+/// first second after a restart of the complete fleet were refused.
+const INITIAL_OVERSHOOT: f64 = 0.1;
+/// Fraction of the allowed overshoot that gateways without contact to control may use: they may be
+/// isolated and give out their even shares, which are not given out here.
 const SILENT_OVERSHOOT: f64 = 0.4;
-/// A gateway whose part fell below this was one of several that counted.
-const COUNTED_ALONE_SHARE: f64 = 0.5;
-/// Of the tokens that are left one gateway is leased this part, so that others find some.
-const LEASED_PART: u32 = 4;
+/// A gateway whose share fell below this was one of several that counted.
+const SOLE_COUNTER_SHARE: f64 = 0.5;
+/// One gateway is leased at most one part in this many of the remaining tokens, so that some remain
+/// for other gateways.
+const LEASE_DIVISOR: u32 = 4;
 
-/// What a gateway asks for.
+/// A gateway's request for a lease.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Wanted {
+pub(super) struct LeaseRequest {
     pub(super) want: u32,
-    /// Requests that were granted and did not come.
+    /// Requests that were granted and not used.
     pub(super) unused: u32,
-    pub(super) unleased: Unleased,
+    pub(super) unleased: UnleasedSends,
 }
 
-/// What was sent beside leases.
+/// Requests that were sent without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(super) struct Unleased {
+pub(super) struct UnleasedSends {
     pub(super) sent_again: u32,
     pub(super) sent_apart: u32,
     pub(super) sent_late: u32,
 }
 
-impl Unleased {
-    /// Both together.
-    pub(super) fn and(self, other: Unleased) -> Unleased {
-        Unleased {
+impl UnleasedSends {
+    /// The sum of both.
+    pub(super) fn plus(self, other: UnleasedSends) -> UnleasedSends {
+        UnleasedSends {
             sent_again: self.sent_again.saturating_add(other.sent_again),
             sent_apart: self.sent_apart.saturating_add(other.sent_apart),
             sent_late: self.sent_late.saturating_add(other.sent_late),
@@ -60,36 +61,37 @@
     }
 }
 
-/// What it gets.
+/// The answer to a lease request.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Granted {
+pub(super) struct LeaseGrant {
     pub(super) granted: u32,
-    /// Where nothing was granted, when the next may be, in milliseconds.
+    /// If nothing was granted, time until the next request may be granted, in milliseconds.
     pub(super) retry_after_ms: u64,
 }
 
 #[derive(Clone, Debug)]
-struct Count {
+struct TenantCount {
     bucket: Bucket,
-    /// Requests of the last window, by when they were granted or sent late.
+    /// Requests of the last window, by the time at which they were granted or sent late.
     sent: RecentCount,
 }
 
-/// The tenants that this gateway counts for all.
+/// The tenants that this gateway counts for the fleet.
 #[derive(Clone, Debug)]
 pub(super) struct QuotaCoordinator {
     settings: QuotaSettings,
-    counts: HashMap<String, Count>,
-    /// The list by which the counts were begun.
+    counts: HashMap<String, TenantCount>,
+    /// The list of gateways on which the counts are based.
     gateways: Vec<MachineId>,
-    /// Tenants may have been counted elsewhere until then.
-    gained_ms: u64,
-    /// Whether this gateway had just started then.
-    gained_by_start: bool,
-    /// Which parts were given out over the last window.
-    shares: Shares,
-    /// The least part that was given out since control was heard of; 1 while it is.
-    least_share: f64,
+    /// Tenants may have been counted by another gateway until this time.
+    takeover_ms: u64,
+    /// Whether `takeover_ms` is the start of this gateway.
+    takeover_by_start: bool,
+    /// Shares that were given out over the last window.
+    shares: ShareHistory,
+    /// The smallest share that was given out since contact with control was lost; 1 while there is
+    /// contact.
+    min_share: f64,
 }
 
 impl QuotaCoordinator {
@@ -98,48 +100,46 @@
             settings,
             counts: HashMap::new(),
             gateways: Vec::new(),
-            gained_ms: 0,
-            gained_by_start: true,
-            shares: Shares::default(),
-            least_share: 1.0,
+            takeover_ms: 0,
+            takeover_by_start: true,
+            shares: ShareHistory::default(),
+            min_share: 1.0,
         }
     }
 
-    /// Whether it counts any tenant.
     pub(super) fn is_counting(&self) -> bool {
         !self.counts.is_empty()
     }
 
-    /// The part of limits that the gateways of the list may use.
+    /// The share of the limits that the listed gateways may use.
     pub(super) fn listed_share(&self, view: &QuotaView<'_>) -> f64 {
         let listed = view.gateways.len().max(1) as f64;
-        let part = listed / (listed + view.silent_gateways.len() as f64);
-        (part + self.settings.overshoot * SILENT_OVERSHOOT).min(1.0)
+        let share = listed / (listed + view.silent_gateways.len() as f64);
+        (share + self.settings.overshoot * SILENT_OVERSHOOT).min(1.0)
     }
 
-    /// Takes the list of gateways that is known now.
-    /// `share` is the part of limits that is given out here.
-    pub(super) fn follow(&mut self, view: &QuotaView<'_>, share: f64) {
+    /// Updates the list of gateways. `share` is the share of the limits that is given out here.
+    pub(super) fn update(&mut self, view: &QuotaView<'_>, share: f64) {
         self.shares
-            .note(share, self.settings.window_ms, view.now_ms);
-        self.least_share = self.least_share.min(share);
-        if share >= 1.0 && self.least_share < COUNTED_ALONE_SHARE {
-            // Others have counted meanwhile.
+            .record(share, self.settings.window_ms, view.now_ms);
+        self.min_share = self.min_share.min(share);
+        if share >= 1.0 && self.min_share < SOLE_COUNTER_SHARE {
+            // Other gateways have counted in the meantime.
             self.counts.clear();
-            self.gained_ms = view.now_ms;
-            self.gained_by_start = false;
+            self.takeover_ms = view.now_ms;
+            self.takeover_by_start = false;
         }
         if share >= 1.0 {
-            self.least_share = 1.0;
+            self.min_share = 1.0;
         }
         if self.gateways == view.gateways {
             return;
         }
-        // Tenants come to this gateway only from one that left.
-        let has_lost = |machine: &MachineId| !view.gateways.contains(machine);
-        if self.gateways.is_empty() || self.gateways.iter().any(has_lost) {
-            self.gained_ms = view.now_ms;
-            self.gained_by_start = self.gateways.is_empty();
+        // This gateway takes over tenants only from a gateway that left the list.
+        let has_left = |machine: &MachineId| !view.gateways.contains(machine);
+        if self.gateways.is_empty() || self.gateways.iter().any(has_left) {
+            self.takeover_ms = view.now_ms;
+            self.takeover_by_start = self.gateways.is_empty();
         }
         self.gateways = view.gateways.to_vec();
         let is_own = |tenant: &String| coordinator_of(tenant, view.gateways) == Some(view.own);
@@ -151,85 +151,87 @@
         &mut self,
         tenant: &str,
         quota: QuotaLimit,
-        wanted: Wanted,
+        request: LeaseRequest,
         share: f64,
         now_ms: u64,
-    ) -> Granted {
+    ) -> LeaseGrant {
         let limit = self.bucket_limit(quota, share);
-        let most = self.most_in_window(quota, share, now_ms);
-        let since_gained_ms = now_ms.saturating_sub(self.gained_ms);
+        let max_requests = self.max_in_window(quota, share, now_ms);
+        let since_takeover_ms = now_ms.saturating_sub(self.takeover_ms);
         let window_ms = self.settings.window_ms;
-        let first = if self.gained_by_start {
-            self.settings.beyond(quota) * FIRST_BEYOND * share
+        let initial = if self.takeover_by_start {
+            self.settings.max_overshoot(quota) * INITIAL_OVERSHOOT * share
         } else {
             0.0
         };
         let count = self.counts.entry(tenant.to_owned()).or_insert_with(|| {
-            let mut bucket = Bucket::new(first, now_ms.saturating_sub(since_gained_ms));
+            let mut bucket = Bucket::new(initial, now_ms.saturating_sub(since_takeover_ms));
             bucket.refill(limit, now_ms);
-            Count {
+            TenantCount {
                 bucket,
                 sent: RecentCount::default(),
             }
         });
         count.bucket.refill(limit, now_ms);
-        count.sent.keep(window_ms, now_ms);
-        count.bucket.put_back(wanted.unused, limit);
-        let unleased = wanted.unleased;
+        count.sent.prune(window_ms, now_ms);
+        count.bucket.put_back(request.unused, limit);
+        let unleased = request.unleased;
         count.bucket.take(unleased.sent_again);
-        // What was sent apart took none of this bucket's rate: it was not counting then.
+        // Requests sent in isolation took nothing from this bucket's rate, since this bucket was
+        // not counting at that time.
         let sent = unleased.sent_again + unleased.sent_apart;
         count.sent.add(sent, now_ms);
-        count.sent.renew_oldest(unleased.sent_late, now_ms);
-        let in_window = most.saturating_sub(count.sent.sum(window_ms, now_ms));
-        let left = count.bucket.tokens();
-        let part = left.div_ceil(LEASED_PART);
-        let granted = wanted
+        count.sent.move_oldest_to_now(unleased.sent_late, now_ms);
+        let in_window = max_requests.saturating_sub(count.sent.sum(window_ms, now_ms));
+        let remaining = count.bucket.tokens();
+        let max_lease = remaining.div_ceil(LEASE_DIVISOR);
+        let granted = request
             .want
-            .min(part)
+            .min(max_lease)
             .min(in_window.min(u64::from(u32::MAX)) as u32);
         count.bucket.take(granted);
         count.sent.add(granted, now_ms);
-        Granted {
+        LeaseGrant {
             granted,
-            retry_after_ms: count.bucket.next_in_ms(limit),
+            retry_after_ms: count.bucket.next_token_in_ms(limit),
         }
     }
 
     fn bucket_limit(&self, quota: QuotaLimit, share: f64) -> BucketLimit {
         let settings = &self.settings;
-        let burst = quota.burst() + settings.slack * GIVEN_OVERSHOOT;
+        let burst = quota.burst() + settings.slack * RATE_OVERSHOOT;
         BucketLimit {
-            rate: quota.rate() * (1.0 + settings.overshoot * GIVEN_OVERSHOOT) * share,
+            rate: quota.rate() * (1.0 + settings.overshoot * RATE_OVERSHOOT) * share,
             capacity: (burst * share).max(1.0),
         }
     }
 
-    /// What was sent by a larger part doesn't count against a smaller one: with one of six
-    /// gateways cut off a flood was refused for a second, 89 to 100 requests of 3,700.
-    fn most_in_window(&self, quota: QuotaLimit, share: f64, now_ms: u64) -> u64 {
+    /// Requests sent under a larger share do not count against a smaller one: otherwise, with one
+    /// of six gateways isolated, a flood was refused for a second, 89 to 100 requests of 3,700.
+    fn max_in_window(&self, quota: QuotaLimit, share: f64, now_ms: u64) -> u64 {
         let settings = &self.settings;
         let share = self.shares.mean(settings.window_ms, now_ms).max(share);
-        let most = settings.allowed(quota) + settings.beyond(quota) * WINDOW_OVERSHOOT;
-        (most * share) as u64
+        let max_requests =
+            settings.allowed(quota) + settings.max_overshoot(quota) * WINDOW_OVERSHOOT;
+        (max_requests * share) as u64
     }
 
-    /// Forgets tenants that asked for nothing in a window: their bucket is full again, or
-    /// is as full as it would be if it were begun anew.
+    /// Removes tenants without requests in the last window: their bucket is full again, or as full
+    /// as a new one would be.
     pub(super) fn run_maintenance(&mut self, view: &QuotaView<'_>) {
         let window_ms = self.settings.window_ms;
         for count in self.counts.values_mut() {
-            count.sent.keep(window_ms, view.now_ms);
+            count.sent.prune(window_ms, view.now_ms);
         }
         let tenants = view.tenants;
-        let gained_ms = self.gained_ms;
+        let takeover_ms = self.takeover_ms;
         self.counts.retain(|tenant, count| {
             let Some(quota) = tenants.get(tenant).and_then(|tenant| tenant.quota) else {
                 return false;
             };
             let fills_in_ms = quota.burst() / quota.rate() * 1_000.0;
-            let filled_ms = view.now_ms.saturating_sub(gained_ms) as f64;
-            !count.sent.is_empty() || filled_ms < fills_in_ms
+            let filling_ms = view.now_ms.saturating_sub(takeover_ms) as f64;
+            !count.sent.is_empty() || filling_ms < fills_in_ms
         });
     }
 }
--- a/crates/routing/src/quota/even_shares.rs
+++ b/crates/routing/src/quota/even_shares.rs
@@ -1,8 +1,8 @@
-//! Each gateway has its part of the limit.
+//! Each gateway has an equal share of the limit.
 //!
-//! Needs no message and holds whatever is cut off from what. A tenant whose callers do not
-//! spread evenly over all gateways is refused below its limit, and one of a request a
-//! second before 410 gateways nearly always is.
+//! This needs no messages and holds under any partition. A tenant whose callers do not spread
+//! evenly over all gateways is refused below its limit, and a tenant with one request per second at
+//! 410 gateways nearly always is.
 
 use std::collections::HashMap;
 
@@ -16,13 +16,13 @@
 };
 use crate::dispatch::spread;
 
-/// Limits held by even parts.
+/// Limits enforced by even shares.
 #[derive(Clone, Debug)]
 pub struct EvenShares {
-    /// Whether a part begins with its part of the burst.
+    /// Whether a share starts with its part of the burst.
     with_burst: bool,
-    /// What is left of each tenant's part.
-    parts: HashMap<String, Bucket>,
+    /// What remains of each tenant's share.
+    shares: HashMap<String, Bucket>,
 }
 
 impl Default for EvenShares {
@@ -32,16 +32,16 @@
 }
 
 impl EvenShares {
-    /// No tenant has used anything.
+    /// Creates a quota of which no tenant has used anything.
     #[must_use]
     pub fn new() -> Self {
         EvenShares {
             with_burst: true,
-            parts: HashMap::new(),
+            shares: HashMap::new(),
         }
     }
 
-    /// Parts that begin empty: they go on where another count ended.
+    /// Creates shares that start empty, to continue where another count ended.
     pub(super) fn without_burst() -> Self {
         EvenShares {
             with_burst: false,
@@ -49,42 +49,42 @@
         }
     }
 
-    /// Takes a request from the tenant's part.
+    /// Takes one request from the tenant's share.
     pub(super) fn take(
         &mut self,
         tenant: &str,
         limit: BucketLimit,
         view: &QuotaView<'_>,
     ) -> QuotaVerdict {
-        let part = self.part(tenant, limit, view);
-        part.refill(limit, view.now_ms);
-        if part.tokens() == 0 {
-            let retry_after_ms = part.next_in_ms(limit);
+        let share = self.share(tenant, limit, view);
+        share.refill(limit, view.now_ms);
+        if share.tokens() == 0 {
+            let retry_after_ms = share.next_token_in_ms(limit);
             return QuotaVerdict::Refused { retry_after_ms };
         }
-        part.take(1);
+        share.take(1);
         QuotaVerdict::Admitted
     }
 
-    /// Forgets the parts: another count goes on.
-    pub(super) fn forget(&mut self, tenant: &str) {
-        self.parts.remove(tenant);
+    /// Removes the tenant's share when another count takes over.
+    pub(super) fn remove(&mut self, tenant: &str) {
+        self.shares.remove(tenant);
     }
 
-    fn part(&mut self, tenant: &str, limit: BucketLimit, view: &QuotaView<'_>) -> &mut Bucket {
+    fn share(&mut self, tenant: &str, limit: BucketLimit, view: &QuotaView<'_>) -> &mut Bucket {
         let with_burst = self.with_burst;
-        self.parts.entry(tenant.to_owned()).or_insert_with(|| {
-            // Begun at a part of a request drawn for each gateway, all parts together give
-            // no more than the rate, however small each is.
-            let drawn = spread(u64::from(view.own.0), tenant) as f64 / u64::MAX as f64;
+        self.shares.entry(tenant.to_owned()).or_insert_with(|| {
+            // Each gateway starts at a fraction of a request that is drawn by hash, so that all
+            // shares together give no more than the rate, however small each one is.
+            let offset = spread(u64::from(view.own.0), tenant) as f64 / u64::MAX as f64;
             let burst = if with_burst { limit.capacity } else { 0.0 };
-            Bucket::new(burst + drawn, view.now_ms)
+            Bucket::new(burst + offset, view.now_ms)
         })
     }
 }
 
-/// The even part of each of so many gateways.
-pub(super) fn part_among(quota: QuotaLimit, gateways: usize) -> BucketLimit {
+/// The share of each of `gateways` gateways.
+pub(super) fn even_share(quota: QuotaLimit, gateways: usize) -> BucketLimit {
     let gateways = gateways.max(1) as f64;
     BucketLimit {
         rate: quota.rate() / gateways,
@@ -101,7 +101,7 @@
     ) -> Vec<QuotaAction> {
         let verdict = match tenant.quota {
             None => QuotaVerdict::Admitted,
-            Some(quota) => self.take(&tenant.name, part_among(quota, view.gateways.len()), view),
+            Some(quota) => self.take(&tenant.name, even_share(quota, view.gateways.len()), view),
         };
         vec![decide(ticket, verdict)]
     }
@@ -114,8 +114,8 @@
         let Some(quota) = tenant.quota else {
             return;
         };
-        let limit = part_among(quota, view.gateways.len());
-        self.part(&tenant.name, limit, view).take(1);
+        let limit = even_share(quota, view.gateways.len());
+        self.share(&tenant.name, limit, view).take(1);
     }
 
     fn record_late_send(&mut self, tenant: &Tenant, view: &QuotaView<'_>) {
@@ -144,7 +144,7 @@
     }
 
     fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
-        self.parts
+        self.shares
             .retain(|tenant, _| view.tenants.get(tenant).is_some());
         Vec::new()
     }
--- a/crates/routing/src/quota/lease.rs
+++ b/crates/routing/src/quota/lease.rs
@@ -1,63 +1,63 @@
-//! What one gateway holds of one tenant: leave in hand, requests that wait for leave, and
-//! what the coordinator has not been told yet.
+//! State of one tenant at one gateway: requests that may be sent, requests that wait for a grant,
+//! and what the coordinator does not know yet.
 
 use linnethitch_tenants::QuotaLimit;
 
 use super::{
     QuotaAction, QuotaVerdict, QuotaView, Ticket,
-    coordinator::{Unleased, Wanted},
+    coordinator::{LeaseRequest, UnleasedSends},
     decide,
-    demand::RecentCount,
+    recent_count::RecentCount,
 };
 
-/// A gateway asks for as much as came in this time, in milliseconds.
-const AHEAD_MS: u64 = 250;
-/// Most requests that are asked for at once.
-const MOST_WANTED: u64 = 256;
-/// Longest wait that a refused caller is told, in milliseconds.
-pub(super) const LONGEST_REFUSAL_MS: u64 = 5_000;
-/// Refusals of this time stand in line before the next one, in milliseconds.
-const LINE_MS: u64 = 1_000;
+/// A gateway requests as much as arrived in this time, in milliseconds.
+const PREFETCH_MS: u64 = 250;
+/// Maximum number of requests in one lease request.
+const MAX_REQUESTED: u64 = 256;
+/// Maximum time after which a refused caller is asked to retry, in milliseconds.
+pub(super) const MAX_RETRY_AFTER_MS: u64 = 5_000;
+/// Refusals of this time count as a backlog before the next one, in milliseconds.
+const BACKLOG_MS: u64 = 1_000;
 
 /// A tenant at this gateway.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Lease {
-    /// Requests that may go without asking.
+    /// Requests that may be sent without asking the coordinator.
     pub(super) tokens: u32,
-    /// Until when they may, in milliseconds.
-    pub(super) until_ms: u64,
-    /// Requests that wait for the coordinator, in the order in which they came; empty
-    /// where it was not asked.
+    /// When these expire, in milliseconds.
+    pub(super) expires_ms: u64,
+    /// Requests that wait for the coordinator, in order of arrival; empty if the coordinator was
+    /// not asked.
     pub(super) waiting: Vec<Ticket>,
-    /// Nothing is granted before this.
+    /// Nothing is granted before this time.
     pub(super) refused_until_ms: u64,
-    /// Requests that came, were admitted and were refused lately.
+    /// Requests that recently arrived, were admitted and were refused.
     pub(super) arrived: RecentCount,
     pub(super) admitted: RecentCount,
     pub(super) refused: RecentCount,
-    /// Requests of the last window that went without leave and that the coordinator has not
-    /// confirmed to know.
-    pub(super) apart: RecentCount,
-    /// Not told to the coordinator yet.
-    pub(super) untold: Unleased,
-    /// Granted, and not used in time; told once.
+    /// Requests of the last window that were sent without a lease and that the coordinator has not
+    /// confirmed.
+    pub(super) sent_without_lease: RecentCount,
+    /// Not reported to the coordinator yet.
+    pub(super) unreported: UnleasedSends,
+    /// Granted and not used before expiry; reported once.
     pub(super) unused: u32,
-    /// Told to it, but not answered.
-    pub(super) told: Unleased,
-    /// Whether it was asked a second time.
-    pub(super) asked_again: bool,
+    /// Reported to the coordinator, but not confirmed.
+    pub(super) unconfirmed: UnleasedSends,
+    /// Whether the coordinator was asked a second time.
+    pub(super) retried: bool,
 }
 
 impl Lease {
-    /// What was not used in time goes back with the next ask.
+    /// Unused requests of an expired lease are returned with the next lease request.
     pub(super) fn drop_expired(&mut self, now_ms: u64) {
-        if now_ms >= self.until_ms {
+        if now_ms >= self.expires_ms {
             self.unused += std::mem::take(&mut self.tokens);
         }
     }
 
-    /// Admits those that wait, as far as is leased.
-    pub(super) fn serve(&mut self, now_ms: u64, actions: &mut Vec<QuotaAction>) {
+    /// Admits waiting requests as far as the lease allows.
+    pub(super) fn admit_waiting(&mut self, now_ms: u64, actions: &mut Vec<QuotaAction>) {
         self.drop_expired(now_ms);
         let served = self.waiting.len().min(self.tokens as usize);
         self.tokens -= served as u32;
@@ -66,22 +66,22 @@
         actions.extend(served.map(|ticket| decide(ticket, QuotaVerdict::Admitted)));
     }
 
-    /// What is asked for: leave for those that wait and for those that will come next.
-    pub(super) fn wanted(&mut self, window_ms: u64, now_ms: u64) -> Wanted {
-        let ahead = self.arrived.sum(AHEAD_MS, now_ms);
+    /// Builds a request for a lease that covers the waiting requests and those expected next.
+    pub(super) fn build_request(&mut self, window_ms: u64, now_ms: u64) -> LeaseRequest {
+        let ahead = self.arrived.sum(PREFETCH_MS, now_ms);
         let waiting = self.waiting.len() as u64;
-        self.told = self.told.and(std::mem::take(&mut self.untold));
-        self.told.sent_apart = self.apart.sum(window_ms, now_ms) as u32;
-        Wanted {
-            want: ahead.max(waiting).clamp(1, MOST_WANTED) as u32,
+        self.unconfirmed = self.unconfirmed.plus(std::mem::take(&mut self.unreported));
+        self.unconfirmed.sent_apart = self.sent_without_lease.sum(window_ms, now_ms) as u32;
+        LeaseRequest {
+            want: ahead.max(waiting).clamp(1, MAX_REQUESTED) as u32,
             unused: std::mem::take(&mut self.unused),
-            unleased: self.told,
+            unleased: self.unconfirmed,
         }
     }
 
-    /// Refuses all that wait. Each is told to come back when this gateway's part of the
-    /// rate will have made up for those that were refused just before it.
-    pub(super) fn refuse(
+    /// Refuses all waiting requests. Each caller is asked to retry when this gateway's share of the
+    /// rate has covered the requests that were refused just before.
+    pub(super) fn refuse_waiting(
         &mut self,
         quota: QuotaLimit,
         view: &QuotaView<'_>,
@@ -91,33 +91,34 @@
         let pause_ms = self.refused_until_ms.saturating_sub(view.now_ms);
         for ticket in std::mem::take(&mut self.waiting) {
             self.refused.add(1, view.now_ms);
-            let line = self.refused.sum(LINE_MS, view.now_ms) as f64;
-            let line_ms = (line / own_rate * 1_000.0) as u64;
-            let retry_after_ms = pause_ms.max(line_ms).min(LONGEST_REFUSAL_MS);
+            let backlog = self.refused.sum(BACKLOG_MS, view.now_ms) as f64;
+            let backlog_ms = (backlog / own_rate * 1_000.0) as u64;
+            let retry_after_ms = pause_ms.max(backlog_ms).min(MAX_RETRY_AFTER_MS);
             actions.push(decide(ticket, QuotaVerdict::Refused { retry_after_ms }));
         }
     }
 
-    /// The coordinator knows what it was told.
+    /// The coordinator has confirmed what was reported.
     pub(super) fn confirm(&mut self) {
-        let told = std::mem::take(&mut self.told);
-        self.apart.drop_oldest(told.sent_apart);
-        self.asked_again = false;
+        let unconfirmed = std::mem::take(&mut self.unconfirmed);
+        self.sent_without_lease.drop_oldest(unconfirmed.sent_apart);
+        self.retried = false;
     }
 
-    /// The coordinator may not know what it was told: it is told again. What went without
-    /// leave is not kept for longer than a window: after a cut of eight seconds all of it was
-    /// counted as of one moment, and a flood refused for as long again.
-    pub(super) fn tell_again(&mut self) {
-        self.told.sent_apart = 0;
-        self.untold = self.untold.and(std::mem::take(&mut self.told));
+    /// The coordinator may not have received what was reported, so it is reported again. Requests
+    /// sent without a lease are not stored for longer than a window: after a partition of eight
+    /// seconds all of them were counted as of one moment, and a flood was refused for as long
+    /// again.
+    pub(super) fn report_again(&mut self) {
+        self.unconfirmed.sent_apart = 0;
+        self.unreported = self.unreported.plus(std::mem::take(&mut self.unconfirmed));
     }
 
-    /// Whether nothing of it would be missed.
+    /// Whether this entry can be removed without losing information.
     pub(super) fn is_idle(&self) -> bool {
         self.waiting.is_empty()
-            && self.untold == Unleased::default()
-            && self.apart.is_empty()
+            && self.unreported == UnleasedSends::default()
+            && self.sent_without_lease.is_empty()
             && self.arrived.is_empty()
             && self.admitted.is_empty()
     }
--- a/crates/routing/src/quota/leased.rs
+++ b/crates/routing/src/quota/leased.rs
@@ -8,65 +8,67 @@
 use super::{
     FleetQuota, QuotaAction, QuotaSettings, QuotaVerdict, QuotaView, Ticket,
     bucket::BucketLimit,
-    coordinator::{Granted, QuotaCoordinator, Unleased, Wanted},
+    coordinator::{LeaseGrant, LeaseRequest, QuotaCoordinator, UnleasedSends},
     decide,
-    departed::Departed,
-    even_shares::{EvenShares, part_among},
-    lease::{LONGEST_REFUSAL_MS, Lease},
-    witnesses::{Hearing, Silences, Witnessed},
+    departed::DepartedGateways,
+    even_shares::{EvenShares, even_share},
+    lease::{Lease, MAX_RETRY_AFTER_MS},
+    witnesses::{CoordinatorContacts, CoordinatorSilences, WitnessConfirmations},
 };
 use crate::dispatch::coordinator_of;
 
-/// A lease may be used for so long, in milliseconds. A longer one saves messages and
-/// widens the time between the count and the send.
+/// Validity of a lease, in milliseconds. A longer one saves messages and increases the time between
+/// the count and the send.
 const LEASE_MS: u64 = 1_000;
-/// A refusal holds at this gateway for so long at least, in milliseconds, so that a flood
-/// beyond the limit costs the coordinator 20 questions a second of each gateway at most.
-const SHORTEST_REFUSAL_MS: u64 = 50;
-/// Control counts as away after this, in milliseconds: its five members each say every
-/// half second that they are there. It is less than the 1.2 s after which control takes a
-/// silent gateway off the list and others count that gateway's tenants.
-const AWAY_AFTER_MS: u64 = 1_000;
-/// From then on a gateway tells the others that it does not hear control, in milliseconds.
-const TELL_AWAY_AFTER_MS: u64 = 500;
-/// How often it does so, in milliseconds. At 410 gateways that is 2,000 datagrams a second
-/// of each, 100 KB, for as long as control is away.
-const TELL_AWAY_EVERY_MS: u64 = 200;
-/// A gateway that said so within this time is without control too, in milliseconds.
-const WITHOUT_CONTROL_MS: u64 = 600;
-/// Part of the gateways that are taken to be left alone at a time.
-const LEFT_ALONE_PART: f64 = 0.1;
-/// Part of what may be gone beyond a limit that they give out together.
-const LEFT_ALONE_BEYOND: f64 = 0.4;
-/// So many times as much does one give out that has just been left alone: all may be, but
-/// no longer than 0.4 s before witnesses tell, a third of the time until control does.
-const SUDDEN_TIMES: f64 = 3.0;
-/// Callers who are refused since the coordinator is silent come back after this, in
-/// milliseconds: control names another one within 1.2 s.
-const SUCCESSOR_MS: u64 = 1_300;
+/// Minimum time for which a refusal holds at this gateway, in milliseconds, so that a flood over
+/// the limit costs the coordinator at most 20 requests per second from each gateway.
+const MIN_REFUSAL_MS: u64 = 50;
+/// Control counts as unreachable after this time, in milliseconds: each of its five members sends a
+/// heartbeat every half second. The time is shorter than the 1.2 s after which control removes a
+/// silent gateway from the list and others count that gateway's tenants.
+const CONTROL_LOST_AFTER_MS: u64 = 1_000;
+/// From this time without contact to control a gateway reports that to the other gateways, in
+/// milliseconds.
+const REPORT_LOSS_AFTER_MS: u64 = 500;
+/// Interval of these reports, in milliseconds. At 410 gateways each one sends 2,000 datagrams per
+/// second, 100 KB, for as long as control is unreachable.
+const REPORT_LOSS_EVERY_MS: u64 = 200;
+/// A gateway that reported a loss of control within this time counts as without control, in
+/// milliseconds.
+const LOSS_REPORT_VALID_MS: u64 = 600;
+/// Fraction of the gateways that are assumed to be isolated at the same time.
+const ISOLATED_FRACTION: f64 = 0.1;
+/// Fraction of the allowed overshoot that isolated gateways give out together.
+const ISOLATED_OVERSHOOT: f64 = 0.4;
+/// Factor by which a gateway gives out more just after it became isolated: all gateways may be, but
+/// for no longer than 0.4 s until the witnesses report it, a third of the time until control does.
+const EARLY_ISOLATION_FACTOR: f64 = 3.0;
+/// Callers that are refused because the coordinator is silent retry after this time, in
+/// milliseconds: control names another coordinator within 1.2 s.
+const FAILOVER_RETRY_MS: u64 = 1_300;
 
-/// Limits held by a coordinator for each tenant.
+/// Limits enforced by one coordinator for each tenant.
 pub struct LeasedQuota {
     settings: QuotaSettings,
     leases: HashMap<String, Lease>,
     coordinator: QuotaCoordinator,
-    /// What this gateway gives by itself where a coordinator is silent.
+    /// What this gateway gives out itself while a coordinator is silent.
     fallback: EvenShares,
     /// Coordinators that did not answer.
-    silences: Silences,
-    /// Coordinators that this gateway is a witness of.
-    hearing: Hearing,
-    /// Whether it is heard as a coordinator itself.
-    witnessed: Witnessed,
-    /// Gateways that do not hear control either, and when each said so.
+    silences: CoordinatorSilences,
+    /// Coordinators for which this gateway is a witness.
+    contacts: CoordinatorContacts,
+    /// Whether witnesses confirm contact with this gateway as a coordinator.
+    confirmations: WitnessConfirmations,
+    /// Gateways that reported a loss of control, and when.
     without_control: BTreeMap<MachineId, u64>,
-    told_away_ms: u64,
-    /// Those that may count besides where control is not heard.
-    departed: Departed,
+    loss_reported_ms: u64,
+    /// Departed gateways that may also count while control is unreachable.
+    departed: DepartedGateways,
 }
 
 impl LeasedQuota {
-    /// No tenant has used anything.
+    /// Creates a quota of which no tenant has used anything.
     #[must_use]
     pub fn new(settings: QuotaSettings) -> Self {
         LeasedQuota {
@@ -74,44 +76,45 @@
             leases: HashMap::new(),
             coordinator: QuotaCoordinator::new(settings),
             fallback: EvenShares::without_burst(),
-            silences: Silences::default(),
-            hearing: Hearing::default(),
-            witnessed: Witnessed::default(),
+            silences: CoordinatorSilences::default(),
+            contacts: CoordinatorContacts::default(),
+            confirmations: WitnessConfirmations::default(),
             without_control: BTreeMap::new(),
-            told_away_ms: 0,
-            departed: Departed::default(),
+            loss_reported_ms: 0,
+            departed: DepartedGateways::default(),
         }
     }
 
-    /// The part of limits that this gateway may give out as a coordinator: all of it while
-    /// control tells everybody the same list and others hear this gateway, its even part
-    /// where they do not, and without control the even parts of those that do not hear
-    /// control either. The others may have a newer list, and another coordinator.
+    /// The share of the limits that this gateway may give out as a coordinator: the complete limit
+    /// while control sends everyone the same list and witnesses confirm contact with this gateway;
+    /// its even share without that confirmation; without control, the even shares of the gateways
+    /// that have no contact to control either. Other gateways may have a newer list and another
+    /// coordinator.
     fn share(&mut self, view: &QuotaView<'_>) -> f64 {
-        self.witnessed.follow(view);
-        if view.control_silent_ms < AWAY_AFTER_MS || view.gateways.is_empty() {
+        self.confirmations.update(view);
+        if view.control_silent_ms < CONTROL_LOST_AFTER_MS || view.gateways.is_empty() {
             let listed = self.coordinator.listed_share(view);
-            if self.witnessed.is_heard(view.now_ms) {
+            if self.confirmations.is_confirmed(view.now_ms) {
                 return listed;
             }
-            return listed.min(1.0 / told(view) as f64);
+            return listed.min(1.0 / known_gateways(view) as f64);
         }
-        let is_without = |machine: &&MachineId| {
-            let said_ms = self.without_control.get(*machine);
+        let lacks_control = |machine: &&MachineId| {
+            let reported_ms = self.without_control.get(*machine);
             **machine == view.own
-                || said_ms.is_some_and(|said| view.now_ms < said + WITHOUT_CONTROL_MS)
+                || reported_ms.is_some_and(|reported| view.now_ms < reported + LOSS_REPORT_VALID_MS)
         };
-        let without = view.gateways.iter().filter(is_without).count();
-        without as f64 / self.departed.counting(view) as f64
+        let without_control_count = view.gateways.iter().filter(lacks_control).count();
+        without_control_count as f64 / self.departed.max_counting(view) as f64
     }
 
-    /// Tells the others that this gateway does not hear control.
-    fn tell_away(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
-        let is_due = view.now_ms >= self.told_away_ms + TELL_AWAY_EVERY_MS;
-        if view.control_silent_ms < TELL_AWAY_AFTER_MS || !is_due {
+    /// Reports to the other gateways that this gateway has no contact to control.
+    fn report_control_loss(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
+        let is_due = view.now_ms >= self.loss_reported_ms + REPORT_LOSS_EVERY_MS;
+        if view.control_silent_ms < REPORT_LOSS_AFTER_MS || !is_due {
             return Vec::new();
         }
-        self.told_away_ms = view.now_ms;
+        self.loss_reported_ms = view.now_ms;
         let others = view.gateways.iter().filter(|machine| **machine != view.own);
         others
             .map(|to| QuotaAction::Send {
@@ -121,34 +124,39 @@
             .collect()
     }
 
-    /// Decides on those that wait by what is leased; the rest asks.
-    fn serve(&mut self, tenant: &str, quota: QuotaLimit, view: &QuotaView<'_>) -> Vec<QuotaAction> {
+    /// Decides on waiting requests from the lease and asks the coordinator for the remaining ones.
+    fn decide_waiting(
+        &mut self,
+        tenant: &str,
+        quota: QuotaLimit,
+        view: &QuotaView<'_>,
+    ) -> Vec<QuotaAction> {
         let mut actions = Vec::new();
         let coordinator = coordinator_of(tenant, view.gateways);
         let is_silent = coordinator.is_some_and(|c| self.silences.is_silent(c, view.now_ms));
         let lease = self.leases.entry(tenant.to_owned()).or_default();
-        lease.serve(view.now_ms, &mut actions);
+        lease.admit_waiting(view.now_ms, &mut actions);
         if lease.waiting.is_empty() {
             return actions;
         }
         if view.now_ms < lease.refused_until_ms {
-            lease.refuse(quota, view, &mut actions);
+            lease.refuse_waiting(quota, view, &mut actions);
             return actions;
         }
         match coordinator {
             Some(coordinator) if coordinator == view.own => {
-                let wanted = lease.wanted(self.settings.window_ms, view.now_ms);
-                let granted = self.grant(tenant, quota, wanted, view);
-                actions.extend(self.take_grant(tenant, quota, granted, view));
+                let request = lease.build_request(self.settings.window_ms, view.now_ms);
+                let granted = self.grant(tenant, quota, request, view);
+                actions.extend(self.apply_grant(tenant, quota, granted, view));
             }
             Some(coordinator) if !is_silent => {
                 actions.push(ask(
                     tenant,
-                    lease.wanted(self.settings.window_ms, view.now_ms),
+                    lease.build_request(self.settings.window_ms, view.now_ms),
                     coordinator,
                 ));
             }
-            _ => self.fall_back(tenant, quota, view, &mut actions),
+            _ => self.decide_locally(tenant, quota, view, &mut actions),
         }
         actions
     }
@@ -157,69 +165,69 @@
         &mut self,
         tenant: &str,
         quota: QuotaLimit,
-        wanted: Wanted,
+        request: LeaseRequest,
         view: &QuotaView<'_>,
-    ) -> Granted {
+    ) -> LeaseGrant {
         let share = self.share(view);
-        self.coordinator.follow(view, share);
+        self.coordinator.update(view, share);
         self.coordinator
-            .grant(tenant, quota, wanted, share, view.now_ms)
+            .grant(tenant, quota, request, share, view.now_ms)
     }
 
-    fn take_grant(
+    fn apply_grant(
         &mut self,
         tenant: &str,
         quota: QuotaLimit,
-        granted: Granted,
+        granted: LeaseGrant,
         view: &QuotaView<'_>,
     ) -> Vec<QuotaAction> {
-        self.fallback.forget(tenant);
+        self.fallback.remove(tenant);
         let lease = self.leases.entry(tenant.to_owned()).or_default();
         lease.confirm();
         let mut actions = Vec::new();
         if granted.granted == 0 {
             let pause_ms = granted
                 .retry_after_ms
-                .clamp(SHORTEST_REFUSAL_MS, LONGEST_REFUSAL_MS);
+                .clamp(MIN_REFUSAL_MS, MAX_RETRY_AFTER_MS);
             lease.refused_until_ms = view.now_ms + pause_ms;
-            lease.refuse(quota, view, &mut actions);
+            lease.refuse_waiting(quota, view, &mut actions);
             return actions;
         }
         lease.drop_expired(view.now_ms);
         lease.tokens += granted.granted;
-        lease.until_ms = view.now_ms + LEASE_MS;
-        lease.serve(view.now_ms, &mut actions);
+        lease.expires_ms = view.now_ms + LEASE_MS;
+        lease.admit_waiting(view.now_ms, &mut actions);
         if !lease.waiting.is_empty() {
-            // More came meanwhile than was asked for.
-            actions.extend(self.serve(tenant, quota, view));
+            // More requests arrived in the meantime than were asked for.
+            actions.extend(self.decide_waiting(tenant, quota, view));
         }
         actions
     }
 
-    /// Decides on all that wait by this gateway's part of the limit.
-    fn fall_back(
+    /// Decides on all waiting requests from this gateway's share of the limit.
+    fn decide_locally(
         &mut self,
         tenant: &str,
         quota: QuotaLimit,
         view: &QuotaView<'_>,
         actions: &mut Vec<QuotaAction>,
     ) {
-        let part = self.apart(tenant, quota, view);
+        let limit = self.isolated_limit(tenant, quota, view);
         let Some(lease) = self.leases.get_mut(tenant) else {
             return;
         };
-        lease.tell_again();
+        lease.report_again();
         for ticket in std::mem::take(&mut lease.waiting) {
-            let verdict = match self.fallback.take(tenant, part, view) {
+            let verdict = match self.fallback.take(tenant, limit, view) {
                 QuotaVerdict::Admitted => {
                     lease.admitted.add(1, view.now_ms);
-                    lease.apart.add(1, view.now_ms);
+                    lease.sent_without_lease.add(1, view.now_ms);
                     QuotaVerdict::Admitted
                 }
                 QuotaVerdict::Refused { .. } => {
                     lease.refused.add(1, view.now_ms);
                     QuotaVerdict::Refused {
-                        retry_after_ms: SUCCESSOR_MS,
+                        retry_after_ms: FAILOVER_RETRY_MS,
                     }
                 }
             };
@@ -227,33 +235,39 @@
         }
     }
 
-    /// What a gateway gives out by itself where the coordinator does not answer it: its even
-    /// part. While control tells everybody the same list the coordinator may well answer the
-    /// others and give out the whole limit to them; then all that are left alone, a tenth of the
-    /// gateways or one, give out no more than a part of what may be gone beyond the limit, until
-    /// witnesses say that nobody hears it. At 50 gateways whose coordinator is cut off under
-    /// a flood that is 158 refused of 8,246 instead of 238.
-    fn apart(&self, tenant: &str, quota: QuotaLimit, view: &QuotaView<'_>) -> BucketLimit {
-        if view.control_silent_ms >= AWAY_AFTER_MS {
-            return part_among(quota, self.departed.counting(view));
+    /// The limit that a gateway applies itself when the coordinator does not answer it: its even
+    /// share. While control sends everyone the same list, the coordinator may still answer the
+    /// other gateways and give out the complete limit to them. The isolated gateways, assumed to be
+    /// a tenth of all or one, then give out no more than a fraction of the allowed overshoot, until
+    /// witnesses report that none of them has contact with the coordinator. At 50 gateways whose
+    /// coordinator is isolated under a flood, 158 requests of 8,246 are refused this way instead of
+    /// 238.
+    fn isolated_limit(&self, tenant: &str, quota: QuotaLimit, view: &QuotaView<'_>) -> BucketLimit {
+        if view.control_silent_ms >= CONTROL_LOST_AFTER_MS {
+            return even_share(quota, self.departed.max_counting(view));
         }
-        let part = part_among(quota, told(view));
+        let limit = even_share(quota, known_gateways(view));
         let coordinator = coordinator_of(tenant, view.gateways);
-        if coordinator.is_some_and(|c| self.silences.nobody_hears(c, view.now_ms)) {
-            return part;
+        if coordinator.is_some_and(|c| self.silences.is_confirmed_unreachable(c, view.now_ms)) {
+            return limit;
         }
-        let alone = (view.gateways.len() as f64 * LEFT_ALONE_PART).max(1.0);
+        let isolated = (view.gateways.len() as f64 * ISOLATED_FRACTION).max(1.0);
         let window_s = self.settings.window_ms as f64 / 1_000.0;
-        let is_sudden = coordinator.is_some_and(|c| self.silences.is_sudden(c, view.now_ms));
-        let times = if is_sudden { SUDDEN_TIMES } else { 1.0 };
-        let most = self.settings.beyond(quota) * LEFT_ALONE_BEYOND / alone / window_s * times;
+        let is_recent = coordinator.is_some_and(|c| self.silences.is_recent(c, view.now_ms));
+        let factor = if is_recent {
+            EARLY_ISOLATION_FACTOR
+        } else {
+            1.0
+        };
+        let max_rate =
+            self.settings.max_overshoot(quota) * ISOLATED_OVERSHOOT / isolated / window_s * factor;
         BucketLimit {
-            rate: part.rate.min(most),
-            ..part
+            rate: limit.rate.min(max_rate),
+            ..limit
         }
     }
 
-    /// The limit was taken away while requests waited for leave.
+    /// Admits the waiting requests of a tenant whose limit was removed.
     fn admit_unlimited(&mut self, tenant: &str) -> Vec<QuotaAction> {
         let lease = self.leases.remove(tenant);
         let waiting = lease.map(|lease| lease.waiting).unwrap_or_default();
@@ -263,22 +277,22 @@
             .collect()
     }
 
-    fn take_ask(
+    fn handle_ask(
         &mut self,
         from: MachineId,
         tenant: String,
-        wanted: Wanted,
+        request: LeaseRequest,
         view: &QuotaView<'_>,
     ) -> QuotaAction {
         let quota = view.tenants.get(&tenant).and_then(|tenant| tenant.quota);
         let is_own = coordinator_of(&tenant, view.gateways) == Some(view.own);
         let message = match quota {
             Some(quota) if is_own => {
-                let granted = self.grant(&tenant, quota, wanted, view);
+                let granted = self.grant(&tenant, quota, request, view);
                 QuotaMessage::Grant {
                     tenant,
                     granted: granted.granted,
-                    again_in_ms: granted.retry_after_ms.min(LONGEST_REFUSAL_MS) as u32,
+                    again_in_ms: granted.retry_after_ms.min(MAX_RETRY_AFTER_MS) as u32,
                 }
             }
             _ => QuotaMessage::NotHere { tenant },
@@ -287,21 +301,21 @@
     }
 }
 
-/// Gateways that control told of: those it hears and those that may be cut off.
-fn told(view: &QuotaView<'_>) -> usize {
+/// Number of gateways that control named: those in contact and those that may be isolated.
+fn known_gateways(view: &QuotaView<'_>) -> usize {
     (view.gateways.len() + view.silent_gateways.len()).max(1)
 }
 
-fn ask(tenant: &str, wanted: Wanted, to: MachineId) -> QuotaAction {
+fn ask(tenant: &str, request: LeaseRequest, to: MachineId) -> QuotaAction {
     QuotaAction::Send {
         to,
         message: QuotaMessage::Ask {
             tenant: tenant.to_owned(),
-            want: wanted.want,
-            sent_again: wanted.unleased.sent_again,
-            sent_apart: wanted.unleased.sent_apart,
-            sent_late: wanted.unleased.sent_late,
-            unused: wanted.unused,
+            want: request.want,
+            sent_again: request.unleased.sent_again,
+            sent_apart: request.unleased.sent_apart,
+            sent_late: request.unleased.sent_late,
+            unused: request.unused,
         },
     }
 }
@@ -321,10 +335,10 @@
         let is_asked = !lease.waiting.is_empty();
         lease.waiting.push(ticket);
         if is_asked {
-            // The answer that is on its way decides on this one too.
+            // The pending answer covers this request too.
             return Vec::new();
         }
-        self.serve(&tenant.name, quota, view)
+        self.decide_waiting(&tenant.name, quota, view)
     }
 
     fn answer_timed_out(
@@ -339,40 +353,41 @@
         };
         let lease = self.leases.get(&tenant.name);
         if !lease.is_some_and(|lease| lease.waiting.contains(&ticket)) {
-            // It was decided, or its tenant's limit came and went meanwhile.
+            // The request was decided, or the tenant's limit was removed and set again in the
+            // meantime.
             return vec![decide(ticket, QuotaVerdict::Admitted)];
         }
         let coordinator = coordinator_of(&tenant.name, view.gateways);
         let lease = self.leases.entry(tenant.name.clone()).or_default();
         if let Some(coordinator) = coordinator
-            && !std::mem::replace(&mut lease.asked_again, true)
+            && !std::mem::replace(&mut lease.retried, true)
         {
-            // A datagram is lost now and then: that is no reason to refuse.
+            // Occasional loss of a datagram is no reason to refuse.
             return vec![ask(
                 &tenant.name,
-                lease.wanted(self.settings.window_ms, view.now_ms),
+                lease.build_request(self.settings.window_ms, view.now_ms),
                 coordinator,
             )];
         }
-        lease.asked_again = false;
+        lease.retried = false;
         if let Some(coordinator) = coordinator {
-            self.silences.note(coordinator, view.now_ms);
+            self.silences.record(coordinator, view.now_ms);
         }
-        self.fall_back(&tenant.name, quota, view, &mut actions);
+        self.decide_locally(&tenant.name, quota, view, &mut actions);
         actions
     }
 
     fn record_resend(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
         if tenant.quota.is_some() {
             let lease = self.leases.entry(tenant.name.clone()).or_default();
-            lease.untold.sent_again += 1;
+            lease.unreported.sent_again += 1;
         }
     }
 
     fn record_late_send(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
         if tenant.quota.is_some() {
             let lease = self.leases.entry(tenant.name.clone()).or_default();
-            lease.untold.sent_late += 1;
+            lease.unreported.sent_late += 1;
         }
     }
 
@@ -392,29 +407,29 @@
                 sent_late,
                 unused,
             } => {
-                let wanted = Wanted {
+                let request = LeaseRequest {
                     want,
                     unused,
-                    unleased: Unleased {
+                    unleased: UnleasedSends {
                         sent_again,
                         sent_apart,
                         sent_late,
                     },
                 };
-                vec![self.take_ask(from, tenant, wanted, view)]
+                vec![self.handle_ask(from, tenant, request, view)]
             }
             QuotaMessage::Grant {
                 tenant,
                 granted,
                 again_in_ms,
             } => {
-                self.silences.end(from);
-                let granted = Granted {
+                self.silences.record_answer(from);
+                let granted = LeaseGrant {
                     granted,
                     retry_after_ms: u64::from(again_in_ms),
                 };
                 match quota_of(&tenant) {
-                    Some(quota) => self.take_grant(&tenant, quota, granted, view),
+                    Some(quota) => self.apply_grant(&tenant, quota, granted, view),
                     None => self.admit_unlimited(&tenant),
                 }
             }
@@ -423,19 +438,19 @@
                 Vec::new()
             }
             QuotaMessage::Counting { sent_ms } => {
-                self.hearing.hear(from, view.now_ms);
+                self.contacts.record_contact(from, view.now_ms);
                 let message = QuotaMessage::Witnessed { sent_ms };
                 vec![QuotaAction::Send { to: from, message }]
             }
             QuotaMessage::Witnessed { sent_ms } => {
-                self.witnessed.take_answer(from, sent_ms, view.now_ms);
+                self.confirmations.record_answer(from, sent_ms, view.now_ms);
                 Vec::new()
             }
             QuotaMessage::IsHeard {
                 coordinator,
                 asked_ms,
             } => {
-                if !self.hearing.misses(coordinator, view.now_ms) {
+                if !self.contacts.is_unreachable(coordinator, view.now_ms) {
                     return Vec::new();
                 }
                 let message = QuotaMessage::Unheard {
@@ -449,13 +464,13 @@
                 asked_ms,
             } => {
                 self.silences
-                    .take_unheard(from, coordinator, asked_ms, view.now_ms);
+                    .record_unreachable(from, coordinator, asked_ms, view.now_ms);
                 Vec::new()
             }
             QuotaMessage::NotHere { tenant } => {
                 let mut actions = Vec::new();
                 match quota_of(&tenant) {
-                    Some(quota) => self.fall_back(&tenant, quota, view, &mut actions),
+                    Some(quota) => self.decide_locally(&tenant, quota, view, &mut actions),
                     None => actions = self.admit_unlimited(&tenant),
                 }
                 actions
@@ -464,34 +479,35 @@
     }
 
     fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction> {
-        self.departed.follow(view);
+        self.departed.update(view);
         let share = self.share(view);
-        self.coordinator.follow(view, share);
+        self.coordinator.update(view, share);
         self.coordinator.run_maintenance(view);
         let now_ms = view.now_ms;
         let window_ms = self.settings.window_ms;
         self.without_control
-            .retain(|_, said_ms| now_ms < *said_ms + WITHOUT_CONTROL_MS);
+            .retain(|_, reported_ms| now_ms < *reported_ms + LOSS_REPORT_VALID_MS);
         for lease in self.leases.values_mut() {
-            lease.arrived.keep(window_ms, now_ms);
-            lease.admitted.keep(window_ms, now_ms);
-            lease.refused.keep(window_ms, now_ms);
-            lease.apart.keep(window_ms, now_ms);
+            lease.arrived.prune(window_ms, now_ms);
+            lease.admitted.prune(window_ms, now_ms);
+            lease.refused.prune(window_ms, now_ms);
+            lease.sent_without_lease.prune(window_ms, now_ms);
         }
         self.leases.retain(|tenant, lease| {
             let is_listed = view.tenants.get(tenant).is_some();
             !lease.waiting.is_empty() || is_listed && !lease.is_idle()
         });
-        let mut actions = self.tell_away(view);
-        self.hearing.look(now_ms);
-        if view.control_silent_ms < AWAY_AFTER_MS {
-            // Without control it does not matter whether others hear them.
-            actions.extend(self.silences.ask(&mut self.hearing, view));
+        let mut actions = self.report_control_loss(view);
+        self.contacts.record_activity(now_ms);
+        if view.control_silent_ms < CONTROL_LOST_AFTER_MS {
+            // Without control it makes no difference whether others have contact with the
+            // coordinators.
+            actions.extend(self.silences.ask_witnesses(&mut self.contacts, view));
         }
         if self.coordinator.is_counting() {
-            actions.extend(self.witnessed.tell(now_ms));
+            actions.extend(self.confirmations.notify_witnesses(now_ms));
         } else {
-            self.witnessed.rest(now_ms);
+            self.confirmations.reset(now_ms);
         }
         actions
     }
--- a/crates/routing/src/quota/mod.rs
+++ b/crates/routing/src/quota/mod.rs
@@ -1,21 +1,21 @@
 //! Limits of tenants, counted over all gateways of a fleet.
 //!
-//! [`FleetQuota`] is what a gateway asks before a tenant's request takes a slot, a place in
-//! a queue or time of control. Two ways stand behind it: [`EvenShares`] gives each gateway
-//! its part of the limit and needs no message; [`LeasedQuota`] has one coordinator for each
-//! tenant among the gateways, which leases a few requests ahead, and falls back to even
-//! parts where the coordinator is silent. Design note 0022 compares them.
+//! A gateway asks [`FleetQuota`] before a tenant's request takes a slot, a place in a queue or time
+//! of control. There are two implementations: [`EvenShares`] gives each gateway its share of the
+//! limit and needs no messages; [`LeasedQuota`] has one coordinator for each tenant among the
+//! gateways, which leases a few requests ahead, and falls back to even shares when the coordinator
+//! is silent. Design note 0022 compares them.
 //!
-//! Nothing here reads a clock or a socket: callers pass a [`QuotaView`] and carry out the
-//! returned [`QuotaAction`]s. Times are steady, in milliseconds.
+//! Nothing here reads a clock or a socket: callers pass a [`QuotaView`] and carry out the returned
+//! [`QuotaAction`]s. Times are monotonic, in milliseconds.
 
 mod bucket;
 mod coordinator;
-mod demand;
 mod departed;
 mod even_shares;
 mod lease;
 mod leased;
+mod recent_count;
 mod settings;
 mod shares;
 mod witnesses;
@@ -33,16 +33,16 @@
     pub now_ms: u64,
     /// This gateway.
     pub own: MachineId,
-    /// The gateways that share the count, as control told last.
+    /// The gateways that share the count, as last listed by control.
     pub gateways: &'a [MachineId],
-    /// Those of them that can be witnesses of a coordinator: all but those of a build that
-    /// knows none.
+    /// The listed gateways that can be witnesses of a coordinator: all except those of a build
+    /// without witnesses.
     pub witnesses: &'a [MachineId],
-    /// Gateways besides that control no longer hears though it did lately: they may be cut
-    /// off and give out their even parts.
+    /// Further gateways with which control recently lost contact: they may be isolated and give out
+    /// their even shares.
     pub silent_gateways: &'a [MachineId],
-    /// How long control has not been heard of, in milliseconds. While it is, the list is
-    /// the one that the others have.
+    /// Time since the last contact with control, in milliseconds. While there is contact, the other
+    /// gateways have the same list.
     pub control_silent_ms: u64,
     /// The tenants in force here.
     pub tenants: &'a TenantDirectory,
@@ -52,30 +52,30 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub u64);
 
-/// What was decided on a request.
+/// The decision on a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaVerdict {
-    /// It may be sent.
+    /// The request may be sent.
     Admitted,
-    /// It is beyond the tenant's limit.
+    /// The request is over the tenant's limit.
     Refused {
-        /// When the tenant's rate will have made up for those refused before it, in
+        /// Time until the tenant's rate has covered the requests that were refused before, in
         /// milliseconds.
         retry_after_ms: u64,
     },
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum QuotaAction {
-    /// Tell a request.
+    /// Pass the decision to a request.
     Decide {
         /// The request.
         ticket: Ticket,
-        /// What was decided.
+        /// The decision.
         verdict: QuotaVerdict,
     },
-    /// Send a message to another gateway; it may not arrive.
+    /// Send a message to another gateway; it may be lost.
     Send {
         /// The gateway.
         to: MachineId,
@@ -84,9 +84,9 @@
     },
 }
 
-/// Holds tenants to their limits at one gateway.
+/// Enforces the limits of tenants at one gateway.
 pub trait FleetQuota: Send {
-    /// A request of a tenant arrived. It is decided at once, or waits for a message.
+    /// A request of a tenant arrived. It is decided immediately or waits for a message.
     fn request(
         &mut self,
         ticket: Ticket,
@@ -94,8 +94,8 @@
         view: &QuotaView<'_>,
     ) -> Vec<QuotaAction>;
 
-    /// A request has waited long for a message. It is decided now, or the message is asked
-    /// for once more and it waits again; the second time it is decided.
+    /// A request has waited too long for a message. The first time, the message may be requested
+    /// again and the request waits further; the second time the request is decided.
     fn answer_timed_out(
         &mut self,
         ticket: Ticket,
@@ -106,10 +106,10 @@
     /// A tenant's request is sent again, or without having been admitted.
     fn record_resend(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
 
-    /// An admitted request is sent only now, long after it was admitted.
+    /// An admitted request is sent long after it was admitted.
     fn record_late_send(&mut self, tenant: &Tenant, view: &QuotaView<'_>);
 
-    /// Another gateway says something.
+    /// Handles a message of another gateway.
     fn handle_message(
         &mut self,
         from: MachineId,
@@ -117,11 +117,10 @@
         view: &QuotaView<'_>,
     ) -> Vec<QuotaAction>;
 
-    /// Forgets what no longer matters; called ten times a second.
+    /// Removes expired state and sends due messages; called ten times per second.
     fn run_maintenance(&mut self, view: &QuotaView<'_>) -> Vec<QuotaAction>;
 }
 
-/// A decision on a request.
 fn decide(ticket: Ticket, verdict: QuotaVerdict) -> QuotaAction {
     QuotaAction::Decide { ticket, verdict }
 }
--- a/crates/routing/src/quota/settings.rs
+++ b/crates/routing/src/quota/settings.rs
@@ -1,15 +1,15 @@
-//! How far a fleet may go beyond a limit, and over which time that is counted.
+//! How far a fleet may exceed a limit, and over which time requests are counted.
 
 use linnethitch_tenants::QuotaLimit;
 
-/// Settings of limits of tenants.
+/// Settings for the limits of tenants.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaSettings {
     /// Length of the sliding window over which requests are counted, in milliseconds.
     pub window_ms: u64,
-    /// Part of the limit that the fleet may go beyond it.
+    /// Fraction of the limit by which the fleet may exceed it.
     pub overshoot: f64,
-    /// Requests in a window that it may go beyond it besides.
+    /// Additional requests in a window by which the fleet may exceed the limit.
     pub slack: f64,
 }
 
@@ -19,8 +19,8 @@
         quota.rate() * self.window_ms as f64 / 1_000.0 + quota.burst()
     }
 
-    /// Requests that may be gone beyond a limit in a window.
-    pub(super) fn beyond(&self, quota: QuotaLimit) -> f64 {
+    /// Requests over a limit that are allowed in a window.
+    pub(super) fn max_overshoot(&self, quota: QuotaLimit) -> f64 {
         self.allowed(quota) * self.overshoot + self.slack
     }
 }
--- a/crates/routing/src/quota/witnesses.rs
+++ b/crates/routing/src/quota/witnesses.rs
@@ -1,9 +1,10 @@
-//! Gateways that say whether a coordinator is heard.
+//! Gateways that report whether they have contact with a coordinator.
 //!
-//! A coordinator that fewer of its witnesses than it needs have answered lately gives out
-//! its even part only; gateways that it does not answer give out theirs once enough
-//! witnesses have not heard it for longer. Both numbers together are more than there are
-//! witnesses, so that one stands for both sides and only one of them can be right.
+//! A coordinator that recently got answers from fewer of its witnesses than it needs gives out only
+//! its even share. Gateways that the coordinator does not answer give out their own even shares
+//! once enough witnesses have had no contact with it for longer than that. The two required numbers
+//! together are larger than the number of witnesses, so at least one witness counts for both sides
+//! and only one side can be right.
 
 use std::{cmp::Reverse, collections::BTreeMap};
 
@@ -12,36 +13,37 @@
 use super::{QuotaAction, QuotaView};
 use crate::dispatch::spread;
 
-/// Witnesses of a coordinator. With a tenth of the gateways cut off, four of five are left
+/// Number of witnesses of a coordinator. With a tenth of the gateways isolated, four of five remain
 /// in 92 of 100 cases.
 const WITNESSES: usize = 5;
-/// So many of a full set have to answer a coordinator, or one of a smaller set: with a third
-/// of the gateways standing still they do in 95 of 100 cases.
+/// Witnesses of a full set that must answer a coordinator; of a smaller set, one. With a third of
+/// the gateways paused, enough answer in 95 of 100 cases.
 const ANSWERS_NEEDED: usize = 2;
-/// An answer counts for this long from when it was asked for, in milliseconds: two of three
-/// datagrams may be lost.
-const ANSWERED_MS: u64 = 300;
-/// A coordinator counts as unheard after this, in milliseconds: longer than it takes one
-/// that nobody hears to know it, by two clocks and the way between them.
-const UNHEARD_MS: u64 = 400;
-/// What a witness said of an unheard coordinator counts for this long from when it was
-/// asked, in milliseconds: it is asked ten times a second.
-const UNHEARD_FOR_MS: u64 = 200;
-/// A coordinator that is answered again waits for this, in milliseconds, while the others
-/// may still go by what witnesses said before.
-const HOLD_MS: u64 = 250;
-/// A gateway that control has not been heard of at for so long is off the others' lists,
-/// where it hears of the next one, in milliseconds: control names others after 1.2 s.
+/// An answer counts for this time after the message that it answers was sent, in milliseconds: two
+/// of three datagrams may be lost.
+const ANSWER_VALID_MS: u64 = 300;
+/// A witness counts a coordinator as unreachable after this time, in milliseconds. It is longer
+/// than an isolated coordinator takes to notice that itself, including the intervals of two timers
+/// and the network delay between them.
+const CONTACT_TIMEOUT_MS: u64 = 400;
+/// A witness's report of an unreachable coordinator counts for this time after it was requested, in
+/// milliseconds; it is requested ten times per second.
+const UNREACHABLE_REPORT_VALID_MS: u64 = 200;
+/// A coordinator that is answered again waits for this time, in milliseconds, while other gateways
+/// may still act on earlier reports of the witnesses.
+const RECOVERY_HOLD_MS: u64 = 250;
+/// A gateway without contact to control for this time is off the lists of the others when it
+/// receives the next list, in milliseconds: control names others after 1.2 s.
 const UNLISTED_AFTER_MS: u64 = 2_000;
-/// A process that did nothing for so long may have missed what was sent to it, in
+/// A process that was paused for this time may have missed messages, in milliseconds.
+const PROCESS_PAUSE_MS: u64 = 300;
+/// Witnesses are asked once a coordinator has not answered for this time, in milliseconds.
+const ASK_WITNESSES_AFTER_MS: u64 = 300;
+/// A coordinator that did not answer is not asked again for this time, in milliseconds.
+const COORDINATOR_RETRY_MS: u64 = 300;
+/// The start of a silence is stored for this time after the coordinator could be asked again, in
 /// milliseconds.
-const STOOD_STILL_MS: u64 = 300;
-/// Witnesses are asked once a coordinator has not answered for so long, in milliseconds.
-const ASK_AFTER_MS: u64 = 300;
-/// A coordinator that did not answer is not asked for so long, in milliseconds.
-const SILENT_FOR_MS: u64 = 300;
-/// When a silence began is kept for so long after the coordinator was to be asked again.
-const REMEMBERED_MS: u64 = 1_000;
+const SILENCE_RETENTION_MS: u64 = 1_000;
 
 /// The witnesses of a coordinator, in a fixed order.
 fn witnesses_of(coordinator: MachineId, can_witness: &[MachineId]) -> Vec<MachineId> {
@@ -53,35 +55,35 @@
     others
 }
 
-/// Witnesses that have to answer a coordinator.
-fn needed_by_coordinator(witnesses: usize) -> usize {
+/// Number of witnesses that must answer a coordinator.
+fn answers_needed(witnesses: usize) -> usize {
     match witnesses {
         WITNESSES => ANSWERS_NEEDED,
         fewer => fewer.min(1),
     }
 }
 
-/// Witnesses that have to say that they do not hear it.
-fn needed_by_askers(witnesses: usize) -> usize {
-    witnesses + 1 - needed_by_coordinator(witnesses)
+/// Number of witnesses that must report a coordinator as unreachable.
+fn reports_needed(witnesses: usize) -> usize {
+    witnesses + 1 - answers_needed(witnesses)
 }
 
-/// Whether this gateway is heard as a coordinator.
+/// Whether witnesses confirm contact with this gateway as a coordinator.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Witnessed {
+pub(super) struct WitnessConfirmations {
     listed: Vec<MachineId>,
-    /// The witnesses, and when what each answered last was sent.
+    /// The witnesses, and the send time of the message that each one answered last.
     answered: BTreeMap<MachineId, u64>,
-    /// It does not count as heard before this.
-    held_until_ms: u64,
+    /// Contact does not count as confirmed before this time.
+    unconfirmed_until_ms: u64,
 }
 
-impl Witnessed {
-    /// Takes the list that is known now. Witnesses that are new count as if they had
-    /// answered: they can have said nothing else yet.
-    pub(super) fn follow(&mut self, view: &QuotaView<'_>) {
+impl WitnessConfirmations {
+    /// Updates the list of gateways. New witnesses count as if they had answered: they have not had
+    /// time to report anything else.
+    pub(super) fn update(&mut self, view: &QuotaView<'_>) {
         if view.control_silent_ms >= UNLISTED_AFTER_MS {
-            *self = Witnessed::default();
+            *self = WitnessConfirmations::default();
             return;
         }
         if self.listed == view.witnesses {
@@ -95,16 +97,16 @@
         self.listed = view.witnesses.to_vec();
     }
 
-    /// Nobody needs to hear a gateway that counts nothing.
-    pub(super) fn rest(&mut self, now_ms: u64) {
-        self.held_until_ms = 0;
+    /// A gateway that counts no tenant needs no confirmation.
+    pub(super) fn reset(&mut self, now_ms: u64) {
+        self.unconfirmed_until_ms = 0;
         for sent_ms in self.answered.values_mut() {
             *sent_ms = now_ms;
         }
     }
 
-    /// Tells the witnesses that this gateway counts.
-    pub(super) fn tell(&self, now_ms: u64) -> Vec<QuotaAction> {
+    /// Notifies the witnesses that this gateway counts tenants.
+    pub(super) fn notify_witnesses(&self, now_ms: u64) -> Vec<QuotaAction> {
         let message = QuotaMessage::Counting { sent_ms: now_ms };
         let witnesses = self.answered.keys();
         witnesses
@@ -115,11 +117,11 @@
             .collect()
     }
 
-    /// Takes a witness's answer. One to an earlier start of this gateway, whose clock had gone
-    /// on for longer, tells nothing.
-    pub(super) fn take_answer(&mut self, from: MachineId, sent_ms: u64, now_ms: u64) {
-        // A time without answers counts also where nobody looked in it.
-        self.is_heard(now_ms);
+    /// Records a witness's answer. An answer to an earlier incarnation of this gateway, whose clock
+    /// was further ahead, is ignored.
+    pub(super) fn record_answer(&mut self, from: MachineId, sent_ms: u64, now_ms: u64) {
+        // A time without answers also counts if nothing checked for it at that time.
+        self.is_confirmed(now_ms);
         if sent_ms > now_ms {
             return;
         }
@@ -128,99 +130,104 @@
         }
     }
 
-    /// Whether this gateway may give out more than its even part.
-    pub(super) fn is_heard(&mut self, now_ms: u64) -> bool {
+    /// Whether this gateway may give out more than its even share.
+    pub(super) fn is_confirmed(&mut self, now_ms: u64) -> bool {
         let sent_ms = self.answered.values();
-        let answers = sent_ms.filter(|sent_ms| now_ms < **sent_ms + ANSWERED_MS);
-        if answers.count() < needed_by_coordinator(self.answered.len()) {
-            self.held_until_ms = now_ms + HOLD_MS;
+        let answers = sent_ms.filter(|sent_ms| now_ms < **sent_ms + ANSWER_VALID_MS);
+        if answers.count() < answers_needed(self.answered.len()) {
+            self.unconfirmed_until_ms = now_ms + RECOVERY_HOLD_MS;
         }
-        now_ms >= self.held_until_ms
+        now_ms >= self.unconfirmed_until_ms
     }
 }
 
-/// Which coordinators this gateway hears as a witness.
+/// Coordinators that this gateway, as a witness, has contact with.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Hearing {
-    heard: BTreeMap<MachineId, u64>,
-    /// Since when it has not stood still.
-    awake_since_ms: u64,
-    looked_ms: u64,
+pub(super) struct CoordinatorContacts {
+    last_contact_ms: BTreeMap<MachineId, u64>,
+    /// Time since which this process was not paused.
+    running_since_ms: u64,
+    active_ms: u64,
 }
 
-impl Hearing {
-    /// Notes that this gateway is awake, and forgets coordinators that it does not hear.
-    pub(super) fn look(&mut self, now_ms: u64) {
-        if now_ms > self.looked_ms + STOOD_STILL_MS {
-            self.awake_since_ms = now_ms;
+impl CoordinatorContacts {
+    /// Records that this process is running, and removes coordinators without recent contact.
+    pub(super) fn record_activity(&mut self, now_ms: u64) {
+        if now_ms > self.active_ms + PROCESS_PAUSE_MS {
+            self.running_since_ms = now_ms;
         }
-        self.looked_ms = now_ms;
-        self.heard
-            .retain(|_, heard_ms| now_ms < *heard_ms + UNHEARD_MS);
+        self.active_ms = now_ms;
+        self.last_contact_ms
+            .retain(|_, contact_ms| now_ms < *contact_ms + CONTACT_TIMEOUT_MS);
     }
 
-    /// A coordinator says that it counts.
-    pub(super) fn hear(&mut self, from: MachineId, now_ms: u64) {
-        self.heard.insert(from, now_ms);
+    /// Records a message of a coordinator that counts tenants.
+    pub(super) fn record_contact(&mut self, from: MachineId, now_ms: u64) {
+        self.last_contact_ms.insert(from, now_ms);
     }
 
-    /// Whether a coordinator has not been heard though this gateway was awake.
-    pub(super) fn misses(&mut self, coordinator: MachineId, now_ms: u64) -> bool {
-        self.look(now_ms);
-        let is_awake = now_ms >= self.awake_since_ms + UNHEARD_MS;
-        is_awake && !self.heard.contains_key(&coordinator)
+    /// Whether there was no contact with a coordinator although this process was running.
+    pub(super) fn is_unreachable(&mut self, coordinator: MachineId, now_ms: u64) -> bool {
+        self.record_activity(now_ms);
+        let is_running = now_ms >= self.running_since_ms + CONTACT_TIMEOUT_MS;
+        is_running && !self.last_contact_ms.contains_key(&coordinator)
     }
 }
 
 #[derive(Clone, Debug)]
 struct Silence {
     since_ms: u64,
-    /// The coordinator is not asked before this.
-    until_ms: u64,
+    /// The coordinator is not asked before this time.
+    ask_again_ms: u64,
     witnesses: Vec<MachineId>,
-    /// Witnesses that do not hear it, and when those were asked.
-    unheard: BTreeMap<MachineId, u64>,
+    /// Witnesses without contact to the coordinator, and when they were asked.
+    unreachable_reports: BTreeMap<MachineId, u64>,
 }
 
 /// Coordinators that do not answer this gateway.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Silences {
+pub(super) struct CoordinatorSilences {
     by_coordinator: BTreeMap<MachineId, Silence>,
 }
 
-impl Silences {
-    /// A coordinator did not answer.
-    pub(super) fn note(&mut self, coordinator: MachineId, now_ms: u64) {
+impl CoordinatorSilences {
+    /// Records that a coordinator did not answer.
+    pub(super) fn record(&mut self, coordinator: MachineId, now_ms: u64) {
         let silence = self.by_coordinator.entry(coordinator);
         let silence = silence.or_insert_with(|| Silence {
             since_ms: now_ms,
-            until_ms: now_ms,
+            ask_again_ms: now_ms,
             witnesses: Vec::new(),
-            unheard: BTreeMap::new(),
+            unreachable_reports: BTreeMap::new(),
         });
-        silence.until_ms = now_ms + SILENT_FOR_MS;
+        silence.ask_again_ms = now_ms + COORDINATOR_RETRY_MS;
     }
 
-    /// A coordinator answered.
-    pub(super) fn end(&mut self, coordinator: MachineId) {
+    /// Records that a coordinator answered.
+    pub(super) fn record_answer(&mut self, coordinator: MachineId) {
         self.by_coordinator.remove(&coordinator);
     }
 
-    /// Whether a coordinator is not to be asked.
+    /// Whether a coordinator should not be asked now.
     pub(super) fn is_silent(&self, coordinator: MachineId, now_ms: u64) -> bool {
         let silence = self.by_coordinator.get(&coordinator);
-        silence.is_some_and(|silence| now_ms < silence.until_ms)
+        silence.is_some_and(|silence| now_ms < silence.ask_again_ms)
     }
 
-    /// Asks the witnesses of those that have been silent for a while.
-    pub(super) fn ask(&mut self, hearing: &mut Hearing, view: &QuotaView<'_>) -> Vec<QuotaAction> {
+    /// Asks the witnesses of coordinators that have been silent for a while.
+    pub(super) fn ask_witnesses(
+        &mut self,
+        contacts: &mut CoordinatorContacts,
+        view: &QuotaView<'_>,
+    ) -> Vec<QuotaAction> {
         let now_ms = view.now_ms;
         self.by_coordinator.retain(|coordinator, silence| {
-            now_ms < silence.until_ms + REMEMBERED_MS && view.gateways.contains(coordinator)
+            now_ms < silence.ask_again_ms + SILENCE_RETENTION_MS
+                && view.gateways.contains(coordinator)
         });
         let mut actions = Vec::new();
         for (coordinator, silence) in &mut self.by_coordinator {
-            if now_ms < silence.since_ms + ASK_AFTER_MS {
+            if now_ms < silence.since_ms + ASK_WITNESSES_AFTER_MS {
                 continue;
             }
             silence.witnesses = witnesses_of(*coordinator, view.witnesses);
@@ -232,17 +239,17 @@
                     };
                     let to = *witness;
                     actions.push(QuotaAction::Send { to, message });
-                } else if hearing.misses(*coordinator, now_ms) {
-                    silence.unheard.insert(view.own, now_ms);
+                } else if contacts.is_unreachable(*coordinator, now_ms) {
+                    silence.unreachable_reports.insert(view.own, now_ms);
                 }
             }
         }
         actions
     }
 
-    /// A witness does not hear a coordinator. What an earlier start of this gateway asked, whose
-    /// clock had gone on for longer, tells nothing.
-    pub(super) fn take_unheard(
+    /// Records that a witness has no contact with a coordinator. The answer to a request of an
+    /// earlier incarnation of this gateway, whose clock was further ahead, is ignored.
+    pub(super) fn record_unreachable(
         &mut self,
         from: MachineId,
         coordinator: MachineId,
@@ -253,26 +260,27 @@
             return;
         }
         if let Some(silence) = self.by_coordinator.get_mut(&coordinator) {
-            silence.unheard.insert(from, asked_ms);
+            silence.unreachable_reports.insert(from, asked_ms);
         }
     }
 
-    /// Whether a coordinator fell silent so lately that its witnesses can't say so yet.
-    pub(super) fn is_sudden(&self, coordinator: MachineId, now_ms: u64) -> bool {
+    /// Whether a coordinator became silent so recently that its witnesses cannot report it yet.
+    pub(super) fn is_recent(&self, coordinator: MachineId, now_ms: u64) -> bool {
         let silence = self.by_coordinator.get(&coordinator);
-        silence.is_some_and(|silence| now_ms < silence.since_ms + UNHEARD_MS)
+        silence.is_some_and(|silence| now_ms < silence.since_ms + CONTACT_TIMEOUT_MS)
     }
 
-    /// Whether a coordinator knows by now that nobody hears it.
-    pub(super) fn nobody_hears(&self, coordinator: MachineId, now_ms: u64) -> bool {
+    /// Whether enough witnesses report a coordinator as unreachable that the coordinator knows it
+    /// too by now.
+    pub(super) fn is_confirmed_unreachable(&self, coordinator: MachineId, now_ms: u64) -> bool {
         let Some(silence) = self.by_coordinator.get(&coordinator) else {
             return false;
         };
-        let says_so = |witness: &&MachineId| {
-            let asked_ms = silence.unheard.get(*witness);
-            asked_ms.is_some_and(|asked_ms| now_ms < asked_ms + UNHEARD_FOR_MS)
+        let reports_unreachable = |witness: &&MachineId| {
+            let asked_ms = silence.unreachable_reports.get(*witness);
+            asked_ms.is_some_and(|asked_ms| now_ms < asked_ms + UNREACHABLE_REPORT_VALID_MS)
         };
-        let saying = silence.witnesses.iter().filter(says_so).count();
-        saying >= needed_by_askers(silence.witnesses.len())
+        let reports = silence.witnesses.iter().filter(reports_unreachable).count();
+        reports >= reports_needed(silence.witnesses.len())
     }
 }
--- a/crates/routing/tests/all/quota/unheard.rs
+++ b/crates/routing/tests/all/quota/isolated_gateway.rs
@@ -1,4 +1,4 @@
-//! One gateway that hears no other one.
+//! A gateway that receives no message from the other gateways.
 
 use linnethitch_protocol::{ids::MachineId, quota::QuotaMessage};
 use linnethitch_routing::{
@@ -10,29 +10,29 @@
 
 use super::model::{TENANT, machine, tenant};
 
-/// Requests a second that the tenant may make.
+/// Requests per second that the tenant may send.
 const RATE: u64 = 600;
-/// What an earlier start of the gateway read on its clock, which begins at each start.
-const EARLIER_MS: u64 = 3_600_000;
+/// Clock reading of an earlier incarnation of the gateway; the clock starts anew at each start.
+const EARLIER_CLOCK_MS: u64 = 3_600_000;
 
-/// One of six gateways, of which no other one is heard.
-struct Started {
+/// One of six gateways, which receives nothing from the others.
+struct IsolatedGateway {
     quota: LeasedQuota,
     own: MachineId,
     gateways: Vec<MachineId>,
     tenants: TenantDirectory,
     control_silent_ms: u64,
-    /// Messages about coordinators that do not answer.
+    /// Messages to witnesses about coordinators that do not answer.
     witnesses_asked: usize,
 }
 
-impl Started {
-    fn new(coordinates: bool) -> Self {
+impl IsolatedGateway {
+    fn new(is_coordinator: bool) -> Self {
         let gateways: Vec<MachineId> = (0..6).map(machine).collect();
         let coordinator = coordinator_of(TENANT, &gateways);
         let mut owns = gateways.iter().copied();
-        let own = owns.find(|own| (coordinator == Some(*own)) == coordinates);
-        Started {
+        let own = owns.find(|own| (coordinator == Some(*own)) == is_coordinator);
+        IsolatedGateway {
             quota: LeasedQuota::new(QuotaSettings::default()),
             own: own.expect("there is one"),
             gateways,
@@ -59,7 +59,7 @@
         act(&mut self.quota, &view)
     }
 
-    fn others_say(&mut self, message: &QuotaMessage, now_ms: u64) {
+    fn receive_from_others(&mut self, message: &QuotaMessage, now_ms: u64) {
         for from in self.gateways.clone() {
             if from != self.own {
                 self.act(now_ms, |quota, view| {
@@ -69,14 +69,14 @@
         }
     }
 
-    /// Requests that were admitted, of one in each millisecond. Nobody answers.
+    /// Number of admitted requests, with one request in each millisecond and no answers.
     fn admitted(&mut self, from_ms: u64, until_ms: u64) -> u64 {
         let mut admitted = 0;
         for now_ms in from_ms..until_ms {
             if now_ms % 100 == 0 {
                 let actions = self.act(now_ms, FleetQuota::run_maintenance);
-                let asks = actions.iter().filter(|action| is_ask_of_witness(action));
-                self.witnesses_asked += asks.count();
+                let witness_requests = actions.iter().filter(|action| is_witness_request(action));
+                self.witnesses_asked += witness_requests.count();
             }
             let (ticket, tenant) = (Ticket(now_ms), tenant(RATE as f64, RATE as f64));
             let mut actions = self.act(now_ms, |quota, view| quota.request(ticket, &tenant, view));
@@ -95,7 +95,7 @@
     }
 }
 
-fn is_ask_of_witness(action: &QuotaAction) -> bool {
+fn is_witness_request(action: &QuotaAction) -> bool {
     matches!(
         action,
         QuotaAction::Send {
@@ -105,38 +105,38 @@
     )
 }
 
-/// Without control it goes by its even part, whatever witnesses say.
+/// Without control the gateway uses its even share, whatever witnesses report.
 #[rstest]
-#[case::control_is_heard(0, true)]
-#[case::control_is_away(5_000, false)]
-fn witnesses_are_asked_where_it_makes_a_difference(
+#[case::control_is_reachable(0, true)]
+#[case::control_is_unreachable(5_000, false)]
+fn witnesses_are_asked_only_while_control_is_reachable(
     #[case] control_silent_ms: u64,
-    #[case] are_asked: bool,
+    #[case] expect_requests: bool,
 ) {
-    let mut started = Started::new(false);
-    started.control_silent_ms = control_silent_ms;
-    started.admitted(0, 2_000);
-    assert_eq!(started.witnesses_asked > 0, are_asked);
+    let mut gateway = IsolatedGateway::new(false);
+    gateway.control_silent_ms = control_silent_ms;
+    gateway.admitted(0, 2_000);
+    assert_eq!(gateway.witnesses_asked > 0, expect_requests);
 }
 
 #[rstest]
-#[case::witnesses_heard_a_coordinator(true)]
-#[case::witnesses_did_not_hear_the_coordinator(false)]
-fn what_an_earlier_start_asked_for_does_not_count(#[case] coordinates: bool) {
-    let mut started = Started::new(coordinates);
-    let mut not_told = Started::new(coordinates);
-    let late = if coordinates {
+#[case::witnesses_had_contact(true)]
+#[case::witnesses_had_no_contact(false)]
+fn answers_to_an_earlier_incarnation_are_ignored(#[case] is_coordinator: bool) {
+    let mut gateway = IsolatedGateway::new(is_coordinator);
+    let mut reference = IsolatedGateway::new(is_coordinator);
+    let stale_answer = if is_coordinator {
         QuotaMessage::Witnessed {
-            sent_ms: EARLIER_MS,
+            sent_ms: EARLIER_CLOCK_MS,
         }
     } else {
         QuotaMessage::Unheard {
-            coordinator: coordinator_of(TENANT, &started.gateways).expect("one"),
-            asked_ms: EARLIER_MS,
+            coordinator: coordinator_of(TENANT, &gateway.gateways).expect("one"),
+            asked_ms: EARLIER_CLOCK_MS,
         }
     };
-    assert_eq!(started.admitted(0, 1_000), not_told.admitted(0, 1_000));
-    started.others_say(&late, 1_000);
-    let admitted = started.admitted(1_000, 4_000);
-    assert_eq!(admitted, not_told.admitted(1_000, 4_000));
+    assert_eq!(gateway.admitted(0, 1_000), reference.admitted(0, 1_000));
+    gateway.receive_from_others(&stale_answer, 1_000);
+    let admitted = gateway.admitted(1_000, 4_000);
+    assert_eq!(admitted, reference.admitted(1_000, 4_000));
 }
--- a/crates/routing/tests/all/quota/model.rs
+++ b/crates/routing/tests/all/quota/model.rs
@@ -1,5 +1,5 @@
-//! A fleet of gateways that count one tenant's requests over a network that loses, delays
-//! and cuts, in virtual time.
+//! A fleet of gateways that count one tenant's requests over a network with loss, delay and
+//! partitions, in virtual time.
 
 use std::{
     cmp::Reverse,
@@ -14,57 +14,58 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// A gateway that gets no answer within this asks once more, then decides, in microseconds.
-const ANSWER_LIMIT_US: u64 = 12_000;
-/// Control takes a gateway that fell silent off the list after this, in microseconds.
-const SILENT_US: u64 = 1_200_000;
-/// Control learns of a process that ended after this, in microseconds.
-const ENDED_US: u64 = 50_000;
-/// Control hears of every gateway within this after its start, in microseconds.
-const ANNOUNCED_US: u64 = 500_000;
-/// Control takes a gateway whose process ended off its record after this, in microseconds.
-const FORGOTTEN_US: u64 = 2_000_000;
-/// Control counts a gateway as silent for this long since it heard of it, or since it
-/// started itself, in microseconds.
-const CUT_OFF_US: u64 = 10_000_000;
-/// What changed in the list is told after this, in microseconds.
-const LISTED_US: u64 = 20_000;
-/// How often gateways look after their state, in microseconds.
-const UPKEEP_US: u64 = 100_000;
+/// A gateway without an answer within this time asks once more, then decides, in microseconds.
+const ANSWER_TIMEOUT_US: u64 = 12_000;
+/// Control removes a silent gateway from the list after this time, in microseconds.
+const SILENCE_NOTICE_US: u64 = 1_200_000;
+/// Control learns of the end of a process after this time, in microseconds.
+const END_NOTICE_US: u64 = 50_000;
+/// Control has contact with every gateway within this time after its start, in microseconds.
+const ANNOUNCE_US: u64 = 500_000;
+/// Control removes a gateway whose process ended from its record after this time, in microseconds.
+const RECORD_REMOVAL_US: u64 = 2_000_000;
+/// Control counts a gateway as silent for this time after the last contact, or after its own start,
+/// in microseconds.
+const SILENT_RETENTION_US: u64 = 10_000_000;
+/// A changed list is sent after this time, in microseconds.
+const LIST_DELAY_US: u64 = 20_000;
+/// Interval of the gateways' maintenance, in microseconds.
+const MAINTENANCE_US: u64 = 100_000;
 pub(super) const TENANT: &str = "desk";
 
 pub(super) type Quota = Box<dyn FleetQuota>;
 
-/// What happens to gateways.
+/// Faults of gateways and control.
 #[derive(Clone, Debug)]
 pub(super) enum Fault {
-    /// Processes end and start again, knowing nothing, after so many milliseconds.
+    /// Processes end and restart without state after `down_ms`.
     Kill { gateways: Vec<usize>, down_ms: u64 },
-    /// They stand still for so long.
-    Freeze { gateways: Vec<usize>, for_ms: u64 },
-    /// They do not hear of control, nor it of them.
+    /// Processes are paused.
+    Pause { gateways: Vec<usize>, for_ms: u64 },
+    /// Gateways and control cannot reach each other.
     CutFromControl { gateways: Vec<usize>, for_ms: u64 },
-    /// They are cut off from control and from the other gateways.
+    /// Gateways are cut off from control and from the other gateways.
     Isolate { gateways: Vec<usize>, for_ms: u64 },
-    /// They hear control and each other, and no other gateway.
+    /// Gateways reach control and each other, but no other gateway.
     Split { gateways: Vec<usize>, for_ms: u64 },
-    /// All of control is away.
-    ControlAway { for_ms: u64 },
-    /// All of control ends and starts again; it hears of each gateway within half a second.
+    /// All members of control are unreachable.
+    ControlUnreachable { for_ms: u64 },
+    /// All members of control end and restart; they have contact with each gateway within half a
+    /// second.
     ControlRestarts { down_ms: u64 },
-    /// The limit is another one.
+    /// The limit changes.
     Limit { rate: f64, burst: f64 },
 }
 
-/// What is played.
+/// A simulated course of demand and faults.
 #[derive(Clone, Debug)]
-pub(super) struct Play {
+pub(super) struct Scenario {
     pub(super) gateways: usize,
     pub(super) rate: f64,
     pub(super) burst: f64,
-    /// Requests a second, from a time in milliseconds on.
+    /// Requests per second, each from a time in milliseconds.
     pub(super) demand: Vec<(u64, f64)>,
-    /// Part of the requests that come to the first tenth of the gateways.
+    /// Fraction of the requests that arrive at the first tenth of the gateways.
     pub(super) skew: f64,
     pub(super) faults: Vec<(u64, Fault)>,
     pub(super) loss: f64,
@@ -72,26 +73,26 @@
     pub(super) seed: u64,
 }
 
-/// What came of it.
+/// The results of a run.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Outcome {
     pub(super) asked: u64,
     pub(super) admitted: u64,
-    /// Requests that one bucket in one place would have admitted besides.
-    pub(super) refused_below: u64,
-    /// Most requests in a window, as part of what the limit allows in it.
-    pub(super) most_of_limit: f64,
-    /// The same of what may be gone beyond it.
-    pub(super) most_of_bound: f64,
+    /// Requests that a single bucket would have admitted in addition.
+    pub(super) refused_within_limit: u64,
+    /// Maximum number of requests in a window, as a fraction of what the limit allows in it.
+    pub(super) max_of_limit: f64,
+    /// The same as a fraction of what is allowed including the overshoot.
+    pub(super) max_of_bound: f64,
     pub(super) messages: u64,
     /// Waits for a decision, in microseconds, sorted.
     pub(super) waits_us: Vec<u64>,
 }
 
 impl Outcome {
-    pub(super) fn wait_us(&self, part: f64) -> u64 {
+    pub(super) fn wait_us(&self, fraction: f64) -> u64 {
         let last = self.waits_us.len().saturating_sub(1);
-        let index = (last as f64 * part) as usize;
+        let index = (last as f64 * fraction) as usize;
         self.waits_us.get(index).copied().unwrap_or(0)
     }
 }
@@ -99,67 +100,67 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive,
-    /// Nothing comes now; perhaps later.
-    Look,
+    /// There is no demand now; check again later.
+    CheckDemand,
     Deliver {
         from: usize,
         to: usize,
         message: MessageKey,
     },
-    NoAnswer {
+    AnswerTimeout {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
         ticket: u64,
     },
-    Upkeep,
+    Maintenance,
     Fault(usize),
-    Return {
+    Recover {
         gateway: usize,
-        what: Back,
+        recovery_kind: Recovery,
     },
-    ControlBack,
+    ControlReachable,
     ControlStarts,
     Announce(usize),
-    /// Control has heard the end of a process a while ago.
-    Forget {
+    /// The process ended some time ago and control noticed it.
+    RemoveKnown {
         gateway: usize,
-        life: u32,
+        incarnation: u32,
     },
-    Listed,
+    SendList,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Back {
-    Started,
-    Thawed,
-    Heard,
-    Joined,
-    United,
+enum Recovery {
+    Restarted,
+    Resumed,
+    ControlReached,
+    Reconnected,
+    SplitEnded,
 }
 
-/// Messages are kept beside the queue, since they have no order.
+/// Messages are stored beside the queue, since they have no order.
 type MessageKey = u64;
 
 struct Gateway {
     quota: Quota,
-    life: u32,
-    runs: bool,
-    is_frozen: bool,
-    /// It hears of control.
-    hears: bool,
-    /// It is reached by other gateways.
-    joined: bool,
-    /// It reaches only gateways that are split off as well.
+    incarnation: u32,
+    is_running: bool,
+    is_paused: bool,
+    /// Control and this gateway reach each other.
+    reaches_control: bool,
+    /// Other gateways reach this one.
+    reaches_gateways: bool,
+    /// This gateway reaches only gateways that are split off too.
     is_split: bool,
-    heard_us: u64,
+    contact_us: u64,
     list: Vec<MachineId>,
     silent: Vec<MachineId>,
     asked_us: BTreeMap<u64, u64>,
 }
 
 pub(super) struct Model {
-    play: Play,
-    make: fn(QuotaSettings) -> Quota,
+    scenario: Scenario,
+    make_quota: fn(QuotaSettings) -> Quota,
     settings: QuotaSettings,
     gateways: Vec<Gateway>,
     directory: TenantDirectory,
@@ -168,10 +169,10 @@
     queue: BinaryHeap<Reverse<(u64, u64, Event)>>,
     next: u64,
     messages: BTreeMap<MessageKey, QuotaMessage>,
-    control_away: bool,
-    /// Gateways that control heard of since it started.
+    control_unreachable: bool,
+    /// Gateways that control has had contact with since it started.
     announced: BTreeSet<usize>,
-    /// Gateways that control's record names; it outlasts control's restart.
+    /// Gateways in control's record, which survives a restart of control.
     known: BTreeSet<usize>,
     control_started_us: u64,
     random: Pcg64Mcg,
@@ -186,37 +187,37 @@
 }
 
 impl Model {
-    pub(super) fn new(play: Play, make: fn(QuotaSettings) -> Quota) -> Self {
+    pub(super) fn new(scenario: Scenario, make_quota: fn(QuotaSettings) -> Quota) -> Self {
         let settings = QuotaSettings::default();
-        let list: Vec<MachineId> = (0..play.gateways).map(machine).collect();
-        let gateways = (0..play.gateways).map(|_| Gateway {
-            quota: make(settings),
-            life: 0,
-            runs: true,
-            is_frozen: false,
-            hears: true,
-            joined: true,
+        let list: Vec<MachineId> = (0..scenario.gateways).map(machine).collect();
+        let gateways = (0..scenario.gateways).map(|_| Gateway {
+            quota: make_quota(settings),
+            incarnation: 0,
+            is_running: true,
+            is_paused: false,
+            reaches_control: true,
+            reaches_gateways: true,
             is_split: false,
-            heard_us: 0,
+            contact_us: 0,
             list: list.clone(),
             silent: Vec::new(),
             asked_us: BTreeMap::new(),
         });
-        let tenant = tenant(play.rate, play.burst);
-        let count = play.gateways;
+        let tenant = tenant(scenario.rate, scenario.burst);
+        let count = scenario.gateways;
         Model {
             gateways: gateways.collect(),
             directory: TenantDirectory::new(Some(vec![tenant.clone()])),
             tenant,
-            random: Pcg64Mcg::seed_from_u64(play.seed),
-            play,
-            make,
+            random: Pcg64Mcg::seed_from_u64(scenario.seed),
+            scenario,
+            make_quota,
             settings,
             now_us: 0,
             queue: BinaryHeap::new(),
             next: 0,
             messages: BTreeMap::new(),
-            control_away: false,
+            control_unreachable: false,
             announced: (0..count).collect(),
             known: (0..count).collect(),
             control_started_us: 0,
@@ -228,13 +229,13 @@
     }
 
     pub(super) fn run(mut self) -> Outcome {
-        self.after(0, Event::Upkeep);
+        self.after(0, Event::Maintenance);
         self.next_arrival();
-        for index in 0..self.play.faults.len() {
-            let at_us = self.play.faults[index].0 * 1_000;
+        for index in 0..self.scenario.faults.len() {
+            let at_us = self.scenario.faults[index].0 * 1_000;
             self.after(at_us, Event::Fault(index));
         }
-        let end_us = self.play.length_ms * 1_000;
+        let end_us = self.scenario.length_ms * 1_000;
         while let Some(Reverse((at_us, _, event))) = self.queue.pop() {
             if at_us > end_us {
                 break;
@@ -242,7 +243,7 @@
             self.now_us = at_us;
             self.step(event);
         }
-        self.judge()
+        self.evaluate()
     }
 
     fn after(&mut self, wait_us: u64, event: Event) {
@@ -258,47 +259,53 @@
                 self.next_arrival();
             }
             Event::Deliver { from, to, message } => self.deliver(from, to, message),
-            Event::NoAnswer {
+            Event::AnswerTimeout {
                 gateway,
-                life,
+                incarnation,
                 ticket,
             } => {
-                if self.gateways[gateway].life == life {
+                if self.gateways[gateway].incarnation == incarnation {
                     self.act(gateway, |quota, tenant, view| {
                         quota.answer_timed_out(Ticket(ticket), tenant, view)
                     });
                     self.wait_for_answer(gateway, ticket);
                 }
             }
-            Event::Look => self.next_arrival(),
-            Event::Upkeep => self.run_maintenance(),
-            Event::Fault(index) => self.fault(self.play.faults[index].1.clone()),
-            Event::Return { gateway, what } => self.come_back(gateway, what),
-            Event::ControlBack => {
-                self.control_away = false;
-                self.hear_of_all();
+            Event::CheckDemand => self.next_arrival(),
+            Event::Maintenance => self.run_maintenance(),
+            Event::Fault(index) => self.fault(self.scenario.faults[index].1.clone()),
+            Event::Recover {
+                gateway,
+                recovery_kind,
+            } => self.recover(gateway, recovery_kind),
+            Event::ControlReachable => {
+                self.control_unreachable = false;
+                self.announce_all();
             }
             Event::ControlStarts => {
-                self.control_away = false;
+                self.control_unreachable = false;
                 self.control_started_us = self.now_us;
                 self.announced.clear();
-                self.hear_of_all();
+                self.announce_all();
             }
             Event::Announce(gateway) => self.announce(gateway),
-            Event::Forget { gateway, life } => self.forget(gateway, life),
-            Event::Listed => self.tell_list(),
+            Event::RemoveKnown {
+                gateway,
+                incarnation,
+            } => self.remove_known(gateway, incarnation),
+            Event::SendList => self.send_list(),
         }
     }
 
     fn next_arrival(&mut self) {
         let now_ms = self.now_us / 1_000;
-        let steps = self.play.demand.iter();
+        let steps = self.scenario.demand.iter();
         let rate = steps
             .rev()
             .find(|(from, _)| *from <= now_ms)
             .map_or(0.0, |(_, rate)| *rate);
         if rate <= 0.0 {
-            self.after(UPKEEP_US, Event::Look);
+            self.after(MAINTENANCE_US, Event::CheckDemand);
             return;
         }
         let drawn: f64 = self.random.random();
@@ -309,17 +316,17 @@
     fn arrive(&mut self) {
         let count = self.gateways.len();
         let first = count.div_ceil(10);
-        let gateway = if self.random.random::<f64>() < self.play.skew {
+        let gateway = if self.random.random::<f64>() < self.scenario.skew {
             self.random.random_range(0..first)
         } else {
             self.random.random_range(0..count)
         };
         self.arrived_us.push(self.now_us);
         self.outcome.asked += 1;
-        // Callers whose gateway does not answer go to none here.
-        // One that has learned nothing yet is not ready.
+        // Requests to a gateway that does not answer are not sent to another one here. A gateway
+        // without a list is not ready.
         let node = &self.gateways[gateway];
-        if !node.runs || node.list.is_empty() {
+        if !node.is_running || node.list.is_empty() {
             return;
         }
         self.ticket += 1;
@@ -331,17 +338,17 @@
         self.wait_for_answer(gateway, ticket);
     }
 
-    /// A request that is not decided yet asks again after a while.
+    /// An undecided request asks again after a while.
     fn wait_for_answer(&mut self, gateway: usize, ticket: u64) {
         let node = &self.gateways[gateway];
         if node.asked_us.contains_key(&ticket) {
-            let life = node.life;
-            let event = Event::NoAnswer {
+            let incarnation = node.incarnation;
+            let event = Event::AnswerTimeout {
                 gateway,
-                life,
+                incarnation,
                 ticket,
             };
-            self.after(ANSWER_LIMIT_US, event);
+            self.after(ANSWER_TIMEOUT_US, event);
         }
     }
 
@@ -352,7 +359,7 @@
     ) {
         let now_us = self.now_us;
         let node = &mut self.gateways[gateway];
-        if !node.runs {
+        if !node.is_running {
             return;
         }
         let list = node.list.clone();
@@ -363,19 +370,21 @@
             gateways: &list,
             witnesses: &list,
             silent_gateways: &silent,
-            control_silent_ms: (now_us - node.heard_us) / 1_000,
+            control_silent_ms: (now_us - node.contact_us) / 1_000,
             tenants: &self.directory,
         };
         let actions = decide(&mut node.quota, &self.tenant, &view);
         for action in actions {
             match action {
-                QuotaAction::Decide { ticket, verdict } => self.decided(gateway, ticket, verdict),
+                QuotaAction::Decide { ticket, verdict } => {
+                    self.record_decision(gateway, ticket, verdict)
+                }
                 QuotaAction::Send { to, message } => self.send(gateway, to, message),
             }
         }
     }
 
-    fn decided(&mut self, gateway: usize, ticket: Ticket, verdict: QuotaVerdict) {
+    fn record_decision(&mut self, gateway: usize, ticket: Ticket, verdict: QuotaVerdict) {
         let Some(asked_us) = self.gateways[gateway].asked_us.remove(&ticket.0) else {
             return;
         };
@@ -389,7 +398,7 @@
     fn send(&mut self, from: usize, to: MachineId, message: QuotaMessage) {
         self.outcome.messages += 1;
         let to = (to.0 - machine(0).0) as usize;
-        if self.random.random::<f64>() < self.play.loss {
+        if self.random.random::<f64>() < self.scenario.loss {
             return;
         }
         let delay_us = self.random.random_range(200..2_500);
@@ -409,9 +418,11 @@
         let Some(message) = self.messages.remove(&message) else {
             return;
         };
-        // A machine that stands still reads it later, one that is cut off never.
+        // A paused process reads the message later, an isolated one never.
         let (sender, receiver) = (&self.gateways[from], &self.gateways[to]);
-        let is_reached = sender.joined && receiver.joined && sender.is_split == receiver.is_split;
+        let is_reached = sender.reaches_gateways
+            && receiver.reaches_gateways
+            && sender.is_split == receiver.is_split;
         if !is_reached {
             return;
         }
@@ -423,73 +434,76 @@
     fn run_maintenance(&mut self) {
         for index in 0..self.gateways.len() {
             let node = &mut self.gateways[index];
-            if node.runs && node.hears && !self.control_away {
-                node.heard_us = self.now_us;
+            if node.is_running && node.reaches_control && !self.control_unreachable {
+                node.contact_us = self.now_us;
             }
             self.act(index, |quota, _, view| quota.run_maintenance(view));
         }
-        self.after(UPKEEP_US, Event::Upkeep);
+        self.after(MAINTENANCE_US, Event::Maintenance);
     }
 
-    /// Control is there again, and hears of the gateways that it has not heard of.
-    fn hear_of_all(&mut self) {
+    /// Control runs again and makes contact with the gateways that it does not know yet.
+    fn announce_all(&mut self) {
         for gateway in 0..self.gateways.len() {
             if !self.announced.contains(&gateway) {
-                let wait_us = self.random.random_range(10_000..ANNOUNCED_US);
+                let wait_us = self.random.random_range(10_000..ANNOUNCE_US);
                 self.after(wait_us, Event::Announce(gateway));
             }
         }
     }
 
-    /// Control hears of a gateway and puts it on its record.
+    /// Control makes contact with a gateway and adds it to its record.
     fn announce(&mut self, gateway: usize) {
         let node = &self.gateways[gateway];
-        if node.runs && node.hears && !self.control_away {
+        if node.is_running && node.reaches_control && !self.control_unreachable {
             self.announced.insert(gateway);
             self.known.insert(gateway);
         }
-        self.after(LISTED_US, Event::Listed);
+        self.after(LIST_DELAY_US, Event::SendList);
     }
 
-    /// Control takes a gateway off its record, where it heard its process end.
-    fn forget(&mut self, gateway: usize, life: u32) {
+    /// Control removes a gateway from its record if it noticed the end of the process.
+    fn remove_known(&mut self, gateway: usize, incarnation: u32) {
         let node = &self.gateways[gateway];
-        let has_ended = node.life == life && !node.runs && !node.is_frozen;
-        if has_ended && !self.control_away && self.announced.contains(&gateway) {
+        let has_ended = node.incarnation == incarnation && !node.is_running && !node.is_paused;
+        if has_ended && !self.control_unreachable && self.announced.contains(&gateway) {
             self.known.remove(&gateway);
         }
     }
 
-    /// A known gateway that control does not hear, without having heard its process end.
+    /// Whether control knows a gateway, has no contact with it and did not notice the end of its
+    /// process.
     fn is_silent(&self, gateway: usize) -> bool {
         let node = &self.gateways[gateway];
-        let is_heard = node.runs && node.hears;
+        let is_reached = node.is_running && node.reaches_control;
         if !self.announced.contains(&gateway) {
             let since_us = self.now_us - self.control_started_us;
-            return self.known.contains(&gateway) && since_us <= CUT_OFF_US;
+            return self.known.contains(&gateway) && since_us <= SILENT_RETENTION_US;
         }
-        let has_ended = !node.runs && !node.is_frozen;
-        !is_heard && !has_ended
+        let has_ended = !node.is_running && !node.is_paused;
+        !is_reached && !has_ended
     }
 
-    /// Control tells those that hear it which gateways there are.
-    fn tell_list(&mut self) {
-        if self.control_away {
-            self.after(UPKEEP_US, Event::Listed);
+    /// Control sends the list of gateways to those it reaches.
+    fn send_list(&mut self) {
+        if self.control_unreachable {
+            self.after(MAINTENANCE_US, Event::SendList);
             return;
         }
         let nodes = self.gateways.iter().enumerate();
         let list: Vec<MachineId> = nodes
-            .filter(|(index, node)| node.runs && node.hears && self.announced.contains(index))
+            .filter(|(index, node)| {
+                node.is_running && node.reaches_control && self.announced.contains(index)
+            })
             .map(|(index, _)| machine(index))
             .collect();
         let silent = (0..self.gateways.len()).filter(|gateway| self.is_silent(*gateway));
         let silent: Vec<MachineId> = silent.map(machine).collect();
         for node in &mut self.gateways {
-            if node.runs && node.hears {
+            if node.is_running && node.reaches_control {
                 node.silent = silent.clone();
                 node.list = list.clone();
-                node.heard_us = self.now_us;
+                node.contact_us = self.now_us;
             }
         }
     }
@@ -499,70 +513,76 @@
             Fault::Kill { gateways, down_ms } => {
                 for gateway in gateways {
                     let node = &mut self.gateways[gateway];
-                    node.runs = false;
-                    node.life += 1;
+                    node.is_running = false;
+                    node.incarnation += 1;
                     node.asked_us.clear();
-                    let life = node.life;
-                    self.after(ENDED_US + FORGOTTEN_US, Event::Forget { gateway, life });
-                    let back = Event::Return {
+                    let incarnation = node.incarnation;
+                    self.after(
+                        END_NOTICE_US + RECORD_REMOVAL_US,
+                        Event::RemoveKnown {
+                            gateway,
+                            incarnation,
+                        },
+                    );
+                    let recovery = Event::Recover {
                         gateway,
-                        what: Back::Started,
+                        recovery_kind: Recovery::Restarted,
                     };
-                    self.after(down_ms * 1_000, back);
+                    self.after(down_ms * 1_000, recovery);
                 }
-                self.after(ENDED_US, Event::Listed);
+                self.after(END_NOTICE_US, Event::SendList);
             }
-            Fault::Freeze { gateways, for_ms } => {
+            Fault::Pause { gateways, for_ms } => {
                 for gateway in gateways {
-                    self.gateways[gateway].runs = false;
-                    self.gateways[gateway].is_frozen = true;
-                    let back = Event::Return {
+                    self.gateways[gateway].is_running = false;
+                    self.gateways[gateway].is_paused = true;
+                    let recovery = Event::Recover {
                         gateway,
-                        what: Back::Thawed,
+                        recovery_kind: Recovery::Resumed,
                     };
-                    self.after(for_ms * 1_000, back);
+                    self.after(for_ms * 1_000, recovery);
                 }
-                self.after(SILENT_US, Event::Listed);
+                self.after(SILENCE_NOTICE_US, Event::SendList);
             }
             Fault::CutFromControl { gateways, for_ms } => {
                 for gateway in gateways {
-                    self.gateways[gateway].hears = false;
-                    let back = Event::Return {
+                    self.gateways[gateway].reaches_control = false;
+                    let recovery = Event::Recover {
                         gateway,
-                        what: Back::Heard,
+                        recovery_kind: Recovery::ControlReached,
                     };
-                    self.after(for_ms * 1_000, back);
+                    self.after(for_ms * 1_000, recovery);
                 }
-                self.after(SILENT_US, Event::Listed);
+                self.after(SILENCE_NOTICE_US, Event::SendList);
             }
             Fault::Isolate { gateways, for_ms } => {
                 for gateway in gateways {
-                    self.gateways[gateway].hears = false;
-                    self.gateways[gateway].joined = false;
-                    let back = Event::Return {
+                    self.gateways[gateway].reaches_control = false;
+                    self.gateways[gateway].reaches_gateways = false;
+                    let recovery = Event::Recover {
                         gateway,
-                        what: Back::Joined,
+                        recovery_kind: Recovery::Reconnected,
                     };
-                    self.after(for_ms * 1_000, back);
+                    self.after(for_ms * 1_000, recovery);
                 }
-                self.after(SILENT_US, Event::Listed);
+                self.after(SILENCE_NOTICE_US, Event::SendList);
             }
             Fault::Split { gateways, for_ms } => {
                 for gateway in gateways {
                     self.gateways[gateway].is_split = true;
-                    let back = Event::Return {
+                    let recovery = Event::Recover {
                         gateway,
-                        what: Back::United,
+                        recovery_kind: Recovery::SplitEnded,
                     };
-                    self.after(for_ms * 1_000, back);
+                    self.after(for_ms * 1_000, recovery);
                 }
             }
-            Fault::ControlAway { for_ms } => {
-                self.control_away = true;
-                self.after(for_ms * 1_000, Event::ControlBack);
+            Fault::ControlUnreachable { for_ms } => {
+                self.control_unreachable = true;
+                self.after(for_ms * 1_000, Event::ControlReachable);
             }
             Fault::ControlRestarts { down_ms } => {
-                self.control_away = true;
+                self.control_unreachable = true;
                 self.after(down_ms * 1_000, Event::ControlStarts);
             }
             Fault::Limit { rate, burst } => {
@@ -572,58 +592,59 @@
         }
     }
 
-    fn come_back(&mut self, gateway: usize, what: Back) {
+    fn recover(&mut self, gateway: usize, recovery_kind: Recovery) {
         let node = &mut self.gateways[gateway];
-        match what {
-            Back::Started => {
-                node.runs = true;
-                node.is_frozen = false;
+        match recovery_kind {
+            Recovery::Restarted => {
+                node.is_running = true;
+                node.is_paused = false;
                 node.silent.clear();
-                node.quota = (self.make)(self.settings);
+                node.quota = (self.make_quota)(self.settings);
                 node.list.clear();
-                node.heard_us = 0;
+                node.contact_us = 0;
             }
-            Back::Thawed => {
-                node.runs = true;
-                node.is_frozen = false;
+            Recovery::Resumed => {
+                node.is_running = true;
+                node.is_paused = false;
             }
-            Back::Heard => node.hears = true,
-            Back::United => node.is_split = false,
-            Back::Joined => {
-                node.hears = true;
-                node.joined = true;
+            Recovery::ControlReached => node.reaches_control = true,
+            Recovery::SplitEnded => node.is_split = false,
+            Recovery::Reconnected => {
+                node.reaches_control = true;
+                node.reaches_gateways = true;
             }
         }
-        // It says so to control, which tells the others.
-        self.after(ENDED_US - LISTED_US, Event::Announce(gateway));
+        // The gateway announces itself to control, which notifies the others.
+        self.after(END_NOTICE_US - LIST_DELAY_US, Event::Announce(gateway));
     }
 
-    fn judge(mut self) -> Outcome {
+    fn evaluate(mut self) -> Outcome {
         let window_us = self.settings.window_ms * 1_000;
-        let allowed = self.play.rate * window_us as f64 / 1e6 + self.play.burst;
+        let allowed = self.scenario.rate * window_us as f64 / 1e6 + self.scenario.burst;
         let bound = allowed * (1.0 + self.settings.overshoot) + self.settings.slack;
-        let mut most = 0;
+        let mut max_in_window = 0;
         let mut first = 0;
         for last in 0..self.sent_us.len() {
             while self.sent_us[last] - self.sent_us[first] >= window_us {
                 first += 1;
             }
-            most = most.max(last + 1 - first);
+            max_in_window = max_in_window.max(last + 1 - first);
         }
-        self.outcome.most_of_limit = most as f64 / allowed;
-        self.outcome.most_of_bound = most as f64 / bound;
-        let in_one_place = self.in_one_place();
-        self.outcome.refused_below = in_one_place.saturating_sub(self.outcome.admitted);
+        self.outcome.max_of_limit = max_in_window as f64 / allowed;
+        self.outcome.max_of_bound = max_in_window as f64 / bound;
+        let single_bucket_admitted = self.single_bucket_admitted();
+        self.outcome.refused_within_limit =
+            single_bucket_admitted.saturating_sub(self.outcome.admitted);
         self.outcome.waits_us.sort_unstable();
         self.outcome
     }
 
-    /// What one bucket in one place would have admitted.
-    fn in_one_place(&self) -> u64 {
-        let (mut level, mut at_us, mut admitted) = (self.play.burst, 0, 0);
+    /// Requests that a single bucket would have admitted.
+    fn single_bucket_admitted(&self) -> u64 {
+        let (mut level, mut at_us, mut admitted) = (self.scenario.burst, 0, 0);
         for arrived_us in &self.arrived_us {
             let seconds = (arrived_us - at_us) as f64 / 1e6;
-            level = (level + self.play.rate * seconds).min(self.play.burst.max(1.0));
+            level = (level + self.scenario.rate * seconds).min(self.scenario.burst.max(1.0));
             at_us = *arrived_us;
             if level >= 1.0 {
                 level -= 1.0;
