--- a/crates/routing/src/cold/share.rs
+++ b/crates/routing/src/cold/share.rs
@@ -2,7 +2,7 @@
 
 use linnethitch_protocol::ids::MachineId;
 
-use crate::dispatch::spread;
+use crate::dispatch::rendezvous_hash;
 
 /// Gateways whose lists differ may take one another's places. The bound is given out once
 /// for each of so many lists that share no gateway.
@@ -34,7 +34,7 @@
 /// hashing).
 #[must_use]
 pub fn is_holder(own: MachineId, replica: &str, gateways: &[MachineId], holders: u32) -> bool {
-    let weight = |gateway: MachineId| (spread(u64::from(gateway.0), replica), gateway);
+    let weight = |gateway: MachineId| (rendezvous_hash(u64::from(gateway.0), replica), gateway);
     let own_weight = weight(own);
     let before = gateways.iter().copied();
     let before = before.filter(|gateway| weight(*gateway) > own_weight);
--- a/crates/routing/src/dispatch/coordinator/health.rs
+++ b/crates/routing/src/dispatch/coordinator/health.rs
@@ -1,12 +1,11 @@
-//! Whether a replica serves what it is given, by the runs of all gateways.
+//! Whether a replica serves its requests, judged by the runs of all gateways.
 //!
-//! A replica that says that it is well and fails everything is the most dangerous one: it
-//! is always free, so it is always chosen. One gateway of fifty learns of it by its own
-//! failures only; its coordinator hears of every run. So a replica is closed for all after
-//! a few failures, and tried again by one run at a time, a batch item where one waits: an
-//! item may run again, so a failure costs nobody anything. Measured on a day on which 9 of
-//! 89 engines reset every request for six seconds (50 gateways): 898 requests of 18,976 not
-//! served before.
+//! A replica that reports itself as healthy and fails everything is the most dangerous kind: it is
+//! always free, so it is always chosen. One gateway of fifty learns of it only from its own
+//! failures; its coordinator learns of every run. A replica is therefore ejected for all gateways
+//! after a few failures and then tried by one run at a time, a batch item if one waits: an item may
+//! run again, so a failure costs nobody anything. Without this, on a day on which 9 of 89 engines
+//! reset every request for six seconds (50 gateways), 898 requests of 18,976 were not served.
 
 use std::collections::{BTreeSet, VecDeque};
 
@@ -14,88 +13,90 @@
 
 use super::types::{LeaseKey, RunNumber};
 
-/// Failures in a row after which a replica is closed. Three in a row by chance, where one
-/// run in twenty fails, come once in 8,000 runs.
-const FAILURES_IN_A_ROW: usize = 3;
-/// Runs that are remembered.
-const REMEMBERED: usize = 12;
-/// Failures among them after which it is closed.
-const FAILURES_REMEMBERED: usize = 5;
-/// Gateways that must have seen them: what one gateway alone sees may be its own fault.
-const GATEWAYS_CONCERNED: usize = 2;
-/// First time for which a replica is closed, in milliseconds.
-const FIRST_PAUSE_MS: u64 = 500;
-/// Longest such time, in milliseconds.
-const LONGEST_PAUSE_MS: u64 = 8_000;
-/// A trial of which nothing was heard for so long is followed by another, in milliseconds.
-const TRIAL_MS: u64 = 3_000;
-
-/// The run by which a closed replica is tried.
+/// Consecutive failures at which a replica is ejected. With one failure in twenty runs, three
+/// consecutive failures occur by chance once in 8,000 runs.
+const CONSECUTIVE_FAILURES: usize = 3;
+/// Number of recent runs that are recorded.
+const RECORDED_RUNS: usize = 12;
+/// Failures among the recorded runs at which a replica is ejected.
+const FAILURES_IN_RECORD: usize = 5;
+/// Number of gateways that must have reported the failures: failures seen by a single gateway may
+/// be its own fault.
+const MIN_REPORTING_GATEWAYS: usize = 2;
+/// First ejection time, in milliseconds.
+const FIRST_EJECTION_MS: u64 = 500;
+/// Maximum ejection time, in milliseconds.
+const MAX_EJECTION_MS: u64 = 8_000;
+/// A trial without a result is followed by another one after this time, in milliseconds.
+const TRIAL_TIMEOUT_MS: u64 = 3_000;
+
+/// Identifies a run, which may be the trial of an ejected replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Trial {
+pub(super) enum RunId {
     Online(LeaseKey),
     Item(RunNumber),
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Closed {
+struct Ejection {
     until_ms: u64,
-    trial: Option<(Trial, u64)>,
+    trial: Option<(RunId, u64)>,
 }
 
-/// Runs that broke off, perhaps all by one event.
+/// Several broken-off runs that may have a single cause.
 #[derive(Clone, Copy, Debug)]
-struct Break {
-    /// When the first of them was heard of.
-    seen_ms: u64,
-    /// Whether a run broke off that began after that.
+struct BreakOff {
+    /// When the first of them was reported.
+    first_reported_ms: u64,
+    /// Whether a run that began after that was broken off too.
     is_confirmed: bool,
 }
 
-/// What the runs of all gateways tell of a replica.
+/// The health of a replica according to the runs of all gateways.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ReplicaHealth {
-    /// The newest runs: who saw it, and whether it failed.
+    /// The newest runs: the gateway that reported each one, and whether it failed.
     recent: VecDeque<(MachineId, bool)>,
-    closed: Option<Closed>,
-    pause_ms: u64,
-    /// When a run was served last.
-    served_ms: Option<u64>,
-    /// The break after which no run was served yet that began later.
-    seen_break: Option<Break>,
+    ejection: Option<Ejection>,
+    ejection_ms: u64,
+    /// When a run was last served.
+    last_served_ms: Option<u64>,
+    /// The break-off after which no run that began later has been served yet.
+    break_off: Option<BreakOff>,
 }
 
 impl ReplicaHealth {
-    /// Whether the replica is closed, be it tried just now or not.
-    pub(super) fn is_closed(&self) -> bool {
-        self.closed.is_some()
+    /// Whether the replica is ejected, even while a trial is under way.
+    pub(super) fn is_ejected(&self) -> bool {
+        self.ejection.is_some()
     }
 
-    /// Whether a run may begin: any one while the replica is open, else a trial.
+    /// Whether a run may begin: always if the replica is not ejected, otherwise only as a trial.
     pub(super) fn admits(&self, now_ms: u64) -> bool {
-        self.closed.is_none_or(|closed| {
-            let is_tried = closed
+        self.ejection.is_none_or(|ejection| {
+            let trial_under_way = ejection
                 .trial
-                .is_some_and(|(_, since_ms)| now_ms < since_ms + TRIAL_MS);
-            now_ms >= closed.until_ms && !is_tried
+                .is_some_and(|(_, since_ms)| now_ms < since_ms + TRIAL_TIMEOUT_MS);
+            now_ms >= ejection.until_ms && !trial_under_way
         })
     }
 
-    /// A run begins; at a closed replica it is the trial.
-    pub(super) fn begins(&mut self, trial: Trial, now_ms: u64) {
+    /// Records the start of a run; at an ejected replica this is the trial.
+    pub(super) fn run_started(&mut self, trial: RunId, now_ms: u64) {
         if self.admits(now_ms)
-            && let Some(closed) = &mut self.closed
+            && let Some(ejection) = &mut self.ejection
         {
-            closed.trial = Some((trial, now_ms));
+            ejection.trial = Some((trial, now_ms));
         }
     }
 
-    /// A run that began at a time came to an end; true when that closed the replica.
-    pub(super) fn ended(
+    /// Records the end of a run that began at `began_ms`. Returns true if the replica is ejected as
+    /// a result.
+    pub(super) fn run_ended(
         &mut self,
-        run: Trial,
+        run: RunId,
         began_ms: u64,
-        seen_by: MachineId,
+        reporter: MachineId,
         outcome: RunOutcome,
         now_ms: u64,
     ) -> bool {
@@ -105,98 +106,104 @@
                 false
             }
             RunOutcome::Failed => true,
-            // One that serves others meanwhile is only slow.
-            RunOutcome::Silent => self.served_ms.is_none_or(|served_ms| served_ms < began_ms),
+            // A replica that serves other requests in the meantime is only slow.
+            RunOutcome::Silent => self
+                .last_served_ms
+                .is_none_or(|last_served_ms| last_served_ms < began_ms),
             RunOutcome::Unknown => {
                 self.end_trial(run);
                 return false;
             }
         };
-        if let Some(closed) = self.closed {
-            if closed.trial.is_some_and(|(trial, _)| trial == run) {
-                self.judge_trial(has_failed, now_ms);
+        if let Some(ejection) = self.ejection {
+            if ejection.trial.is_some_and(|(trial, _)| trial == run) {
+                self.finish_trial(has_failed, now_ms);
             } else if outcome == RunOutcome::Served {
-                // It had begun before, and shows that not everything fails.
-                self.closed = None;
+                // This run began before the ejection and shows that the replica does not fail
+                // everything.
+                self.ejection = None;
             }
             return false;
         }
-        if outcome == RunOutcome::Failed && self.is_of_one_break(began_ms, now_ms) {
+        if outcome == RunOutcome::Failed && self.is_same_break_off(began_ms, now_ms) {
             return false;
         }
-        self.remember(seen_by, has_failed);
-        if self.fails() {
-            self.close(now_ms);
+        self.record(reporter, has_failed);
+        if self.exceeds_failure_threshold() {
+            self.eject(now_ms);
         }
-        self.is_closed()
+        self.is_ejected()
     }
 
-    fn end_trial(&mut self, run: Trial) {
-        if let Some(closed) = &mut self.closed
-            && closed.trial.is_some_and(|(trial, _)| trial == run)
+    fn end_trial(&mut self, run: RunId) {
+        if let Some(ejection) = &mut self.ejection
+            && ejection.trial.is_some_and(|(trial, _)| trial == run)
         {
-            closed.trial = None;
+            ejection.trial = None;
         }
     }
 
-    fn judge_trial(&mut self, has_failed: bool, now_ms: u64) {
+    fn finish_trial(&mut self, has_failed: bool, now_ms: u64) {
         if has_failed {
-            self.close(now_ms);
+            self.eject(now_ms);
         } else {
-            self.closed = None;
+            self.ejection = None;
         }
     }
 
-    /// Closes it for longer only where a trial failed: one that served its trial is not the
-    /// one that failed before.
-    fn close(&mut self, now_ms: u64) {
-        self.pause_ms = if self.is_closed() {
-            (self.pause_ms * 2).min(LONGEST_PAUSE_MS)
+    /// Ejects the replica. The time is doubled only if a trial failed: after a served trial,
+    /// further failures count as a new fault.
+    fn eject(&mut self, now_ms: u64) {
+        self.ejection_ms = if self.is_ejected() {
+            (self.ejection_ms * 2).min(MAX_EJECTION_MS)
         } else {
-            FIRST_PAUSE_MS
+            FIRST_EJECTION_MS
         };
         self.recent.clear();
-        self.seen_break = None;
-        self.closed = Some(Closed {
-            until_ms: now_ms + self.pause_ms,
+        self.break_off = None;
+        self.ejection = Some(Ejection {
+            until_ms: now_ms + self.ejection_ms,
             trial: None,
         });
     }
 
-    /// Whether a run that broke off tells nothing new. What ends a replica, or resets its
-    /// connections, breaks off all its runs at once; only one that began afterwards shows
-    /// whether it fails what it is given.
-    fn is_of_one_break(&mut self, began_ms: u64, now_ms: u64) -> bool {
-        let Some(seen) = &mut self.seen_break else {
-            self.seen_break = Some(Break {
-                seen_ms: now_ms,
+    /// Whether a broken-off run is no further evidence. An event that ends a replica or resets its
+    /// connections breaks off all its runs at once; only a run that begins afterwards shows whether
+    /// the replica fails its requests.
+    fn is_same_break_off(&mut self, began_ms: u64, now_ms: u64) -> bool {
+        let Some(break_off) = &mut self.break_off else {
+            self.break_off = Some(BreakOff {
+                first_reported_ms: now_ms,
                 is_confirmed: false,
             });
             return false;
         };
-        seen.is_confirmed |= began_ms >= seen.seen_ms;
-        !seen.is_confirmed
+        break_off.is_confirmed |= began_ms >= break_off.first_reported_ms;
+        !break_off.is_confirmed
     }
 
-    /// A run was served. If it began after the break, the replica serves again.
+    /// Records a served run. If it began after the break-off, the replica serves again.
     fn note_served(&mut self, began_ms: u64, now_ms: u64) {
-        self.served_ms = Some(now_ms);
-        self.seen_break = self.seen_break.filter(|seen| began_ms < seen.seen_ms);
+        self.last_served_ms = Some(now_ms);
+        self.break_off = self
+            .break_off
+            .filter(|break_off| began_ms < break_off.first_reported_ms);
     }
 
-    fn remember(&mut self, seen_by: MachineId, has_failed: bool) {
-        self.recent.push_back((seen_by, has_failed));
-        if self.recent.len() > REMEMBERED {
+    fn record(&mut self, reporter: MachineId, has_failed: bool) {
+        self.recent.push_back((reporter, has_failed));
+        if self.recent.len() > RECORDED_RUNS {
             self.recent.pop_front();
         }
     }
 
-    fn fails(&self) -> bool {
+    fn exceeds_failure_threshold(&self) -> bool {
         let failed = self.recent.iter().filter(|(_, failed)| *failed);
-        let concerned: BTreeSet<MachineId> = failed.clone().map(|(seen_by, _)| *seen_by).collect();
+        let reporters: BTreeSet<MachineId> =
+            failed.clone().map(|(reporter, _)| *reporter).collect();
         let newest = self.recent.iter().rev();
-        let in_a_row = newest.take_while(|(_, failed)| *failed).count();
-        concerned.len() >= GATEWAYS_CONCERNED
-            && (in_a_row >= FAILURES_IN_A_ROW || failed.count() >= FAILURES_REMEMBERED)
+        let consecutive = newest.take_while(|(_, failed)| *failed).count();
+        reporters.len() >= MIN_REPORTING_GATEWAYS
+            && (consecutive >= CONSECUTIVE_FAILURES || failed.count() >= FAILURES_IN_RECORD)
     }
 }
--- a/crates/routing/src/dispatch/coordinator/mod.rs
+++ b/crates/routing/src/dispatch/coordinator/mod.rs
@@ -1,14 +1,13 @@
-//! Who has which slot of the replicas that one gateway coordinates.
+//! The slots of the replicas that one gateway coordinates.
 //!
-//! Every replica has one coordinator, so that somebody knows at each moment
-//! how many of its slots online requests and batch items have. Online requests
-//! of all gateways ask for a slot; batch items run at their replica's
-//! coordinator only, which stops one at once when an online request needs its
-//! slot. Where online requests have every slot, further ones wait here in the
-//! order of [`Waiter::turn`], not in the replica's queue.
+//! Every replica has one coordinator, so that one gateway knows at any time how many of its slots
+//! are taken by online requests and batch items. Online requests of all gateways ask for a slot;
+//! batch items run only at their replica's coordinator, which stops one immediately when an online
+//! request needs its slot. While online requests take every slot, further ones wait here in the
+//! order of [`Waiter::sort_key`], not in the replica's queue.
 //!
-//! Nothing here reads a clock or a socket: callers pass the time, steady and in
-//! milliseconds, and carry out the returned [`SlotAction`]s.
+//! Nothing here reads a clock or a socket: callers pass the time, monotonic and in milliseconds,
+//! and carry out the returned [`SlotAction`]s.
 
 mod health;
 mod replica_slots;
@@ -21,22 +20,22 @@
     slots::{AskMode, HeldLease, RunOutcome, SlotLoad, Verdict},
 };
 
-use super::item_growth::ItemCapacity;
+use super::item_ramp_up::ItemCapacity;
 
 pub use self::types::{Ask, CoordinatedReplica, Due, LeaseKey, RunNumber, SlotAction, WaitingItem};
 use self::{
-    health::{ReplicaHealth, Trial},
+    health::{ReplicaHealth, RunId},
     replica_slots::{ReplicaSlots, RunningItem, Waiter, answer},
 };
 
-/// A new coordinator begins no items until every gateway has had time to say
-/// which slots it holds, in milliseconds.
+/// A new coordinator starts no items until every gateway has had time to report the slots that it
+/// holds, in milliseconds.
 const SETTLE_MS: u64 = 250;
-/// A lease whose holder did not name it for so long has ended, in milliseconds.
-const LEASE_MS: u64 = 2_500;
-/// A lease as young as this may be missing in what its holder said meanwhile,
-/// in milliseconds.
-const YOUNG_MS: u64 = 400;
+/// A lease ends if its holder has not reported it for this time, in milliseconds.
+const LEASE_TIMEOUT_MS: u64 = 2_500;
+/// A lease younger than this may be missing from a report that its holder sent in the meantime, in
+/// milliseconds.
+const YOUNG_LEASE_MS: u64 = 400;
 
 /// Slots of the replicas that this gateway coordinates.
 #[derive(Clone, Debug, Default)]
@@ -46,9 +45,10 @@
 }
 
 impl SlotCoordinator {
-    /// Replaces the list of replicas. Items stop at those that are coordinated
-    /// elsewhere now or that take no new work; they go on where there is room. What waits
-    /// for a replica whose zone is evacuated goes elsewhere; what runs there goes on.
+    /// Replaces the list of replicas. Items stop at replicas that are no longer coordinated here,
+    /// and may continue at others; requests that wait there are answered with `NotHere`. Requests
+    /// that wait for a replica in an evacuated zone are rejected so that they go elsewhere; what
+    /// already runs there continues.
     pub fn set_replicas(&mut self, list: Vec<CoordinatedReplica>, now_ms: u64) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         let mut before = std::mem::take(&mut self.replicas);
@@ -69,13 +69,13 @@
         }
         for replica in self.replicas.values_mut() {
             if replica.traits.evacuated {
-                replica.turn_queue_away(&mut actions);
+                replica.reject_queue(&mut actions);
             }
         }
-        for (id, left) in before {
-            actions.extend(left.items.into_keys().map(SlotAction::Stop));
-            let asked = left.queue.into_keys();
-            actions.extend(asked.map(|key| answer(&id, key, Verdict::NotHere)));
+        for (id, removed) in before {
+            actions.extend(removed.items.into_keys().map(SlotAction::Stop));
+            let waiting = removed.queue.into_keys();
+            actions.extend(waiting.map(|key| answer(&id, key, Verdict::NotHere)));
         }
         actions
     }
@@ -90,22 +90,22 @@
         let is_leased = replica.online.contains_key(&ask.key);
         let admits = replica.admits_online(now_ms);
         let has_slot = match ask.mode {
-            AskMode::Free => admits && replica.free() > 0,
+            AskMode::Free => admits && replica.free_slots() > 0,
             AskMode::Probe | AskMode::Wait => admits && replica.has_online_slot(),
-            AskMode::Alone => admits && replica.has_online_slot() && !replica.runs_one_alone(),
+            AskMode::Alone => admits && replica.has_online_slot() && !replica.runs_exclusive(),
             AskMode::Take => true,
         };
-        let alone = ask.mode == AskMode::Alone;
+        let exclusive = ask.mode == AskMode::Alone;
         let verdict = if is_leased || has_slot {
-            replica.lease(ask.key, alone, now_ms, &mut actions);
+            replica.lease(ask.key, exclusive, now_ms, &mut actions);
             Verdict::Granted
         } else if replica.is_closed() {
             Verdict::Full
-        } else if alone || ask.mode == AskMode::Wait {
+        } else if exclusive || ask.mode == AskMode::Wait {
             let waiter = Waiter {
                 due: ask.due,
                 rank: ask.rank,
-                alone,
+                exclusive,
             };
             replica.queue.insert(ask.key, waiter);
             Verdict::Queued
@@ -116,8 +116,8 @@
         actions
     }
 
-    /// A request that had a slot came out so. Those that wait for a replica that fails go
-    /// elsewhere.
+    /// Records the outcome of a request that had a slot. If that ejects the replica, the requests
+    /// that wait for it go elsewhere.
     pub fn record_run(
         &mut self,
         key: LeaseKey,
@@ -127,14 +127,14 @@
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
             if replica.online.contains_key(&key) {
-                let run = Trial::Online(key);
-                replica.ended(run, key.holder, outcome, now_ms, &mut actions);
+                let run = RunId::Online(key);
+                replica.run_ended(run, key.holder, outcome, now_ms, &mut actions);
             }
         }
         actions
     }
 
-    /// An item's run came out so, as this gateway saw it.
+    /// Records the outcome of an item's run, as seen by this gateway.
     pub fn record_item_run(
         &mut self,
         run: RunNumber,
@@ -145,13 +145,13 @@
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
             if replica.items.contains_key(&run) {
-                replica.ended(Trial::Item(run), own, outcome, now_ms, &mut actions);
+                replica.run_ended(RunId::Item(run), own, outcome, now_ms, &mut actions);
             }
         }
         actions
     }
 
-    /// A slot is given back, or no longer asked for.
+    /// Releases a slot or withdraws a waiting request.
     pub fn end(&mut self, key: LeaseKey, now_ms: u64) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
@@ -164,24 +164,24 @@
         actions
     }
 
-    /// Takes what a gateway says that it holds: leases that it does not name
-    /// have ended, ones that are not known here are noted.
+    /// Applies a gateway's report of its leases: leases that are missing have ended, unknown ones
+    /// are added.
     pub fn reconcile_leases(
         &mut self,
         holder: MachineId,
         leases: &[HeldLease],
         now_ms: u64,
     ) -> Vec<SlotAction> {
-        let named: BTreeSet<(&str, u64)> = leases
+        let reported: BTreeSet<(&str, u64)> = leases
             .iter()
             .map(|lease| (lease.replica.as_str(), lease.number))
             .collect();
         let mut actions = Vec::new();
         for (id, replica) in &mut self.replicas {
-            replica.online.retain(|key, held| {
+            replica.online.retain(|key, lease| {
                 key.holder != holder
-                    || now_ms < held.heard_ms + YOUNG_MS
-                    || named.contains(&(id.as_str(), key.number))
+                    || now_ms < lease.confirmed_ms + YOUNG_LEASE_MS
+                    || reported.contains(&(id.as_str(), key.number))
             });
         }
         for lease in leases {
@@ -192,7 +192,7 @@
             let Some(replica) = self.replicas.get_mut(&lease.replica) else {
                 continue;
             };
-            // An ask that still waits here is named too; it has no slot yet.
+            // A request that still waits here is reported too; it has no slot yet.
             if !replica.queue.contains_key(&key) {
                 replica.lease(key, lease.alone, now_ms, &mut actions);
             }
@@ -201,26 +201,26 @@
         actions
     }
 
-    /// Ends leases whose holder is silent; begins what has room.
+    /// Ends leases whose holder is silent and fills free slots.
     pub fn tick(&mut self, now_ms: u64) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         for replica in self.replicas.values_mut() {
             replica
                 .online
-                .retain(|_, held| now_ms < held.heard_ms + LEASE_MS);
+                .retain(|_, lease| now_ms < lease.confirmed_ms + LEASE_TIMEOUT_MS);
             replica.serve_queue(now_ms, &mut actions);
         }
         actions.extend(self.start_items(now_ms));
         actions
     }
 
-    /// An item wants to run.
+    /// Adds an item that waits for a slot.
     pub fn enqueue_item(&mut self, item: WaitingItem, now_ms: u64) -> Vec<SlotAction> {
         self.waiting.insert(item.run, item);
         self.start_items(now_ms)
     }
 
-    /// An item's run has ended, or it no longer waits.
+    /// Records that an item's run has ended or that the item no longer waits.
     pub fn item_ended(&mut self, run: RunNumber, now_ms: u64) -> Vec<SlotAction> {
         self.waiting.remove(&run);
         let mut actions = Vec::new();
@@ -239,9 +239,9 @@
             return actions;
         }
         let mut order: Vec<_> = self.waiting.values().map(|w| (w.due, w.run)).collect();
-        order.sort_by_key(|(due, run)| (due.turn(now_ms), *run));
+        order.sort_by_key(|(due, run)| (due.sort_key(now_ms), *run));
         for (due, run) in order {
-            let Some(replica) = self.room_for(run, now_ms) else {
+            let Some(replica) = self.replica_for_item(run, now_ms) else {
                 continue;
             };
             let Some(slots) = self.replicas.get_mut(&replica) else {
@@ -252,54 +252,54 @@
                 started_ms: now_ms,
             };
             slots.items.insert(run, item);
-            slots.health.begins(Trial::Item(run), now_ms);
+            slots.health.run_started(RunId::Item(run), now_ms);
             self.waiting.remove(&run);
             actions.push(SlotAction::Start { run, replica });
         }
         actions
     }
 
-    /// The replica with most free slots among those that the item may have and that did not
-    /// fail it; where all did, among all that it may have.
-    fn room_for(&self, run: RunNumber, now_ms: u64) -> Option<String> {
+    /// The replica with the most free slots among those that the item may use and that did not fail
+    /// it; if all of these failed it, among all that it may use.
+    fn replica_for_item(&self, run: RunNumber, now_ms: u64) -> Option<String> {
         let item = self.waiting.get(&run)?;
         let of_service = self.replicas.values().filter(|replica| {
-            replica.traits.service == item.service && replica.may_begin_items(now_ms)
+            replica.traits.service == item.service && replica.may_start_items(now_ms)
         });
-        let may_have = of_service.filter(|replica| !item.except.contains(&replica.traits.id));
-        let candidates: Vec<&ReplicaSlots> = may_have.collect();
-        let avoids = |replica: &ReplicaSlots| item.avoid.contains(&replica.traits.id);
-        let all_failed = candidates.iter().all(|replica| avoids(replica));
+        let allowed = of_service.filter(|replica| !item.except.contains(&replica.traits.id));
+        let candidates: Vec<&ReplicaSlots> = allowed.collect();
+        let failed_there = |replica: &ReplicaSlots| item.avoid.contains(&replica.traits.id);
+        let all_failed = candidates.iter().all(|replica| failed_there(replica));
         let usable = candidates
             .into_iter()
-            .filter(|replica| replica.free() > 0)
-            .filter(|replica| all_failed || !avoids(replica));
-        let best = usable.max_by_key(|replica| replica.free())?;
+            .filter(|replica| replica.free_slots() > 0)
+            .filter(|replica| all_failed || !failed_there(replica));
+        let best = usable.max_by_key(|replica| replica.free_slots())?;
         Some(best.traits.id.clone())
     }
 
-    /// Slots that further items of a service could have now.
+    /// Slots that further items of a service could use now.
     #[must_use]
     pub fn free_item_slots(&self, service: &str, now_ms: u64) -> u32 {
         self.item_capacity(service, now_ms).slots
     }
 
-    /// Room for further items of a service.
+    /// Capacity for further items of a service.
     #[must_use]
     pub fn item_capacity(&self, service: &str, now_ms: u64) -> ItemCapacity {
         let of_service = self
             .replicas
             .values()
-            .filter(|replica| replica.traits.service == service && replica.may_begin_items(now_ms));
-        let free: Vec<u32> = of_service
-            .map(ReplicaSlots::free)
-            .filter(|free| *free > 0)
+            .filter(|replica| replica.traits.service == service && replica.may_start_items(now_ms));
+        let free_slots: Vec<u32> = of_service
+            .map(ReplicaSlots::free_slots)
+            .filter(|free_slots| *free_slots > 0)
             .collect();
         let waiting = self.waiting.values().filter(|w| w.service == service);
         let waiting = waiting.count() as u32;
         ItemCapacity {
-            slots: free.iter().sum::<u32>().saturating_sub(waiting),
-            replicas: (free.len() as u32).saturating_sub(waiting),
+            slots: free_slots.iter().sum::<u32>().saturating_sub(waiting),
+            replicas: (free_slots.len() as u32).saturating_sub(waiting),
         }
     }
 
@@ -313,11 +313,11 @@
     #[must_use]
     pub fn loads(&self, service: &str) -> Vec<SlotLoad> {
         let replicas = self.replicas.values();
-        let concerned = replicas.filter(|replica| replica.traits.service == service);
-        concerned.map(ReplicaSlots::load).collect()
+        let of_service = replicas.filter(|replica| replica.traits.service == service);
+        of_service.map(ReplicaSlots::load).collect()
     }
 
-    /// Loads of the service to which a replica belongs.
+    /// Loads of all replicas of the service to which a replica belongs.
     #[must_use]
     pub fn loads_of_same_service(&self, replica: &str) -> Vec<SlotLoad> {
         let service = self.replicas.get(replica).map(|r| r.traits.service.clone());
--- a/crates/routing/src/dispatch/coordinator/replica_slots.rs
+++ b/crates/routing/src/dispatch/coordinator/replica_slots.rs
@@ -8,15 +8,15 @@
 };
 
 use super::{
-    health::{ReplicaHealth, Trial},
+    health::{ReplicaHealth, RunId},
     types::{CoordinatedReplica, Due, LeaseKey, RunNumber, SlotAction},
 };
 
-/// Who has and who wants the slots of one replica.
+/// Holders of the slots of one replica, and those that wait for a slot.
 #[derive(Clone, Debug)]
 pub(super) struct ReplicaSlots {
     pub(super) traits: CoordinatedReplica,
-    /// When items may begin.
+    /// Time from which items may start.
     pub(super) settled_ms: u64,
     /// Leases of online requests.
     pub(super) online: BTreeMap<LeaseKey, OnlineLease>,
@@ -28,12 +28,12 @@
 /// An online request that has a slot.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct OnlineLease {
-    /// When it was given.
+    /// When the lease was granted.
     pub(super) began_ms: u64,
-    /// When it was last heard of.
-    pub(super) heard_ms: u64,
-    /// No other such request may have a slot beside it.
-    pub(super) alone: bool,
+    /// When the lease was last confirmed.
+    pub(super) confirmed_ms: u64,
+    /// No other exclusive request may have a slot at the same time.
+    pub(super) exclusive: bool,
 }
 
 /// An online request that waits for a slot.
@@ -41,15 +41,15 @@
 pub(super) struct Waiter {
     pub(super) due: Due,
     pub(super) rank: u8,
-    /// It waits for those that run alone, too.
-    pub(super) alone: bool,
+    /// The request also waits for other exclusive requests.
+    pub(super) exclusive: bool,
 }
 
 impl Waiter {
-    /// Its place among others that wait: those that can still be on time before late
-    /// ones, then by rank, then by due time.
-    pub(super) fn turn(&self, now_ms: u64) -> (bool, u8, u64) {
-        let (is_late, due_ms) = self.due.turn(now_ms);
+    /// Order among waiting requests: those that can still be on time before late ones, then by
+    /// rank, then by due time.
+    pub(super) fn sort_key(&self, now_ms: u64) -> (bool, u8, u64) {
+        let (is_late, due_ms) = self.due.sort_key(now_ms);
         (is_late, self.rank, due_ms)
     }
 }
@@ -62,43 +62,43 @@
 }
 
 impl ReplicaSlots {
-    fn taken(&self) -> u32 {
+    fn used_slots(&self) -> u32 {
         (self.online.len() + self.items.len()) as u32
     }
 
-    pub(super) fn free(&self) -> u32 {
-        self.traits.slots.saturating_sub(self.taken())
+    pub(super) fn free_slots(&self) -> u32 {
+        self.traits.slots.saturating_sub(self.used_slots())
     }
 
-    pub(super) fn may_begin_items(&self, now_ms: u64) -> bool {
+    pub(super) fn may_start_items(&self, now_ms: u64) -> bool {
         self.traits.open && self.settled_ms <= now_ms && self.health.admits(now_ms)
     }
 
-    /// Whether an online request may be given a slot, if there is one.
+    /// Whether an online request may get a slot, if there is one.
     pub(super) fn admits_online(&self, now_ms: u64) -> bool {
         !self.traits.evacuated && self.health.admits(now_ms)
     }
 
-    /// Whether nothing is to be sent there, but for trials.
+    /// Whether nothing should be sent there, except trials.
     pub(super) fn is_closed(&self) -> bool {
-        self.traits.evacuated || self.health.is_closed()
+        self.traits.evacuated || self.health.is_ejected()
     }
 
     pub(super) fn has_online_slot(&self) -> bool {
         (self.online.len() as u32) < self.traits.slots
     }
 
-    /// Whether a request that runs alone has a slot.
-    pub(super) fn runs_one_alone(&self) -> bool {
-        self.online.values().any(|lease| lease.alone)
+    /// Whether an exclusive request has a slot.
+    pub(super) fn runs_exclusive(&self) -> bool {
+        self.online.values().any(|lease| lease.exclusive)
     }
 
-    /// Stops items until all fit into the slots: first those that were too late
-    /// when they began, then those due last.
-    fn stop_items(&mut self, actions: &mut Vec<SlotAction>) {
-        while self.taken() > self.traits.slots {
+    /// Stops items until all work fits into the slots: first items that were already late when they
+    /// started, then those due last.
+    fn preempt_items(&mut self, actions: &mut Vec<SlotAction>) {
+        while self.used_slots() > self.traits.slots {
             let items = self.items.iter();
-            let last = items.max_by_key(|(_, item)| item.due.turn(item.started_ms));
+            let last = items.max_by_key(|(_, item)| item.due.sort_key(item.started_ms));
             let Some(run) = last.map(|(run, _)| *run) else {
                 return;
             };
@@ -110,69 +110,72 @@
     pub(super) fn lease(
         &mut self,
         key: LeaseKey,
-        alone: bool,
+        exclusive: bool,
         now_ms: u64,
         actions: &mut Vec<SlotAction>,
     ) {
-        let held = self.online.get(&key);
+        let existing = self.online.get(&key);
         let lease = OnlineLease {
-            began_ms: held.map_or(now_ms, |held| held.began_ms),
-            heard_ms: now_ms,
-            alone,
+            began_ms: existing.map_or(now_ms, |existing| existing.began_ms),
+            confirmed_ms: now_ms,
+            exclusive,
         };
         if self.online.insert(key, lease).is_none() {
-            self.health.begins(Trial::Online(key), now_ms);
+            self.health.run_started(RunId::Online(key), now_ms);
         }
-        self.stop_items(actions);
+        self.preempt_items(actions);
     }
 
-    /// Gives free slots to the online requests that wait.
+    /// Grants free slots to waiting online requests.
     pub(super) fn serve_queue(&mut self, now_ms: u64, actions: &mut Vec<SlotAction>) {
         while self.has_online_slot() && self.admits_online(now_ms) {
-            let runs_one_alone = self.runs_one_alone();
+            let runs_exclusive = self.runs_exclusive();
             let waiting = self.queue.iter();
             let next = waiting
-                .filter(|(_, waiter)| !(waiter.alone && runs_one_alone))
-                .min_by_key(|(_, waiter)| waiter.turn(now_ms));
+                .filter(|(_, waiter)| !(waiter.exclusive && runs_exclusive))
+                .min_by_key(|(_, waiter)| waiter.sort_key(now_ms));
             let Some((key, waiter)) = next.map(|(key, waiter)| (*key, *waiter)) else {
                 return;
             };
             self.queue.remove(&key);
-            self.lease(key, waiter.alone, now_ms, actions);
+            self.lease(key, waiter.exclusive, now_ms, actions);
             actions.push(answer(&self.traits.id, key, Verdict::Granted));
         }
     }
 
-    /// A run came out so; where that closes the replica, those that wait go elsewhere.
-    pub(super) fn ended(
+    /// Records the outcome of a run. If it ejects the replica, waiting requests are rejected so
+    /// that they go elsewhere.
+    pub(super) fn run_ended(
         &mut self,
-        run: Trial,
-        seen_by: MachineId,
+        run: RunId,
+        reporter: MachineId,
         outcome: RunOutcome,
         now_ms: u64,
         actions: &mut Vec<SlotAction>,
     ) {
         let began_ms = match run {
-            Trial::Online(key) => self.online.get(&key).map(|lease| lease.began_ms),
-            Trial::Item(run) => self.items.get(&run).map(|item| item.started_ms),
+            RunId::Online(key) => self.online.get(&key).map(|lease| lease.began_ms),
+            RunId::Item(run) => self.items.get(&run).map(|item| item.started_ms),
         };
         let began_ms = began_ms.unwrap_or(now_ms);
-        let was_closed = self.health.is_closed();
-        let has_closed = self.health.ended(run, began_ms, seen_by, outcome, now_ms);
-        if was_closed != self.health.is_closed() {
+        let was_ejected = self.health.is_ejected();
+        let now_ejected = self
+            .health
+            .run_ended(run, began_ms, reporter, outcome, now_ms);
+        if was_ejected != self.health.is_ejected() {
             actions.push(SlotAction::ReportHealth {
                 replica: self.traits.id.clone(),
-                closed: !was_closed,
+                closed: !was_ejected,
             });
         }
-        if !has_closed {
+        if !now_ejected {
             return;
         }
-        self.turn_queue_away(actions);
+        self.reject_queue(actions);
     }
 
-    /// Those that wait go elsewhere.
-    pub(super) fn turn_queue_away(&mut self, actions: &mut Vec<SlotAction>) {
+    /// Rejects waiting requests so that they go elsewhere.
+    pub(super) fn reject_queue(&mut self, actions: &mut Vec<SlotAction>) {
         let waiting = std::mem::take(&mut self.queue).into_keys();
         actions.extend(waiting.map(|key| answer(&self.traits.id, key, Verdict::Full)));
     }
--- a/crates/routing/src/dispatch/coordinator/types.rs
+++ b/crates/routing/src/dispatch/coordinator/types.rs
@@ -1,16 +1,16 @@
-//! What a coordinator is asked and what it decides.
+//! Requests to a coordinator and its decisions.
 
 use linnethitch_protocol::{
     ids::MachineId,
     slots::{AskMode, Verdict},
 };
 
-/// A lease of a slot: its holder and the holder's number of it.
+/// Identifies a lease of a slot by its holder and the holder's number for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LeaseKey {
     /// The gateway.
     pub holder: MachineId,
-    /// Its number of the lease.
+    /// The holder's number for the lease.
     pub number: u64,
 }
 
@@ -18,37 +18,36 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RunNumber(pub u64);
 
-/// When work is due. Work that is late waits for what can still be on time.
+/// When work is due. Late work waits for work that can still be on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Due {
-    /// The time at which it is late, in milliseconds.
+    /// The time from which the work is late, in milliseconds.
     pub at_ms: u64,
 }
 
 impl Due {
-    /// Its place among others that wait: those on time by their due times, then
-    /// late ones by the same.
-    pub(super) fn turn(self, now_ms: u64) -> (bool, u64) {
+    /// Order among waiting work: by due time, late work after the rest.
+    pub(super) fn sort_key(self, now_ms: u64) -> (bool, u64) {
         (self.at_ms <= now_ms, self.at_ms)
     }
 }
 
-/// What a replica is, as its coordinator needs it.
+/// A replica in the form that its coordinator needs.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CoordinatedReplica {
-    /// The key of its start.
+    /// The key of its incarnation.
     pub id: String,
     /// Its service.
     pub service: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it may be given new work.
+    /// Whether it may get new work.
     pub open: bool,
-    /// Whether its zone is evacuated: nothing waits there either.
+    /// Whether its zone is evacuated, in which case no request waits there either.
     pub evacuated: bool,
 }
 
-/// What is to be done.
+/// An action for the caller to carry out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SlotAction {
     /// Answer the holder of a lease.
@@ -57,19 +56,19 @@
         key: LeaseKey,
         /// The replica.
         replica: String,
-        /// What was decided.
+        /// The decision.
         verdict: Verdict,
     },
-    /// Say that a replica fails what it is given, or no longer does.
+    /// Report that a replica was ejected or is available again.
     ReportHealth {
         /// The replica.
         replica: String,
-        /// Whether it is closed.
+        /// Whether the replica is ejected.
         closed: bool,
     },
-    /// Stop an item's run; its slot is given to another.
+    /// Stop an item's run; its slot is given to another request.
     Stop(RunNumber),
-    /// Begin an item's run at a replica.
+    /// Start an item's run at a replica.
     Start {
         /// The run that waited.
         run: RunNumber,
@@ -78,32 +77,32 @@
     },
 }
 
-/// An online request that wants a slot.
+/// A request for a slot by an online request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Ask {
-    /// The lease that it would have.
+    /// The lease under which the slot would be granted.
     pub key: LeaseKey,
     /// The replica.
     pub replica: String,
-    /// When it is late.
+    /// When the request is due.
     pub due: Due,
     /// Its rank; 0 is the highest.
     pub rank: u8,
-    /// What happens when no slot is free.
+    /// What happens if no slot is free.
     pub mode: AskMode,
 }
 
-/// A batch item that wants a slot.
+/// A batch item that waits for a slot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct WaitingItem {
     /// Its run.
     pub run: RunNumber,
     /// Its service.
     pub service: String,
-    /// When it has to begin to be done in time.
+    /// The latest start with which the item ends in time.
     pub due: Due,
-    /// Replicas that failed it.
+    /// Replicas at which it failed.
     pub avoid: Vec<String>,
-    /// Replicas that it must not be given: those outside its homes.
+    /// Replicas that it must not use: those outside its home zones.
     pub except: Vec<String>,
 }
--- a/crates/routing/src/dispatch/coordinator_table.rs
+++ b/crates/routing/src/dispatch/coordinator_table.rs
@@ -1,9 +1,9 @@
-//! Which gateway coordinates the slots of which replica, as one gateway works it out.
+//! Which gateway coordinates the slots of which replica, from the view of one gateway.
 //!
-//! A gateway has to know which replicas it coordinates itself, and who coordinates those that
-//! it asks for. The first is kept up to date: a replica that comes or goes costs one look at
-//! it, another list of gateways one at each replica of the zones in which this gateway may
-//! coordinate. The second is found when it is asked for.
+//! A gateway has to know which replicas it coordinates itself, and which gateways coordinate the
+//! replicas that it requests slots of. The first is kept up to date: one check for a replica that
+//! is added or removed, and with a new list of gateways one check for each replica of the zones in
+//! which this gateway may coordinate. The second is computed on request.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -16,9 +16,9 @@
 
 type Key = Arc<str>;
 
-/// Where a replica is.
+/// The location of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct ReplicaPlace {
+struct ReplicaLocation {
     zone: String,
     region: Option<String>,
 }
@@ -28,13 +28,13 @@
 pub struct CoordinatorTable {
     own: MachineId,
     gateways: NearGateways,
-    replicas: HashMap<Key, ReplicaPlace>,
+    replicas: HashMap<Key, ReplicaLocation>,
     by_zone: BTreeMap<String, BTreeSet<Key>>,
     coordinated: BTreeSet<Key>,
 }
 
 impl CoordinatorTable {
-    /// The table of a gateway that knows no other ones yet.
+    /// The table of a gateway that knows no other gateways yet.
     #[must_use]
     pub fn new(own: MachineId) -> Self {
         CoordinatorTable {
@@ -46,63 +46,69 @@
         }
     }
 
-    /// Takes another list of gateways.
+    /// Replaces the list of gateways.
     pub fn set_gateways(&mut self, gateways: NearGateways) {
         self.gateways = gateways;
         self.coordinated.clear();
         for keys in self.by_zone.values() {
-            // Of one zone all have the same candidates.
-            let Some(place) = keys.first().and_then(|key| self.replicas.get(key)) else {
+            // All replicas of a zone have the same candidates.
+            let Some(location) = keys.first().and_then(|key| self.replicas.get(key)) else {
                 continue;
             };
-            let candidates = self.gateways.near(&place.zone, place.region.as_deref());
+            let candidates = self
+                .gateways
+                .coordinator_candidates(&location.zone, location.region.as_deref());
             if candidates.contains(&self.own) {
-                let own = keys.iter().filter(|key| candidates.wins(self.own, key));
+                let own = keys
+                    .iter()
+                    .filter(|key| candidates.is_coordinator(self.own, key));
                 self.coordinated.extend(own.cloned());
             }
         }
     }
 
-    /// Notes a replica, or where it is by now.
+    /// Adds a replica or updates its location.
     pub fn put(&mut self, replica: &str, zone: &str, region: Option<&str>) {
-        let place = ReplicaPlace {
+        let location = ReplicaLocation {
             zone: zone.to_owned(),
             region: region.map(str::to_owned),
         };
-        if self.replicas.get(replica) == Some(&place) {
+        if self.replicas.get(replica) == Some(&location) {
             return;
         }
         self.remove(replica);
         let key = Key::from(replica);
-        let candidates = self.gateways.near(zone, region);
-        if candidates.contains(&self.own) && candidates.wins(self.own, replica) {
+        let candidates = self.gateways.coordinator_candidates(zone, region);
+        if candidates.contains(&self.own) && candidates.is_coordinator(self.own, replica) {
             self.coordinated.insert(Arc::clone(&key));
         }
-        let of_zone = self.by_zone.entry(zone.to_owned()).or_default();
-        of_zone.insert(Arc::clone(&key));
-        self.replicas.insert(key, place);
+        let in_zone = self.by_zone.entry(zone.to_owned()).or_default();
+        in_zone.insert(Arc::clone(&key));
+        self.replicas.insert(key, location);
     }
 
-    /// Forgets a replica.
+    /// Removes a replica.
     pub fn remove(&mut self, replica: &str) {
-        let Some((key, place)) = self.replicas.remove_entry(replica) else {
+        let Some((key, location)) = self.replicas.remove_entry(replica) else {
             return;
         };
         self.coordinated.remove(&key);
-        if let Some(of_zone) = self.by_zone.get_mut(&place.zone) {
-            of_zone.remove(&key);
-            if of_zone.is_empty() {
-                self.by_zone.remove(&place.zone);
+        if let Some(in_zone) = self.by_zone.get_mut(&location.zone) {
+            in_zone.remove(&key);
+            if in_zone.is_empty() {
+                self.by_zone.remove(&location.zone);
             }
         }
     }
 
-    /// The gateway that coordinates a replica; `None` where it is not known or there is none.
+    /// The gateway that coordinates a replica; `None` if the replica is unknown or there is no
+    /// gateway.
     #[must_use]
     pub fn coordinator_of(&self, replica: &str) -> Option<MachineId> {
-        let place = self.replicas.get(replica)?;
-        let region = place.region.as_deref();
-        self.gateways.coordinator_of(replica, &place.zone, region)
+        let location = self.replicas.get(replica)?;
+        let region = location.region.as_deref();
+        self.gateways
+            .coordinator_of(replica, &location.zone, region)
     }
 
     /// Replicas that this gateway coordinates, in order.
--- a/crates/routing/src/dispatch/replica.rs
+++ b/crates/routing/src/dispatch/replica.rs
@@ -4,39 +4,41 @@
 
 use linnethitch_protocol::slots::SlotLoad;
 
-use super::kept_parts::{KeptParts, PromptPart};
+use super::cached_parts::{CachedParts, PromptPart};
 
-/// First pause after a failure, in milliseconds; it doubles with each further one.
+/// First ejection time after failures, in milliseconds; it doubles with each further one.
 const FIRST_EJECTION_MS: u64 = 500;
-/// Longest pause, in milliseconds.
-const LONGEST_EJECTION_MS: u64 = 8_000;
-/// Failures in a row while working before a replica is paused.
-const WORK_FAILURES: u32 = 2;
-/// Pause of a replica that refused a request since it is full, in milliseconds.
-const FULL_PAUSE_MS: u64 = 80;
-/// What a coordinator told counts for this long, in milliseconds.
-const TOLD_VALID_MS: u64 = 1_200;
-/// A request without its first event after this time holds up those behind it, in milliseconds.
+/// Maximum ejection time, in milliseconds.
+const MAX_EJECTION_MS: u64 = 8_000;
+/// Consecutive failures at which a replica is ejected.
+const EJECTION_THRESHOLD: u32 = 2;
+/// Time for which a replica that refused a request because it was full gets no new ones, in
+/// milliseconds.
+const FULL_BACKOFF_MS: u64 = 80;
+/// A load report of a coordinator is valid for this long, in milliseconds.
+const REPORT_VALID_MS: u64 = 1_200;
+/// A request without its first event after this time delays the requests behind it, in
+/// milliseconds.
 const OVERDUE_AFTER_MS: u64 = 150;
-/// Weight of the newest measurement in a replica's pace.
-const PACE_WEIGHT: f64 = 0.2;
-/// Bounds of the pace.
-const SLOWEST_PACE: f64 = 10.0;
-const FASTEST_PACE: f64 = 0.7;
-/// Time to the first event of an idle replica that is not waiting or reading, in milliseconds.
+/// Weight of the newest measurement in a replica's latency ratio.
+const LATENCY_RATIO_WEIGHT: f64 = 0.2;
+/// Bounds of the latency ratio.
+const MAX_LATENCY_RATIO: f64 = 10.0;
+const MIN_LATENCY_RATIO: f64 = 0.7;
+/// Time to the first event of an idle replica apart from waiting and prefill, in milliseconds.
 pub(super) const BASE_MS: f64 = 25.0;
-/// A report counts half as much after this time, in milliseconds.
+/// The weight of a load report halves in this time, in milliseconds.
 const LOAD_HALF_LIFE_MS: f64 = 400.0;
-/// What is told of a replica's present slowness counts half as much after this time, in
-/// milliseconds: others share its machine, and come and go several times a second.
+/// The weight of a replica's reported slowness halves in this time, in milliseconds: other
+/// processes share its machine and start and stop several times per second.
 const SLOWNESS_HALF_LIFE_MS: f64 = 200.0;
-/// Share of the KV cache that kept parts are assumed to have.
-const KEPT_SHARE: f64 = 0.6;
+/// Fraction of the KV cache that cached parts are assumed to occupy.
+const CACHED_FRACTION: f64 = 0.6;
 
 /// What a replica registered with.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaTraits {
-    /// The key of its start: what is known of one start counts for no other.
+    /// The key of its incarnation; knowledge of one incarnation does not apply to another.
     pub id: String,
     /// Its service.
     pub service: String,
@@ -44,28 +46,28 @@
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Tokens that its KV cache holds; 0 for application replicas.
+    /// Capacity of its KV cache in tokens; 0 for application replicas.
     pub kv_tokens: u64,
-    /// Whether it may be given new work.
+    /// Whether it may get new work.
     pub ready: bool,
 }
 
-/// Load as an answer carried it.
+/// Load as reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReportedLoad {
-    /// Requests that run.
+    /// Running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Waiting requests.
     pub waiting: u32,
-    /// Requests that can run at once.
+    /// Requests that can run concurrently.
     pub slots: u32,
-    /// How long work takes there at that moment, in hundredths of what is usual.
+    /// How long work takes there at that moment, in hundredths of the usual time.
     pub slowness: u32,
 }
 
-/// The slowness of a replica that works as usual, or does not tell.
+/// The slowness of a replica that works at its usual speed or does not report it.
 pub const USUAL_SLOWNESS: u32 = 100;
 
 /// How a request failed at a replica.
@@ -73,9 +75,9 @@
 pub enum FailureKind {
     /// No connection could be opened.
     Unreachable,
-    /// The connection broke, or the answer was not whole.
+    /// The connection broke, or the response was incomplete.
     Broken,
-    /// It refused the request, since it is full.
+    /// The replica refused the request because it was full.
     Full,
     /// Another incarnation has its address.
     Replaced,
@@ -86,7 +88,7 @@
 pub enum WorkKind {
     /// An online request.
     Online,
-    /// A batch item, which an online request can stop.
+    /// A batch item, which an online request can preempt.
     Item,
 }
 
@@ -95,20 +97,20 @@
 pub struct RunningWork {
     number: u64,
     kind: WorkKind,
-    /// Prompt tokens that the replica has to read.
-    unread_tokens: u32,
-    begun_ms: u64,
+    /// Prompt tokens that need prefill at the replica.
+    pending_prefill_tokens: u32,
+    started_ms: u64,
     /// Expected time to the first event, in milliseconds.
     expected_ms: f64,
     /// Whether its first event is outstanding.
-    awaited: bool,
+    awaits_first_event: bool,
 }
 
 impl RunningWork {
     /// Whether its first event is outstanding.
     #[must_use]
     pub fn is_awaited(&self) -> bool {
-        self.awaited
+        self.awaits_first_event
     }
 }
 
@@ -117,49 +119,49 @@
 pub(crate) struct Replica {
     pub(crate) traits: ReplicaTraits,
     /// Own online requests under way.
-    pub(crate) own: u32,
+    pub(crate) own_online: u32,
     /// Own batch items under way.
     pub(crate) own_items: u32,
-    /// Own prompt tokens whose first event is outstanding.
-    pub(crate) unread_tokens: u64,
+    /// Prompt tokens with outstanding prefill of own requests whose first event is outstanding.
+    pub(crate) pending_prefill_tokens: u64,
     /// Own requests whose first event is outstanding, and when they were sent.
-    awaited: BTreeMap<u64, u64>,
-    begun: u64,
-    /// Measured over expected time to the first event.
-    pace: f64,
-    load: Option<Load>,
-    told: Option<ToldLoad>,
-    pub(crate) kept: KeptParts,
+    awaits_first_event: BTreeMap<u64, u64>,
+    started_count: u64,
+    /// Ratio of measured to expected time to the first event.
+    latency_ratio: f64,
+    load: Option<ReceivedLoad>,
+    coordinator_load: Option<CoordinatorLoad>,
+    pub(crate) cached_parts: CachedParts,
     failures: u32,
-    paused_until_ms: u64,
+    unavailable_until_ms: u64,
     /// Another incarnation has its address.
     replaced: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Load {
-    told: ReportedLoad,
-    at_ms: u64,
-    /// Own requests under way when it came.
-    own_then: u32,
+struct ReceivedLoad {
+    report: ReportedLoad,
+    received_ms: u64,
+    /// Own requests under way when the report was received.
+    own_at_report: u32,
 }
 
-/// What its coordinator told.
+/// A load report of the replica's coordinator.
 #[derive(Clone, Copy, Debug)]
-struct ToldLoad {
+struct CoordinatorLoad {
     /// Online requests of other gateways that have a slot.
     others: u32,
     /// Online requests that wait for a slot.
     waiting: u32,
-    /// Whether it fails what it is given.
+    /// Whether the coordinator reports the replica as closed to new requests.
     closed: bool,
-    at_ms: u64,
+    received_ms: u64,
 }
 
-impl Load {
-    /// How much of it still counts: half after each half-life.
-    fn freshness(&self, now_ms: u64, half_life_ms: f64) -> f64 {
-        let age_ms = now_ms.saturating_sub(self.at_ms) as f64;
+impl ReceivedLoad {
+    /// Weight of the report at its present age; it halves with each half-life.
+    fn weight(&self, now_ms: u64, half_life_ms: f64) -> f64 {
+        let age_ms = now_ms.saturating_sub(self.received_ms) as f64;
         (-age_ms / half_life_ms).exp2()
     }
 }
@@ -168,99 +170,102 @@
     pub(crate) fn new(traits: ReplicaTraits) -> Self {
         Replica {
             traits,
-            own: 0,
+            own_online: 0,
             own_items: 0,
-            unread_tokens: 0,
-            awaited: BTreeMap::new(),
-            begun: 0,
-            pace: 1.0,
+            pending_prefill_tokens: 0,
+            awaits_first_event: BTreeMap::new(),
+            started_count: 0,
+            latency_ratio: 1.0,
             load: None,
-            told: None,
-            kept: KeptParts::default(),
+            coordinator_load: None,
+            cached_parts: CachedParts::default(),
             failures: 0,
-            paused_until_ms: 0,
+            unavailable_until_ms: 0,
             replaced: false,
         }
     }
 
-    /// Whether it may be given a request now.
-    pub(crate) fn is_open(&self, now_ms: u64) -> bool {
-        self.traits.ready && !self.replaced && self.paused_until_ms <= now_ms
+    /// Whether it may get a request now.
+    pub(crate) fn is_available(&self, now_ms: u64) -> bool {
+        self.traits.ready && !self.replaced && self.unavailable_until_ms <= now_ms
     }
 
-    /// Whether its coordinator told lately that it fails what it is given.
-    pub(crate) fn is_told_closed(&self, now_ms: u64) -> bool {
-        self.told(now_ms).is_some_and(|told| told.closed)
+    /// Whether a valid report of its coordinator says that it is closed to new requests.
+    pub(crate) fn is_reported_closed(&self, now_ms: u64) -> bool {
+        self.coordinator_load(now_ms)
+            .is_some_and(|load| load.closed)
     }
 
-    fn told(&self, now_ms: u64) -> Option<ToldLoad> {
-        self.told.filter(|told| now_ms < told.at_ms + TOLD_VALID_MS)
+    fn coordinator_load(&self, now_ms: u64) -> Option<CoordinatorLoad> {
+        self.coordinator_load
+            .filter(|load| now_ms < load.received_ms + REPORT_VALID_MS)
     }
 
-    /// Online requests of other gateways there, if its coordinator told lately.
-    pub(crate) fn told_others(&self, now_ms: u64) -> Option<u32> {
-        self.told(now_ms).map(|told| told.others)
+    /// Online requests of other gateways there, if its coordinator recently reported them.
+    pub(crate) fn reported_others(&self, now_ms: u64) -> Option<u32> {
+        self.coordinator_load(now_ms).map(|load| load.others)
     }
 
     pub(crate) fn note_coordinator_load(&mut self, load: &SlotLoad, now_ms: u64) {
-        self.told = Some(ToldLoad {
-            others: u32::from(load.online).saturating_sub(self.own),
+        self.coordinator_load = Some(CoordinatorLoad {
+            others: u32::from(load.online).saturating_sub(self.own_online),
             waiting: u32::from(load.waiting),
             closed: load.closed,
-            at_ms: now_ms,
+            received_ms: now_ms,
         });
     }
 
-    pub(crate) fn forget_told(&mut self) {
-        self.told = None;
+    pub(crate) fn clear_coordinator_load(&mut self) {
+        self.coordinator_load = None;
     }
 
-    /// Requests that wait there beyond the slots: as its coordinator told, else by
-    /// the last report, which counts less the older it is.
+    /// Requests that wait there for a slot: as its coordinator reported, otherwise by the last load
+    /// report, weighted by its age.
     pub(crate) fn waiting(&self, now_ms: u64) -> f64 {
-        if let Some(told) = self.told(now_ms) {
+        if let Some(coordinator_load) = self.coordinator_load(now_ms) {
             // A further request waits as soon as every slot is taken.
-            let beyond = (self.own + told.others + 1).saturating_sub(self.slots());
-            return f64::from(beyond + told.waiting);
+            let over_capacity =
+                (self.own_online + coordinator_load.others + 1).saturating_sub(self.slots());
+            return f64::from(over_capacity + coordinator_load.waiting);
         }
         self.load.map_or(0.0, |load| {
-            f64::from(load.told.waiting) * load.freshness(now_ms, LOAD_HALF_LIFE_MS)
+            f64::from(load.report.waiting) * load.weight(now_ms, LOAD_HALF_LIFE_MS)
         })
     }
 
-    /// Requests that others have there, by the last report, which counts less
-    /// the older it is.
+    /// Requests of others there by the last load report, weighted by its age.
     pub(crate) fn others(&self, now_ms: u64) -> f64 {
         self.load.map_or(0.0, |load| {
-            let others = load.told.running.saturating_sub(load.own_then);
-            f64::from(others) * load.freshness(now_ms, LOAD_HALF_LIFE_MS)
+            let others = load.report.running.saturating_sub(load.own_at_report);
+            f64::from(others) * load.weight(now_ms, LOAD_HALF_LIFE_MS)
         })
     }
 
     pub(crate) fn slots(&self) -> u32 {
-        let told = self.load.map(|load| load.told.slots);
-        told.filter(|slots| *slots > 0)
+        let reported_slots = self.load.map(|load| load.report.slots);
+        reported_slots
+            .filter(|slots| *slots > 0)
             .unwrap_or(self.traits.slots)
             .max(1)
     }
 
-    /// Measured over expected time to the first event.
-    pub(crate) fn pace(&self) -> f64 {
-        self.pace
+    /// Ratio of measured to expected time to the first event.
+    pub(crate) fn latency_ratio(&self) -> f64 {
+        self.latency_ratio
     }
 
-    /// How much longer work takes there now than usual, as a factor: as it told last, which
-    /// counts less the older it is.
+    /// Factor by which work takes longer there now than usual: as last reported, weighted by the
+    /// age of the report.
     pub(crate) fn slowness(&self, now_ms: u64) -> f64 {
         self.load.map_or(1.0, |load| {
-            let told = f64::from(load.told.slowness) / f64::from(USUAL_SLOWNESS);
-            1.0 + (told - 1.0) * load.freshness(now_ms, SLOWNESS_HALF_LIFE_MS)
+            let reported = f64::from(load.report.slowness) / f64::from(USUAL_SLOWNESS);
+            1.0 + (reported - 1.0) * load.weight(now_ms, SLOWNESS_HALF_LIFE_MS)
         })
     }
 
     /// How long the oldest request without its first event is overdue, in milliseconds.
     pub(crate) fn overdue_ms(&self, now_ms: u64) -> u64 {
-        let oldest = self.awaited.values().next();
+        let oldest = self.awaits_first_event.values().next();
         oldest.map_or(0, |sent_ms| {
             now_ms.saturating_sub(sent_ms + OVERDUE_AFTER_MS)
         })
@@ -274,85 +279,86 @@
         now_ms: u64,
     ) -> RunningWork {
         let total: u32 = prompt.iter().map(|part| part.tokens).sum();
-        let unread_tokens = total - self.kept.reusable(prompt);
-        let most_tokens = (self.traits.kv_tokens as f64 * KEPT_SHARE) as u64;
-        self.kept.note(prompt, most_tokens, now_ms);
+        let pending_prefill_tokens = total - self.cached_parts.reusable_tokens(prompt);
+        let max_tokens = (self.traits.kv_tokens as f64 * CACHED_FRACTION) as u64;
+        self.cached_parts.record(prompt, max_tokens, now_ms);
         *self.running(kind) += 1;
-        self.unread_tokens += u64::from(unread_tokens);
-        self.begun += 1;
-        self.awaited.insert(self.begun, now_ms);
+        self.pending_prefill_tokens += u64::from(pending_prefill_tokens);
+        self.started_count += 1;
+        self.awaits_first_event.insert(self.started_count, now_ms);
         RunningWork {
-            number: self.begun,
+            number: self.started_count,
             kind,
-            unread_tokens,
-            begun_ms: now_ms,
+            pending_prefill_tokens,
+            started_ms: now_ms,
             expected_ms,
-            awaited: true,
+            awaits_first_event: true,
         }
     }
 
-    /// The first event came.
+    /// Records the first event of a request.
     pub(crate) fn first_event(&mut self, work: &mut RunningWork, now_ms: u64) {
-        if work.awaited {
-            let took_ms = now_ms.saturating_sub(work.begun_ms) as f64;
+        if work.awaits_first_event {
+            let took_ms = now_ms.saturating_sub(work.started_ms) as f64;
             let measured = (took_ms + BASE_MS) / (work.expected_ms + 2.0 * BASE_MS);
-            let pace = self.pace + PACE_WEIGHT * (measured - self.pace);
-            self.pace = pace.clamp(FASTEST_PACE, SLOWEST_PACE);
+            let latency_ratio =
+                self.latency_ratio + LATENCY_RATIO_WEIGHT * (measured - self.latency_ratio);
+            self.latency_ratio = latency_ratio.clamp(MIN_LATENCY_RATIO, MAX_LATENCY_RATIO);
         }
-        self.finish_reading(work);
+        self.finish_prefill(work);
     }
 
-    fn finish_reading(&mut self, work: &mut RunningWork) {
-        let unread = u64::from(work.unread_tokens);
-        self.unread_tokens = self.unread_tokens.saturating_sub(unread);
-        self.awaited.remove(&work.number);
-        work.unread_tokens = 0;
-        work.awaited = false;
+    fn finish_prefill(&mut self, work: &mut RunningWork) {
+        let prefilled = u64::from(work.pending_prefill_tokens);
+        self.pending_prefill_tokens = self.pending_prefill_tokens.saturating_sub(prefilled);
+        self.awaits_first_event.remove(&work.number);
+        work.pending_prefill_tokens = 0;
+        work.awaits_first_event = false;
     }
 
     pub(crate) fn end(&mut self, mut work: RunningWork) {
-        self.finish_reading(&mut work);
+        self.finish_prefill(&mut work);
         let running = self.running(work.kind);
         *running = running.saturating_sub(1);
     }
 
     fn running(&mut self, kind: WorkKind) -> &mut u32 {
         match kind {
-            WorkKind::Online => &mut self.own,
+            WorkKind::Online => &mut self.own_online,
             WorkKind::Item => &mut self.own_items,
         }
     }
 
-    pub(crate) fn note_load(&mut self, told: ReportedLoad, now_ms: u64) {
-        self.load = Some(Load {
-            told,
-            at_ms: now_ms,
-            own_then: self.own + self.own_items,
+    pub(crate) fn note_load(&mut self, report: ReportedLoad, now_ms: u64) {
+        self.load = Some(ReceivedLoad {
+            report,
+            received_ms: now_ms,
+            own_at_report: self.own_online + self.own_items,
         });
     }
 
     pub(crate) fn note_success(&mut self) {
         self.failures = 0;
-        self.paused_until_ms = 0;
+        self.unavailable_until_ms = 0;
     }
 
     pub(crate) fn note_failure(&mut self, kind: FailureKind, now_ms: u64) {
         match kind {
             FailureKind::Replaced => self.replaced = true,
             FailureKind::Full => {
-                self.paused_until_ms = self.paused_until_ms.max(now_ms + FULL_PAUSE_MS);
+                self.unavailable_until_ms = self.unavailable_until_ms.max(now_ms + FULL_BACKOFF_MS);
             }
-            FailureKind::Unreachable => self.pause(WORK_FAILURES, now_ms),
-            FailureKind::Broken => self.pause(1, now_ms),
+            FailureKind::Unreachable => self.eject(EJECTION_THRESHOLD, now_ms),
+            FailureKind::Broken => self.eject(1, now_ms),
         }
     }
 
-    fn pause(&mut self, failures: u32, now_ms: u64) {
+    fn eject(&mut self, failures: u32, now_ms: u64) {
         self.failures += failures;
-        if self.failures >= WORK_FAILURES {
-            let doublings = (self.failures - WORK_FAILURES).min(4);
-            let pause_ms = (FIRST_EJECTION_MS << doublings).min(LONGEST_EJECTION_MS);
-            self.paused_until_ms = now_ms + pause_ms;
+        if self.failures >= EJECTION_THRESHOLD {
+            let doublings = (self.failures - EJECTION_THRESHOLD).min(4);
+            let ejection_ms = (FIRST_EJECTION_MS << doublings).min(MAX_EJECTION_MS);
+            self.unavailable_until_ms = now_ms + ejection_ms;
         }
     }
 }
--- a/crates/routing/src/dispatch/service_replicas.rs
+++ b/crates/routing/src/dispatch/service_replicas.rs
@@ -1,5 +1,5 @@
-//! The replicas of one service, indexed so that a choice costs the same however many there
-//! are.
+//! The replicas of one service, indexed so that the cost of a selection does not depend on their
+//! number.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -8,28 +8,28 @@
 
 use rand::{Rng, seq::index};
 
-use super::{rendezvous::spread, replica::ReplicaTraits};
+use super::{rendezvous::rendezvous_hash, replica::ReplicaTraits};
 
-/// Replicas that this gateway sent to lately are weighed for each request: they hold its
-/// prompts and its connections. A gateway of the planned fleet has 12 to itself.
-const MOST_RECENT: usize = 16;
+/// Replicas that this gateway recently sent requests to are scored for each request: they have its
+/// prompts cached and its connections open. In the planned fleet there are 12 replicas per gateway.
+const MAX_RECENT: usize = 16;
 
-/// The key of a replica's start.
+/// The key of a replica's incarnation.
 pub(super) type Key = Arc<str>;
 
 /// Replicas of a service.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ServiceReplicas {
-    /// All, in order.
+    /// All replicas, in order.
     all: Vec<Key>,
-    /// Those that are ready, by zone and in order.
+    /// Ready replicas, by zone and in order.
     ready: BTreeMap<String, Vec<Key>>,
-    /// Those that are ready, by a hash: what is hashed too belongs to those that follow it.
+    /// Ready replicas by their hash. A number belongs to the replicas that follow its own position.
     ring: BTreeSet<(u64, Key)>,
-    /// Those that this gateway sent to lately, the latest last.
+    /// Replicas that this gateway recently sent requests to, the latest last.
     recent: VecDeque<Key>,
     /// Own online requests under way.
-    pub(super) own: u32,
+    pub(super) own_online: u32,
 }
 
 impl ServiceReplicas {
@@ -44,22 +44,22 @@
         zones.map(|(zone, ready)| (zone.as_str(), ready.len()))
     }
 
-    /// Those that this gateway sent to lately, the latest first.
+    /// Replicas that this gateway recently sent requests to, the latest first.
     pub(super) fn recent(&self) -> impl Iterator<Item = &Key> {
         self.recent.iter().rev()
     }
 
-    /// Adds a replica that is not among them.
+    /// Adds a replica that is not in the index.
     pub(super) fn add(&mut self, key: &Key, traits: &ReplicaTraits) {
         insert_sorted(&mut self.all, key);
         if traits.ready {
             let zone = self.ready.entry(traits.zone.clone()).or_default();
             insert_sorted(zone, key);
-            self.ring.insert(place(key));
+            self.ring.insert(ring_position(key));
         }
     }
 
-    /// Removes a replica that is among them with these traits.
+    /// Removes a replica that is in the index with these traits.
     pub(super) fn remove(&mut self, key: &Key, traits: &ReplicaTraits) {
         remove_sorted(&mut self.all, key);
         if let Some(zone) = self.ready.get_mut(&traits.zone) {
@@ -68,68 +68,73 @@
                 self.ready.remove(&traits.zone);
             }
         }
-        self.ring.remove(&place(key));
+        self.ring.remove(&ring_position(key));
     }
 
-    /// Notes that a request is sent to a replica.
+    /// Records that a request is sent to a replica.
     pub(super) fn note_sent(&mut self, key: &Key) {
-        self.forget_sent(key);
+        self.remove_recent(key);
         self.recent.push_back(Arc::clone(key));
-        if self.recent.len() > MOST_RECENT {
+        if self.recent.len() > MAX_RECENT {
             self.recent.pop_front();
         }
     }
 
-    /// A replica is not there any more.
-    pub(super) fn forget_sent(&mut self, key: &Key) {
-        self.recent.retain(|held| held != key);
+    /// Removes a replica from the recently used ones.
+    pub(super) fn remove_recent(&mut self, key: &Key) {
+        self.recent.retain(|recent| recent != key);
     }
 
-    /// Ready replicas in the order in which a number belongs to them, alike for everyone who
-    /// knows the same ones.
-    pub(super) fn following(&self, number: u64) -> impl Iterator<Item = &Key> {
+    /// Ready replicas in the order in which a number belongs to them; the same for all that know
+    /// the same replicas.
+    pub(super) fn ring_successors(&self, number: u64) -> impl Iterator<Item = &Key> {
         let from = (number, Key::from(""));
         let after = self.ring.range(from.clone()..);
         let before = self.ring.range(..from);
         after.chain(before).map(|(_, key)| key)
     }
 
-    /// Draws ready replicas of a zone, each once.
-    pub(super) fn draw_in(&self, zone: &str, most: usize, rng: &mut impl Rng) -> Vec<&Key> {
+    /// Samples ready replicas of a zone without repetition.
+    pub(super) fn sample_zone(
+        &self,
+        zone: &str,
+        max_count: usize,
+        rng: &mut impl Rng,
+    ) -> Vec<&Key> {
         let ready = self.ready.get(zone).map_or(&[][..], Vec::as_slice);
-        draw(&[ready], most, rng)
+        sample(&[ready], max_count, rng)
     }
 
-    /// Draws ready replicas of the zones that are wanted, each once.
-    pub(super) fn draw(
+    /// Samples ready replicas of the accepted zones without repetition.
+    pub(super) fn sample(
         &self,
-        is_wanted: impl Fn(&str) -> bool,
-        most: usize,
+        accepts_zone: impl Fn(&str) -> bool,
+        max_count: usize,
         rng: &mut impl Rng,
     ) -> Vec<&Key> {
-        let zones = self.ready.iter().filter(|(zone, _)| is_wanted(zone));
+        let zones = self.ready.iter().filter(|(zone, _)| accepts_zone(zone));
         let zones: Vec<&[Key]> = zones.map(|(_, ready)| ready.as_slice()).collect();
-        draw(&zones, most, rng)
+        sample(&zones, max_count, rng)
     }
 }
 
-/// Draws from lists as if they were one.
-fn draw<'a>(lists: &[&'a [Key]], most: usize, rng: &mut impl Rng) -> Vec<&'a Key> {
+/// Samples from several lists as if they were one.
+fn sample<'a>(lists: &[&'a [Key]], max_count: usize, rng: &mut impl Rng) -> Vec<&'a Key> {
     let total = lists.iter().map(|list| list.len()).sum();
-    let drawn = index::sample(rng, total, most.min(total));
-    let drawn = drawn.into_iter().filter_map(|mut at| {
+    let sampled = index::sample(rng, total, max_count.min(total));
+    let sampled = sampled.into_iter().filter_map(|mut at| {
         lists.iter().find_map(|list| {
             let found = list.get(at);
             at = at.saturating_sub(list.len());
             found
         })
     });
-    drawn.collect()
+    sampled.collect()
 }
 
-/// Where a replica is on the ring.
-fn place(key: &Key) -> (u64, Key) {
-    (spread(0, key), Arc::clone(key))
+/// Position of a replica on the ring.
+fn ring_position(key: &Key) -> (u64, Key) {
+    (rendezvous_hash(0, key), Arc::clone(key))
 }
 
 fn insert_sorted(list: &mut Vec<Key>, key: &Key) {
--- a/crates/routing/src/dispatch/work_calls.rs
+++ b/crates/routing/src/dispatch/work_calls.rs
@@ -1,79 +1,79 @@
-//! When a gateway calls the job store: to tell what its items have made, to renew
-//! its leases, and to ask for more.
+//! When a gateway calls the job store: to report the progress of its items, to renew its leases,
+//! and to request more work.
 
-/// Pauses after which leases are renewed, progress is told, and work is asked for
-/// again where there was none.
-const PAUSES_PER_RENEWAL: u32 = 3;
-/// Gateways that ask again at once, in each pause of 150 ms, where they found no work: 400
-/// calls a second find a new job within a pause, however many gateways there are. 836 that
-/// asked every 450 ms were 1,860 by the same reckoning. What a call costs the store's leader
-/// was not measured apart.
-const GATEWAYS_PER_PAUSE: u32 = 60;
+/// Number of intervals after which leases are renewed, progress is reported, and work is requested
+/// again if there was none.
+const INTERVALS_PER_RENEWAL: u32 = 3;
+/// Gateways that request work in each interval of 150 ms while there is none: at 400 calls per
+/// second a new job is found within an interval, however many gateways there are. By the same
+/// calculation, 836 gateways with one call every 450 ms each made 1,860 calls per second.
+const GATEWAYS_PER_INTERVAL: u32 = 60;
 
-/// What a gateway has after a pause.
+/// State of a gateway at the end of an interval.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct WorkState {
-    /// Items that it could take besides.
+    /// Further items that the gateway could run.
     pub requested: u32,
-    /// Whether it holds items, or progress that it has to tell.
+    /// Whether it holds items or unreported progress.
     pub holds_items: bool,
-    /// Whether an item was given back since the last pause.
+    /// Whether an item was returned since the last interval.
     pub returned_item: bool,
-    /// Whether the process stops.
+    /// Whether the process is stopping.
     pub stopping: bool,
-    /// Whether the last call for work brought nothing.
+    /// Whether the last call for work returned none.
     pub found_none: bool,
-    /// Gateways that may ask the same job store.
+    /// Gateways that may call the same job store.
     pub gateways: u32,
 }
 
-/// Which calls are made after a pause.
+/// The calls to make after an interval.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkCalls {
-    /// Tell what items have made.
+    /// Report the progress of items.
     pub report_progress: bool,
-    /// Renew leases and ask for what is wanted.
+    /// Renew leases and request work.
     pub request_work: bool,
 }
 
-/// Counts pauses. Asking for work does not put off telling progress.
+/// Counts intervals. Requests for work do not delay progress reports.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct WorkCallSchedule {
-    /// Since a call that renewed or asked.
-    pauses: u32,
+    /// Intervals since a call that renewed leases or requested work.
+    intervals: u32,
 }
 
 impl WorkCallSchedule {
-    /// A rhythm that begins somewhere between two calls, so that gateways which started
-    /// together do not ask together.
+    /// A schedule that starts at a random point between two calls, so that gateways which start
+    /// together do not call together.
     #[must_use]
     pub fn with_random_phase(random: u32, gateways: u32) -> Self {
         WorkCallSchedule {
-            pauses: random % pauses_per_ask(gateways),
+            intervals: random % intervals_per_request(gateways),
         }
     }
 
-    /// The calls after one more pause.
+    /// The calls after one more interval.
     pub fn after_interval(&mut self, state: WorkState) -> WorkCalls {
-        self.pauses += 1;
-        let is_long = self.pauses >= PAUSES_PER_RENEWAL;
+        self.intervals += 1;
+        let is_long = self.intervals >= INTERVALS_PER_RENEWAL;
         let is_due = is_long && state.holds_items;
         let report_progress = is_due || state.returned_item || state.stopping;
-        let may_ask = self.pauses >= pauses_per_ask(state.gateways) || !state.found_none;
-        let wants_work = state.requested > 0 && may_ask;
-        if is_due || (is_long && wants_work) {
-            self.pauses = 0;
+        let may_request =
+            self.intervals >= intervals_per_request(state.gateways) || !state.found_none;
+        let requests_work = state.requested > 0 && may_request;
+        if is_due || (is_long && requests_work) {
+            self.intervals = 0;
         }
         WorkCalls {
             report_progress,
-            request_work: is_due || wants_work || state.stopping,
+            request_work: is_due || requests_work || state.stopping,
         }
     }
 }
 
-/// Pauses after which a gateway that found no work asks again.
-fn pauses_per_ask(gateways: u32) -> u32 {
+/// Intervals after which a gateway that found no work requests it again.
+fn intervals_per_request(gateways: u32) -> u32 {
     gateways
-        .div_ceil(GATEWAYS_PER_PAUSE)
-        .max(PAUSES_PER_RENEWAL)
+        .div_ceil(GATEWAYS_PER_INTERVAL)
+        .max(INTERVALS_PER_RENEWAL)
 }
--- a/crates/routing/src/quota/even_shares.rs
+++ b/crates/routing/src/quota/even_shares.rs
@@ -14,7 +14,7 @@
     bucket::{Bucket, BucketLimit},
     decide,
 };
-use crate::dispatch::spread;
+use crate::dispatch::rendezvous_hash;
 
 /// Limits enforced by even shares.
 #[derive(Clone, Debug)]
@@ -76,7 +76,7 @@
         self.shares.entry(tenant.to_owned()).or_insert_with(|| {
             // Each gateway starts at a fraction of a request that is drawn by hash, so that all
             // shares together give no more than the rate, however small each one is.
-            let offset = spread(u64::from(view.own.0), tenant) as f64 / u64::MAX as f64;
+            let offset = rendezvous_hash(u64::from(view.own.0), tenant) as f64 / u64::MAX as f64;
             let burst = if with_burst { limit.capacity } else { 0.0 };
             Bucket::new(burst + offset, view.now_ms)
         })
--- a/crates/routing/src/quota/witnesses.rs
+++ b/crates/routing/src/quota/witnesses.rs
@@ -11,7 +11,7 @@
 use linnethitch_protocol::{ids::MachineId, quota::QuotaMessage};
 
 use super::{QuotaAction, QuotaView};
-use crate::dispatch::spread;
+use crate::dispatch::rendezvous_hash;
 
 /// Number of witnesses of a coordinator. With a tenth of the gateways isolated, four of five remain
 /// in 92 of 100 cases.
@@ -50,7 +50,9 @@
     let name = coordinator.to_string();
     let others = can_witness.iter().copied();
     let mut others: Vec<MachineId> = others.filter(|machine| *machine != coordinator).collect();
-    others.sort_by_cached_key(|machine| Reverse((spread(u64::from(machine.0), &name), *machine)));
+    others.sort_by_cached_key(|machine| {
+        Reverse((rendezvous_hash(u64::from(machine.0), &name), *machine))
+    });
     others.truncate(WITNESSES);
     others
 }
--- a/crates/routing/tests/all/coordinator.rs
+++ b/crates/routing/tests/all/coordinator.rs
@@ -1,4 +1,5 @@
-//! Slots of replicas: given to online requests at once, to items where there is room.
+//! Slots of replicas: granted to online requests immediately, and to items from the remaining
+//! capacity.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -15,7 +16,7 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-/// A coordinator that has just begun starts no items before this.
+/// A new coordinator starts no items before this time.
 const SETTLED_MS: u64 = 1_000;
 const SERVICE: &str = "models";
 
@@ -29,7 +30,7 @@
     }
 }
 
-/// Coordinates replicas r0, r1 … since time 0.
+/// Coordinates replicas r0, r1 … from time 0.
 fn coordinator(replicas: u32, slots: u32) -> SlotCoordinator {
     let mut coordinator = SlotCoordinator::default();
     let list = (0..replicas).map(|number| engine(&format!("r{number}"), slots));
@@ -90,9 +91,9 @@
     coordinator
 }
 
-/// The promise this is for: an online request never waits behind batch work.
+/// An online request never waits behind batch work.
 #[test]
-fn an_online_request_gets_the_slot_of_the_item_that_can_wait_longest() {
+fn an_online_request_preempts_the_item_due_last() {
     let mut coordinator = with_items(2);
     let actions = coordinator.ask(ask(1, "r0", 2_000, AskMode::Probe), SETTLED_MS);
     let expected = [
@@ -102,10 +103,10 @@
     assert_eq!(actions, expected);
 }
 
-/// An item that could not be in time when it began stops first; one that began
-/// in time is not late because time passed while it ran.
+/// An item that was already late when it started stops first; one that started in time does not
+/// become late because time passed while it ran.
 #[test]
-fn items_that_began_too_late_stop_first() {
+fn items_that_started_late_stop_first() {
     let mut coordinator = coordinator(1, 3);
     for (run, due_ms) in [(1, 9_000), (2, SETTLED_MS - 1), (3, SETTLED_MS + 10)] {
         coordinator.enqueue_item(item(run, due_ms), SETTLED_MS);
@@ -113,10 +114,10 @@
     let later_ms = SETTLED_MS + 5_000;
     let mut stopped = Vec::new();
     for number in 1..=3 {
-        let asked = ask(number, "r0", later_ms + 300, AskMode::Probe);
+        let request = ask(number, "r0", later_ms + 300, AskMode::Probe);
         stopped.extend(
             coordinator
-                .ask(asked, later_ms)
+                .ask(request, later_ms)
                 .into_iter()
                 .filter(|action| matches!(action, SlotAction::Stop(_))),
         );
@@ -127,24 +128,24 @@
     );
 }
 
-/// What an asker is told where online requests have every slot.
+/// The answer while online requests have every slot.
 #[rstest]
 #[case::probe(AskMode::Probe, Verdict::Full)]
 #[case::wait(AskMode::Wait, Verdict::Queued)]
 #[case::take(AskMode::Take, Verdict::Granted)]
-fn a_full_replica_is_told_to_be_full(#[case] mode: AskMode, #[case] verdict: Verdict) {
+fn answers_of_a_full_replica(#[case] mode: AskMode, #[case] verdict: Verdict) {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     let actions = coordinator.ask(ask(2, "r0", 300, mode), 0);
     assert_eq!(actions, [answer(2, "r0", verdict)]);
 }
 
-/// The failure this is for: an item was stopped although another replica had a free
-/// slot. Items that run, and what an asker for a free slot is told.
+/// Guards against the stop of an item although another replica has a free slot. Cases: running
+/// items and the answer to a request for a free slot.
 #[rstest]
 #[case::a_slot_is_free(1, Verdict::Granted)]
-#[case::items_have_all(2, Verdict::Full)]
-fn an_ask_for_a_free_slot_stops_no_item(#[case] items: u64, #[case] verdict: Verdict) {
+#[case::items_have_all_slots(2, Verdict::Full)]
+fn a_request_for_a_free_slot_stops_no_item(#[case] items: u64, #[case] verdict: Verdict) {
     let mut coordinator = coordinator(1, 2);
     for run in 1..=items {
         coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
@@ -153,14 +154,14 @@
     assert_eq!(actions, [answer(1, "r0", verdict)]);
 }
 
-/// Items that wait for room, and the room that is left for others at three replicas
-/// of two slots, one of which an online request has.
+/// Waiting items and the remaining capacity at three replicas with two slots each, one of which an
+/// online request has.
 #[rstest]
 #[case::none(0, 5, 3)]
 #[case::one(1, 4, 3)]
 #[case::three(3, 2, 2)]
 #[case::all(5, 0, 0)]
-fn room_for_items_counts_slots_and_replicas(
+fn item_capacity_counts_slots_and_replicas(
     #[case] items: u64,
     #[case] slots: u32,
     #[case] replicas: u32,
@@ -170,12 +171,12 @@
     for run in 1..=items {
         coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
     }
-    let room = coordinator.item_capacity(SERVICE, SETTLED_MS);
-    assert_eq!(room, ItemCapacity { slots, replicas });
+    let capacity = coordinator.item_capacity(SERVICE, SETTLED_MS);
+    assert_eq!(capacity, ItemCapacity { slots, replicas });
 }
 
 #[test]
-fn those_that_can_be_on_time_come_first_then_the_late_ones() {
+fn requests_on_time_come_before_late_ones() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     for (number, due_ms) in [(2, 50), (3, 900), (4, 400)] {
@@ -191,7 +192,7 @@
 }
 
 #[test]
-fn an_asker_that_leaves_the_queue_is_not_served() {
+fn a_request_that_leaves_the_queue_is_not_granted() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     coordinator.ask(ask(2, "r0", 300, AskMode::Wait), 0);
@@ -200,7 +201,7 @@
 }
 
 #[test]
-fn an_item_begins_on_a_slot_that_is_given_back() {
+fn an_item_starts_on_a_released_slot() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     assert!(
@@ -213,11 +214,11 @@
 }
 
 #[test]
-fn items_begin_where_most_is_free_and_not_where_they_failed() {
+fn items_start_at_the_least_loaded_replica_that_did_not_fail_them() {
     let mut coordinator = coordinator(2, 2);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), SETTLED_MS);
     let later_ms = SETTLED_MS + 5_000;
-    coordinator.reconcile_leases(MachineId(1), &[held("r0", 1)], later_ms);
+    coordinator.reconcile_leases(MachineId(1), &[held_lease("r0", 1)], later_ms);
     let actions = coordinator.enqueue_item(item(1, 90_000), later_ms);
     assert_eq!(actions, [start(1, "r1")]);
     let mut failed = item(2, 90_000);
@@ -229,25 +230,30 @@
     );
 }
 
-/// All those that it may have failed it: one of them, rather than one that it must not have.
+/// If all replicas that an item may use failed it, it starts at one of them rather than at a
+/// replica that it must not use.
 #[test]
-fn an_item_does_not_begin_where_it_must_not() {
+fn an_item_does_not_start_at_an_excluded_replica() {
     let mut coordinator = coordinator(2, 2);
-    let barred = WaitingItem {
+    let restricted = WaitingItem {
         avoid: vec!["r1".to_owned()],
         except: vec!["r0".to_owned()],
         ..item(1, 90_000)
     };
-    let actions = coordinator.enqueue_item(barred, SETTLED_MS);
+    let actions = coordinator.enqueue_item(restricted, SETTLED_MS);
     assert_eq!(actions, [start(1, "r1")]);
-    let nowhere = WaitingItem {
+    let excluded_everywhere = WaitingItem {
         except: vec!["r0".to_owned(), "r1".to_owned()],
         ..item(2, 90_000)
     };
-    assert!(coordinator.enqueue_item(nowhere, SETTLED_MS).is_empty());
+    assert!(
+        coordinator
+            .enqueue_item(excluded_everywhere, SETTLED_MS)
+            .is_empty()
+    );
 }
 
-fn held(replica: &str, number: u64) -> HeldLease {
+fn held_lease(replica: &str, number: u64) -> HeldLease {
     HeldLease {
         replica: replica.to_owned(),
         number,
@@ -255,32 +261,33 @@
     }
 }
 
-/// A new coordinator learns what is held before it lets items begin.
+/// A new coordinator learns which slots are held before it starts items.
 #[test]
-fn a_new_coordinator_begins_no_items_until_it_was_told() {
+fn a_new_coordinator_starts_no_items_before_lease_reports() {
     let mut coordinator = coordinator(1, 2);
     assert!(coordinator.enqueue_item(item(1, 9_000), 0).is_empty());
-    coordinator.reconcile_leases(MachineId(1), &[held("r0", 7)], 10);
+    coordinator.reconcile_leases(MachineId(1), &[held_lease("r0", 7)], 10);
     coordinator.enqueue_item(item(2, 9_500), 10);
-    // Both leases and no more than the slots, although the holder asked somebody else.
+    // Both leases count and the slots are not exceeded, although the holder got its lease from
+    // another coordinator.
     assert_eq!(coordinator.tick(SETTLED_MS), [start(1, "r0")]);
 }
 
-/// What a gateway says later, and whether its lease still takes the slot.
+/// A gateway's later report, and whether its lease still takes the slot.
 #[rstest]
-#[case::named(&[held("r0", 1)], 700, true)]
-#[case::not_named(&[], 700, false)]
-#[case::too_young_to_be_named(&[], 100, true)]
-fn leases_are_those_that_their_holder_names(
+#[case::reported(&[held_lease("r0", 1)], 700, true)]
+#[case::not_reported(&[], 700, false)]
+#[case::too_young_to_be_reported(&[], 100, true)]
+fn leases_end_when_their_holder_no_longer_reports_them(
     #[case] leases: &[HeldLease],
     #[case] after_ms: u64,
-    #[case] kept: bool,
+    #[case] is_retained: bool,
 ) {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     coordinator.reconcile_leases(MachineId(1), leases, after_ms);
     let actions = coordinator.ask(ask(2, "r0", 900, AskMode::Probe), after_ms);
-    let verdict = if kept {
+    let verdict = if is_retained {
         Verdict::Full
     } else {
         Verdict::Granted
@@ -288,17 +295,17 @@
     assert_eq!(actions, [answer(2, "r0", verdict)]);
 }
 
-/// The failure this is for: a gateway names asks that still wait beside its
-/// leases; they were counted as holding slots, and nobody was served.
+/// Guards against a stall: a gateway reports its waiting requests beside its leases; when they were
+/// counted as holding slots, no request was served.
 #[test]
-fn an_ask_that_is_named_while_it_waits_holds_no_slot() {
+fn a_waiting_request_that_is_reported_holds_no_slot() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
     coordinator.ask(ask(2, "r0", 9_000, AskMode::Wait), 0);
-    let named = [held("r0", 1), held("r0", 2)];
+    let reported_leases = [held_lease("r0", 1), held_lease("r0", 2)];
     assert!(
         coordinator
-            .reconcile_leases(MachineId(1), &named, 500)
+            .reconcile_leases(MachineId(1), &reported_leases, 500)
             .is_empty()
     );
     let actions = coordinator.end(key(1, 1), 510);
@@ -315,7 +322,7 @@
 }
 
 #[test]
-fn work_at_a_replica_that_moved_to_another_coordinator_is_let_go() {
+fn work_at_a_replica_that_moved_to_another_coordinator_is_released() {
     let mut coordinator = with_items(1);
     coordinator.ask(ask(1, "r0", 2_000, AskMode::Probe), SETTLED_MS);
     coordinator.ask(ask(2, "r0", 2_000, AskMode::Wait), SETTLED_MS);
@@ -330,7 +337,7 @@
 }
 
 #[test]
-fn a_closed_replica_begins_no_items() {
+fn a_closed_replica_starts_no_items() {
     let mut coordinator = coordinator(1, 2);
     let mut closed = engine("r0", 2);
     closed.open = false;
@@ -343,10 +350,10 @@
     assert_eq!(coordinator.free_item_slots(SERVICE, SETTLED_MS), 0);
 }
 
-/// Gateways know the same fleet; all but one agree on nearly every replica when
-/// one gateway is gone.
+/// All gateways know the same fleet. When one gateway is removed, the others agree on the same
+/// coordinators as before.
 #[test]
-fn coordinators_change_little_when_a_gateway_goes() {
+fn coordinators_change_little_when_a_gateway_is_removed() {
     let gateways: Vec<MachineId> = (1..=10).map(MachineId).collect();
     let moved = (0..200).filter(|number| {
         let id = format!("replica-{number}");
@@ -362,10 +369,10 @@
     assert_eq!(owners.len(), 10);
 }
 
-/// The failure this is for: 28 requests waited at one replica while others were
-/// idle, since all gateways had been told that it was the emptiest.
+/// Guards against overload of one replica: 28 requests waited there while other replicas were idle,
+/// since all gateways had received the report that it was the least loaded one.
 #[test]
-fn gateways_that_were_told_the_same_do_not_overrun_a_replica() {
+fn gateways_with_the_same_report_do_not_overload_a_replica() {
     let replicas = 60;
     let mut coordinator = coordinator(replicas, 4);
     let traits = |number: u32| ReplicaTraits {
@@ -377,55 +384,58 @@
         kv_tokens: 100_000,
         ready: true,
     };
-    let mut taken = BTreeMap::<String, u32>::new();
+    let mut granted_count = BTreeMap::<String, u32>::new();
     for gateway in 0..200 {
-        let mut board = ReplicaTable::new("worcester");
-        board.set_replicas((0..replicas).map(traits).collect());
+        let mut table = ReplicaTable::new("worcester");
+        table.set_replicas((0..replicas).map(traits).collect());
         let mut random = Pcg64Mcg::seed_from_u64(gateway);
         let mut full: Vec<String> = Vec::new();
         loop {
-            let need = RequestNeeds {
+            let needs = RequestNeeds {
                 service: SERVICE,
                 prompt: &[],
                 except: &full,
                 homes: None,
             };
-            let chosen = board.choose(&need, 0, &mut random).expect("one is free");
-            let asked = ask(gateway, &chosen.id, 300, AskMode::Probe);
-            let actions = coordinator.ask(asked, 0);
+            let chosen = table.choose(&needs, 0, &mut random).expect("one is free");
+            let request = ask(gateway, &chosen.id, 300, AskMode::Probe);
+            let actions = coordinator.ask(request, 0);
             if actions == [answer(gateway, &chosen.id, Verdict::Granted)] {
-                *taken.entry(chosen.id).or_default() += 1;
+                *granted_count.entry(chosen.id).or_default() += 1;
                 break;
             }
             full.push(chosen.id);
         }
     }
-    assert_eq!(taken.values().sum::<u32>(), 200);
-    assert!(taken.values().all(|count| *count <= 4), "{taken:?}");
+    assert_eq!(granted_count.values().sum::<u32>(), 200);
+    assert!(
+        granted_count.values().all(|count| *count <= 4),
+        "{granted_count:?}"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
     Ask { replica: u8, mode: u8 },
     End { nth: u8 },
-    Want,
+    Enqueue,
     ItemEnds { nth: u8 },
-    Held { named: bool },
-    Pass { ms: u16 },
+    Report { all: bool },
+    Advance { ms: u16 },
 }
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..3_u8, 0..2_u8).prop_map(|(replica, mode)| Step::Ask { replica, mode }),
         4 => any::<u8>().prop_map(|nth| Step::End { nth }),
-        3 => Just(Step::Want),
+        3 => Just(Step::Enqueue),
         2 => any::<u8>().prop_map(|nth| Step::ItemEnds { nth }),
-        1 => any::<bool>().prop_map(|named| Step::Held { named }),
-        3 => (1..600_u16).prop_map(|ms| Step::Pass { ms }),
+        1 => any::<bool>().prop_map(|all| Step::Report { all }),
+        3 => (1..600_u16).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
-/// A fleet under random work, with everything that was decided.
+/// A fleet under random work, with all decisions applied.
 struct Fleet {
     coordinator: SlotCoordinator,
     now_ms: u64,
@@ -438,18 +448,18 @@
 }
 
 impl Fleet {
-    fn take(&mut self, actions: Vec<SlotAction>) {
+    fn apply(&mut self, actions: Vec<SlotAction>) {
         for action in actions {
             match action {
                 SlotAction::Answer {
                     key,
                     replica,
                     verdict,
-                } => self.take_answer(key.number, replica, verdict),
+                } => self.apply_answer(key.number, replica, verdict),
                 SlotAction::ReportHealth { .. } => {}
                 SlotAction::Stop(run) => {
                     self.items.remove(&run.0).expect("it had a slot");
-                    self.want(run.0);
+                    self.enqueue(run.0);
                 }
                 SlotAction::Start { run, replica } => {
                     assert!(self.waiting.remove(&run.0), "it waited");
@@ -459,7 +469,7 @@
         }
     }
 
-    fn take_answer(&mut self, number: u64, replica: String, verdict: Verdict) {
+    fn apply_answer(&mut self, number: u64, replica: String, verdict: Verdict) {
         match verdict {
             Verdict::Granted => {
                 self.queued.remove(&number);
@@ -469,29 +479,32 @@
                 self.queued.insert(number, replica);
             }
             Verdict::Full => {
-                let online = self.online.values().filter(|held| **held == replica);
+                let online = self
+                    .online
+                    .values()
+                    .filter(|placed_at| **placed_at == replica);
                 assert_eq!(online.count(), 2, "{replica} has a slot for it");
             }
             Verdict::NotHere => panic!("every replica is coordinated here"),
         }
     }
 
-    fn want(&mut self, run: u64) {
+    fn enqueue(&mut self, run: u64) {
         self.waiting.insert(run);
         let actions = self
             .coordinator
             .enqueue_item(item(run, self.now_ms + 9_000), self.now_ms);
-        self.take(actions);
+        self.apply(actions);
     }
 
-    fn carry_out(&mut self, step: Step) {
+    fn apply_step(&mut self, step: Step) {
         let now_ms = self.now_ms;
         self.next += 1;
         let actions = match step {
             Step::Ask { replica, mode } => {
                 let mode = [AskMode::Probe, AskMode::Wait][usize::from(mode)];
-                let asked = ask(self.next, &format!("r{replica}"), now_ms + 300, mode);
-                self.coordinator.ask(asked, now_ms)
+                let request = ask(self.next, &format!("r{replica}"), now_ms + 300, mode);
+                self.coordinator.ask(request, now_ms)
             }
             Step::End { nth } => {
                 let Some(number) = pick(self.online.keys(), nth) else {
@@ -500,7 +513,7 @@
                 self.online.remove(&number);
                 self.coordinator.end(key(1, number), now_ms)
             }
-            Step::Want => return self.want(self.next),
+            Step::Enqueue => return self.enqueue(self.next),
             Step::ItemEnds { nth } => {
                 let Some(run) = pick(self.items.keys(), nth) else {
                     return;
@@ -508,17 +521,17 @@
                 self.items.remove(&run);
                 self.coordinator.item_ended(RunNumber(run), now_ms)
             }
-            Step::Held { named } => self.tell_held(named),
-            Step::Pass { ms } => {
+            Step::Report { all } => self.report_leases(all),
+            Step::Advance { ms } => {
                 self.now_ms += u64::from(ms);
-                self.tell_held(true)
+                self.report_leases(true)
             }
         };
-        self.take(actions);
+        self.apply(actions);
     }
 
-    /// Names all leases, or all that are old enough to count but the first.
-    fn tell_held(&mut self, all: bool) -> Vec<SlotAction> {
+    /// Reports all leases, or all that are old enough to count except the first.
+    fn report_leases(&mut self, all: bool) -> Vec<SlotAction> {
         if !all {
             self.now_ms += 500;
         }
@@ -526,9 +539,9 @@
         if let Some(first) = first.filter(|_| !all) {
             self.online.remove(&first);
         }
-        let named = self.online.iter().chain(&self.queued);
-        let leases: Vec<HeldLease> = named
-            .map(|(number, replica)| held(replica, *number))
+        let reported_leases = self.online.iter().chain(&self.queued);
+        let leases: Vec<HeldLease> = reported_leases
+            .map(|(number, replica)| held_lease(replica, *number))
             .collect();
         self.coordinator
             .reconcile_leases(MachineId(1), &leases, self.now_ms)
@@ -540,11 +553,15 @@
             let online = self
                 .online
                 .values()
-                .filter(|held| **held == replica)
+                .filter(|placed_at| **placed_at == replica)
+                .count();
+            let items = self
+                .items
+                .values()
+                .filter(|placed_at| **placed_at == replica)
                 .count();
-            let items = self.items.values().filter(|held| **held == replica).count();
             assert!(online + items <= 2, "{replica}: {online} and {items} items");
-            let queued = self.queued.values().any(|wanted| *wanted == replica);
+            let queued = self.queued.values().any(|queued_at| *queued_at == replica);
             assert!(
                 !queued || online == 2,
                 "{replica}: an online request waits, {items} items run"
@@ -569,8 +586,8 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 300, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// No online request waits while an item has a slot that it could use, no
-    /// slot idles while an item could run, and no slot is given away twice.
+    /// No online request waits while an item has a slot that it could use, no slot is idle while an
+    /// item could run, and no slot is granted twice.
     #[test]
     fn slots_are_used_once_and_online_requests_come_first(
         steps in proptest::collection::vec(step(), 1..120),
@@ -585,18 +602,19 @@
             waiting: BTreeSet::new(),
         };
         for step in steps {
-            fleet.carry_out(step);
-            // What the passing of time allows begins with the next look.
+            fleet.apply_step(step);
+            // What becomes possible as time passes starts with the next tick.
             let actions = fleet.coordinator.tick(fleet.now_ms);
-            fleet.take(actions);
+            fleet.apply(actions);
             fleet.check();
         }
     }
 }
 
-/// Of the requests under which replicas ended one runs at a time; others run beside it.
+/// Only one of the requests that are suspected of ending replicas runs at a time; other requests
+/// run beside it.
 #[test]
-fn one_of_the_requests_that_run_alone_has_a_slot_at_a_time() {
+fn only_one_exclusive_request_has_a_slot_at_a_time() {
     let mut coordinator = coordinator(1, 3);
     let granted = |number| vec![answer(number, "r0", Verdict::Granted)];
     let queued = |number| vec![answer(number, "r0", Verdict::Queued)];
@@ -606,31 +624,31 @@
     assert_eq!(second, queued(2));
     let other = coordinator.ask(ask(3, "r0", 100, AskMode::Probe), 0);
     assert_eq!(other, granted(3));
-    // A slot that falls free is none for a second request that runs alone.
+    // A slot that becomes free is not granted to a second exclusive request.
     assert_eq!(coordinator.end(key(1, 3), 1), vec![]);
     assert_eq!(coordinator.end(key(1, 1), 2), granted(2));
 }
 
-/// A new coordinator learns which leases run alone.
+/// A new coordinator learns which leases are exclusive.
 #[test]
-fn a_lease_that_runs_alone_does_so_at_a_new_coordinator() {
+fn an_exclusive_lease_stays_exclusive_at_a_new_coordinator() {
     let mut coordinator = coordinator(1, 3);
-    let alone = HeldLease {
+    let exclusive = HeldLease {
         alone: true,
-        ..held("r0", 1)
+        ..held_lease("r0", 1)
     };
-    coordinator.reconcile_leases(MachineId(1), &[alone], 0);
+    coordinator.reconcile_leases(MachineId(1), &[exclusive], 0);
     let second = coordinator.ask(ask(2, "r0", 100, AskMode::Alone), 1);
     assert_eq!(second, vec![answer(2, "r0", Verdict::Queued)]);
 }
 
-/// An online request that is due at a time.
+/// An online request with a due time.
 fn ask_due(number: u64, due_ms: u64, mode: AskMode) -> Ask {
     ask(number, "r0", due_ms, mode)
 }
 
-/// An online request takes the slot of an item however late it is, and waits for those
-/// that can still be on time.
+/// An online request takes the slot of an item however late it is, and waits for requests that can
+/// still be on time.
 #[test]
 fn a_late_request_waits_behind_requests_on_time_and_never_behind_items() {
     let mut coordinator = coordinator(1, 1);
@@ -647,9 +665,9 @@
     assert_eq!(coordinator.end(key(1, 3), now_ms + 200), granted(2));
 }
 
-/// Of those that can be on time the higher rank goes first, whatever is due sooner.
+/// Among requests that can be on time the higher rank goes first, even if others are due sooner.
 #[test]
-fn ranks_decide_who_waits() {
+fn waiting_requests_are_ordered_by_rank() {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask_due(1, SETTLED_MS + 300, AskMode::Probe), SETTLED_MS);
     for (number, rank, due_ms) in [(2, 2, 100), (3, 0, 300), (4, 1, 200), (5, 0, 250)] {
--- a/crates/routing/tests/all/dispatch.rs
+++ b/crates/routing/tests/all/dispatch.rs
@@ -1,4 +1,4 @@
-//! Choosing among replicas that register themselves.
+//! Selection among replicas that register themselves.
 
 use linnethitch_protocol::slots::SlotLoad;
 use linnethitch_routing::dispatch::{
@@ -21,14 +21,14 @@
     }
 }
 
-fn board(count: usize) -> ReplicaTable {
-    let mut board = ReplicaTable::new("worcester");
+fn table(count: usize) -> ReplicaTable {
+    let mut table = ReplicaTable::new("worcester");
     let list = (0..count).map(|number| replica(&format!("r{number}")));
-    board.set_replicas(list.collect());
-    board
+    table.set_replicas(list.collect());
+    table
 }
 
-fn need<'a>(prompt: &'a [PromptPart], except: &'a [String]) -> RequestNeeds<'a> {
+fn needs<'a>(prompt: &'a [PromptPart], except: &'a [String]) -> RequestNeeds<'a> {
     RequestNeeds {
         service: "models",
         prompt,
@@ -41,54 +41,57 @@
     Pcg64Mcg::seed_from_u64(7)
 }
 
-fn choose(board: &ReplicaTable, now_ms: u64, random: &mut Pcg64Mcg) -> Option<ChosenReplica> {
-    board.choose(&need(&[], &[]), now_ms, random)
+fn choose(table: &ReplicaTable, now_ms: u64, random: &mut Pcg64Mcg) -> Option<ChosenReplica> {
+    table.choose(&needs(&[], &[]), now_ms, random)
 }
 
 #[test]
 fn own_requests_are_spread_evenly() {
-    let mut board = board(6);
+    let mut table = table(6);
     let mut random = random();
     let mut counts = std::collections::BTreeMap::<String, u32>::new();
     for _ in 0..60 {
-        let chosen = choose(&board, 0, &mut random).expect("a replica");
-        board.begin(&chosen, &[], WorkKind::Online, 0);
+        let chosen = choose(&table, 0, &mut random).expect("a replica");
+        table.begin(&chosen, &[], WorkKind::Online, 0);
         *counts.entry(chosen.id).or_default() += 1;
     }
     assert!(counts.values().all(|count| *count == 10), "{counts:?}");
 }
 
-/// Others work on a replica's machine: it is left alone while that is known to be so. What
-/// was told a while ago counts for nothing.
+/// Other processes use a replica's machine: the replica is avoided while that is known. An old
+/// report has no effect.
 #[rstest]
 #[case::slow_now(250, 100, 0)]
 #[case::slow_a_while_ago(250, 4_000, 50)]
 #[case::as_usual(100, 100, 50)]
-fn a_replica_that_is_slow_at_present_is_left_alone(
+fn a_replica_that_is_slow_at_present_is_avoided(
     #[case] slowness: u32,
     #[case] later_ms: u64,
-    #[case] fewest: u32,
+    #[case] min_chosen: u32,
 ) {
-    let mut board = board(2);
-    let told = ReportedLoad {
+    let mut table = table(2);
+    let report = ReportedLoad {
         running: 0,
         waiting: 0,
         slots: 4,
         slowness,
     };
-    board.note_load("r0", told, 1_000);
+    table.note_load("r0", report, 1_000);
     let mut random = random();
-    let to_it = (0..200).filter(|_| {
-        let chosen = choose(&board, 1_000 + later_ms, &mut random);
+    let chosen_count = (0..200).filter(|_| {
+        let chosen = choose(&table, 1_000 + later_ms, &mut random);
         chosen.is_some_and(|chosen| chosen.id == "r0")
     });
-    let to_it = to_it.count() as u32;
-    assert!(to_it >= fewest && (fewest > 0 || to_it == 0), "{to_it}");
+    let chosen_count = chosen_count.count() as u32;
+    assert!(
+        chosen_count >= min_chosen && (min_chosen > 0 || chosen_count == 0),
+        "{chosen_count}"
+    );
 }
 
 #[test]
-fn a_shared_prompt_goes_where_it_was_read() {
-    let mut board = board(8);
+fn a_shared_prompt_goes_where_it_is_cached() {
+    let mut table = table(8);
     let mut random = random();
     let parts = |own: u64| {
         let shared = PromptPart {
@@ -103,24 +106,24 @@
             },
         ]
     };
-    let first = board
-        .choose(&need(&parts(100), &[]), 0, &mut random)
+    let first = table
+        .choose(&needs(&parts(100), &[]), 0, &mut random)
         .expect("a replica");
-    let mut work = board
+    let mut work = table
         .begin(&first, &parts(100), WorkKind::Online, 0)
         .expect("it is known");
-    board.first_event(&first.id, &mut work, 200);
-    board.end(&first.id, work);
+    table.first_event(&first.id, &mut work, 200);
+    table.end(&first.id, work);
     for own in 101..110 {
-        let next = board
-            .choose(&need(&parts(own), &[]), 1_000, &mut random)
+        let next = table
+            .choose(&needs(&parts(own), &[]), 1_000, &mut random)
             .expect("a replica");
         assert_eq!(next.id, first.id);
     }
 }
 
 #[test]
-fn gateways_that_never_met_send_a_shared_prompt_to_the_same_replica() {
+fn independent_gateways_send_a_shared_prompt_to_the_same_replica() {
     let prompt = [
         PromptPart {
             id: 5,
@@ -130,78 +133,78 @@
     ];
     let of = |seed: u64| {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
-        let chosen = board(8).choose(&need(&prompt, &[]), 0, &mut random);
+        let chosen = table(8).choose(&needs(&prompt, &[]), 0, &mut random);
         chosen.expect("a replica").id
     };
     assert_eq!(of(1), of(2));
     assert_eq!(of(1), of(3));
 }
 
-/// What happens at r0, and whether it is chosen right after and much later.
+/// Failures of r0, and whether it is chosen immediately afterwards and much later.
 #[rstest]
 #[case::unreachable(FailureKind::Unreachable, 1, false, true)]
-#[case::one_break(FailureKind::Broken, 1, true, true)]
-#[case::two_breaks(FailureKind::Broken, 2, false, true)]
+#[case::one_broken(FailureKind::Broken, 1, true, true)]
+#[case::two_broken(FailureKind::Broken, 2, false, true)]
 #[case::full(FailureKind::Full, 1, false, true)]
 #[case::address_taken_over(FailureKind::Replaced, 1, false, false)]
-fn a_failure_pauses_a_replica(
+fn a_failure_ejects_a_replica(
     #[case] kind: FailureKind,
-    #[case] times: u32,
+    #[case] failures: u32,
     #[case] soon: bool,
     #[case] later: bool,
 ) {
-    let mut board = board(1);
+    let mut table = table(1);
     let mut random = random();
-    for _ in 0..times {
-        board.note_failure("r0", kind, 1_000);
+    for _ in 0..failures {
+        table.note_failure("r0", kind, 1_000);
     }
-    assert_eq!(choose(&board, 1_001, &mut random).is_some(), soon);
-    assert_eq!(choose(&board, 30_000, &mut random).is_some(), later);
+    assert_eq!(choose(&table, 1_001, &mut random).is_some(), soon);
+    assert_eq!(choose(&table, 30_000, &mut random).is_some(), later);
 }
 
 #[test]
-fn a_success_ends_a_pause() {
-    let mut board = board(1);
-    board.note_failure("r0", FailureKind::Unreachable, 0);
-    board.note_success("r0");
-    assert!(choose(&board, 1, &mut random()).is_some());
+fn a_success_ends_an_ejection() {
+    let mut table = table(1);
+    table.note_failure("r0", FailureKind::Unreachable, 0);
+    table.note_success("r0");
+    assert!(choose(&table, 1, &mut random()).is_some());
 }
 
 #[test]
 fn a_draining_replica_gets_nothing_new() {
-    let mut board = board(2);
+    let mut table = table(2);
     let mut draining = replica("r0");
     draining.ready = false;
-    board.set_replicas(vec![draining, replica("r1")]);
+    table.set_replicas(vec![draining, replica("r1")]);
     let mut random = random();
     for _ in 0..10 {
-        assert_eq!(choose(&board, 0, &mut random).expect("r1").id, "r1");
+        assert_eq!(choose(&table, 0, &mut random).expect("r1").id, "r1");
     }
-    assert!(!board.is_known_ready("r0"));
+    assert!(!table.is_known_ready("r0"));
 }
 
 #[test]
 fn a_replica_whose_first_event_is_overdue_is_avoided() {
-    let mut board = board(2);
+    let mut table = table(2);
     let mut random = random();
-    let stuck = choose(&board, 0, &mut random).expect("a replica");
-    board.begin(&stuck, &[], WorkKind::Online, 0);
-    // The other one works on more, but it answers.
+    let stuck = choose(&table, 0, &mut random).expect("a replica");
+    table.begin(&stuck, &[], WorkKind::Online, 0);
+    // The other replica has more requests, but it responds.
     let other = if stuck.id == "r0" { "r1" } else { "r0" };
     for _ in 0..5 {
         let chosen = ChosenReplica {
             id: other.to_owned(),
             ..stuck.clone()
         };
-        let mut work = board
+        let mut work = table
             .begin(&chosen, &[], WorkKind::Online, 0)
             .expect("known");
-        board.first_event(other, &mut work, 20);
+        table.first_event(other, &mut work, 20);
     }
-    assert_eq!(choose(&board, 1_000, &mut random).expect("one").id, other);
+    assert_eq!(choose(&table, 1_000, &mut random).expect("one").id, other);
 }
 
-fn told(replica: &str, online: u16, items: u16, waiting: u16) -> SlotLoad {
+fn coordinator_load(replica: &str, online: u16, items: u16, waiting: u16) -> SlotLoad {
     SlotLoad {
         replica: replica.to_owned(),
         slots: 4,
@@ -212,53 +215,57 @@
     }
 }
 
-/// What the coordinators of r0 and r1 told, and which one is chosen.
+/// Load reports of the coordinators of r0 and r1, and which replica is chosen.
 #[rstest]
-#[case::less_taken(told("r0", 3, 0, 0), told("r1", 1, 0, 0), "r1")]
-#[case::full(told("r0", 4, 0, 0), told("r1", 3, 0, 0), "r1")]
-#[case::shorter_queue(told("r0", 4, 0, 3), told("r1", 4, 0, 1), "r1")]
-#[case::rather_stop_an_item_than_wait(told("r0", 4, 0, 0), told("r1", 3, 1, 0), "r1")]
-fn a_replica_is_chosen_by_what_its_coordinator_told(
+#[case::fewer_slots_taken(coordinator_load("r0", 3, 0, 0), coordinator_load("r1", 1, 0, 0), "r1")]
+#[case::full(coordinator_load("r0", 4, 0, 0), coordinator_load("r1", 3, 0, 0), "r1")]
+#[case::shorter_queue(coordinator_load("r0", 4, 0, 3), coordinator_load("r1", 4, 0, 1), "r1")]
+#[case::preempt_an_item_rather_than_wait(
+    coordinator_load("r0", 4, 0, 0),
+    coordinator_load("r1", 3, 1, 0),
+    "r1"
+)]
+fn a_replica_is_chosen_by_its_coordinators_report(
     #[case] first: SlotLoad,
     #[case] second: SlotLoad,
     #[case] chosen: &str,
 ) {
-    let mut board = board(2);
+    let mut table = table(2);
     let mut random = random();
-    board.note_coordinator_load(&first, 100);
-    board.note_coordinator_load(&second, 100);
+    table.note_coordinator_load(&first, 100);
+    table.note_coordinator_load(&second, 100);
     for _ in 0..20 {
-        assert_eq!(choose(&board, 100, &mut random).expect("one").id, chosen);
+        assert_eq!(choose(&table, 100, &mut random).expect("one").id, chosen);
     }
 }
 
 #[test]
 fn a_replica_that_others_filled_is_avoided_while_the_loads_are_fresh() {
     let mut random = random();
-    let mut board = board(3);
+    let mut table = table(3);
     for (replica, online) in [("r0", 4), ("r1", 0), ("r2", 4)] {
-        board.note_coordinator_load(&told(replica, online, 0, 0), 0);
+        table.note_coordinator_load(&coordinator_load(replica, online, 0, 0), 0);
     }
     for _ in 0..20 {
-        assert_eq!(choose(&board, 100, &mut random).expect("one").id, "r1");
+        assert_eq!(choose(&table, 100, &mut random).expect("one").id, "r1");
     }
-    let later = (0..60).map(|_| choose(&board, 5_000, &mut random).expect("one").id);
+    let later = (0..60).map(|_| choose(&table, 5_000, &mut random).expect("one").id);
     let later: std::collections::BTreeSet<String> = later.collect();
     assert_eq!(later.len(), 3, "loads that are too old decide nothing");
 }
 
 #[test]
-fn own_requests_since_then_count_beside_what_was_told() {
-    let mut board = board(2);
+fn own_requests_since_the_report_are_added_to_it() {
+    let mut table = table(2);
     let mut random = random();
-    board.note_coordinator_load(&told("r0", 1, 0, 0), 0);
-    board.note_coordinator_load(&told("r1", 2, 0, 0), 0);
-    let first = choose(&board, 1, &mut random).expect("one");
+    table.note_coordinator_load(&coordinator_load("r0", 1, 0, 0), 0);
+    table.note_coordinator_load(&coordinator_load("r1", 2, 0, 0), 0);
+    let first = choose(&table, 1, &mut random).expect("one");
     assert_eq!(first.id, "r0");
     for _ in 0..2 {
-        board.begin(&first, &[], WorkKind::Online, 1);
+        table.begin(&first, &[], WorkKind::Online, 1);
     }
-    assert_eq!(choose(&board, 1, &mut random).expect("one").id, "r1");
+    assert_eq!(choose(&table, 1, &mut random).expect("one").id, "r1");
 }
 
 #[rstest]
@@ -270,45 +277,45 @@
     #[case] requests: usize,
     #[case] expected: &[usize],
 ) {
-    let mut turns = WeightedRoundRobin::default();
+    let mut round_robin = WeightedRoundRobin::default();
     let mut counts = vec![0; weights.len()];
     for _ in 0..requests {
-        counts[turns.next(weights).expect("a turn")] += 1;
+        counts[round_robin.next(weights).expect("a turn")] += 1;
     }
     assert_eq!(counts, expected);
 }
 
-/// It had turns left when its weight was taken away.
+/// The back end had credit left when its weight was removed.
 #[test]
-fn a_back_end_without_weight_has_no_turn() {
-    let mut turns = WeightedRoundRobin::default();
-    assert_eq!(turns.next(&[3, 2]), Some(0));
-    let next: Vec<_> = (0..4).map(|_| turns.next(&[1, 0])).collect();
+fn a_back_end_without_weight_is_not_chosen() {
+    let mut round_robin = WeightedRoundRobin::default();
+    assert_eq!(round_robin.next(&[3, 2]), Some(0));
+    let next: Vec<_> = (0..4).map(|_| round_robin.next(&[1, 0])).collect();
     assert_eq!(next, [Some(0); 4]);
 }
 
 #[test]
-fn without_weight_nobody_has_a_turn() {
+fn no_back_end_is_chosen_without_weight() {
     assert_eq!(WeightedRoundRobin::default().next(&[0, 0]), None);
 }
 
-/// A request under way at one start of a replica is not taken off what the next one has.
+/// The end of a request at one incarnation of a replica does not reduce the count of the next one.
 #[test]
-fn work_at_an_earlier_start_does_not_count_for_the_next_one() {
-    let mut board = ReplicaTable::new("worcester");
-    board.set_replicas(vec![replica("r0#1")]);
-    let earlier = board.chosen_at("r0#1", 0).expect("it is open");
-    let under_way = board.begin(&earlier, &[], WorkKind::Online, 0);
+fn work_at_an_earlier_incarnation_does_not_count_for_the_next_one() {
+    let mut table = ReplicaTable::new("worcester");
+    table.set_replicas(vec![replica("r0#1")]);
+    let earlier = table.chosen_at("r0#1", 0).expect("it is open");
+    let under_way = table.begin(&earlier, &[], WorkKind::Online, 0);
     let under_way = under_way.expect("it is known");
-    board.set_replicas(vec![replica("r0#2")]);
-    assert_eq!(board.own_running("models"), 0);
-    let next = board.chosen_at("r0#2", 0).expect("it is open");
-    let begun = board.begin(&next, &[], WorkKind::Online, 0);
-    board.end("r0#1", under_way);
-    board.note_failure("r0#1", FailureKind::Replaced, 0);
-    assert_eq!(board.own_running("models"), 1);
-    assert!(board.chosen_at("r0#2", 0).is_some());
-    assert!(board.begin(&earlier, &[], WorkKind::Online, 0).is_none());
-    board.end("r0#2", begun.expect("it is known"));
-    assert_eq!(board.own_running("models"), 0);
+    table.set_replicas(vec![replica("r0#2")]);
+    assert_eq!(table.own_running("models"), 0);
+    let next = table.chosen_at("r0#2", 0).expect("it is open");
+    let begun = table.begin(&next, &[], WorkKind::Online, 0);
+    table.end("r0#1", under_way);
+    table.note_failure("r0#1", FailureKind::Replaced, 0);
+    assert_eq!(table.own_running("models"), 1);
+    assert!(table.chosen_at("r0#2", 0).is_some());
+    assert!(table.begin(&earlier, &[], WorkKind::Online, 0).is_none());
+    table.end("r0#2", begun.expect("it is known"));
+    assert_eq!(table.own_running("models"), 0);
 }
--- a/crates/routing/tests/all/evacuated_zones.rs
+++ b/crates/routing/tests/all/evacuated_zones.rs
@@ -1,4 +1,4 @@
-//! Nothing new goes to replicas of an evacuated zone, and nothing else about them changes.
+//! Replicas of an evacuated zone get no new work, and nothing else about them changes.
 
 use std::collections::BTreeSet;
 
@@ -15,13 +15,13 @@
 use rstest::rstest;
 
 const SERVICE: &str = "models";
-/// After a new coordinator's time to settle.
+/// After a new coordinator's settling time.
 const NOW_MS: u64 = 1_000;
 const OWN: MachineId = MachineId(9);
 
 /// Replicas r0 in zone a, r1 in zone b, and so on.
-fn board(zones: &[&str]) -> ReplicaTable {
-    let mut board = ReplicaTable::new("a");
+fn table(zones: &[&str]) -> ReplicaTable {
+    let mut table = ReplicaTable::new("a");
     let replicas = zones
         .iter()
         .enumerate()
@@ -34,15 +34,15 @@
             kv_tokens: 100_000,
             ready: true,
         });
-    board.set_replicas(replicas.collect());
-    board
+    table.set_replicas(replicas.collect());
+    table
 }
 
 fn zones(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn need<'a>(prompt: &'a [PromptPart]) -> RequestNeeds<'a> {
+fn needs<'a>(prompt: &'a [PromptPart]) -> RequestNeeds<'a> {
     RequestNeeds {
         service: SERVICE,
         prompt,
@@ -51,18 +51,18 @@
     }
 }
 
-fn choose(board: &ReplicaTable, prompt: &[PromptPart]) -> Option<ChosenReplica> {
+fn choose(table: &ReplicaTable, prompt: &[PromptPart]) -> Option<ChosenReplica> {
     let mut random = Pcg64Mcg::seed_from_u64(7);
-    board.choose(&need(prompt), NOW_MS, &mut random)
+    table.choose(&needs(prompt), NOW_MS, &mut random)
 }
 
-/// Whether an engine is open and whether it is evacuated, as its coordinator is told.
-fn engine_of(board: &ReplicaTable, id: &str) -> (bool, bool) {
-    let engine = board.engine(id, NOW_MS).expect("it is an engine");
+/// Whether an engine is open and whether it is evacuated, in the form that its coordinator gets.
+fn engine_of(table: &ReplicaTable, id: &str) -> (bool, bool) {
+    let engine = table.engine(id, NOW_MS).expect("it is an engine");
     (engine.open, engine.evacuated)
 }
 
-/// What a coordinator tells of a replica that is closed.
+/// A coordinator's load report of a closed replica.
 fn closed(replica: &str) -> SlotLoad {
     SlotLoad {
         replica: replica.to_owned(),
@@ -74,49 +74,50 @@
     }
 }
 
-/// Every way to a replica, once its zone is evacuated and once it no longer is.
+/// Every way to select a replica, while its zone is evacuated and afterwards.
 #[test]
-fn no_choice_leads_into_an_evacuated_zone_until_it_is_taken_back() {
-    let mut board = board(&["a", "b"]);
-    board.set_evacuated(zones(&["a"]));
+fn no_selection_returns_an_evacuated_replica_until_the_evacuation_ends() {
+    let mut table = table(&["a", "b"]);
+    table.set_evacuated(zones(&["a"]));
     for number in 0..50 {
-        let chosen = board.choose_by_hash(&need(&[]), number, NOW_MS);
+        let chosen = table.choose_by_hash(&needs(&[]), number, NOW_MS);
         assert_eq!(chosen.expect("one is open").id, "r1");
-        assert_eq!(choose(&board, &[]).expect("one is open").id, "r1");
+        assert_eq!(choose(&table, &[]).expect("one is open").id, "r1");
     }
-    assert_eq!(board.chosen_at("r0", NOW_MS), None);
-    assert!(!board.is_known_ready("r0"));
-    assert!(board.is_evacuated("r0") && !board.is_evacuated("r1"));
-    let told = ["r0", "r1"].map(|id| engine_of(&board, id));
-    assert_eq!(told, [(false, true), (true, false)]);
+    assert_eq!(table.chosen_at("r0", NOW_MS), None);
+    assert!(!table.is_known_ready("r0"));
+    assert!(table.is_evacuated("r0") && !table.is_evacuated("r1"));
+    let engines = ["r0", "r1"].map(|id| engine_of(&table, id));
+    assert_eq!(engines, [(false, true), (true, false)]);
     let ready = ReadyReplicas {
         open: 1,
         evacuated: 1,
     };
-    assert_eq!(board.ready_replicas(), ready);
-    board.set_evacuated(zones(&[]));
-    assert!(board.chosen_at("r0", NOW_MS).is_some());
-    assert!(board.is_known_ready("r0"));
+    assert_eq!(table.ready_replicas(), ready);
+    table.set_evacuated(zones(&[]));
+    assert!(table.chosen_at("r0", NOW_MS).is_some());
+    assert!(table.is_known_ready("r0"));
 }
 
-/// A replica of the own zone with a kept prompt is the best one again at once.
+/// A replica of the own zone with a cached prompt is the best one again immediately after the
+/// evacuation.
 #[test]
-fn an_evacuated_replica_keeps_its_prompts_and_is_not_ejected() {
+fn an_evacuated_replica_keeps_its_cached_prompts_and_is_not_ejected() {
     let prompt = [PromptPart {
         id: 1,
         tokens: 2_000,
     }];
-    let mut board = board(&["a", "b"]);
-    let first = choose(&board, &prompt).expect("one is open");
-    let work = board.begin(&first, &prompt, WorkKind::Online, NOW_MS);
-    board.end(&first.id, work.expect("it is known"));
+    let mut table = table(&["a", "b"]);
+    let first = choose(&table, &prompt).expect("one is open");
+    let work = table.begin(&first, &prompt, WorkKind::Online, NOW_MS);
+    table.end(&first.id, work.expect("it is known"));
     let zone = if first.id == "r0" { "a" } else { "b" };
-    board.set_evacuated(zones(&[zone]));
-    let other = choose(&board, &prompt).expect("one is open");
+    table.set_evacuated(zones(&[zone]));
+    let other = choose(&table, &prompt).expect("one is open");
     assert_ne!(other.id, first.id);
-    board.note_coordinator_load(&closed(&first.id), NOW_MS);
-    board.set_evacuated(zones(&[]));
-    assert_eq!(choose(&board, &prompt).expect("both are open").id, first.id);
+    table.note_coordinator_load(&closed(&first.id), NOW_MS);
+    table.set_evacuated(zones(&[]));
+    assert_eq!(choose(&table, &prompt).expect("both are open").id, first.id);
 }
 
 fn one_in(zone: &str) -> ReplicaTraits {
@@ -131,24 +132,24 @@
     }
 }
 
-/// The zone that it is in now counts, and what was told of it in an evacuated one does not.
+/// Only the present zone counts, and coordinator reports from the time in an evacuated zone do not.
 #[test]
 fn a_replica_that_changes_its_zone_is_evacuated_by_the_new_one() {
-    let mut board = board(&["a", "b"]);
+    let mut table = table(&["a", "b"]);
     let other = || ReplicaTraits {
         id: "r1".to_owned(),
         ..one_in("b")
     };
-    board.set_evacuated(zones(&["c"]));
-    board.set_replicas(vec![one_in("c"), other()]);
-    assert!(board.is_evacuated("r0") && !board.is_known_ready("r0"));
-    assert_eq!(choose(&board, &[]).expect("one is open").id, "r1");
-    assert_eq!(engine_of(&board, "r0"), (false, true));
-    board.note_coordinator_load(&closed("r0"), NOW_MS);
-    board.set_replicas(vec![one_in("a"), other()]);
-    assert!(!board.is_evacuated("r0") && board.is_known_ready("r0"));
-    assert_eq!(engine_of(&board, "r0"), (true, false));
-    assert_eq!(board.available_ids(&need(&[]), NOW_MS), ["r0", "r1"]);
+    table.set_evacuated(zones(&["c"]));
+    table.set_replicas(vec![one_in("c"), other()]);
+    assert!(table.is_evacuated("r0") && !table.is_known_ready("r0"));
+    assert_eq!(choose(&table, &[]).expect("one is open").id, "r1");
+    assert_eq!(engine_of(&table, "r0"), (false, true));
+    table.note_coordinator_load(&closed("r0"), NOW_MS);
+    table.set_replicas(vec![one_in("a"), other()]);
+    assert!(!table.is_evacuated("r0") && table.is_known_ready("r0"));
+    assert_eq!(engine_of(&table, "r0"), (true, false));
+    assert_eq!(table.available_ids(&needs(&[]), NOW_MS), ["r0", "r1"]);
 }
 
 #[rstest]
@@ -159,14 +160,14 @@
     #[case] evacuated: &[&str],
     #[case] expected: bool,
 ) {
-    let mut board = board(&["a", "b"]);
-    board.set_evacuated(zones(evacuated));
-    assert_eq!(board.is_service_evacuated(&need(&[])), expected);
+    let mut table = table(&["a", "b"]);
+    table.set_evacuated(zones(evacuated));
+    assert_eq!(table.is_service_evacuated(&needs(&[])), expected);
     let other = RequestNeeds {
         service: "without replicas",
-        ..need(&[])
+        ..needs(&[])
     };
-    assert!(!board.is_service_evacuated(&other));
+    assert!(!table.is_service_evacuated(&other));
 }
 
 fn engine(id: &str, evacuated: bool) -> CoordinatedReplica {
@@ -222,7 +223,8 @@
     }
 }
 
-/// An asker that does not know yet is refused by a coordinator that does, and told.
+/// A coordinator that knows of the evacuation refuses a gateway that does not, and reports the
+/// replica as closed.
 #[rstest]
 #[case::free(AskMode::Free)]
 #[case::probe(AskMode::Probe)]
@@ -239,7 +241,7 @@
 #[rstest]
 #[case::wait(AskMode::Wait)]
 #[case::alone(AskMode::Alone)]
-fn those_that_wait_are_sent_elsewhere_at_once(#[case] mode: AskMode) {
+fn waiting_requests_are_rejected_immediately(#[case] mode: AskMode) {
     let mut coordinator = coordinator(&[engine("r0", false)]);
     coordinator.ask(ask(1, AskMode::Alone), NOW_MS);
     assert_eq!(
@@ -248,10 +250,10 @@
     );
     let actions = coordinator.set_replicas(vec![engine("r0", true)], NOW_MS);
     assert_eq!(actions, [answer(2, Verdict::Full)]);
-    // What runs there goes on, and its end lets nothing in.
+    // Running requests continue, and their end grants no slot to others.
     assert_eq!(coordinator.all_loads()[0].online, 1);
     assert!(coordinator.end(key(1), NOW_MS).is_empty());
-    // Its failure is one like any other, and closes nothing by itself.
+    // A failure there counts like any other and ejects nothing by itself.
     coordinator.record_run(key(1), RunOutcome::Failed, NOW_MS);
     coordinator.set_replicas(vec![engine("r0", false)], NOW_MS);
     assert!(!coordinator.all_loads()[0].closed);
@@ -259,9 +261,9 @@
     assert_eq!(granted, [answer(3, Verdict::Granted)]);
 }
 
-/// What a gateway that does not know yet holds there is counted.
+/// Leases of a gateway that does not know of the evacuation yet are counted.
 #[test]
-fn leases_that_are_named_later_count_at_an_evacuated_replica() {
+fn leases_that_are_reported_later_count_at_an_evacuated_replica() {
     let mut coordinator = coordinator(&[engine("r0", true)]);
     let held = HeldLease {
         replica: "r0".to_owned(),
@@ -277,7 +279,7 @@
 }
 
 #[test]
-fn items_start_elsewhere_and_those_that_run_there_finish() {
+fn new_items_start_elsewhere_and_running_items_finish() {
     let mut coordinator = coordinator(&[engine("r0", false), engine("r1", true)]);
     let start = |run: u64, replica: &str| SlotAction::Start {
         run: RunNumber(run),
@@ -286,8 +288,8 @@
     assert_eq!(coordinator.enqueue_item(item(1), NOW_MS), [start(1, "r0")]);
     assert_eq!(coordinator.item_capacity(SERVICE, NOW_MS).slots, 0);
     assert!(coordinator.enqueue_item(item(2), NOW_MS).is_empty());
-    let moved = vec![engine("r0", true), engine("r1", false)];
-    assert!(coordinator.set_replicas(moved, NOW_MS).is_empty());
+    let swapped = vec![engine("r0", true), engine("r1", false)];
+    assert!(coordinator.set_replicas(swapped, NOW_MS).is_empty());
     assert_eq!(coordinator.all_loads()[0].items, 1);
     assert_eq!(coordinator.tick(NOW_MS), [start(2, "r1")]);
 }
--- a/crates/routing/tests/all/homes.rs
+++ b/crates/routing/tests/all/homes.rs
@@ -1,4 +1,4 @@
-//! No choice leads to a replica outside the zones in which a request may be served.
+//! No selection returns a replica outside the zones in which a request may be served.
 
 use std::collections::BTreeSet;
 
@@ -11,8 +11,8 @@
 const NOW_MS: u64 = 1_000;
 
 /// Replicas r0 in zone a, r1 in b and r2 in c.
-fn board() -> ReplicaTable {
-    let mut board = ReplicaTable::new("a");
+fn table() -> ReplicaTable {
+    let mut table = ReplicaTable::new("a");
     let replicas = ["a", "b", "c"].iter().enumerate();
     let replicas = replicas.map(|(number, zone)| ReplicaTraits {
         id: format!("r{number}"),
@@ -23,15 +23,15 @@
         kv_tokens: 100_000,
         ready: true,
     });
-    board.set_replicas(replicas.collect());
-    board
+    table.set_replicas(replicas.collect());
+    table
 }
 
 fn zones(names: &[&str]) -> BTreeSet<String> {
     names.iter().map(|name| (*name).to_owned()).collect()
 }
 
-fn need(homes: &BTreeSet<String>) -> RequestNeeds<'_> {
+fn needs(homes: &BTreeSet<String>) -> RequestNeeds<'_> {
     RequestNeeds {
         service: SERVICE,
         prompt: &[],
@@ -45,13 +45,13 @@
 #[case::two(&["b", "c"], &["r1", "r2"])]
 #[case::without_a_replica(&["d"], &[])]
 #[case::none(&[], &[])]
-fn every_choice_is_a_home(#[case] homes: &[&str], #[case] expected: &[&str]) {
-    let (board, homes) = (board(), zones(homes));
+fn every_selection_is_in_a_home_zone(#[case] homes: &[&str], #[case] expected: &[&str]) {
+    let (table, homes) = (table(), zones(homes));
     let mut random = Pcg64Mcg::seed_from_u64(7);
     for number in 0..50 {
-        let chosen = board.choose(&need(&homes), NOW_MS, &mut random);
-        let apart = board.choose_by_hash(&need(&homes), number, NOW_MS);
-        for chosen in [chosen, apart] {
+        let chosen = table.choose(&needs(&homes), NOW_MS, &mut random);
+        let by_hash = table.choose_by_hash(&needs(&homes), number, NOW_MS);
+        for chosen in [chosen, by_hash] {
             let id = chosen.map(|chosen| chosen.id);
             assert_eq!(id.is_none(), expected.is_empty());
             assert!(id.is_none_or(|id| expected.contains(&id.as_str())));
@@ -59,11 +59,11 @@
     }
 }
 
-/// A replica that fails what it is given is left out, though it is the only home: others
-/// elsewhere are no reason to take it, nor to leave it out.
+/// Whether a replica that fails its requests is excluded depends only on the replicas in the home
+/// zones, even if it is the only one there: replicas in other zones have no influence.
 #[test]
-fn a_failing_home_is_judged_among_homes() {
-    let mut board = board();
+fn a_failing_replica_is_compared_only_with_those_in_home_zones() {
+    let mut table = table();
     let failing = SlotLoad {
         replica: "r1".to_owned(),
         slots: 4,
@@ -72,9 +72,9 @@
         waiting: 0,
         closed: true,
     };
-    board.note_coordinator_load(&failing, NOW_MS);
+    table.note_coordinator_load(&failing, NOW_MS);
     let homes = zones(&["b"]);
-    let chosen = board.choose_by_hash(&need(&homes), 1, NOW_MS);
+    let chosen = table.choose_by_hash(&needs(&homes), 1, NOW_MS);
     assert_eq!(chosen.map(|chosen| chosen.id).as_deref(), Some("r1"));
 }
 
@@ -86,7 +86,7 @@
     #[case] homes: &[&str],
     #[case] expected: bool,
 ) {
-    let mut board = board();
-    board.set_evacuated(zones(evacuated));
-    assert_eq!(board.is_service_evacuated(&need(&zones(homes))), expected);
+    let mut table = table();
+    table.set_evacuated(zones(evacuated));
+    assert_eq!(table.is_service_evacuated(&needs(&zones(homes))), expected);
 }
--- a/crates/routing/tests/all/item_growth.rs
+++ b/crates/routing/tests/all/item_growth.rs
@@ -1,44 +1,47 @@
-//! How many items a gateway asks for.
+//! How many items a gateway requests.
 
 use linnethitch_routing::dispatch::{ItemCapacity, ItemRampUp};
 use rstest::rstest;
 
-fn room(slots: u32, replicas: u32) -> ItemCapacity {
+fn capacity(slots: u32, replicas: u32) -> ItemCapacity {
     ItemCapacity { slots, replicas }
 }
 
-/// Items held after the last call and now, the room, and what is asked for.
+/// Items running after the last call and now, the capacity, and the number of items to request.
 #[rstest]
-#[case::one_at_each_replica(0, 0, room(24, 3), 3)]
-#[case::no_more_than_there_is_room(0, 0, room(2, 3), 2)]
-#[case::those_that_ended_are_replaced(10, 6, room(8, 3), 7)]
-#[case::more_are_held_than_before(4, 9, room(8, 3), 3)]
-#[case::no_room(10, 6, room(0, 0), 0)]
-fn a_heap_spreads_and_what_ends_is_replaced(
-    #[case] held_before: u32,
-    #[case] held: u32,
-    #[case] room: ItemCapacity,
+#[case::one_at_each_replica(0, 0, capacity(24, 3), 3)]
+#[case::limited_by_free_slots(0, 0, capacity(2, 3), 2)]
+#[case::ended_items_are_replaced(10, 6, capacity(8, 3), 7)]
+#[case::more_running_than_before(4, 9, capacity(8, 3), 3)]
+#[case::no_capacity(10, 6, capacity(0, 0), 0)]
+fn requests_ramp_up_and_ended_items_are_replaced(
+    #[case] running_before: u32,
+    #[case] running: u32,
+    #[case] capacity: ItemCapacity,
     #[case] items_to_request: u32,
 ) {
-    let mut growth = ItemRampUp::default();
-    growth.note_running(held_before);
-    assert_eq!(growth.items_to_request(room, held), items_to_request);
+    let mut ramp_up = ItemRampUp::default();
+    ramp_up.note_running(running_before);
+    assert_eq!(
+        ramp_up.items_to_request(capacity, running),
+        items_to_request
+    );
 }
 
-/// The failure this is for: the gateways that asked first filled their replicas,
-/// while those of others stood idle, and online requests stopped items there.
+/// Guards against an uneven spread: the gateways that asked first filled their replicas while those
+/// of others were idle, and online requests stopped items there.
 #[test]
-fn a_heap_is_spread_evenly_over_the_replicas_of_all_gateways() {
-    let mut heap = 20;
+fn pending_items_spread_evenly_over_the_replicas_of_all_gateways() {
+    let mut pending = 20;
     let mut gateways = [(ItemRampUp::default(), 0); 10];
-    while heap > 0 {
-        for (growth, held) in &mut gateways {
-            let items_to_request = growth.items_to_request(room(8 - *held, 1), *held);
-            let given = items_to_request.min(heap);
-            heap -= given;
-            *held += given;
-            growth.note_running(*held);
+    while pending > 0 {
+        for (ramp_up, running) in &mut gateways {
+            let items_to_request = ramp_up.items_to_request(capacity(8 - *running, 1), *running);
+            let granted = items_to_request.min(pending);
+            pending -= granted;
+            *running += granted;
+            ramp_up.note_running(*running);
         }
     }
-    assert!(gateways.iter().all(|(_, held)| *held == 2));
+    assert!(gateways.iter().all(|(_, running)| *running == 2));
 }
--- a/crates/routing/tests/all/large_services.rs
+++ b/crates/routing/tests/all/large_services.rs
@@ -1,4 +1,4 @@
-//! A service with thousands of replicas: what a request costs, and where it may go.
+//! A service with thousands of replicas: the cost of a request, and where it may go.
 
 use std::collections::BTreeSet;
 
@@ -15,39 +15,38 @@
 const SERVICE: &str = "models";
 const ZONES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const NOW_MS: u64 = 1_000;
-/// What a request may cost, in replicas that are weighed: a gateway of the planned fleet has
-/// an eighth of a core, and a first token half a second.
-const MOST_WEIGHED: u64 = 256;
+/// Maximum cost of a request, in scored replicas: a gateway of the planned fleet has an eighth of a
+/// core, and half a second for a first token.
+const MAX_SCORED: u64 = 256;
 
-/// Counts what is drawn: one number for each replica that is weighed, and those by which they
-/// were drawn.
-struct Counted {
+/// Counts random draws: one for each scored replica, and those by which replicas are sampled.
+struct CountingRng {
     random: Pcg64Mcg,
-    drawn: u64,
+    draws: u64,
 }
 
-impl Counted {
+impl CountingRng {
     fn new(seed: u64) -> Self {
-        Counted {
+        CountingRng {
             random: Pcg64Mcg::seed_from_u64(seed),
-            drawn: 0,
+            draws: 0,
         }
     }
 }
 
-impl RngCore for Counted {
+impl RngCore for CountingRng {
     fn next_u32(&mut self) -> u32 {
-        self.drawn += 1;
+        self.draws += 1;
         self.random.next_u32()
     }
 
     fn next_u64(&mut self) -> u64 {
-        self.drawn += 1;
+        self.draws += 1;
         self.random.next_u64()
     }
 
     fn fill_bytes(&mut self, bytes: &mut [u8]) {
-        self.drawn += 1;
+        self.draws += 1;
         self.random.fill_bytes(bytes);
     }
 }
@@ -64,16 +63,16 @@
     }
 }
 
-/// A gateway of zone a before replicas spread over all zones.
-fn board(count: usize) -> ReplicaTable {
-    let mut board = ReplicaTable::new("a");
+/// The table of a gateway in zone a, with replicas spread over all zones.
+fn table(count: usize) -> ReplicaTable {
+    let mut table = ReplicaTable::new("a");
     for number in 0..count {
-        board.put(traits(number, ZONES[number % ZONES.len()]));
+        table.put(traits(number, ZONES[number % ZONES.len()]));
     }
-    board
+    table
 }
 
-fn need<'a>(prompt: &'a [PromptPart], homes: Option<&'a BTreeSet<String>>) -> RequestNeeds<'a> {
+fn needs<'a>(prompt: &'a [PromptPart], homes: Option<&'a BTreeSet<String>>) -> RequestNeeds<'a> {
     RequestNeeds {
         service: SERVICE,
         prompt,
@@ -92,125 +91,122 @@
 }
 
 #[test]
-fn a_request_costs_the_same_among_twice_as_many_replicas() {
+fn the_cost_of_a_request_is_bounded_for_any_number_of_replicas() {
     let [once, twice] = [5_000, 10_000].map(|count| {
-        let mut random = Counted::new(7);
-        let chosen = board(count).choose(&need(&prompt(1), None), NOW_MS, &mut random);
+        let mut random = CountingRng::new(7);
+        let chosen = table(count).choose(&needs(&prompt(1), None), NOW_MS, &mut random);
         assert!(chosen.is_some());
-        random.drawn
+        random.draws
     });
-    assert!(
-        once <= MOST_WEIGHED && twice <= MOST_WEIGHED,
-        "{once} {twice}"
-    );
+    assert!(once <= MAX_SCORED && twice <= MAX_SCORED, "{once} {twice}");
 }
 
-/// A service is weighed whole while it is small.
+/// All replicas of a small service are scored.
 #[test]
-fn a_small_service_is_weighed_whole() {
+fn all_replicas_of_a_small_service_are_scored() {
     for count in [1, 3, 60, 200] {
-        let mut random = Counted::new(7);
-        board(count).choose(&need(&[], None), NOW_MS, &mut random);
-        assert_eq!(random.drawn, count as u64);
+        let mut random = CountingRng::new(7);
+        table(count).choose(&needs(&[], None), NOW_MS, &mut random);
+        assert_eq!(random.draws, count as u64);
     }
 }
 
 #[test]
-fn gateways_that_never_met_send_a_shared_prompt_to_the_same_replica() {
-    let board = board(4_000);
+fn independent_gateways_send_a_shared_prompt_to_the_same_replica() {
+    let table = table(4_000);
     for shared in 0..20 {
         let of = |seed| {
-            let mut random = Counted::new(seed);
-            let chosen = board.choose(&need(&prompt(shared), None), NOW_MS, &mut random);
+            let mut random = CountingRng::new(seed);
+            let chosen = table.choose(&needs(&prompt(shared), None), NOW_MS, &mut random);
             chosen.expect("one is open").id
         };
         assert_eq!(of(1), of(2));
     }
 }
 
-/// Copies of a request under which replicas ended go to one replica, different ones are
-/// spread.
+/// Copies of a request that is suspected of ending replicas go to one replica, different requests
+/// are spread.
 #[test]
-fn suspected_requests_are_spread_and_stay_where_they_are() {
-    let board = board(4_000);
-    let apart = |number| board.choose_by_hash(&need(&[], None), number, NOW_MS);
-    let places: BTreeSet<String> = (0..200)
+fn suspected_requests_are_spread_and_each_stays_at_its_replica() {
+    let table = table(4_000);
+    let by_hash = |number| table.choose_by_hash(&needs(&[], None), number, NOW_MS);
+    let replicas: BTreeSet<String> = (0..200)
         .map(|number| {
-            let chosen = apart(number).expect("one is open");
-            assert_eq!(apart(number).as_ref(), Some(&chosen));
+            let chosen = by_hash(number).expect("one is open");
+            assert_eq!(by_hash(number).as_ref(), Some(&chosen));
             chosen.id
         })
         .collect();
-    assert!(places.len() > 150, "{}", places.len());
+    assert!(replicas.len() > 150, "{}", replicas.len());
 }
 
-/// Where a request may go while zones are evacuated, lost or no homes.
+/// Where a request may go while zones are evacuated, lost or not among its home zones.
 #[rstest]
 #[case::anywhere(&[], None, &["a"])]
 #[case::own_zone_evacuated(&["a"], None, &["b", "c", "d", "e"])]
 #[case::all_but_one_evacuated(&["a", "b", "c", "d"], None, &["e"])]
 #[case::homes_elsewhere(&[], Some(&["c", "d"][..]), &["c", "d"])]
 #[case::home_evacuated(&["c"], Some(&["c"][..]), &[])]
-fn a_request_goes_where_it_may(
+fn a_request_goes_only_to_allowed_zones(
     #[case] evacuated: &[&str],
     #[case] homes: Option<&[&str]>,
     #[case] expected: &[&str],
 ) {
     let set = |names: &[&str]| names.iter().map(|name| (*name).to_owned()).collect();
     let homes: Option<BTreeSet<String>> = homes.map(set);
-    let mut board = board(3_000);
+    let mut table = table(3_000);
     for (number, zone) in ZONES.iter().enumerate() {
-        // Connections show how far each zone is.
+        // Connections show how far away each zone is.
         let round_trip_ms = if number == 0 { 1.0 } else { 3.0 };
-        board.note_connected(&format!("r{number}"), round_trip_ms);
+        table.note_connected(&format!("r{number}"), round_trip_ms);
         assert!(ZONES.contains(zone));
     }
-    board.set_evacuated(set(evacuated));
-    let mut random = Counted::new(3);
+    table.set_evacuated(set(evacuated));
+    let mut random = CountingRng::new(3);
     for shared in 0..100 {
         let prompts = [vec![], prompt(shared).to_vec()];
         for prompt in &prompts {
-            let need = need(prompt, homes.as_ref());
-            let chosen = board.choose(&need, NOW_MS, &mut random);
+            let needs = needs(prompt, homes.as_ref());
+            let chosen = table.choose(&needs, NOW_MS, &mut random);
             assert_eq!(chosen.is_none(), expected.is_empty());
-            // A shared prompt goes to its home, wherever that is allowed.
-            let bound = if prompt.is_empty() { expected } else { &ZONES };
-            let is_open = |zone: &str| {
+            // A shared prompt goes to its affinity replica in any allowed zone.
+            let allowed_zones = if prompt.is_empty() { expected } else { &ZONES };
+            let is_allowed = |zone: &str| {
                 !evacuated.contains(&zone) && homes.as_ref().is_none_or(|h| h.contains(zone))
             };
             assert!(chosen.is_none_or(|chosen| {
-                bound.contains(&zone_of(&chosen)) && is_open(zone_of(&chosen))
+                allowed_zones.contains(&zone_of(&chosen)) && is_allowed(zone_of(&chosen))
             }));
         }
     }
     assert_eq!(
-        board.has_ready_replica(&need(&[], homes.as_ref())),
+        table.has_ready_replica(&needs(&[], homes.as_ref())),
         !expected.is_empty()
     );
     assert_eq!(
-        board.is_service_evacuated(&need(&[], homes.as_ref())),
+        table.is_service_evacuated(&needs(&[], homes.as_ref())),
         expected.is_empty()
     );
 }
 
-/// Replicas that this gateway works with stay among those that it weighs, so that it keeps
-/// its connections to them.
+/// Replicas that this gateway uses remain among those that it scores, so that it reuses its
+/// connections to them.
 #[test]
-fn replicas_in_use_are_weighed_again() {
-    let mut board = board(5_000);
+fn replicas_in_use_are_scored_again() {
+    let mut table = table(5_000);
     let prompt = prompt(1);
-    let mut random = Counted::new(5);
-    let first = board
-        .choose(&need(&prompt, None), NOW_MS, &mut random)
+    let mut random = CountingRng::new(5);
+    let first = table
+        .choose(&needs(&prompt, None), NOW_MS, &mut random)
         .expect("one is open");
-    let work = board.begin(&first, &prompt, WorkKind::Online, NOW_MS);
-    board.end(&first.id, work.expect("it is known"));
-    // It is the home no longer: the prompt is kept there all the same.
+    let work = table.begin(&first, &prompt, WorkKind::Online, NOW_MS);
+    table.end(&first.id, work.expect("it is known"));
+    // The replica is no longer the affinity replica, but the prompt is still cached there.
     for number in 5_000..5_200 {
-        board.put(traits(number, "a"));
+        table.put(traits(number, "a"));
     }
     for _ in 0..20 {
-        let next = board.choose(&need(&prompt, None), NOW_MS, &mut random);
+        let next = table.choose(&needs(&prompt, None), NOW_MS, &mut random);
         assert_eq!(next.map(|next| next.id), Some(first.id.clone()));
     }
 }
@@ -254,9 +250,9 @@
 }
 
 proptest! {
-    /// What each gateway works out step by step is what it would find by looking at all.
+    /// The incrementally maintained table of each gateway matches a complete computation.
     #[test]
-    fn each_engine_has_the_coordinator_that_all_find(
+    fn all_gateways_agree_on_each_coordinator(
         steps in proptest::collection::vec(step(), 1..80),
     ) {
         let mut tables: Vec<CoordinatorTable> =
@@ -300,38 +296,39 @@
         }
     }
 
-    /// What the board counts as replicas come, change and go is what a look at all finds.
+    /// The counts that the table maintains as replicas are added, updated and removed match a
+    /// complete count.
     #[test]
-    fn counts_agree_with_the_replicas(steps in proptest::collection::vec(step(), 1..80)) {
-        let mut board = ReplicaTable::new("a");
-        let mut held = std::collections::BTreeMap::new();
+    fn counts_match_the_replicas(steps in proptest::collection::vec(step(), 1..80)) {
+        let mut table = ReplicaTable::new("a");
+        let mut known = std::collections::BTreeMap::new();
         for step in steps {
             match step {
                 Step::Put { number, zone, ready } => {
                     let traits = ReplicaTraits { ready, ..traits(number, ZONES[zone]) };
-                    held.insert(traits.id.clone(), traits.clone());
-                    board.put(traits);
+                    known.insert(traits.id.clone(), traits.clone());
+                    table.put(traits);
                 }
                 Step::Remove { number } => {
-                    held.remove(&format!("r{number}"));
-                    board.remove(&format!("r{number}"));
+                    known.remove(&format!("r{number}"));
+                    table.remove(&format!("r{number}"));
                 }
                 Step::Gateways { present } => {
                     let zones = ZONES.iter().enumerate();
                     let evacuated = zones.filter(|(at, _)| present & (1 << at) != 0);
-                    board.set_evacuated(evacuated.map(|(_, zone)| (*zone).to_owned()).collect());
+                    table.set_evacuated(evacuated.map(|(_, zone)| (*zone).to_owned()).collect());
                 }
             }
-            let open: Vec<String> = held
+            let open: Vec<String> = known
                 .values()
-                .filter(|traits| traits.ready && !board.is_evacuated(&traits.id))
+                .filter(|traits| traits.ready && !table.is_evacuated(&traits.id))
                 .map(|traits| traits.id.clone())
                 .collect();
-            let counted = board.ready_replicas();
+            let counted = table.ready_replicas();
             prop_assert_eq!(counted.open, open.len());
-            let ready = held.values().filter(|traits| traits.ready).count();
+            let ready = known.values().filter(|traits| traits.ready).count();
             prop_assert_eq!(counted.open + counted.evacuated, ready);
-            prop_assert_eq!(board.available_ids(&need(&[], None), NOW_MS), open);
+            prop_assert_eq!(table.available_ids(&needs(&[], None), NOW_MS), open);
         }
     }
 }
--- a/crates/routing/tests/all/replica_health.rs
+++ b/crates/routing/tests/all/replica_health.rs
@@ -1,5 +1,5 @@
-//! A replica that fails what it is given is closed for all gateways, and tried again by one
-//! run at a time.
+//! A replica that fails its requests is ejected for all gateways, and tried again by one run at a
+//! time.
 
 use linnethitch_protocol::{
     ids::MachineId,
@@ -11,7 +11,7 @@
 use rstest::rstest;
 
 const OWN: MachineId = MachineId(9);
-/// After a new coordinator's time to settle.
+/// After a new coordinator's settling time.
 const START_MS: u64 = 1_000;
 
 fn coordinator() -> SlotCoordinator {
@@ -52,7 +52,7 @@
     verdict.expect("an answer")
 }
 
-/// Runs requests of these gateways one after the other, and says how each came out.
+/// Runs requests of the given gateways one after the other with the given outcomes.
 fn run(coordinator: &mut SlotCoordinator, runs: &[(u32, RunOutcome)], now_ms: u64) {
     for (number, (holder, outcome)) in runs.iter().enumerate() {
         let key = key(*holder, now_ms * 100 + number as u64);
@@ -62,7 +62,7 @@
     }
 }
 
-fn is_closed(coordinator: &SlotCoordinator) -> bool {
+fn is_ejected(coordinator: &SlotCoordinator) -> bool {
     coordinator.all_loads()[0].closed
 }
 
@@ -72,26 +72,26 @@
 const HUNG: RunOutcome = RunOutcome::Silent;
 
 #[rstest]
-#[case::two_in_a_row(&[(1, BAD), (2, BAD)], false)]
-#[case::three_in_a_row(&[(1, BAD), (2, BAD), (1, BAD)], true)]
-#[case::seen_by_one_gateway(&[(1, BAD), (1, BAD), (1, BAD), (1, BAD)], false)]
+#[case::two_consecutive(&[(1, BAD), (2, BAD)], false)]
+#[case::three_consecutive(&[(1, BAD), (2, BAD), (1, BAD)], true)]
+#[case::reported_by_one_gateway(&[(1, BAD), (1, BAD), (1, BAD), (1, BAD)], false)]
 #[case::one_was_served_between(&[(1, BAD), (2, BAD), (3, OK), (1, BAD), (2, BAD)], false)]
-#[case::some_tell_nothing(&[(1, BAD), (2, NONE), (2, BAD), (3, NONE), (1, BAD)], true)]
-#[case::near_half_of_many(&[(1, BAD), (2, OK), (3, BAD), (1, OK), (2, BAD), (3, OK), (1, BAD), (2, OK), (3, BAD)], true)]
+#[case::some_without_result(&[(1, BAD), (2, NONE), (2, BAD), (3, NONE), (1, BAD)], true)]
+#[case::nearly_half_of_many(&[(1, BAD), (2, OK), (3, BAD), (1, OK), (2, BAD), (3, OK), (1, BAD), (2, OK), (3, BAD)], true)]
 #[case::one_of_three(&[(1, BAD), (2, OK), (3, OK), (1, BAD), (2, OK), (3, OK), (1, BAD), (2, OK), (3, OK), (1, BAD), (2, OK), (3, OK)], false)]
 #[case::silent_to_all(&[(1, HUNG), (2, HUNG), (3, HUNG)], true)]
 #[case::callers_left(&[(1, NONE), (2, NONE), (3, NONE), (1, NONE)], false)]
-fn it_is_closed_after_failures(#[case] runs: &[(u32, RunOutcome)], #[case] closed: bool) {
+fn a_replica_is_ejected_after_failures(#[case] runs: &[(u32, RunOutcome)], #[case] closed: bool) {
     let mut coordinator = coordinator();
     run(&mut coordinator, runs, START_MS);
-    assert_eq!(is_closed(&coordinator), closed);
+    assert_eq!(is_ejected(&coordinator), closed);
     let verdict = ask(&mut coordinator, key(5, 1), AskMode::Probe, START_MS);
     assert_eq!(verdict == Verdict::Full, closed);
 }
 
-/// A slow replica keeps some waiting for long while it serves others.
+/// A slow replica lets some requests wait for long while it serves others.
 #[test]
-fn one_that_serves_others_meanwhile_is_slow_not_silent() {
+fn a_replica_that_serves_other_requests_is_slow_not_silent() {
     let mut coordinator = coordinator();
     for number in 1..=3 {
         ask(&mut coordinator, key(number, 1), AskMode::Take, START_MS);
@@ -100,17 +100,20 @@
     for number in 1..=3 {
         coordinator.record_run(key(number, 1), HUNG, START_MS + 1_200);
     }
-    assert!(!is_closed(&coordinator));
+    assert!(!is_ejected(&coordinator));
 }
 
-/// Runs of several gateways are under way when something breaks them all off: a process
-/// that ends, a reset of all connections. How runs come out that begin afterwards.
+/// Runs of several gateways are under way when one event breaks them all off, as the end of a
+/// process or a reset of all connections. Cases: the outcomes of runs that begin afterwards.
 #[rstest]
 #[case::nothing_begins(&[], false)]
 #[case::one_fails(&[BAD], false)]
 #[case::it_serves_again(&[BAD, OK, BAD, BAD], false)]
 #[case::two_fail(&[BAD, BAD], true)]
-fn what_one_event_breaks_off_is_one_failure(#[case] begun_later: &[RunOutcome], #[case] is: bool) {
+fn runs_broken_off_by_one_event_count_as_one_failure(
+    #[case] later_outcomes: &[RunOutcome],
+    #[case] expected: bool,
+) {
     let mut coordinator = coordinator();
     for holder in 1..=4 {
         ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
@@ -119,15 +122,15 @@
         coordinator.record_run(key(holder, 1), BAD, START_MS + 10);
         coordinator.end(key(holder, 1), START_MS + 10);
     }
-    assert!(!is_closed(&coordinator));
-    let later: Vec<_> = begun_later.iter().map(|outcome| (5, *outcome)).collect();
+    assert!(!is_ejected(&coordinator));
+    let later: Vec<_> = later_outcomes.iter().map(|outcome| (5, *outcome)).collect();
     run(&mut coordinator, &later, START_MS + 20);
-    assert_eq!(is_closed(&coordinator), is);
+    assert_eq!(is_ejected(&coordinator), expected);
 }
 
 /// A machine that hangs keeps all its runs waiting; none is broken off.
 #[test]
-fn runs_that_hang_beside_each_other_count_each() {
+fn concurrent_runs_that_hang_count_separately() {
     let mut coordinator = coordinator();
     for holder in 1..=3 {
         ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
@@ -135,81 +138,84 @@
     for holder in 1..=3 {
         coordinator.record_run(key(holder, 1), HUNG, START_MS + 1_200);
     }
-    assert!(is_closed(&coordinator));
+    assert!(is_ejected(&coordinator));
 }
 
-/// A run that had begun before it was closed is served: not everything fails there.
+/// A run that began before the ejection is served: the replica does not fail everything.
 #[test]
-fn a_run_that_is_served_opens_it() {
+fn a_served_run_ends_the_ejection() {
     let mut coordinator = coordinator();
     ask(&mut coordinator, key(4, 1), AskMode::Take, START_MS);
     run(&mut coordinator, &[(1, BAD), (2, BAD), (3, BAD)], START_MS);
-    assert!(is_closed(&coordinator));
+    assert!(is_ejected(&coordinator));
     coordinator.record_run(key(4, 1), OK, START_MS + 50);
-    assert!(!is_closed(&coordinator));
+    assert!(!is_ejected(&coordinator));
 }
 
-/// It served its trial, so that what comes next is another failure.
+/// The replica served its trial, so the next failures are a new fault.
 #[test]
-fn the_pause_begins_anew_after_a_trial_that_was_served() {
-    let mut coordinator = closed();
-    let tried = START_MS + 500;
-    run(&mut coordinator, &[(1, OK)], tried);
-    assert!(!is_closed(&coordinator));
+fn the_ejection_time_starts_anew_after_a_served_trial() {
+    let mut coordinator = coordinator_with_ejected_replica();
+    let trial_ms = START_MS + 500;
+    run(&mut coordinator, &[(1, OK)], trial_ms);
+    assert!(!is_ejected(&coordinator));
     run(
         &mut coordinator,
         &[(1, BAD), (2, BAD), (3, BAD)],
-        tried + 100,
+        trial_ms + 100,
     );
-    assert!(is_closed(&coordinator));
+    assert!(is_ejected(&coordinator));
     let verdict = ask(
         &mut coordinator,
         key(4, 1),
         AskMode::Probe,
-        tried + 100 + 500,
+        trial_ms + 100 + 500,
     );
     assert_eq!(verdict, Verdict::Granted);
 }
 
-fn closed() -> SlotCoordinator {
+fn coordinator_with_ejected_replica() -> SlotCoordinator {
     let mut coordinator = coordinator();
     run(&mut coordinator, &[(1, BAD), (2, BAD), (3, BAD)], START_MS);
     coordinator
 }
 
 #[test]
-fn one_request_tries_it_after_the_pause() {
-    let mut coordinator = closed();
-    let after = START_MS + 500;
+fn one_request_is_the_trial_after_the_ejection() {
+    let mut coordinator = coordinator_with_ejected_replica();
+    let trial_ms = START_MS + 500;
     assert_eq!(
-        ask(&mut coordinator, key(1, 1), AskMode::Wait, after - 1),
+        ask(&mut coordinator, key(1, 1), AskMode::Wait, trial_ms - 1),
         Verdict::Full
     );
     assert_eq!(
-        ask(&mut coordinator, key(1, 2), AskMode::Probe, after),
+        ask(&mut coordinator, key(1, 2), AskMode::Probe, trial_ms),
         Verdict::Granted
     );
     assert_eq!(
-        ask(&mut coordinator, key(2, 1), AskMode::Probe, after),
+        ask(&mut coordinator, key(2, 1), AskMode::Probe, trial_ms),
         Verdict::Full
     );
-    coordinator.record_run(key(1, 2), OK, after + 10);
-    coordinator.end(key(1, 2), after + 10);
-    assert!(!is_closed(&coordinator));
+    coordinator.record_run(key(1, 2), OK, trial_ms + 10);
+    coordinator.end(key(1, 2), trial_ms + 10);
+    assert!(!is_ejected(&coordinator));
     assert_eq!(
-        ask(&mut coordinator, key(2, 2), AskMode::Probe, after + 10),
+        ask(&mut coordinator, key(2, 2), AskMode::Probe, trial_ms + 10),
         Verdict::Granted
     );
 }
 
-/// How each trial comes out, and when the next one may begin.
+/// The outcome of each trial, and when the next one may begin.
 #[rstest]
 #[case::fails_again(&[BAD], 1_000)]
 #[case::fails_twice(&[BAD, BAD], 2_000)]
 #[case::fails_for_long(&[BAD, BAD, BAD, BAD, BAD, BAD, BAD], 8_000)]
 #[case::caller_left(&[NONE], 0)]
-fn the_pause_doubles_while_it_fails(#[case] trials: &[RunOutcome], #[case] pause_ms: u64) {
-    let mut coordinator = closed();
+fn the_ejection_time_doubles_while_trials_fail(
+    #[case] trials: &[RunOutcome],
+    #[case] ejection_ms: u64,
+) {
+    let mut coordinator = coordinator_with_ejected_replica();
     let mut now_ms = START_MS + 500;
     for (number, outcome) in trials.iter().enumerate() {
         let key = key(1, number as u64);
@@ -220,22 +226,22 @@
         coordinator.end(key, now_ms);
     }
     let next = key(2, 1);
-    if pause_ms > 0 {
+    if ejection_ms > 0 {
         let verdict = ask(
             &mut coordinator,
             next,
             AskMode::Probe,
-            now_ms + pause_ms - 1,
+            now_ms + ejection_ms - 1,
         );
         assert_eq!(verdict, Verdict::Full);
     }
-    let verdict = ask(&mut coordinator, next, AskMode::Probe, now_ms + pause_ms);
+    let verdict = ask(&mut coordinator, next, AskMode::Probe, now_ms + ejection_ms);
     assert_eq!(verdict, Verdict::Granted);
 }
 
 #[test]
-fn a_batch_item_tries_it_where_one_waits() {
-    let mut coordinator = closed();
+fn a_waiting_batch_item_is_the_trial() {
+    let mut coordinator = coordinator_with_ejected_replica();
     let item = |run| WaitingItem {
         run: RunNumber(run),
         service: "models".to_owned(),
@@ -252,11 +258,11 @@
     coordinator.record_item_run(RunNumber(1), OWN, OK, START_MS + 600);
     let started = coordinator.item_ended(RunNumber(1), START_MS + 600);
     assert_eq!(started.len(), 1, "{started:?}");
-    assert!(!is_closed(&coordinator));
+    assert!(!is_ejected(&coordinator));
 }
 
 #[test]
-fn those_that_wait_for_it_go_elsewhere() {
+fn waiting_requests_are_rejected_at_ejection() {
     let mut coordinator = coordinator();
     for number in 0..4 {
         ask(&mut coordinator, key(1, number), AskMode::Probe, START_MS);
@@ -268,22 +274,22 @@
     coordinator.record_run(key(1, 0), BAD, START_MS + 1);
     run(&mut coordinator, &[(3, BAD)], START_MS + 1);
     let actions = coordinator.record_run(key(1, 1), BAD, START_MS + 1);
-    let sent_away = SlotAction::Answer {
+    let rejected = SlotAction::Answer {
         key: key(2, 9),
         replica: "a".to_owned(),
         verdict: Verdict::Full,
     };
-    let believed = SlotAction::ReportHealth {
+    let health_report = SlotAction::ReportHealth {
         replica: "a".to_owned(),
         closed: true,
     };
-    assert_eq!(actions, [believed, sent_away]);
+    assert_eq!(actions, [health_report, rejected]);
 }
 
-/// A trial whose end is never heard of does not keep it closed.
+/// A trial without a reported end does not keep the replica ejected.
 #[test]
 fn a_lost_trial_is_followed_by_another() {
-    let mut coordinator = closed();
+    let mut coordinator = coordinator_with_ejected_replica();
     let first = START_MS + 500;
     assert_eq!(
         ask(&mut coordinator, key(1, 1), AskMode::Probe, first),
--- a/crates/routing/tests/all/silence.rs
+++ b/crates/routing/tests/all/silence.rs
@@ -8,15 +8,15 @@
 
 const COORDINATOR: MachineId = MachineId(7);
 
-/// Of asks sent 10 ms apart to a coordinator at a distance that answers each after a moment of
-/// work, so many are not coordinated: their answer was not awaited.
+/// Sends a request every 10 ms to a coordinator that answers after the round trip and some work.
+/// Returns how many were not coordinated because their answer was not waited for.
 fn uncoordinated(round_trip_ms: u64, work_ms: u64) -> usize {
     let round_trip = Duration::from_millis(round_trip_ms);
     let limit_ms = answer_timeout(round_trip).as_millis() as u64;
     let mut silent = SilentCoordinators::default();
-    let asks = (0..100).map(|number| number * 10);
+    let request_times = (0..100).map(|number| number * 10);
     let (mut ends, mut missed) = (Vec::new(), 0);
-    for at_ms in asks {
+    for at_ms in request_times {
         ends.retain(|(end_ms, has_answered)| {
             if *end_ms > at_ms {
                 return true;
@@ -28,38 +28,41 @@
             }
             false
         });
-        let takes_ms = round_trip_ms + work_ms;
-        let is_in_time = takes_ms <= limit_ms;
+        let answer_ms = round_trip_ms + work_ms;
+        let is_in_time = answer_ms <= limit_ms;
         if silent.is_silent(COORDINATOR, at_ms) || !is_in_time {
             missed += 1;
         }
         if !silent.is_silent(COORDINATOR, at_ms) {
-            ends.push((at_ms + takes_ms.min(limit_ms), is_in_time));
+            ends.push((at_ms + answer_ms.min(limit_ms), is_in_time));
         }
     }
     missed
 }
 
-/// A word to the other region and back takes 24 ms: with one limit of 25 ms for all distances
-/// each answer that took 2 ms of work came too late, and bursts went out uncoordinated.
+/// The round trip to the other region takes 24 ms: with one limit of 25 ms for all distances each
+/// answer that took 2 ms of work came too late, and bursts were sent uncoordinated.
 #[rstest]
 #[case::in_the_zone(0, 20)]
 #[case::another_zone(1, 20)]
 #[case::another_region(24, 2)]
 #[case::another_region_that_is_busy(24, 20)]
-fn one_that_answers_is_waited_for_at_any_distance(
+fn a_coordinator_that_answers_is_waited_for_at_any_distance(
     #[case] round_trip_ms: u64,
     #[case] work_ms: u64,
 ) {
     assert_eq!(uncoordinated(round_trip_ms, work_ms), 0);
 }
 
-/// One that is gone holds up few: those asked until the first wait is over, and some after
-/// each pause.
+/// An unreachable coordinator delays few requests: those sent until the first timeout, and some
+/// after each pause.
 #[rstest]
 #[case::in_the_zone(0, 12)]
 #[case::another_region(24, 22)]
-fn one_that_is_gone_holds_up_few(#[case] round_trip_ms: u64, #[case] most_waits: usize) {
+fn an_unreachable_coordinator_delays_few_requests(
+    #[case] round_trip_ms: u64,
+    #[case] max_waits: usize,
+) {
     let limit = answer_timeout(Duration::from_millis(round_trip_ms));
     let mut silent = SilentCoordinators::default();
     let (mut waits, mut ends) = (0, Vec::new());
@@ -75,7 +78,7 @@
             ends.push(at_ms + limit.as_millis() as u64);
         }
     }
-    assert!(waits <= most_waits, "{waits}");
+    assert!(waits <= max_waits, "{waits}");
 }
 
 #[test]
--- a/crates/routing/tests/all/starts.rs
+++ b/crates/routing/tests/all/starts.rs
@@ -1,4 +1,4 @@
-//! What a coordinator knows of a replica belongs to one start of it.
+//! What a coordinator knows of a replica applies to one incarnation.
 
 use linnethitch_protocol::{
     ids::MachineId,
@@ -10,13 +10,17 @@
 
 const FIRST: &str = "a#1";
 const SECOND: &str = "a#2";
-/// After a new coordinator's time to settle.
+/// After a new coordinator's settling time.
 const START_MS: u64 = 1_000;
 
-/// The replica in this start is coordinated here from now on.
-fn set_start(coordinator: &mut SlotCoordinator, start: &str, now_ms: u64) -> Vec<SlotAction> {
+/// Coordinates this incarnation of the replica from now on.
+fn set_incarnation(
+    coordinator: &mut SlotCoordinator,
+    incarnation: &str,
+    now_ms: u64,
+) -> Vec<SlotAction> {
     let replica = CoordinatedReplica {
-        id: start.to_owned(),
+        id: incarnation.to_owned(),
         service: "models".to_owned(),
         slots: 4,
         open: true,
@@ -32,10 +36,15 @@
     }
 }
 
-fn ask(coordinator: &mut SlotCoordinator, start: &str, holder: u32, now_ms: u64) -> Vec<Verdict> {
+fn ask(
+    coordinator: &mut SlotCoordinator,
+    incarnation: &str,
+    holder: u32,
+    now_ms: u64,
+) -> Vec<Verdict> {
     let ask = Ask {
         key: key(holder),
-        replica: start.to_owned(),
+        replica: incarnation.to_owned(),
         due: Due {
             at_ms: now_ms + 300,
         },
@@ -53,10 +62,11 @@
     verdicts.collect()
 }
 
-/// The first start has failed three gateways and is closed; a fourth one has a lease.
-fn closed_first_start() -> SlotCoordinator {
+/// The first incarnation failed requests of three gateways and is ejected; a fourth gateway has a
+/// lease.
+fn ejected_first_incarnation() -> SlotCoordinator {
     let mut coordinator = SlotCoordinator::default();
-    set_start(&mut coordinator, FIRST, 0);
+    set_incarnation(&mut coordinator, FIRST, 0);
     for holder in 1..=4 {
         ask(&mut coordinator, FIRST, holder, START_MS);
     }
@@ -69,9 +79,9 @@
 }
 
 #[test]
-fn a_new_start_is_open_and_has_its_own_slots() {
-    let mut coordinator = closed_first_start();
-    set_start(&mut coordinator, SECOND, START_MS);
+fn a_new_incarnation_is_available_and_has_its_own_slots() {
+    let mut coordinator = ejected_first_incarnation();
+    set_incarnation(&mut coordinator, SECOND, START_MS);
     let load = &coordinator.all_loads()[0];
     assert_eq!((load.closed, load.online), (false, 0));
     let later = 2 * START_MS;
@@ -82,16 +92,16 @@
         );
     }
     assert_eq!(coordinator.all_loads()[0].online, 4);
-    // The end of a lease of the first start frees no slot of the second one.
+    // The end of a lease of the first incarnation frees no slot of the second one.
     coordinator.record_run(key(4), RunOutcome::Failed, later);
     coordinator.end(key(4), later);
     assert_eq!(coordinator.all_loads()[0].online, 4);
 }
 
 #[test]
-fn an_ask_for_an_earlier_start_is_sent_away() {
-    let mut coordinator = closed_first_start();
-    set_start(&mut coordinator, SECOND, START_MS);
+fn a_request_for_an_earlier_incarnation_is_rejected() {
+    let mut coordinator = ejected_first_incarnation();
+    set_incarnation(&mut coordinator, SECOND, START_MS);
     let later = 2 * START_MS;
     assert_eq!(ask(&mut coordinator, FIRST, 9, later), [Verdict::NotHere]);
 }
