--- a/crates/routing/src/cold/known_gateways.rs
+++ b/crates/routing/src/cold/known_gateways.rs
@@ -4,33 +4,33 @@
 
 use linnethitch_protocol::ids::MachineId;
 
-/// A gateway that control named counts for so long after it was named last, in
-/// milliseconds: one that is cut off for minutes goes on by what it remembers.
-const REMEMBERED_MS: u64 = 600_000;
+/// A gateway counts for this time after control last named it, in milliseconds: a gateway that is
+/// isolated for minutes continues with the list that it remembers.
+const GATEWAY_RETENTION_MS: u64 = 600_000;
 
-/// Gateways that control named lately, by when.
+/// Gateways that control recently named, and when.
 #[derive(Clone, Debug, Default)]
 pub(super) struct KnownGateways {
-    named: BTreeMap<MachineId, u64>,
+    last_named_ms: BTreeMap<MachineId, u64>,
     list: Vec<MachineId>,
 }
 
 impl KnownGateways {
-    /// Takes a list of control; whether others are known now than before.
-    pub(super) fn note(&mut self, listed: &[MachineId], now_ms: u64) -> bool {
+    /// Records a list from control. Returns whether the known gateways have changed.
+    pub(super) fn update(&mut self, listed: &[MachineId], now_ms: u64) -> bool {
         for gateway in listed {
-            self.named.insert(*gateway, now_ms);
+            self.last_named_ms.insert(*gateway, now_ms);
         }
-        self.named
-            .retain(|_, named_ms| now_ms < *named_ms + REMEMBERED_MS);
-        if self.named.keys().eq(self.list.iter()) {
+        self.last_named_ms
+            .retain(|_, at_ms| now_ms < *at_ms + GATEWAY_RETENTION_MS);
+        if self.last_named_ms.keys().eq(self.list.iter()) {
             return false;
         }
-        self.list = self.named.keys().copied().collect();
+        self.list = self.last_named_ms.keys().copied().collect();
         true
     }
 
-    /// All of them.
+    /// All known gateways.
     pub(super) fn list(&self) -> &[MachineId] {
         &self.list
     }
--- a/crates/routing/src/cold/sends.rs
+++ b/crates/routing/src/cold/sends.rs
@@ -1,9 +1,9 @@
-//! What one gateway has sent to one replica and what of it may arrive in the same second
-//! as a further request.
+//! Requests that one gateway has sent to one replica, and which of them may arrive in the same
+//! second as a further one.
 
-/// A second, and what the rounding of two readings of the clock may hide, in milliseconds.
+/// A second plus the possible rounding error of two clock readings, in milliseconds.
 const WINDOW_MS: u64 = 1_002;
-/// A request whose answer never began may still arrive so long after it was given up, in
+/// A request whose response never began may still arrive this long after it was given up, in
 /// milliseconds: connections end when bytes were not acknowledged for 900 ms.
 const LATE_ARRIVAL_MS: u64 = 1_000;
 
@@ -11,21 +11,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SendNumber(pub(super) u64);
 
-/// What became of a send.
+/// The outcome of a send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The replica answered: it had arrived by now.
+    /// The replica answered, so the request has arrived by now.
     Arrived,
-    /// It did not arrive, or another incarnation refused it: it does not count.
+    /// The request did not arrive, or another incarnation refused it: it does not count.
     NotCounted,
-    /// It may arrive a little later.
+    /// The request may still arrive a little later.
     Unknown,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Send {
     number: SendNumber,
-    /// Until when it counts; `None` while nothing is known of its arrival.
+    /// The time until which it counts; `None` while nothing is known of its arrival.
     until_ms: Option<u64>,
 }
 
@@ -56,34 +56,34 @@
         }
     }
 
-    pub(super) fn drop_old(&mut self, now_ms: u64) {
+    pub(super) fn prune(&mut self, now_ms: u64) {
         self.0
             .retain(|send| send.until_ms.is_none_or(|until_ms| now_ms < until_ms));
     }
 
-    /// Whether any counts.
-    pub(super) fn is_any(&self, now_ms: u64) -> bool {
+    /// Whether any send counts.
+    pub(super) fn has_counted(&self, now_ms: u64) -> bool {
         self.counted(now_ms).next().is_some()
     }
 
-    /// Whether a further one may be sent beside those that count.
-    pub(super) fn admit(&self, most: u32, now_ms: u64) -> bool {
-        self.counted(now_ms).count() < most as usize
+    /// Whether a further request may be sent in addition to those that count.
+    pub(super) fn allows(&self, max_sends: u32, now_ms: u64) -> bool {
+        self.counted(now_ms).count() < max_sends as usize
     }
 
-    /// When a further one may be, in milliseconds: one whose answer has not begun counts for
-    /// [`WINDOW_MS`] from now at least. `None` where none ever may.
-    pub(super) fn next_in_ms(&self, most: u32, now_ms: u64) -> Option<u64> {
+    /// Time until a further request may be sent, in milliseconds: a send whose response has not
+    /// begun counts for at least [`WINDOW_MS`] from now. `None` if none may ever be sent.
+    pub(super) fn next_in_ms(&self, max_sends: u32, now_ms: u64) -> Option<u64> {
         let mut ends: Vec<u64> = self
             .counted(now_ms)
             .map(|send| send.until_ms.unwrap_or(now_ms + WINDOW_MS))
             .collect();
         ends.sort_unstable();
-        if ends.len() < most as usize {
+        if ends.len() < max_sends as usize {
             return Some(0);
         }
-        let freed = ends.get(ends.len() - most as usize).copied()?;
-        Some(freed.saturating_sub(now_ms))
+        let free_at_ms = ends.get(ends.len() - max_sends as usize).copied()?;
+        Some(free_at_ms.saturating_sub(now_ms))
     }
 
     fn counted(&self, now_ms: u64) -> impl Iterator<Item = &Send> {
--- a/crates/routing/src/cold/settings.rs
+++ b/crates/routing/src/cold/settings.rs
@@ -1,11 +1,11 @@
-//! The bound that holds for a cold replica.
+//! The bound on requests to a cold replica.
 
-/// How far the fleet may go beyond what a cold replica bears.
+/// How far the fleet may exceed the capacity of a cold replica.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ColdSettings {
     /// Factor by which the declared rate may be exceeded in one second.
     pub overshoot: f64,
-    /// Requests in one second besides.
+    /// Additional requests in one second.
     pub slack: f64,
 }
 
@@ -19,8 +19,8 @@
 }
 
 impl ColdSettings {
-    /// Most requests that a cold replica may get in any second, of the whole fleet. The
-    /// rate is in thousandths of a request a second.
+    /// Maximum number of requests that a cold replica may get from the complete fleet in any
+    /// second. The rate is in thousandths of a request per second.
     #[must_use]
     pub fn max_per_second(&self, rate_milli: u64) -> u32 {
         let rate = rate_milli as f64 / 1_000.0;
--- a/crates/routing/tests/all/cold/model.rs
+++ b/crates/routing/tests/all/cold/model.rs
@@ -1,5 +1,5 @@
-//! Gateways that all want to send to one cold replica, over a network that delays and
-//! loses, in virtual time.
+//! Gateways that all send requests to one cold replica over a network with delay and loss, in
+//! virtual time.
 
 use linnethitch_protocol::ids::{LogIndex, MachineId};
 use linnethitch_routing::cold::{
@@ -9,31 +9,35 @@
 use rand_pcg::Pcg64Mcg;
 
 pub(super) const REPLICA: &str = "replica";
-/// Control names the gateways so often, in milliseconds.
-const TOLD_EVERY_MS: u64 = 100;
-/// Each gateway has a request so often, in milliseconds.
-const WANTED_EVERY_MS: u64 = 4;
-/// Bytes that were not acknowledged for so long end a connection, in milliseconds.
-const CONNECTION_ENDS_MS: u64 = 900;
-/// Longest time until a head comes where nothing stands still, in milliseconds.
-const LONGEST_HEAD_MS: u64 = 200;
+/// Interval at which control sends the list of gateways, in milliseconds.
+const LIST_EVERY_MS: u64 = 100;
+/// Interval at which each gateway has a request, in milliseconds.
+const REQUEST_EVERY_MS: u64 = 4;
+/// A connection ends when bytes were not acknowledged for this time, in milliseconds.
+const CONNECTION_TIMEOUT_MS: u64 = 900;
+/// Maximum time until a response starts if no process is suspended, in milliseconds.
+const MAX_RESPONSE_START_MS: u64 = 200;
 
-/// What happens to gateways.
+/// Faults of gateways and control.
 #[derive(Clone, Debug)]
 pub(super) enum Fault {
-    /// Processes end and start again, knowing nothing.
+    /// Processes end and restart without state.
     Kill { gateways: Vec<usize>, down_ms: u64 },
-    /// They stand still, what they were about to send too.
+    /// Processes are suspended, including what they were about to send.
     Suspend { gateways: Vec<usize>, for_ms: u64 },
-    /// They do not hear of control, nor it of them.
+    /// Gateways and control cannot reach each other.
     Cut { gateways: Vec<usize>, for_ms: u64 },
-    /// Control falls into parts that hear of some gateways each; the first has the leader.
-    Split { parts: Vec<Vec<usize>>, for_ms: u64 },
+    /// Control is split into partitions, each of which reaches some gateways; the first has the
+    /// leader.
+    Split {
+        partitions: Vec<Vec<usize>>,
+        for_ms: u64,
+    },
 }
 
-/// What is played: one replica, cold all the time.
+/// A simulated course of faults, with one replica that is cold all the time.
 #[derive(Clone, Debug)]
-pub(super) struct Play {
+pub(super) struct Scenario {
     pub(super) gateways: usize,
     pub(super) rate_milli: u64,
     pub(super) faults: Vec<(u64, Fault)>,
@@ -53,23 +57,23 @@
 struct Gateway {
     cold: ColdReplicas,
     down_until_ms: u64,
-    stands_until_ms: u64,
+    suspended_until_ms: u64,
     cut_until_ms: u64,
-    heard_ms: u64,
+    contact_ms: u64,
     flights: Vec<Flight>,
 }
 
-/// Plays and returns when requests arrived, in order, in milliseconds.
-pub(super) fn arrivals(play: &Play, settings: ColdSettings) -> Vec<u64> {
-    let mut model = Model::new(play, settings);
-    for now_ms in 0..play.length_ms {
+/// Runs the scenario and returns when requests arrived, in order, in milliseconds.
+pub(super) fn arrivals(scenario: &Scenario, settings: ColdSettings) -> Vec<u64> {
+    let mut model = Model::new(scenario, settings);
+    for now_ms in 0..scenario.length_ms {
         model.step(now_ms);
     }
     model.arrived.sort_unstable();
     model.arrived
 }
 
-/// Most of them in any second.
+/// Maximum number of arrivals in any second.
 pub(super) fn max_per_second(arrivals: &[u64]) -> usize {
     let from = arrivals.iter().enumerate();
     from.map(|(index, from_ms)| {
@@ -81,10 +85,10 @@
 }
 
 struct Model<'a> {
-    play: &'a Play,
+    scenario: &'a Scenario,
     settings: ColdSettings,
     gateways: Vec<Gateway>,
-    parts: Vec<Vec<usize>>,
+    partitions: Vec<Vec<usize>>,
     split_until_ms: u64,
     random: Pcg64Mcg,
     arrived: Vec<u64>,
@@ -102,9 +106,9 @@
 }
 
 fn random_fault(gateways: usize, random: &mut Pcg64Mcg) -> Fault {
-    let share: f64 = random.random();
+    let fraction: f64 = random.random();
     let all = 0..gateways;
-    let some = all.filter(|_| random.random::<f64>() < share).collect();
+    let some = all.filter(|_| random.random::<f64>() < fraction).collect();
     let for_ms = random.random_range(50..8_000);
     match random.random_range(0..4) {
         0 => Fault::Kill {
@@ -120,9 +124,9 @@
             for_ms,
         },
         _ => {
-            let mut parts = vec![Vec::new(); 3];
-            (0..gateways).for_each(|index| parts[random.random_range(0..3)].push(index));
-            Fault::Split { parts, for_ms }
+            let mut partitions = vec![Vec::new(); 3];
+            (0..gateways).for_each(|index| partitions[random.random_range(0..3)].push(index));
+            Fault::Split { partitions, for_ms }
         }
     }
 }
@@ -143,37 +147,37 @@
 }
 
 impl<'a> Model<'a> {
-    fn new(play: &'a Play, settings: ColdSettings) -> Self {
-        let gateways = (0..play.gateways).map(|index| Gateway {
+    fn new(scenario: &'a Scenario, settings: ColdSettings) -> Self {
+        let gateways = (0..scenario.gateways).map(|index| Gateway {
             cold: ColdReplicas::new(settings, machine(index)),
             down_until_ms: 0,
-            stands_until_ms: 0,
+            suspended_until_ms: 0,
             cut_until_ms: 0,
-            heard_ms: 0,
+            contact_ms: 0,
             flights: Vec::new(),
         });
         Model {
-            play,
+            scenario,
             settings,
             gateways: gateways.collect(),
-            parts: Vec::new(),
+            partitions: Vec::new(),
             split_until_ms: 0,
-            random: Pcg64Mcg::seed_from_u64(play.seed),
+            random: Pcg64Mcg::seed_from_u64(scenario.seed),
             arrived: Vec::new(),
         }
     }
 
     fn step(&mut self, now_ms: u64) {
-        let play = self.play;
-        for (_, fault) in play.faults.iter().filter(|(at_ms, _)| *at_ms == now_ms) {
+        let scenario = self.scenario;
+        for (_, fault) in scenario.faults.iter().filter(|(at_ms, _)| *at_ms == now_ms) {
             self.begin_fault(fault, now_ms);
         }
-        if now_ms.is_multiple_of(TOLD_EVERY_MS) {
-            self.tell(now_ms);
+        if now_ms.is_multiple_of(LIST_EVERY_MS) {
+            self.send_list(now_ms);
         }
         for index in 0..self.gateways.len() {
-            self.land(index, now_ms);
-            if now_ms % WANTED_EVERY_MS == index as u64 % WANTED_EVERY_MS {
+            self.advance_flights(index, now_ms);
+            if now_ms % REQUEST_EVERY_MS == index as u64 % REQUEST_EVERY_MS {
                 self.send(index, now_ms);
             }
         }
@@ -196,15 +200,15 @@
                     self.gateways[*index].cut_until_ms = now_ms + for_ms;
                 }
             }
-            Fault::Split { parts, for_ms } => {
-                self.parts.clone_from(parts);
+            Fault::Split { partitions, for_ms } => {
+                self.partitions.clone_from(partitions);
                 self.split_until_ms = now_ms + for_ms;
             }
         }
     }
 
-    /// What it had sent arrives all the same.
-    fn kill(&mut self, index: usize, back_ms: u64) {
+    /// Requests that were already sent still arrive.
+    fn kill(&mut self, index: usize, restart_ms: u64) {
         let gateway = &mut self.gateways[index];
         for flight in gateway.flights.drain(..) {
             if flight.is_counted {
@@ -212,14 +216,14 @@
             }
         }
         gateway.cold = ColdReplicas::new(self.settings, machine(index));
-        gateway.down_until_ms = back_ms;
-        gateway.heard_ms = 0;
+        gateway.down_until_ms = restart_ms;
+        gateway.contact_ms = 0;
     }
 
-    /// Half of what has not arrived was not sent yet.
+    /// Half of the requests that have not arrived were not sent yet.
     fn suspend(&mut self, index: usize, now_ms: u64, for_ms: u64) {
         let gateway = &mut self.gateways[index];
-        gateway.stands_until_ms = now_ms + for_ms;
+        gateway.suspended_until_ms = now_ms + for_ms;
         for flight in &mut gateway.flights {
             if flight.arrives_ms > now_ms && self.random.random::<bool>() {
                 flight.arrives_ms += for_ms;
@@ -228,29 +232,31 @@
         }
     }
 
-    fn hears(&self, index: usize, now_ms: u64) -> bool {
+    fn is_reached(&self, index: usize, now_ms: u64) -> bool {
         let gateway = &self.gateways[index];
-        let until_ms = gateway.down_until_ms.max(gateway.stands_until_ms);
+        let until_ms = gateway.down_until_ms.max(gateway.suspended_until_ms);
         now_ms >= until_ms.max(gateway.cut_until_ms)
     }
 
-    fn tell(&mut self, now_ms: u64) {
+    fn send_list(&mut self, now_ms: u64) {
         let all: Vec<usize> = (0..self.gateways.len()).collect();
-        let parts = if now_ms < self.split_until_ms {
-            self.parts.clone()
+        let partitions = if now_ms < self.split_until_ms {
+            self.partitions.clone()
         } else {
             vec![all]
         };
-        for (number, part) in parts.iter().enumerate() {
-            let heard = part.iter().copied();
-            let heard: Vec<usize> = heard.filter(|index| self.hears(*index, now_ms)).collect();
-            let list: Vec<MachineId> = heard.iter().map(|index| machine(*index)).collect();
-            for index in heard {
+        for (number, partition) in partitions.iter().enumerate() {
+            let reached = partition.iter().copied();
+            let reached: Vec<usize> = reached
+                .filter(|index| self.is_reached(*index, now_ms))
+                .collect();
+            let list: Vec<MachineId> = reached.iter().map(|index| machine(*index)).collect();
+            for index in reached {
                 let gateway = &mut self.gateways[index];
-                let told = cold_replica(self.play.rate_milli, self.play.length_ms, 1);
-                gateway.cold.set_replicas(vec![told], now_ms);
-                gateway.heard_ms = now_ms;
-                // Only members that hear the leader know what is in force.
+                let report = cold_replica(self.scenario.rate_milli, self.scenario.length_ms, 1);
+                gateway.cold.set_replicas(vec![report], now_ms);
+                gateway.contact_ms = now_ms;
+                // Only members that reach the leader know the list in force.
                 if number == 0 {
                     gateway.cold.note_gateways(&list, now_ms);
                 }
@@ -258,7 +264,7 @@
         }
     }
 
-    fn land(&mut self, index: usize, now_ms: u64) {
+    fn advance_flights(&mut self, index: usize, now_ms: u64) {
         let gateway = &mut self.gateways[index];
         let cold = &mut gateway.cold;
         let arrived = &mut self.arrived;
@@ -266,7 +272,7 @@
             if flight.arrives_ms == now_ms && flight.is_counted {
                 arrived.push(now_ms);
             }
-            let ends_ms = flight.ends_ms.max(gateway.stands_until_ms);
+            let ends_ms = flight.ends_ms.max(gateway.suspended_until_ms);
             if ends_ms == now_ms {
                 cold.end(REPLICA, flight.number, flight.end, now_ms);
             }
@@ -276,38 +282,38 @@
 
     fn send(&mut self, index: usize, now_ms: u64) {
         let gateway = &mut self.gateways[index];
-        if now_ms < gateway.down_until_ms.max(gateway.stands_until_ms) {
+        if now_ms < gateway.down_until_ms.max(gateway.suspended_until_ms) {
             return;
         }
         let view = ColdView {
             now_ms,
-            control_silent_ms: now_ms - gateway.heard_ms,
+            control_silent_ms: now_ms - gateway.contact_ms,
         };
-        // Before control was heard of there are no replicas to send to.
-        if gateway.heard_ms == 0 {
+        // Without any contact to control yet there are no replicas to send to.
+        if gateway.contact_ms == 0 {
             return;
         }
         if let Ok(number) = gateway.cold.begin(REPLICA, view) {
-            let flight = self.fly(number, now_ms);
+            let flight = self.start_flight(number, now_ms);
             self.gateways[index].flights.push(flight);
         }
     }
 
-    fn fly(&mut self, number: SendNumber, now_ms: u64) -> Flight {
+    fn start_flight(&mut self, number: SendNumber, now_ms: u64) -> Flight {
         let is_slow = self.random.random::<f64>() < 0.1;
-        let longest_ms = if is_slow { CONNECTION_ENDS_MS } else { 20 };
-        let arrives_ms = now_ms + self.random.random_range(1..longest_ms);
-        let head_ms = arrives_ms + self.random.random_range(1..LONGEST_HEAD_MS);
+        let max_ms = if is_slow { CONNECTION_TIMEOUT_MS } else { 20 };
+        let arrives_ms = now_ms + self.random.random_range(1..max_ms);
+        let response_ms = arrives_ms + self.random.random_range(1..MAX_RESPONSE_START_MS);
         let given_up_ms = self
             .random
-            .random_range(now_ms + 1..arrives_ms + LONGEST_HEAD_MS);
-        let drawn: f64 = self.random.random();
-        let (ends_ms, end, is_counted) = if drawn < 0.8 {
-            (head_ms, SendOutcome::Arrived, true)
-        } else if drawn < 0.9 {
+            .random_range(now_ms + 1..arrives_ms + MAX_RESPONSE_START_MS);
+        let outcome_draw: f64 = self.random.random();
+        let (ends_ms, end, is_counted) = if outcome_draw < 0.8 {
+            (response_ms, SendOutcome::Arrived, true)
+        } else if outcome_draw < 0.9 {
             (given_up_ms, SendOutcome::Unknown, true)
-        } else if drawn < 0.95 {
-            (head_ms, SendOutcome::NotCounted, false)
+        } else if outcome_draw < 0.95 {
+            (response_ms, SendOutcome::NotCounted, false)
         } else {
             (given_up_ms, SendOutcome::Unknown, false)
         };
