--- a/crates/control/src/soft_state/grants.rs
+++ b/crates/control/src/soft_state/grants.rs
@@ -8,7 +8,7 @@
     fleet::{BackEndKind, MachineState, ReplicaInfo},
     ids::{GatewayId, MachineId, Timestamp},
 };
-use linnethitch_routing::grants::{BatchReplica, GrantBook, GrantSettings, Wish};
+use linnethitch_routing::grants::{BatchReplica, CapacityRequest, GrantSettings, GrantTable};
 
 use super::fleet::VersionedFleet;
 
@@ -27,7 +27,7 @@
 /// Wishes, and what is granted for them.
 #[derive(Debug, Default)]
 pub(super) struct GrantDesk {
-    book: GrantBook,
+    book: GrantTable,
     grant_ms: u64,
     next_ms: u64,
     told: BTreeMap<MachineId, Told>,
@@ -102,13 +102,13 @@
     }
 
     /// All wishes; of a gateway that has just moved, those of one member only.
-    fn wishes(&self) -> Vec<Wish> {
+    fn wishes(&self) -> Vec<CapacityRequest> {
         let mut by_gateway: BTreeMap<&GatewayId, &GatewayWishes> = BTreeMap::new();
         for wishes in self.told.values().flat_map(|told| &told.wishes) {
             by_gateway.insert(&wishes.gateway, wishes);
         }
         let wishes = by_gateway.into_values().flat_map(|of| {
-            of.wishes.iter().map(|wish| Wish {
+            of.wishes.iter().map(|wish| CapacityRequest {
                 gateway: of.gateway.clone(),
                 zone: of.zone.clone(),
                 model: wish.model.clone(),
@@ -142,6 +142,6 @@
         zone: info.machine.zone.clone(),
         model: info.engine.model.clone()?,
         load: fleet.load(&info.machine.replica)?,
-        takes_work: info.machine.state == MachineState::Live && !info.engine.leaving,
+        accepts_work: info.machine.state == MachineState::Live && !info.engine.leaving,
     })
 }
--- a/crates/experiments/src/experiment/decision_cost.rs
+++ b/crates/experiments/src/experiment/decision_cost.rs
@@ -6,7 +6,7 @@
 use linnethitch_protocol::ids::Timestamp;
 use linnethitch_routing::{
     Admission, Class, Phase, ReplicaIndex, RequestProfile, Router, Target,
-    admission::{Admitted, Arrival},
+    admission::{AdmissionOutcome, Arrival},
     costs::Work,
     limits::TenantNumber,
 };
@@ -82,7 +82,7 @@
             version: None,
         },
         class: Class::Online,
-        phase: Phase::Whole,
+        phase: Phase::PrefillAndDecode,
         prompt_tokens: 500,
         expected_output_tokens: 100,
         prefix_hashes: &PREFIXES,
@@ -115,7 +115,7 @@
             deadline: Timestamp(now.0 + 120_000),
         };
         let admitted = black_box(admission.offer(now, &arrival, false));
-        if matches!(admitted, Admitted::Queued(_)) && admission.len() > 32 {
+        if matches!(admitted, AdmissionOutcome::Queued(_)) && admission.len() > 32 {
             black_box(admission.pop(now));
         }
     }
--- a/crates/experiments/src/simulation/batch.rs
+++ b/crates/experiments/src/simulation/batch.rs
@@ -80,7 +80,7 @@
         let mut rooms = Vec::with_capacity(self.engines.len());
         for engine in 0..one.batch.len() {
             let replica = ReplicaIndex(engine as u32);
-            let room = one.capacity.room(now, one.router.view(), replica);
+            let room = one.capacity.allowance(now, one.router.view(), replica);
             rooms.push(room.sequences as usize);
         }
         for (engine, room) in rooms.iter().enumerate() {
--- a/crates/experiments/src/simulation/control.rs
+++ b/crates/experiments/src/simulation/control.rs
@@ -5,7 +5,7 @@
 use linnethitch_protocol::fleet::LoadReport;
 use linnethitch_routing::{
     ReplicaIndex,
-    grants::{BatchReplica, GrantBook, Wish},
+    grants::{BatchReplica, CapacityRequest, GrantTable},
 };
 
 use super::{Simulation, agenda::Event};
@@ -35,7 +35,7 @@
 /// What control knows.
 #[derive(Debug)]
 pub(super) struct Control {
-    pub(super) book: GrantBook,
+    pub(super) book: GrantTable,
     pub(super) loads: Vec<LoadReport>,
 }
 
@@ -75,7 +75,8 @@
     }
 
     pub(super) fn on_allocate(&mut self) {
-        let wishes: Vec<Wish> = (0..self.gateways.len()).map(|one| self.wish(one)).collect();
+        let wishes: Vec<CapacityRequest> =
+            (0..self.gateways.len()).map(|one| self.wish(one)).collect();
         let replicas: Vec<BatchReplica> = self
             .control
             .loads
@@ -109,11 +110,11 @@
         self.agenda.add(self.now + ALLOCATE_MICROS, Event::Allocate);
     }
 
-    fn wish(&self, gateway: usize) -> Wish {
+    fn wish(&self, gateway: usize) -> CapacityRequest {
         let one = &self.gateways[gateway];
         let share = self.backlog.len().div_ceil(self.gateways.len()) as u32;
         let wished = one.batch_running() + one.leased.len() as u32 + share;
-        Wish {
+        CapacityRequest {
             gateway: one.id.clone(),
             zone: one.zone.clone(),
             model: self.deployment.model.clone(),
@@ -128,7 +129,7 @@
             zone: machine.zone,
             model: self.deployment.model.clone(),
             load,
-            takes_work: true,
+            accepts_work: true,
         }
     }
 
--- a/crates/experiments/src/simulation/incidents.rs
+++ b/crates/experiments/src/simulation/incidents.rs
@@ -7,7 +7,7 @@
 use linnethitch_protocol::ids::Timestamp;
 use linnethitch_routing::{
     ReplicaIndex,
-    retry::{AttemptFailure, FailedAttempt, Next, Sent, Started, after_failure},
+    retry::{AttemptFailure, Delivered, FailedAttempt, RetryDecision, Sent, after_failure},
     view::FailureKind,
 };
 
@@ -79,10 +79,10 @@
             sent: Sent::Some,
             at_most_once: false,
             failure: attempt_failure(refusal),
-            started: if state.last_token_at.is_some() {
-                Started::Resumable
+            delivered: if state.last_token_at.is_some() {
+                Delivered::Resumable
             } else {
-                Started::Nothing
+                Delivered::Nothing
             },
         };
         let policy = &self.deployment.routing;
@@ -92,10 +92,10 @@
         let next = after_failure(now, &attempt, state.attempts, deadline, policy, budget);
         let owner = Owner::Online(request);
         let again = match next {
-            Next::Retry(_) | Next::Resume(_) => {
+            RetryDecision::Retry(_) | RetryDecision::Resume(_) => {
                 self.choose_engine(gateway, owner, &[ReplicaIndex(engine as u32)])
             }
-            Next::Answer { .. } => None,
+            RetryDecision::Answer { .. } => None,
         };
         match again {
             Some(other) => {
--- a/crates/experiments/src/simulation/mod.rs
+++ b/crates/experiments/src/simulation/mod.rs
@@ -17,7 +17,7 @@
     engine::{EngineCore, EngineEvent, EngineModel},
 };
 use linnethitch_protocol::ids::Timestamp;
-use linnethitch_routing::grants::GrantBook;
+use linnethitch_routing::grants::GrantTable;
 
 pub(crate) use self::incidents::{Incident, IncidentKind};
 use self::{
@@ -96,7 +96,7 @@
             engines: slots.collect(),
             gateways: Vec::new(),
             control: Control {
-                book: GrantBook::new(strategy.grants),
+                book: GrantTable::new(strategy.grants),
                 loads: Vec::new(),
             },
             deployment,
--- a/crates/experiments/src/simulation/online.rs
+++ b/crates/experiments/src/simulation/online.rs
@@ -80,7 +80,7 @@
                 version: None,
             },
             class: class_of(owner),
-            phase: Phase::Whole,
+            phase: Phase::PrefillAndDecode,
             prompt_tokens: prompt.prompt_tokens,
             expected_output_tokens: prompt.output_tokens,
             prefix_hashes: if self.strategy.prefix_affinity {
--- a/crates/experiments/src/strategy.rs
+++ b/crates/experiments/src/strategy.rs
@@ -110,12 +110,12 @@
     pub(crate) fn ablations() -> Vec<Strategy> {
         let base = Strategy::linnethitch();
         let no_watch = YieldSettings {
-            watches_steps: false,
+            use_step_times: false,
             ..base.yielding
         };
         let no_pressure = YieldSettings {
-            watches_steps: false,
-            pressed_prefill_tokens: f64::INFINITY,
+            use_step_times: false,
+            pressure_prefill_tokens: f64::INFINITY,
             ..base.yielding
         };
         vec![
--- a/crates/gateway/src/decisions/batch.rs
+++ b/crates/gateway/src/decisions/batch.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use linnethitch_protocol::{attach::Grant, fleet::BackEndKind, ids::ReplicaId};
-use linnethitch_routing::{Choice, ReasonCode, profile::MAX_ALTERNATIVES, view::Standing};
+use linnethitch_routing::{Choice, ReasonCode, profile::MAX_ALTERNATIVES, view::Availability};
 
 use crate::{
     batch::ReplicaRoom,
@@ -40,7 +40,7 @@
                 BackEndKind::Engine => info.engine.model.clone()?,
                 BackEndKind::Application(_) => return None,
             };
-            let room = core.capacity.room(now, view, index);
+            let room = core.capacity.allowance(now, view, index);
             Some(ReplicaRoom {
                 replica: info.machine.replica.clone(),
                 model,
@@ -62,8 +62,8 @@
         let mut core = self.core.lock();
         let index = core.router.view().index_of(replica)?;
         if !matches!(
-            core.router.view().standing(now, index),
-            Standing::Available(_)
+            core.router.view().availability(now, index),
+            Availability::Available(_)
         ) {
             return None;
         }
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -16,11 +16,11 @@
     load_digest::{LoadDigest, ShortReplicaId},
 };
 use linnethitch_routing::{
-    Choice, NoChoice, ReasonCode, ReplicaIndex, RetryBudget, Router,
+    Choice, ReasonCode, ReplicaIndex, RetryBudget, Router, RoutingRefusal,
     batch::yielding::BatchCapacity,
     limits::Limits,
     profile::Target,
-    retry::{FailedAttempt, Next, after_failure},
+    retry::{FailedAttempt, RetryDecision, after_failure},
 };
 use parking_lot::Mutex;
 use rand::SeedableRng;
@@ -200,7 +200,7 @@
         attempt: &FailedAttempt,
         attempts_made: u32,
         deadline: linnethitch_protocol::ids::Timestamp,
-    ) -> Next {
+    ) -> RetryDecision {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let Core { budget, policy, .. } = &mut *core;
@@ -212,7 +212,7 @@
         self: &Arc<Self>,
         wanted: &Wanted,
         tried: &[ReplicaId],
-    ) -> Result<Placement, NoChoice> {
+    ) -> Result<Placement, RoutingRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let exclude: Vec<_> = tried
@@ -236,7 +236,7 @@
         &mut self,
         now: linnethitch_protocol::ids::Timestamp,
         profile: &linnethitch_routing::RequestProfile<'_>,
-    ) -> Result<Choice, NoChoice> {
+    ) -> Result<Choice, RoutingRefusal> {
         self.router.choose(now, profile, &mut self.random)
     }
 
@@ -246,7 +246,7 @@
             .router
             .view()
             .replica(choice.replica)
-            .corrected_load(now);
+            .estimated_load(now);
         load.max_running <= 0.0 || load.online + 1.0 <= load.max_running
     }
 }
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -5,8 +5,8 @@
 use linnethitch_errors::Failure;
 use linnethitch_protocol::ids::Timestamp;
 use linnethitch_routing::{
-    Admission, NoChoice, ReasonCode,
-    admission::{AdmissionRefusal, Admitted, Arrival, EntryId},
+    Admission, ReasonCode, RoutingRefusal,
+    admission::{AdmissionOutcome, AdmissionRefusal, Arrival, EntryId},
 };
 use tokio::sync::oneshot;
 
@@ -125,12 +125,12 @@
         };
         let queue = core.queue(&wanted.target);
         match queue.admission.offer(now, &arrival, room) {
-            Admitted::Now => {
+            AdmissionOutcome::Now => {
                 let placement = self.place(&mut core, now, wanted, &choice);
                 Ok(Offered::Placed(Box::new(placement)))
             }
-            Admitted::Refused(refusal) => Err(queue_refused(&refusal)),
-            Admitted::Queued(entry) => {
+            AdmissionOutcome::Refused(refusal) => Err(queue_refused(&refusal)),
+            AdmissionOutcome::Queued(entry) => {
                 let (sender, receiver) = oneshot::channel();
                 let waiting = Waiting {
                     wanted: Arc::clone(wanted),
@@ -234,7 +234,7 @@
 }
 
 /// What a caller is told when no replica can take its request.
-pub(crate) fn no_choice(none: &NoChoice) -> Refused {
+pub(crate) fn no_choice(none: &RoutingRefusal) -> Refused {
     let failure = Failure::new(none.kind(), none.reason.description().trim());
     Refused {
         reason: none.reason,
--- a/crates/gateway/src/decisions/wanted.rs
+++ b/crates/gateway/src/decisions/wanted.rs
@@ -39,7 +39,7 @@
         RequestProfile {
             target: self.target.as_target(),
             class: self.class,
-            phase: Phase::Whole,
+            phase: Phase::PrefillAndDecode,
             prompt_tokens: self.prompt_tokens,
             expected_output_tokens: self.output_tokens,
             prefix_hashes: &self.prefix_hashes,
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -5,7 +5,7 @@
 use linnethitch_errors::{ErrorKind, Executed, Failure};
 use linnethitch_routing::{
     ReasonCode,
-    retry::{FailedAttempt, Next, Sent, Started},
+    retry::{Delivered, FailedAttempt, RetryDecision, Sent},
 };
 use slog::info;
 
@@ -67,7 +67,9 @@
             let refused = no_choice(&none);
             let attempt = self.failed_attempt(fault);
             Step::Final(match attempt.answer(none.reason) {
-                Next::Answer { kind, executed, .. } => self.final_failure(kind, executed, fault),
+                RetryDecision::Answer { kind, executed, .. } => {
+                    self.final_failure(kind, executed, fault)
+                }
                 _ => refused.failure,
             })
         })?;
@@ -84,10 +86,10 @@
             },
             at_most_once: self.request.at_most_once,
             failure: fault.as_attempt_failure(),
-            started: match (self.progress.tokens, self.progress.not_resumable) {
-                (0, _) => Started::Nothing,
-                (_, false) => Started::Resumable,
-                (_, true) => Started::NotResumable,
+            delivered: match (self.progress.tokens, self.progress.not_resumable) {
+                (0, _) => Delivered::Nothing,
+                (_, false) => Delivered::Resumable,
+                (_, true) => Delivered::NotResumable,
             },
         }
     }
@@ -123,11 +125,13 @@
             &fault.to_string(),
         );
         match next {
-            Next::Retry(_) | Next::Resume(_) => {
+            RetryDecision::Retry(_) | RetryDecision::Resume(_) => {
                 self.last_fault = Some(fault);
                 Ok(())
             }
-            Next::Answer { kind, executed, .. } => Err(self.final_failure(kind, executed, &fault)),
+            RetryDecision::Answer { kind, executed, .. } => {
+                Err(self.final_failure(kind, executed, &fault))
+            }
         }
     }
 
@@ -159,9 +163,11 @@
     }
 }
 
-pub(crate) fn reason_of(next: &Next) -> ReasonCode {
+pub(crate) fn reason_of(next: &RetryDecision) -> ReasonCode {
     match next {
-        Next::Retry(reason) | Next::Resume(reason) | Next::Answer { reason, .. } => *reason,
+        RetryDecision::Retry(reason)
+        | RetryDecision::Resume(reason)
+        | RetryDecision::Answer { reason, .. } => *reason,
     }
 }
 
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -8,7 +8,7 @@
 use hyper::body::Incoming;
 use linnethitch_errors::{ErrorKind, Executed, Failure};
 use linnethitch_protocol::ids::{ReplicaId, RequestId};
-use linnethitch_routing::retry::{FailedAttempt, Next, Sent, Started};
+use linnethitch_routing::retry::{Delivered, FailedAttempt, RetryDecision, Sent};
 use slog::info;
 
 use crate::{
@@ -173,7 +173,7 @@
             },
             at_most_once: !self.request.repeatable || self.request.at_most_once,
             failure: fault.as_attempt_failure(),
-            started: Started::Nothing,
+            delivered: Delivered::Nothing,
         };
         let deadline = self.request.wanted.deadline;
         let next = decisions.after_failure(&attempt, self.attempts, deadline);
@@ -183,13 +183,15 @@
         let observer = &self.gateway.observer;
         let reason = reason_of(&next);
         observer.attempt_failed(now, &self.subject, &replica, reason, &fault.to_string());
-        if let Next::Answer { kind, executed, .. } = next {
+        if let RetryDecision::Answer { kind, executed, .. } = next {
             return Err(self.final_failure(kind, executed, fault));
         }
         let placement = decisions
             .choose_again(&self.request.wanted, &self.tried)
             .map_err(|none| match attempt.answer(none.reason) {
-                Next::Answer { kind, executed, .. } => self.final_failure(kind, executed, fault),
+                RetryDecision::Answer { kind, executed, .. } => {
+                    self.final_failure(kind, executed, fault)
+                }
                 _ => no_choice(&none).failure,
             })?;
         observer.placed(now, &self.subject, &placement, None);
--- a/crates/placement/src/reconciler/mod.rs
+++ b/crates/placement/src/reconciler/mod.rs
@@ -20,7 +20,7 @@
 };
 use linnethitch_routing::{
     ReasonCode,
-    placement::{self, PlacementSettings, PlannedOrder, Postponed},
+    placement::{self, PlacementSettings, PlannedOrder, PostponedChange},
 };
 
 pub use observed::{Observation, Poll};
@@ -84,7 +84,7 @@
     /// Whether the last list was empty and not believed.
     list_was_empty: bool,
     /// What had to wait at the last step, to be told once.
-    postponed: Vec<Postponed>,
+    postponed: Vec<PostponedChange>,
     records: Vec<JournalRecord>,
 }
 
@@ -235,7 +235,7 @@
     }
 
     /// Journals what waits, when that differs from the last step.
-    fn note_postponed(&mut self, now: Timestamp, postponed: Vec<Postponed>) {
+    fn note_postponed(&mut self, now: Timestamp, postponed: Vec<PostponedChange>) {
         for waits in &postponed {
             if self.postponed.contains(waits) {
                 continue;
--- a/crates/placement/src/reconciler/observed.rs
+++ b/crates/placement/src/reconciler/observed.rs
@@ -50,9 +50,9 @@
         if silent_ms >= limits.dead_after_ms {
             ReplicaHealth::Dead
         } else if silent_ms >= limits.silent_after_ms || !self.answered {
-            ReplicaHealth::Silent
+            ReplicaHealth::Unreachable
         } else {
-            ReplicaHealth::Answering
+            ReplicaHealth::Responding
         }
     }
 
@@ -122,7 +122,7 @@
     /// Whether some replica of the list answers.
     pub(super) fn any_answers(&self, now: Timestamp) -> bool {
         let mut replicas = self.replicas.values();
-        replicas.any(|observed| observed.health(now, &self.limits) == ReplicaHealth::Answering)
+        replicas.any(|observed| observed.health(now, &self.limits) == ReplicaHealth::Responding)
     }
 
     fn first_seen(&mut self, now: Timestamp, machine: Machine) -> Observed {
--- a/crates/placement/src/reconciler/orders.rs
+++ b/crates/placement/src/reconciler/orders.rs
@@ -205,10 +205,10 @@
         actions: &mut Vec<Action>,
     ) -> Option<Work> {
         let health = self.observed.health(now, &planned.replica);
-        if health == Some(ReplicaHealth::Silent) {
+        if health == Some(ReplicaHealth::Unreachable) {
             return Some(Work::ToIssue { planned, at: now });
         }
-        let answers = health == Some(ReplicaHealth::Answering);
+        let answers = health == Some(ReplicaHealth::Responding);
         if !answers || !is_still_wanted(&planned.order, fleet) {
             let reason = if answers {
                 ReasonCode::OrderOutdated
--- a/crates/relay/src/planned_stop.rs
+++ b/crates/relay/src/planned_stop.rs
@@ -37,7 +37,7 @@
     /// Notes how long an answer took, from its request's arrival to its end.
     pub(crate) fn note_answer(&self, route: &str, took: Duration, now_ms: u64) {
         let took_ms = took.as_millis() as u64;
-        self.answer_times.lock().note(route, took_ms, now_ms);
+        self.answer_times.lock().record(route, took_ms, now_ms);
     }
 
     /// What is left until the end of the process, where that may cut a request with this limit.
@@ -55,7 +55,7 @@
         let may_take_ms = self
             .answer_times
             .lock()
-            .may_take_ms(route, limit_ms, now_ms);
+            .max_expected_ms(route, limit_ms, now_ms);
         (Duration::from_millis(may_take_ms) > left).then_some(left)
     }
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -49,7 +49,7 @@
 
 /// What becomes of an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admitted {
+pub enum AdmissionOutcome {
     /// It may start now.
     Now,
     /// It waits.
@@ -149,19 +149,19 @@
     }
 
     /// Admits, queues or refuses an arrival; `room` tells whether a back end has room now.
-    pub fn offer(&mut self, now: Timestamp, arrival: &Arrival, room: bool) -> Admitted {
+    pub fn offer(&mut self, now: Timestamp, arrival: &Arrival, room: bool) -> AdmissionOutcome {
         if room && self.entries.is_empty() {
-            return Admitted::Now;
+            return AdmissionOutcome::Now;
         }
         if self.entries.len() >= self.limit {
-            return Admitted::Refused(self.refusal(ReasonCode::QueueFull));
+            return AdmissionOutcome::Refused(self.refusal(ReasonCode::QueueFull));
         }
         let give_up_at = Timestamp(now.0 + self.timeout_ms).min(arrival.deadline);
         let left_ms = give_up_at.0.saturating_sub(now.0);
         if self.expected_wait_ms() > left_ms as f64 {
-            return Admitted::Refused(self.refusal(ReasonCode::QueueTooSlow));
+            return AdmissionOutcome::Refused(self.refusal(ReasonCode::QueueTooSlow));
         }
-        Admitted::Queued(self.insert(arrival, give_up_at, now))
+        AdmissionOutcome::Queued(self.insert(arrival, give_up_at, now))
     }
 
     fn insert(&mut self, arrival: &Arrival, give_up_at: Timestamp, now: Timestamp) -> EntryId {
--- a/crates/routing/src/answer_times.rs
+++ b/crates/routing/src/answer_times.rs
@@ -24,7 +24,7 @@
 
 impl AnswerTimes {
     /// Notes how long an answer took, from its request's arrival to its end.
-    pub fn note(&mut self, route: &str, took_ms: u64, now_ms: u64) {
+    pub fn record(&mut self, route: &str, took_ms: u64, now_ms: u64) {
         let window = now_ms / WINDOW_MS;
         if let Some(longest) = self.by_route.get_mut(route) {
             longest.turn_to(window);
@@ -44,7 +44,7 @@
     /// How long an answer may take, in milliseconds; up to the request's limit where nothing
     /// is known of its route.
     #[must_use]
-    pub fn may_take_ms(&self, route: &str, limit_ms: u64, now_ms: u64) -> u64 {
+    pub fn max_expected_ms(&self, route: &str, limit_ms: u64, now_ms: u64) -> u64 {
         let longest = self.by_route.get(route);
         let longest = longest.and_then(|longest| longest.at(now_ms / WINDOW_MS));
         longest.map_or(limit_ms, |longest_ms| {
--- a/crates/routing/src/batch/yielding.rs
+++ b/crates/routing/src/batch/yielding.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     reason::ReasonCode,
-    view::{FleetView, ReplicaIndex, Standing},
+    view::{Availability, FleetView, ReplicaIndex},
 };
 
 /// Rules of yielding.
@@ -20,30 +20,30 @@
     /// Sequences of a replica kept free for a burst of online requests.
     pub reserve_sequences: u32,
     /// Prompt tokens waiting on a replica from which on it counts as pressed.
-    pub pressed_prefill_tokens: f64,
+    pub pressure_prefill_tokens: f64,
     /// Batch sequences of all gateways that stay on a pressed replica.
-    pub pressed_sequences: u32,
+    pub pressure_sequences: u32,
     /// Whether long steps of the engine count as pressure.
-    pub watches_steps: bool,
+    pub use_step_times: bool,
     /// Batch returns to a replica that was not pressed for this long, in milliseconds.
-    pub return_after_ms: u64,
+    pub resume_after_ms: u64,
 }
 
 impl Default for YieldSettings {
     fn default() -> Self {
         YieldSettings {
             reserve_sequences: 4,
-            pressed_prefill_tokens: 1_024.0,
-            pressed_sequences: 16,
-            watches_steps: true,
-            return_after_ms: 100,
+            pressure_prefill_tokens: 1_024.0,
+            pressure_sequences: 16,
+            use_step_times: true,
+            resume_after_ms: 100,
         }
     }
 }
 
 /// How many batch sequences a gateway may have on a replica now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct BatchRoom {
+pub struct BatchAllowance {
     /// Sequences.
     pub sequences: u32,
     /// What bounds them.
@@ -169,7 +169,12 @@
     ///
     /// With more than that running there, the rest is cancelled at once; its
     /// tokens are kept and it goes on elsewhere.
-    pub fn room(&mut self, now: Timestamp, view: &FleetView, replica: ReplicaIndex) -> BatchRoom {
+    pub fn allowance(
+        &mut self,
+        now: Timestamp,
+        view: &FleetView,
+        replica: ReplicaIndex,
+    ) -> BatchAllowance {
         let settings = self.settings;
         let Some(held) = self
             .grants
@@ -178,37 +183,37 @@
         else {
             return none(ReasonCode::GrantExpired);
         };
-        match view.standing(now, replica) {
-            Standing::Available(_) => {}
-            Standing::Probe => return none(ReasonCode::Ejected),
-            Standing::Out(reason) => return none(reason),
+        match view.availability(now, replica) {
+            Availability::Available(_) => {}
+            Availability::Probe => return none(ReasonCode::Ejected),
+            Availability::Unavailable(reason) => return none(reason),
         }
         let state = view.replica(replica);
-        let load = state.corrected_load(now);
-        if load.queued_online_prefill_tokens >= settings.pressed_prefill_tokens {
+        let load = state.estimated_load(now);
+        if load.queued_online_prefill_tokens >= settings.pressure_prefill_tokens {
             held.pressed_at = Some(now);
         }
-        if settings.watches_steps && load.online >= 1.0 {
+        if settings.use_step_times && load.online >= 1.0 {
             held.pressed_at = held.pressed_at.max(state.steps().long_prefill_at());
         }
         let pressed = held
             .pressed_at
-            .is_some_and(|at| now.0.saturating_sub(at.0) < settings.return_after_ms);
+            .is_some_and(|at| now.0.saturating_sub(at.0) < settings.resume_after_ms);
         let free = free_sequences(load.max_running, load.online, &settings);
         let most = if pressed {
-            free.min(f64::from(settings.pressed_sequences))
+            free.min(f64::from(settings.pressure_sequences))
         } else {
             free
         };
         let measured_at = state.report().map_or(now, |report| report.measured_at);
         let own = held.own_part(now, most, measured_at, state.own_batch(), load.batch);
         if own < held.sequences {
-            BatchRoom {
+            BatchAllowance {
                 sequences: own,
                 reason: ReasonCode::YieldedToOnline,
             }
         } else {
-            BatchRoom {
+            BatchAllowance {
                 sequences: held.sequences,
                 reason: ReasonCode::IdleCapacity,
             }
@@ -216,8 +221,8 @@
     }
 }
 
-fn none(reason: ReasonCode) -> BatchRoom {
-    BatchRoom {
+fn none(reason: ReasonCode) -> BatchAllowance {
+    BatchAllowance {
         sequences: 0,
         reason,
     }
--- a/crates/routing/src/grants.rs
+++ b/crates/routing/src/grants.rs
@@ -25,7 +25,7 @@
     /// How long a grant is valid, in milliseconds.
     pub valid_ms: u32,
     /// Sequences of one grant at least, so that few gateways share a replica.
-    pub chunk_sequences: u32,
+    pub min_grant_sequences: u32,
 }
 
 impl Default for GrantSettings {
@@ -35,14 +35,14 @@
             reserve_kv_percent: 10,
             max_report_age_ms: 6_000,
             valid_ms: 2_000,
-            chunk_sequences: 8,
+            min_grant_sequences: 8,
         }
     }
 }
 
 /// A gateway's wish for one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wish {
+pub struct CapacityRequest {
     /// Who.
     pub gateway: GatewayId,
     /// In which zone.
@@ -65,7 +65,7 @@
     /// Its newest known load.
     pub load: LoadReport,
     /// Whether it takes new work (not leaving, not ejected, not loading).
-    pub takes_work: bool,
+    pub accepts_work: bool,
 }
 
 /// A grant for one gateway.
@@ -124,7 +124,7 @@
 
 /// Remembers the grants that have not ended.
 #[derive(Clone, Debug, Default)]
-pub struct GrantBook {
+pub struct GrantTable {
     settings: GrantSettings,
     held: HashMap<ReplicaId, Vec<Held>>,
 }
@@ -136,7 +136,7 @@
 }
 
 impl<'a> Open<'a> {
-    fn new(wishes: &'a [Wish]) -> Self {
+    fn new(wishes: &'a [CapacityRequest]) -> Self {
         let keys = wishes.iter().map(|wish| (&wish.gateway, &wish.model));
         Open {
             positions: keys.enumerate().map(|(at, key)| (key, at)).collect(),
@@ -151,13 +151,13 @@
 }
 
 /// A wish and what is left of it.
-type LeftWish<'a> = (&'a Wish, u32);
+type LeftWish<'a> = (&'a CapacityRequest, u32);
 
-impl GrantBook {
+impl GrantTable {
     /// An empty book with the given rules.
     #[must_use]
     pub fn new(settings: GrantSettings) -> Self {
-        GrantBook {
+        GrantTable {
             settings,
             held: HashMap::new(),
         }
@@ -185,7 +185,7 @@
     pub fn allocate(
         &mut self,
         now: Timestamp,
-        wishes: &[Wish],
+        wishes: &[CapacityRequest],
         replicas: &[BatchReplica],
     ) -> Vec<Allocation> {
         self.forget_ended(now);
@@ -213,7 +213,7 @@
     pub fn headroom(&self, now: Timestamp, replica: &BatchReplica) -> u32 {
         let load = &replica.load;
         let age_ms = now.0.saturating_sub(load.measured_at.0);
-        if !replica.takes_work || age_ms > self.settings.max_report_age_ms {
+        if !replica.accepts_work || age_ms > self.settings.max_report_age_ms {
             return 0;
         }
         if 100 - kv_percent(load) < self.settings.reserve_kv_percent {
@@ -254,7 +254,7 @@
     fn grant_new<'a>(
         &mut self,
         now: Timestamp,
-        wishes: &'a [Wish],
+        wishes: &'a [CapacityRequest],
         replicas: &'a [BatchReplica],
         rooms: &mut [u32],
         open: &Open<'_>,
@@ -293,7 +293,7 @@
         let until = self.valid_until(now);
         let share = room
             .div_ceil(wishes.len().max(1) as u32)
-            .max(self.settings.chunk_sequences);
+            .max(self.settings.min_grant_sequences);
         while *room > 0
             && let Some((wish, left)) = wishes.pop()
         {
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -23,7 +23,7 @@
 pub mod view;
 
 pub use admission::Admission;
-pub use profile::{Choice, Class, NoChoice, Phase, RequestProfile, Target};
+pub use profile::{Choice, Class, Phase, RequestProfile, RoutingRefusal, Target};
 pub use reason::ReasonCode;
 pub use retry::RetryBudget;
 pub use router::Router;
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -38,10 +38,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
     /// It answers.
-    Answering,
+    Responding,
     /// It has not answered lately: it gets no orders and is not counted on,
     /// but is not replaced either.
-    Silent,
+    Unreachable,
     /// It has been silent for so long that it has to be replaced.
     Dead,
 }
@@ -87,12 +87,12 @@
     /// To issue now.
     pub orders: Vec<PlannedOrder>,
     /// Changes that wait, each with its reason.
-    pub postponed: Vec<Postponed>,
+    pub postponed: Vec<PostponedChange>,
 }
 
 /// A change that waits.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Postponed {
+pub struct PostponedChange {
     /// The model.
     pub model: String,
     /// The zone.
@@ -120,7 +120,7 @@
     }
 
     fn is_answering(&self) -> bool {
-        self.placed.health == ReplicaHealth::Answering && self.is_staying()
+        self.placed.health == ReplicaHealth::Responding && self.is_staying()
     }
 
     /// Neither dead nor leaving.
@@ -230,7 +230,7 @@
     }
 
     fn postpone(&mut self, model: &str, zone: &str, reason: ReasonCode) {
-        self.plan.postponed.push(Postponed {
+        self.plan.postponed.push(PostponedChange {
             model: model.to_owned(),
             zone: zone.to_owned(),
             reason,
--- a/crates/routing/src/profile.rs
+++ b/crates/routing/src/profile.rs
@@ -38,7 +38,7 @@
 pub enum Phase {
     /// Prefill and decode on one engine.
     #[default]
-    Whole,
+    PrefillAndDecode,
     /// Prefill only, on an engine of the prefill role.
     Prefill,
     /// Decode only, after a KV import, on an engine of the decode role.
@@ -96,14 +96,14 @@
 
 /// Why a request cannot run now.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct NoChoice {
+pub struct RoutingRefusal {
     /// Why.
     pub reason: ReasonCode,
     /// When it is worth asking again, in milliseconds, where that can be told.
     pub retry_after_ms: Option<u64>,
 }
 
-impl NoChoice {
+impl RoutingRefusal {
     /// The error kind that a caller is told.
     #[must_use]
     pub const fn kind(&self) -> ErrorKind {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -62,7 +62,7 @@
 
     /// Whole retries left.
     #[must_use]
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         self.balance / RETRY_COST
     }
 
@@ -105,7 +105,7 @@
     TimedOut,
     /// The answer was not the protocol's.
     BadProtocol,
-    /// A server error without the proof that nothing started.
+    /// A server error without the proof that nothing delivered.
     ServerError,
     /// The back end refused the request as the caller's mistake.
     CallerError,
@@ -113,7 +113,7 @@
 
 /// What of the answer the caller has got.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Started {
+pub enum Delivered {
     /// Nothing.
     Nothing,
     /// Tokens of a stream that can be resumed after them.
@@ -132,12 +132,12 @@
     /// How it failed.
     pub failure: AttemptFailure,
     /// What the caller has got.
-    pub started: Started,
+    pub delivered: Delivered,
 }
 
 /// What to do after a failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum RetryDecision {
     /// Send the request again to another back end.
     Retry(ReasonCode),
     /// Send it again with the tokens delivered so far, to go on after them.
@@ -157,7 +157,7 @@
     /// Whether it is proved that no back end started the request.
     #[must_use]
     pub fn unstarted(&self) -> bool {
-        self.started == Started::Nothing
+        self.delivered == Delivered::Nothing
             && (self.sent == Sent::Nothing
                 || matches!(
                     self.failure,
@@ -167,32 +167,32 @@
 
     /// What the rules allow, before attempts, deadline and budget are asked.
     #[must_use]
-    pub fn allowed(&self) -> Next {
+    pub fn allowed(&self) -> RetryDecision {
         if self.failure == AttemptFailure::CallerError {
             return self.answer(ReasonCode::FinalAnswer);
         }
         if self.unstarted() {
-            return Next::Retry(ReasonCode::RetriedUnstarted);
+            return RetryDecision::Retry(ReasonCode::RetriedUnstarted);
         }
         if self.at_most_once {
             return self.answer(ReasonCode::AtMostOnce);
         }
-        match self.started {
-            Started::Nothing => Next::Retry(ReasonCode::RetriedRepeatable),
-            Started::Resumable => Next::Resume(ReasonCode::ResumedElsewhere),
-            Started::NotResumable => self.answer(ReasonCode::PartlyDelivered),
+        match self.delivered {
+            Delivered::Nothing => RetryDecision::Retry(ReasonCode::RetriedRepeatable),
+            Delivered::Resumable => RetryDecision::Resume(ReasonCode::ResumedElsewhere),
+            Delivered::NotResumable => self.answer(ReasonCode::PartlyDelivered),
         }
     }
 
     /// The final answer, given for this reason.
     #[must_use]
-    pub fn answer(&self, reason: ReasonCode) -> Next {
+    pub fn answer(&self, reason: ReasonCode) -> RetryDecision {
         let executed = if self.unstarted() {
             Executed::No
         } else {
             Executed::Unknown
         };
-        Next::Answer {
+        RetryDecision::Answer {
             kind: self.kind(executed),
             executed,
             reason,
@@ -209,10 +209,10 @@
         if self.at_most_once {
             return ErrorKind::OutcomeUnknown;
         }
-        match (self.started, self.failure) {
-            (Started::Nothing, AttemptFailure::TimedOut) => ErrorKind::DeadlineExceeded,
-            (Started::Nothing, AttemptFailure::BadProtocol) => ErrorKind::BackEndProtocol,
-            (Started::Nothing, _) => ErrorKind::BackEndFailed,
+        match (self.delivered, self.failure) {
+            (Delivered::Nothing, AttemptFailure::TimedOut) => ErrorKind::DeadlineExceeded,
+            (Delivered::Nothing, AttemptFailure::BadProtocol) => ErrorKind::BackEndProtocol,
+            (Delivered::Nothing, _) => ErrorKind::BackEndFailed,
             _ => ErrorKind::StreamBroken,
         }
     }
@@ -228,9 +228,9 @@
     deadline: Timestamp,
     policy: &RoutingPolicy,
     budget: &mut RetryBudget,
-) -> Next {
+) -> RetryDecision {
     let next = attempt.allowed();
-    if matches!(next, Next::Answer { .. }) {
+    if matches!(next, RetryDecision::Answer { .. }) {
         return next;
     }
     if attempts_made >= policy.max_attempts {
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -7,11 +7,11 @@
 use crate::{
     costs::EngineCosts,
     profile::{
-        Alternative, Choice, Class, MAX_ALTERNATIVES, NoChoice, PREFIX_BLOCK_TOKENS,
-        RequestProfile, Target,
+        Alternative, Choice, Class, MAX_ALTERNATIVES, PREFIX_BLOCK_TOKENS, RequestProfile,
+        RoutingRefusal, Target,
     },
     reason::ReasonCode,
-    view::{CorrectedLoad, FleetView, Pool, ReplicaIndex, Standing},
+    view::{Availability, EstimatedLoad, FleetView, Pool, ReplicaIndex},
 };
 
 /// Replicas compared in a zone (power of two choices).
@@ -99,13 +99,13 @@
     /// Chooses the replica that the request should go to. Allocates nothing.
     ///
     /// # Errors
-    /// [`NoChoice`] with the reason when no replica can take the request.
+    /// [`RoutingRefusal`] with the reason when no replica can take the request.
     pub fn choose(
         &self,
         now: Timestamp,
         profile: &RequestProfile<'_>,
         rng: &mut impl Rng,
-    ) -> Result<Choice, NoChoice> {
+    ) -> Result<Choice, RoutingRefusal> {
         let pool = self
             .view
             .pool(&profile.target)
@@ -227,12 +227,12 @@
         let preferred = members
             .iter()
             .copied()
-            .filter(|member| self.takes_work(now, *member, profile))
+            .filter(|member| self.accepts_work(now, *member, profile))
             .max_by_key(weight)?;
         self.score(now, preferred, profile, true)
     }
 
-    fn takes_work(
+    fn accepts_work(
         &self,
         now: Timestamp,
         replica: ReplicaIndex,
@@ -243,7 +243,10 @@
                 .view
                 .replica(replica)
                 .serves(&profile.target, profile.phase)
-            && !matches!(self.view.standing(now, replica), Standing::Out(_))
+            && !matches!(
+                self.view.availability(now, replica),
+                Availability::Unavailable(_)
+            )
     }
 
     /// The replica's score, or nothing when it may not get the request.
@@ -254,13 +257,13 @@
         profile: &RequestProfile<'_>,
         preferred: bool,
     ) -> Option<Scored> {
-        if !self.takes_work(now, replica, profile) {
+        if !self.accepts_work(now, replica, profile) {
             return None;
         }
-        let share = match self.view.standing(now, replica) {
-            Standing::Available(share) => share,
-            Standing::Probe => 1.0,
-            Standing::Out(_) => return None,
+        let share = match self.view.availability(now, replica) {
+            Availability::Available(share) => share,
+            Availability::Probe => 1.0,
+            Availability::Unavailable(_) => return None,
         };
         let mut scored = self.score_unchecked(now, replica, profile, preferred);
         scored.wait_ms /= share;
@@ -275,7 +278,7 @@
         preferred: bool,
     ) -> Scored {
         let state = self.view.replica(replica);
-        let load = state.corrected_load(now);
+        let load = state.estimated_load(now);
         let cached_tokens = self.cached_tokens(replica, profile);
         let wait_ms = match profile.target {
             Target::Service(_) => service_wait_ms(&load),
@@ -308,7 +311,7 @@
     /// Expected time to the first token, in milliseconds, at the expected pace.
     fn engine_wait_ms(
         &self,
-        load: &CorrectedLoad,
+        load: &EstimatedLoad,
         profile: &RequestProfile<'_>,
         prefill_tokens: f64,
     ) -> f64 {
@@ -354,8 +357,8 @@
             })
             .find(|member| {
                 matches!(
-                    self.view.standing(now, *member),
-                    Standing::Out(
+                    self.view.availability(now, *member),
+                    Availability::Unavailable(
                         ReasonCode::Ejected | ReasonCode::Unreachable | ReasonCode::Silent
                     )
                 )
@@ -366,7 +369,12 @@
             })
     }
 
-    fn why_none(&self, now: Timestamp, pool: &Pool, profile: &RequestProfile<'_>) -> NoChoice {
+    fn why_none(
+        &self,
+        now: Timestamp,
+        pool: &Pool,
+        profile: &RequestProfile<'_>,
+    ) -> RoutingRefusal {
         let serves = |member: &ReplicaIndex| {
             let replica = self.view.replica(*member);
             replica.serves(&profile.target, profile.phase)
@@ -375,8 +383,10 @@
         if loaded.peek().is_none() {
             return refused(ReasonCode::NotLoaded);
         }
-        let is_evacuated =
-            |member| self.view.standing(now, member) == Standing::Out(ReasonCode::ZoneEvacuated);
+        let is_evacuated = |member| {
+            self.view.availability(now, member)
+                == Availability::Unavailable(ReasonCode::ZoneEvacuated)
+        };
         refused(if loaded.all(is_evacuated) {
             ReasonCode::ZoneEvacuated
         } else {
@@ -389,7 +399,7 @@
         now: Timestamp,
         profile: &RequestProfile<'_>,
         chosen: &Scored,
-    ) -> Result<(), NoChoice> {
+    ) -> Result<(), RoutingRefusal> {
         let left_ms = profile.deadline.0.saturating_sub(now.0);
         if chosen.wait_ms <= left_ms as f64 {
             return Ok(());
@@ -397,7 +407,7 @@
         let retry_after_ms = (chosen.wait_ms as u64)
             .saturating_sub(left_ms)
             .max(SATURATED_RETRY_MS);
-        Err(NoChoice {
+        Err(RoutingRefusal {
             reason: ReasonCode::DeadlineTooClose,
             retry_after_ms: Some(retry_after_ms),
         })
@@ -411,15 +421,15 @@
     }
 }
 
-fn refused(reason: ReasonCode) -> NoChoice {
-    NoChoice {
+fn refused(reason: ReasonCode) -> RoutingRefusal {
+    RoutingRefusal {
         reason,
         retry_after_ms: Some(SATURATED_RETRY_MS),
     }
 }
 
 /// Expected wait at an application replica, in milliseconds.
-fn service_wait_ms(load: &CorrectedLoad) -> f64 {
+fn service_wait_ms(load: &EstimatedLoad) -> f64 {
     let concurrency = load.max_running.max(1.0);
     (1.0 + load.online + load.batch) / concurrency * SERVICE_REQUEST_MS
 }
--- a/crates/routing/src/view/health.rs
+++ b/crates/routing/src/view/health.rs
@@ -33,13 +33,13 @@
 
 /// Whether a replica may get new work.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Standing {
+pub enum Availability {
     /// It may, weighed with this share (below 1 during slow start).
     Available(f64),
     /// It was ejected and one request may try whether it is back.
     Probe,
     /// It may not, for this reason.
-    Out(ReasonCode),
+    Unavailable(ReasonCode),
 }
 
 /// Failures and ejections of one replica.
--- a/crates/routing/src/view/mod.rs
+++ b/crates/routing/src/view/mod.rs
@@ -14,10 +14,10 @@
     ids::{ReplicaId, Timestamp, ZoneId},
 };
 
-pub use health::{FailureKind, Health, Standing};
+pub use health::{Availability, FailureKind, Health};
 pub use names::{NameIndex, Names};
 pub use prefixes::PrefixTable;
-pub use replica::{CorrectedLoad, ReplicaView};
+pub use replica::{EstimatedLoad, ReplicaView};
 pub use steps::StepWatch;
 
 use crate::{costs::Work, profile::Class, reason::ReasonCode};
@@ -259,12 +259,12 @@
 
     /// Whether the replica may get new work now, and if not, why.
     #[must_use]
-    pub fn standing(&self, now: Timestamp, index: ReplicaIndex) -> Standing {
+    pub fn availability(&self, now: Timestamp, index: ReplicaIndex) -> Availability {
         let replica = &self.replicas[index.slot()];
         if self.evacuated.contains(&replica.info.machine.zone) {
-            return Standing::Out(ReasonCode::ZoneEvacuated);
+            return Availability::Unavailable(ReasonCode::ZoneEvacuated);
         }
-        replica.standing(now, &self.policy)
+        replica.availability(now, &self.policy)
     }
 
     /// Prefixes that this gateway sent to replicas or heard of in cache events.
--- a/crates/routing/src/view/replica.rs
+++ b/crates/routing/src/view/replica.rs
@@ -6,7 +6,7 @@
     ids::Timestamp,
 };
 
-use super::{Health, PoolKey, Standing, StepWatch};
+use super::{Availability, Health, PoolKey, StepWatch};
 use crate::{
     costs::{EngineCosts, Work},
     profile::{Class, Phase, Target},
@@ -62,7 +62,7 @@
 
 /// A load report with this gateway's own work since then added.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct CorrectedLoad {
+pub struct EstimatedLoad {
     /// Prompt tokens to prefill before a new request's own.
     pub queued_prefill_tokens: f64,
     /// Of these, what is thought to belong to online requests.
@@ -219,7 +219,7 @@
         };
         let engine = &self.info.engine;
         let role_fits = match phase {
-            Phase::Whole => engine.role == EngineRole::Mixed,
+            Phase::PrefillAndDecode => engine.role == EngineRole::Mixed,
             Phase::Prefill => engine.role == EngineRole::Prefill,
             Phase::Decode => engine.role == EngineRole::Decode,
         };
@@ -230,34 +230,34 @@
 
     /// Whether it may get new work now.
     #[must_use]
-    pub fn standing(&self, now: Timestamp, policy: &RoutingPolicy) -> Standing {
+    pub fn availability(&self, now: Timestamp, policy: &RoutingPolicy) -> Availability {
         if !self.listed {
-            return Standing::Out(ReasonCode::NoReplicaTakesWork);
+            return Availability::Unavailable(ReasonCode::NoReplicaTakesWork);
         }
         if self.info.machine.state == MachineState::Leaving {
-            return Standing::Out(ReasonCode::LeavingByList);
+            return Availability::Unavailable(ReasonCode::LeavingByList);
         }
         let leaving_seen = self
             .leaving_seen_at
             .is_some_and(|at| now.0.saturating_sub(at.0) < LEAVING_SIGN_MS);
         if leaving_seen || self.info.engine.leaving {
-            return Standing::Out(ReasonCode::LeavingByDataPath);
+            return Availability::Unavailable(ReasonCode::LeavingByDataPath);
         }
         if self.health.is_ejected(now) {
-            return Standing::Out(self.health.cause());
+            return Availability::Unavailable(self.health.cause());
         }
         let own = self.own_online + self.own_batch;
         if self.health.awaits_probe(now) {
             return if own == 0 {
-                Standing::Probe
+                Availability::Probe
             } else {
-                Standing::Out(self.health.cause())
+                Availability::Unavailable(self.health.cause())
             };
         }
         if own > 0 && now.0.saturating_sub(self.last_sign_at.0) > SILENCE_MS {
-            return Standing::Out(ReasonCode::Silent);
+            return Availability::Unavailable(ReasonCode::Silent);
         }
-        Standing::Available(self.health.slow_start_share(now, policy))
+        Availability::Available(self.health.slow_start_share(now, policy))
     }
 
     pub(super) fn take_report(&mut self, report: LoadReport) {
@@ -342,7 +342,7 @@
 
     pub(super) fn tokens(&mut self, now: Timestamp, elapsed_ms: u64, count: u32) {
         self.last_sign_at = now;
-        let load = self.corrected_load(now);
+        let load = self.estimated_load(now);
         let expected_ms = EngineCosts::default().decode_step_ms(load.online + load.batch);
         let gap_ms = elapsed_ms as f64 / f64::from(count.max(1));
         self.steps.on_gap(now, gap_ms, &EngineCosts::default());
@@ -391,7 +391,7 @@
     /// The load as it should be now: the newest report, drained by the time
     /// since then, with own work sent since then.
     #[must_use]
-    pub fn corrected_load(&self, now: Timestamp) -> CorrectedLoad {
+    pub fn estimated_load(&self, now: Timestamp) -> EstimatedLoad {
         let report = self.report.unwrap_or_default();
         let correction = &self.correction;
         let age_ms = now.0.saturating_sub(report.measured_at.0) as f64;
@@ -402,7 +402,7 @@
             (reported.online_prefill + correction.online.prefill_tokens as f64).max(0.0);
         let batch_prefill =
             (reported.batch_prefill + correction.batch.prefill_tokens as f64).max(0.0);
-        CorrectedLoad {
+        EstimatedLoad {
             queued_prefill_tokens: online_prefill + batch_prefill,
             queued_online_prefill_tokens: online_prefill,
             online: online.max(f64::from(self.own_online)),
--- a/crates/routing/tests/all/admission.rs
+++ b/crates/routing/tests/all/admission.rs
@@ -5,7 +5,7 @@
 use linnethitch_protocol::ids::Timestamp;
 use linnethitch_routing::{
     Admission, ReasonCode,
-    admission::{Admitted, Arrival, EntryId},
+    admission::{AdmissionOutcome, Arrival, EntryId},
     limits::TenantNumber,
 };
 use rstest::rstest;
@@ -31,7 +31,7 @@
 
 fn queued(admission: &mut Admission, now: Timestamp, arrival: &Arrival) -> EntryId {
     match admission.offer(now, arrival, false) {
-        Admitted::Queued(id) => id,
+        AdmissionOutcome::Queued(id) => id,
         other => panic!("{other:?}"),
     }
 }
@@ -57,9 +57,9 @@
         ..arrival(9, 1)
     };
     let told = match admission.offer(NOW, &arrival, room) {
-        Admitted::Now => "now",
-        Admitted::Queued(_) => "queued",
-        Admitted::Refused(refusal) => {
+        AdmissionOutcome::Now => "now",
+        AdmissionOutcome::Queued(_) => "queued",
+        AdmissionOutcome::Refused(refusal) => {
             assert!(refusal.retry_after_ms >= 1_000);
             assert_eq!(refusal.kind(), ErrorKind::Overloaded);
             refusal.reason.as_str()
@@ -139,7 +139,7 @@
         deadline: Timestamp(now.0 + 60_000),
         ..arrival(2, 1)
     };
-    let Admitted::Refused(refusal) = admission.offer(now, &arrival, false) else {
+    let AdmissionOutcome::Refused(refusal) = admission.offer(now, &arrival, false) else {
         panic!("not refused");
     };
     assert_eq!(refusal.reason, ReasonCode::QueueTooSlow);
--- a/crates/routing/tests/all/answer_times.rs
+++ b/crates/routing/tests/all/answer_times.rs
@@ -19,8 +19,11 @@
 ) {
     let mut times = AnswerTimes::default();
     for (at_ms, took_ms) in answers {
-        times.note("route", *took_ms, *at_ms);
+        times.record("route", *took_ms, *at_ms);
     }
-    times.note("other", 5, now_ms);
-    assert_eq!(times.may_take_ms("route", LIMIT_MS, now_ms), expected_ms);
+    times.record("other", 5, now_ms);
+    assert_eq!(
+        times.max_expected_ms("route", LIMIT_MS, now_ms),
+        expected_ms
+    );
 }
--- a/crates/routing/tests/all/fixture.rs
+++ b/crates/routing/tests/all/fixture.rs
@@ -82,7 +82,7 @@
     RequestProfile {
         target: model_target(),
         class: Class::Online,
-        phase: Phase::Whole,
+        phase: Phase::PrefillAndDecode,
         prompt_tokens: 200,
         expected_output_tokens: 100,
         prefix_hashes: &[],
--- a/crates/routing/tests/all/grants.rs
+++ b/crates/routing/tests/all/grants.rs
@@ -6,7 +6,9 @@
     fleet::LoadReport,
     ids::{GatewayId, ModelId, ReplicaId, Timestamp, ZoneId},
 };
-use linnethitch_routing::grants::{Allocation, BatchReplica, GrantBook, GrantSettings, Wish};
+use linnethitch_routing::grants::{
+    Allocation, BatchReplica, CapacityRequest, GrantSettings, GrantTable,
+};
 use proptest::prelude::*;
 use rstest::rstest;
 
@@ -24,7 +26,7 @@
             max_running: 64,
             ..LoadReport::default()
         },
-        takes_work: true,
+        accepts_work: true,
     }
 }
 
@@ -33,8 +35,8 @@
     replica
 }
 
-fn wish(gateway: &str, zone: &str, sequences: u32) -> Wish {
-    Wish {
+fn wish(gateway: &str, zone: &str, sequences: u32) -> CapacityRequest {
+    CapacityRequest {
         gateway: GatewayId::from(gateway),
         zone: ZoneId::from(zone),
         model: ModelId::from("quote"),
@@ -42,8 +44,8 @@
     }
 }
 
-fn book() -> GrantBook {
-    GrantBook::new(GrantSettings::default())
+fn book() -> GrantTable {
+    GrantTable::new(GrantSettings::default())
 }
 
 fn told(allocations: &[Allocation]) -> Vec<(&str, &str, u32)> {
@@ -64,7 +66,7 @@
 #[case::idle(replica("r", "a", 0), 60)]
 #[case::half_full(replica("r", "a", 30), 30)]
 #[case::full(replica("r", "a", 62), 0)]
-#[case::takes_no_work(BatchReplica { takes_work: false, ..replica("r", "a", 0) }, 0)]
+#[case::takes_no_work(BatchReplica { accepts_work: false, ..replica("r", "a", 0) }, 0)]
 #[case::report_too_old(measured(replica("r", "a", 0), Timestamp(NOW.0 - 6_001)), 0)]
 #[case::memory_full(with_memory(95, 7), 7)]
 #[case::memory_not_full(with_memory(85, 7), 60)]
@@ -166,7 +168,7 @@
         let mut believed: HashMap<(GatewayId, ReplicaId), (u32, Timestamp)> = HashMap::new();
         for (pause, wanted, online, lost) in rounds {
             now = Timestamp(now.0 + pause);
-            let wishes: Vec<Wish> = wanted
+            let wishes: Vec<CapacityRequest> = wanted
                 .iter()
                 .enumerate()
                 .map(|(number, sequences)| wish(&format!("g{number}"), "a", *sequences))
--- a/crates/routing/tests/all/placement.rs
+++ b/crates/routing/tests/all/placement.rs
@@ -43,7 +43,7 @@
     info.engine.adapters.clear();
     PlacedReplica {
         info,
-        health: ReplicaHealth::Answering,
+        health: ReplicaHealth::Responding,
         online: 0,
         max_running: 64,
     }
@@ -67,7 +67,7 @@
 }
 
 fn silent(mut replica: PlacedReplica) -> PlacedReplica {
-    replica.health = ReplicaHealth::Silent;
+    replica.health = ReplicaHealth::Unreachable;
     replica
 }
 
@@ -256,7 +256,7 @@
 #[case::before_the_load(|_: &mut PlacedReplica| {}, true)]
 #[case::while_it_loads(|replica: &mut PlacedReplica| replica.info.engine.model = None, true)]
 #[case::while_its_adapters_are_missing(|replica: &mut PlacedReplica| replica.info.engine.version = "v1".to_owned(), false)]
-#[case::while_it_is_silent(|replica: &mut PlacedReplica| replica.health = ReplicaHealth::Silent, true)]
+#[case::while_it_is_silent(|replica: &mut PlacedReplica| replica.health = ReplicaHealth::Unreachable, true)]
 fn a_roll_out_counts_replicas_that_are_changing_already(
     #[case] change: fn(&mut PlacedReplica),
     #[case] has_order: bool,
--- a/crates/routing/tests/all/retry.rs
+++ b/crates/routing/tests/all/retry.rs
@@ -6,34 +6,34 @@
     ReasonCode, RetryBudget,
     retry::{
         AttemptFailure::{self, *},
-        FailedAttempt, Next, Sent, Started, after_failure,
+        Delivered, FailedAttempt, RetryDecision, Sent, after_failure,
     },
 };
 use rstest::rstest;
 
 use crate::fixture::{NOW, later};
 
-fn retry_unstarted() -> Next {
-    Next::Retry(ReasonCode::RetriedUnstarted)
+fn retry_unstarted() -> RetryDecision {
+    RetryDecision::Retry(ReasonCode::RetriedUnstarted)
 }
 
-fn retry_repeatable() -> Next {
-    Next::Retry(ReasonCode::RetriedRepeatable)
+fn retry_repeatable() -> RetryDecision {
+    RetryDecision::Retry(ReasonCode::RetriedRepeatable)
 }
 
-fn resume() -> Next {
-    Next::Resume(ReasonCode::ResumedElsewhere)
+fn resume() -> RetryDecision {
+    RetryDecision::Resume(ReasonCode::ResumedElsewhere)
 }
 
-fn answer(kind: ErrorKind, executed: Executed, reason: ReasonCode) -> Next {
-    Next::Answer {
+fn answer(kind: ErrorKind, executed: Executed, reason: ReasonCode) -> RetryDecision {
+    RetryDecision::Answer {
         kind,
         executed,
         reason,
     }
 }
 
-fn unknown_outcome() -> Next {
+fn unknown_outcome() -> RetryDecision {
     answer(
         ErrorKind::OutcomeUnknown,
         Executed::Unknown,
@@ -41,11 +41,11 @@
     )
 }
 
-fn partly(kind: ErrorKind) -> Next {
+fn partly(kind: ErrorKind) -> RetryDecision {
     answer(kind, Executed::Unknown, ReasonCode::PartlyDelivered)
 }
 
-fn final_answer(executed: Executed) -> Next {
+fn final_answer(executed: Executed) -> RetryDecision {
     answer(ErrorKind::InvalidValue, executed, ReasonCode::FinalAnswer)
 }
 
@@ -58,25 +58,37 @@
     Sent::Nothing,
     REPEATABLE,
     Unreachable,
-    Started::Nothing,
+    Delivered::Nothing,
     retry_unstarted()
 )]
-#[case(Sent::Nothing, ONCE, Unreachable, Started::Nothing, retry_unstarted())]
-#[case(Sent::Nothing, ONCE, Disconnected, Started::Nothing, retry_unstarted())]
-#[case(Sent::Nothing, ONCE, TimedOut, Started::Nothing, retry_unstarted())]
+#[case(
+    Sent::Nothing,
+    ONCE,
+    Unreachable,
+    Delivered::Nothing,
+    retry_unstarted()
+)]
+#[case(
+    Sent::Nothing,
+    ONCE,
+    Disconnected,
+    Delivered::Nothing,
+    retry_unstarted()
+)]
+#[case(Sent::Nothing, ONCE, TimedOut, Delivered::Nothing, retry_unstarted())]
 // The back end's own word that it did not start.
 #[case(
     Sent::Some,
     REPEATABLE,
     RefusedUnstarted,
-    Started::Nothing,
+    Delivered::Nothing,
     retry_unstarted()
 )]
 #[case(
     Sent::Some,
     ONCE,
     RefusedUnstarted,
-    Started::Nothing,
+    Delivered::Nothing,
     retry_unstarted()
 )]
 // Something was sent and it may have run.
@@ -84,51 +96,63 @@
     Sent::Some,
     REPEATABLE,
     Disconnected,
-    Started::Nothing,
+    Delivered::Nothing,
+    retry_repeatable()
+)]
+#[case(
+    Sent::Some,
+    REPEATABLE,
+    TimedOut,
+    Delivered::Nothing,
     retry_repeatable()
 )]
-#[case(Sent::Some, REPEATABLE, TimedOut, Started::Nothing, retry_repeatable())]
 #[case(
     Sent::Some,
     REPEATABLE,
     BadProtocol,
-    Started::Nothing,
+    Delivered::Nothing,
     retry_repeatable()
 )]
 #[case(
     Sent::Some,
     REPEATABLE,
     ServerError,
-    Started::Nothing,
+    Delivered::Nothing,
     retry_repeatable()
 )]
-#[case(Sent::Some, ONCE, Disconnected, Started::Nothing, unknown_outcome())]
-#[case(Sent::Some, ONCE, TimedOut, Started::Nothing, unknown_outcome())]
-#[case(Sent::Some, ONCE, BadProtocol, Started::Nothing, unknown_outcome())]
-#[case(Sent::Some, ONCE, ServerError, Started::Nothing, unknown_outcome())]
+#[case(Sent::Some, ONCE, Disconnected, Delivered::Nothing, unknown_outcome())]
+#[case(Sent::Some, ONCE, TimedOut, Delivered::Nothing, unknown_outcome())]
+#[case(Sent::Some, ONCE, BadProtocol, Delivered::Nothing, unknown_outcome())]
+#[case(Sent::Some, ONCE, ServerError, Delivered::Nothing, unknown_outcome())]
 // Part of the answer went out.
-#[case(Sent::Some, REPEATABLE, Disconnected, Started::Resumable, resume())]
-#[case(Sent::Some, REPEATABLE, TimedOut, Started::Resumable, resume())]
-#[case(Sent::Some, ONCE, Disconnected, Started::Resumable, unknown_outcome())]
+#[case(Sent::Some, REPEATABLE, Disconnected, Delivered::Resumable, resume())]
+#[case(Sent::Some, REPEATABLE, TimedOut, Delivered::Resumable, resume())]
+#[case(
+    Sent::Some,
+    ONCE,
+    Disconnected,
+    Delivered::Resumable,
+    unknown_outcome()
+)]
 #[case(
     Sent::Some,
     ONCE,
     RefusedUnstarted,
-    Started::Resumable,
+    Delivered::Resumable,
     unknown_outcome()
 )]
 #[case(
     Sent::Some,
     REPEATABLE,
     Disconnected,
-    Started::NotResumable,
+    Delivered::NotResumable,
     partly(ErrorKind::StreamBroken)
 )]
 #[case(
     Sent::Some,
     ONCE,
     Disconnected,
-    Started::NotResumable,
+    Delivered::NotResumable,
     unknown_outcome()
 )]
 // The caller's mistake stays one.
@@ -136,28 +160,28 @@
     Sent::Some,
     REPEATABLE,
     CallerError,
-    Started::Nothing,
+    Delivered::Nothing,
     final_answer(Executed::Unknown)
 )]
 #[case(
     Sent::Some,
     ONCE,
     CallerError,
-    Started::Nothing,
+    Delivered::Nothing,
     final_answer(Executed::Unknown)
 )]
 fn the_rules(
     #[case] sent: Sent,
     #[case] at_most_once: bool,
     #[case] failure: AttemptFailure,
-    #[case] started: Started,
-    #[case] expected: Next,
+    #[case] delivered: Delivered,
+    #[case] expected: RetryDecision,
 ) {
     let attempt = FailedAttempt {
         sent,
         at_most_once,
         failure,
-        started,
+        delivered,
     };
     assert_eq!(attempt.allowed(), expected);
 }
@@ -176,16 +200,22 @@
     ];
     for failure in failures {
         for sent in [Sent::Nothing, Sent::Some] {
-            for started in [Started::Nothing, Started::Resumable, Started::NotResumable] {
+            for delivered in [
+                Delivered::Nothing,
+                Delivered::Resumable,
+                Delivered::NotResumable,
+            ] {
                 let attempt = FailedAttempt {
                     sent,
                     at_most_once: true,
                     failure,
-                    started,
+                    delivered,
                 };
-                let again = !matches!(attempt.allowed(), Next::Answer { .. });
+                let again = !matches!(attempt.allowed(), RetryDecision::Answer { .. });
                 assert!(!again || attempt.unstarted(), "{attempt:?}");
-                if let Next::Answer { executed, .. } = attempt.answer(ReasonCode::AttemptsUsedUp) {
+                if let RetryDecision::Answer { executed, .. } =
+                    attempt.answer(ReasonCode::AttemptsUsedUp)
+                {
                     assert_eq!(executed == Executed::No, attempt.unstarted(), "{attempt:?}");
                 }
             }
@@ -197,7 +227,7 @@
     sent: Sent::Nothing,
     at_most_once: false,
     failure: Unreachable,
-    started: Started::Nothing,
+    delivered: Delivered::Nothing,
 };
 
 #[rstest]
@@ -209,11 +239,11 @@
     #[case] attempts_made: u32,
     #[case] time_left_ms: u64,
     #[case] retries_left: u32,
-    #[case] expected: Next,
+    #[case] expected: RetryDecision,
 ) {
     let policy = RoutingPolicy::default();
     let mut budget = RetryBudget::new(NOW, &policy);
-    while budget.left() > retries_left {
+    while budget.remaining() > retries_left {
         assert!(budget.try_take(NOW));
     }
     let next = after_failure(
@@ -226,10 +256,10 @@
     );
     assert_eq!(next, expected);
     let taken = u32::from(expected == retry_unstarted());
-    assert_eq!(budget.left(), retries_left - taken);
+    assert_eq!(budget.remaining(), retries_left - taken);
 }
 
-fn no_back_end(reason: ReasonCode) -> Next {
+fn no_back_end(reason: ReasonCode) -> RetryDecision {
     answer(ErrorKind::NoBackEnd, Executed::No, reason)
 }
 
@@ -256,7 +286,7 @@
     assert!(budget.try_take(later(1_000)));
     assert!(!budget.try_take(later(1_000)));
     assert!(budget.try_take(later(100_000)));
-    assert_eq!(budget.left(), 9);
+    assert_eq!(budget.remaining(), 9);
 }
 
 #[test]
--- a/crates/routing/tests/all/router.rs
+++ b/crates/routing/tests/all/router.rs
@@ -6,7 +6,7 @@
 };
 use linnethitch_routing::{
     Class, Phase, ReasonCode, RequestProfile, Router, Target,
-    view::{FailureKind, Standing},
+    view::{Availability, FailureKind},
 };
 use rstest::rstest;
 
@@ -58,7 +58,7 @@
 #[rstest]
 #[case::prefill(Phase::Prefill, EngineRole::Prefill)]
 #[case::decode(Phase::Decode, EngineRole::Decode)]
-#[case::whole(Phase::Whole, EngineRole::Mixed)]
+#[case::whole(Phase::PrefillAndDecode, EngineRole::Mixed)]
 fn a_phase_goes_to_its_role(#[case] phase: Phase, #[case] role: EngineRole) {
     let all = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
     let replicas = all.map(|role| changed(&format!("{role:?}"), |info| info.engine.role = role));
@@ -125,11 +125,11 @@
     let mut before = view.on_sent(later(0), e1, work(Class::Online, 1_000), &[]);
     view.on_load_report(e1, report(later(100), 4, 1_500));
     let after = view.on_sent(later(200), e1, work(Class::Online, 300), &[]);
-    let load = view.replica(e1).corrected_load(later(100));
+    let load = view.replica(e1).estimated_load(later(100));
     assert_eq!((load.online, load.queued_prefill_tokens), (5.0, 1_800.0));
 
     view.on_first_token(later(250), &mut before);
-    let load = view.replica(e1).corrected_load(later(100));
+    let load = view.replica(e1).estimated_load(later(100));
     assert_eq!(
         (load.online, load.queued_prefill_tokens),
         (5.0, 1_200.0),
@@ -138,15 +138,15 @@
 
     view.on_finished(later(300), before);
     view.on_load_report(e1, report(later(220), 5, 1_700));
-    let load = view.replica(e1).corrected_load(later(220));
+    let load = view.replica(e1).estimated_load(later(220));
     assert_eq!((load.online, load.queued_prefill_tokens), (4.0, 1_580.0));
-    let drained = view.replica(e1).corrected_load(later(270));
+    let drained = view.replica(e1).estimated_load(later(270));
     assert_eq!(drained.online, 4.0);
     assert!((800.0..1_100.0).contains(&drained.queued_prefill_tokens));
 
     view.on_load_report(e1, report(later(50), 60, 60_000));
     assert_eq!(
-        view.replica(e1).corrected_load(later(220)),
+        view.replica(e1).estimated_load(later(220)),
         load,
         "an older report"
     );
@@ -173,10 +173,10 @@
         ejected = router.view_mut().on_replica_failure(NOW, e1, kind);
     }
     assert_eq!(ejected, expected);
-    let standing = router.view().standing(NOW, e1);
+    let standing = router.view().availability(NOW, e1);
     match expected {
-        Some(reason) => assert_eq!(standing, Standing::Out(reason)),
-        None => assert_eq!(standing, Standing::Available(1.0)),
+        Some(reason) => assert_eq!(standing, Availability::Unavailable(reason)),
+        None => assert_eq!(standing, Availability::Available(1.0)),
     }
 }
 
@@ -186,20 +186,38 @@
     let e1 = index(&router, "e1");
     let view = router.view_mut();
     view.on_replica_failure(later(0), e1, FailureKind::Unreachable);
-    assert!(matches!(view.standing(later(1_999), e1), Standing::Out(_)));
-    assert_eq!(view.standing(later(2_000), e1), Standing::Probe);
+    assert!(matches!(
+        view.availability(later(1_999), e1),
+        Availability::Unavailable(_)
+    ));
+    assert_eq!(view.availability(later(2_000), e1), Availability::Probe);
 
     let probe = view.on_sent(later(2_000), e1, work(Class::Online, 10), &[]);
-    assert!(matches!(view.standing(later(2_001), e1), Standing::Out(_)));
+    assert!(matches!(
+        view.availability(later(2_001), e1),
+        Availability::Unavailable(_)
+    ));
     view.on_failure(later(2_010), probe, FailureKind::Disconnected);
-    assert!(matches!(view.standing(later(6_009), e1), Standing::Out(_)));
-    assert_eq!(view.standing(later(6_010), e1), Standing::Probe);
+    assert!(matches!(
+        view.availability(later(6_009), e1),
+        Availability::Unavailable(_)
+    ));
+    assert_eq!(view.availability(later(6_010), e1), Availability::Probe);
 
     let probe = view.on_sent(later(6_010), e1, work(Class::Online, 10), &[]);
     view.on_finished(later(6_100), probe);
-    assert_eq!(view.standing(later(6_100), e1), Standing::Available(0.1));
-    assert_eq!(view.standing(later(8_600), e1), Standing::Available(0.5));
-    assert_eq!(view.standing(later(11_100), e1), Standing::Available(1.0));
+    assert_eq!(
+        view.availability(later(6_100), e1),
+        Availability::Available(0.1)
+    );
+    assert_eq!(
+        view.availability(later(8_600), e1),
+        Availability::Available(0.5)
+    );
+    assert_eq!(
+        view.availability(later(11_100), e1),
+        Availability::Available(1.0)
+    );
 }
 
 #[test]
@@ -238,13 +256,19 @@
     let e1 = index(&router, "e1");
     let view = router.view_mut();
     let mut ticket = view.on_sent(NOW, e1, work(Class::Online, 10), &[]);
-    assert_eq!(view.standing(later(1_500), e1), Standing::Available(1.0));
     assert_eq!(
-        view.standing(later(1_501), e1),
-        Standing::Out(ReasonCode::Silent)
+        view.availability(later(1_500), e1),
+        Availability::Available(1.0)
+    );
+    assert_eq!(
+        view.availability(later(1_501), e1),
+        Availability::Unavailable(ReasonCode::Silent)
     );
     view.on_first_token(later(1_600), &mut ticket);
-    assert_eq!(view.standing(later(1_700), e1), Standing::Available(1.0));
+    assert_eq!(
+        view.availability(later(1_700), e1),
+        Availability::Available(1.0)
+    );
     view.on_finished(later(1_800), ticket);
 }
 
--- a/crates/routing/tests/all/router_evacuation.rs
+++ b/crates/routing/tests/all/router_evacuation.rs
@@ -4,7 +4,7 @@
 use linnethitch_routing::{
     Class, ReasonCode, Router,
     batch::yielding::{BatchCapacity, YieldSettings},
-    view::{FailureKind, Standing},
+    view::{Availability, FailureKind},
 };
 use rstest::rstest;
 
@@ -55,11 +55,14 @@
     let mut router = router([engine("a1", "a")]);
     let replica = index(&router, "a1");
     evacuate(&mut router, &["a"]);
-    let standing = router.view().standing(NOW, replica);
-    assert_eq!(standing, Standing::Out(ReasonCode::ZoneEvacuated));
+    let standing = router.view().availability(NOW, replica);
+    assert_eq!(
+        standing,
+        Availability::Unavailable(ReasonCode::ZoneEvacuated)
+    );
     evacuate(&mut router, &[]);
-    let standing = router.view().standing(NOW, replica);
-    assert_eq!(standing, Standing::Available(1.0));
+    let standing = router.view().availability(NOW, replica);
+    assert_eq!(standing, Availability::Available(1.0));
 }
 
 #[test]
@@ -72,7 +75,7 @@
         .view_mut()
         .on_sent(NOW, replica, work(Class::Batch, 50), &[]);
     evacuate(&mut router, &["a"]);
-    let room = capacity.room(NOW, router.view(), replica);
+    let room = capacity.allowance(NOW, router.view(), replica);
     assert_eq!(
         (room.sequences, room.reason),
         (0, ReasonCode::ZoneEvacuated)
--- a/crates/routing/tests/all/yielding.rs
+++ b/crates/routing/tests/all/yielding.rs
@@ -45,7 +45,7 @@
     let mut load = report(later(100), online, queued_prefill);
     load.running_batch = batch;
     router.view_mut().on_load_report(e1, load);
-    let room = capacity.room(later(100), router.view(), e1);
+    let room = capacity.allowance(later(100), router.view(), e1);
     assert_eq!((room.sequences, room.reason), (stays, reason));
 }
 
@@ -56,11 +56,17 @@
     let mut ticket = router
         .view_mut()
         .on_sent(later(10), e1, work(Class::Online, 8_000), &[]);
-    assert_eq!(capacity.room(later(10), router.view(), e1).sequences, 16);
+    assert_eq!(
+        capacity.allowance(later(10), router.view(), e1).sequences,
+        16
+    );
     router.view_mut().on_first_token(later(500), &mut ticket);
-    assert_eq!(capacity.room(later(100), router.view(), e1).sequences, 16);
     assert_eq!(
-        capacity.room(later(110), router.view(), e1).sequences,
+        capacity.allowance(later(100), router.view(), e1).sequences,
+        16
+    );
+    assert_eq!(
+        capacity.allowance(later(110), router.view(), e1).sequences,
         GRANTED
     );
 }
@@ -89,7 +95,7 @@
         at_ms += gap_ms;
         view.on_tokens(later(at_ms), &mut ticket, 1);
     }
-    let room = capacity.room(later(at_ms), router.view(), e1);
+    let room = capacity.allowance(later(at_ms), router.view(), e1);
     assert_eq!(room.sequences, stays);
 }
 
@@ -106,15 +112,24 @@
     let mut load = report(later(100), 4, 8_000);
     load.running_batch = 60;
     view.on_load_report(e1, load);
-    assert_eq!(capacity.room(later(100), router.view(), e1).sequences, 8);
+    assert_eq!(
+        capacity.allowance(later(100), router.view(), e1).sequences,
+        8
+    );
     for ticket in tickets.drain(8..) {
         router.view_mut().on_cancelled(later(101), ticket);
     }
-    assert_eq!(capacity.room(later(110), router.view(), e1).sequences, 8);
+    assert_eq!(
+        capacity.allowance(later(110), router.view(), e1).sequences,
+        8
+    );
     load.measured_at = later(150);
     load.running_batch = 16;
     router.view_mut().on_load_report(e1, load);
-    assert_eq!(capacity.room(later(160), router.view(), e1).sequences, 8);
+    assert_eq!(
+        capacity.allowance(later(160), router.view(), e1).sequences,
+        8
+    );
 }
 
 #[rstest]
@@ -130,7 +145,7 @@
     if let Some(kind) = failure {
         router.view_mut().on_replica_failure(NOW, e1, kind);
     }
-    let room = capacity.room(later(after_ms), router.view(), e1);
+    let room = capacity.allowance(later(after_ms), router.view(), e1);
     assert_eq!((room.sequences, room.reason), (0, reason));
 }
 
@@ -139,7 +154,7 @@
     let (mut router, mut capacity) = filled();
     let e1 = index(&router, "e1");
     router.view_mut().on_leaving(NOW, e1);
-    let room = capacity.room(later(1), router.view(), e1);
+    let room = capacity.allowance(later(1), router.view(), e1);
     assert_eq!(room.reason, ReasonCode::LeavingByDataPath);
     assert_eq!(room.sequences, 0);
 }
@@ -148,7 +163,7 @@
 fn a_replica_without_a_grant_gets_no_batch() {
     let (router, mut capacity) = filled();
     let e2 = index(&router, "e2");
-    assert_eq!(capacity.room(NOW, router.view(), e2).sequences, 0);
+    assert_eq!(capacity.allowance(NOW, router.view(), e2).sequences, 0);
     assert_eq!(capacity.replicas(), [index(&router, "e1")]);
     capacity.forget_expired(later(2_000));
     assert!(capacity.replicas().is_empty());
