--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,10 +1,10 @@
-//! Decisions of linnethitch: where a request runs, whether it may start, what
-//! is retried, when batch work steps aside and what engines should load.
+//! Scheduling decisions of linnethitch: which replica runs a request, whether a
+//! request is admitted, what is retried, when batch work yields to online work
+//! and what engines should load.
 //!
-//! Nothing here reads a clock, a socket or a random source. Every call gets
-//! `now`, works on the state passed in and draws from the caller's generator,
-//! so that the same code runs in a gateway, in an experiment in virtual time
-//! and in the fault simulator.
+//! This crate does no I/O and reads neither a clock nor a global random source.
+//! Callers pass in `now` and a random number generator, so the same code runs in
+//! a gateway, in experiments in virtual time and in the fault simulator.
 
 pub mod admission;
 pub mod answer_times;
--- a/crates/routing/src/router.rs
+++ b/crates/routing/src/router.rs
@@ -1,4 +1,4 @@
-//! Chooses the replica for a request.
+//! Chooses the replica for each request.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_protocol::ids::{Timestamp, ZoneId};
@@ -14,26 +14,26 @@
     view::{Availability, EstimatedLoad, FleetView, Pool, ReplicaIndex},
 };
 
-/// Replicas compared in a zone (power of two choices).
-const COMPARED: usize = 2;
+/// Number of random candidates compared per zone (power of two choices).
+const COMPARED_CANDIDATES: usize = 2;
 
-/// Random draws before the candidates are searched one by one.
-const DRAWS: usize = 6;
+/// Maximum number of random draws before falling back to a linear search.
+const MAX_RANDOM_DRAWS: usize = 6;
 
-/// Time that one request of an application service is expected to take, in milliseconds.
+/// Expected service time of one application request, in milliseconds.
 const SERVICE_REQUEST_MS: f64 = 5.0;
 
-/// A request that finds every replica full is worth sending again after this time.
-const SATURATED_RETRY_MS: u64 = 1_000;
+/// Minimum `retry_after_ms` of a refusal.
+const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Chooses replicas by expected wait over a view of the fleet.
+/// Chooses replicas by expected wait, based on a view of the fleet.
 #[derive(Clone, Debug)]
 pub struct Router {
     view: FleetView,
     costs: EngineCosts,
 }
 
-/// A replica with its score.
+/// A candidate replica with its expected wait.
 #[derive(Clone, Copy, Debug)]
 struct Scored {
     replica: ReplicaIndex,
@@ -42,28 +42,28 @@
     reason: ReasonCode,
 }
 
-/// Alternatives collected while choosing.
+/// Candidates scored for one decision, up to a fixed number.
 #[derive(Default)]
-struct Considered {
-    list: [Option<Scored>; MAX_ALTERNATIVES + 1],
+struct Candidates {
+    scored: [Option<Scored>; MAX_ALTERNATIVES + 1],
     count: usize,
 }
 
-impl Considered {
+impl Candidates {
     fn add(&mut self, scored: Scored) {
-        let known = self.list[..self.count]
+        let is_known = self.scored[..self.count]
             .iter()
             .flatten()
             .any(|other| other.replica == scored.replica);
-        if !known && self.count < self.list.len() {
-            self.list[self.count] = Some(scored);
+        if !is_known && self.count < self.scored.len() {
+            self.scored[self.count] = Some(scored);
             self.count += 1;
         }
     }
 
     fn others(&self, chosen: ReplicaIndex) -> [Option<Alternative>; MAX_ALTERNATIVES] {
         let mut others = self
-            .list
+            .scored
             .iter()
             .flatten()
             .filter(|scored| scored.replica != chosen)
@@ -76,7 +76,7 @@
 }
 
 impl Router {
-    /// A router of a gateway in the given zone.
+    /// A router for a gateway in the given zone.
     #[must_use]
     pub fn new(own_zone: ZoneId, policy: RoutingPolicy) -> Self {
         Router {
@@ -85,21 +85,21 @@
         }
     }
 
-    /// What is known of the fleet.
+    /// The gateway's view of the fleet.
     #[must_use]
     pub fn view(&self) -> &FleetView {
         &self.view
     }
 
-    /// To record what happens.
+    /// Mutable access to the view, to record events.
     pub fn view_mut(&mut self) -> &mut FleetView {
         &mut self.view
     }
 
-    /// Chooses the replica that the request should go to. Allocates nothing.
+    /// Chooses the replica for a request. Does not allocate.
     ///
     /// # Errors
-    /// [`RoutingRefusal`] with the reason when no replica can take the request.
+    /// [`RoutingRefusal`] with the reason if no replica can serve the request.
     pub fn choose(
         &self,
         now: Timestamp,
@@ -109,31 +109,31 @@
         let pool = self
             .view
             .pool(&profile.target)
-            .ok_or_else(|| refused(ReasonCode::UnknownTarget))?;
-        let mut considered = Considered::default();
-        let local = self.best_of(now, pool.local(), profile, rng, &mut considered);
-        let limit_ms = local.map_or(f64::INFINITY, |best| best.wait_ms);
-        let may_spill = limit_ms > self.view.policy().spill_ms;
+            .ok_or_else(|| refusal(ReasonCode::UnknownTarget))?;
+        let mut candidates = Candidates::default();
+        let local = self.best_candidate(now, pool.local(), profile, rng, &mut candidates);
+        let local_wait_ms = local.map_or(f64::INFINITY, |best| best.wait_ms);
+        let may_spill = local_wait_ms > self.view.policy().spill_ms;
         let remote = if may_spill {
-            self.best_of(now, pool.remote(), profile, rng, &mut considered)
+            self.best_candidate(now, pool.remote(), profile, rng, &mut candidates)
         } else {
             None
         };
         let chosen = self
-            .prefer(local, remote)
-            .or_else(|| self.last_resort(now, pool, profile, rng))
-            .ok_or_else(|| self.why_none(now, pool, profile))?;
+            .prefer_local(local, remote)
+            .or_else(|| self.ejected_fallback(now, pool, profile, rng))
+            .ok_or_else(|| self.no_replica_refusal(now, pool, profile))?;
         self.check_deadline(now, profile, &chosen)?;
         Ok(Choice {
             replica: chosen.replica,
             expected_wait_ms: chosen.wait_ms,
             cached_tokens: chosen.cached_tokens,
             reason: chosen.reason,
-            alternatives: considered.others(chosen.replica),
+            alternatives: candidates.others(chosen.replica),
         })
     }
 
-    fn prefer(&self, local: Option<Scored>, remote: Option<Scored>) -> Option<Scored> {
+    fn prefer_local(&self, local: Option<Scored>, remote: Option<Scored>) -> Option<Scored> {
         match (local, remote) {
             (Some(local), Some(remote)) => {
                 let spill = remote.wait_ms + self.view.policy().spill_ms < local.wait_ms;
@@ -154,20 +154,20 @@
         }
     }
 
-    /// The better of two random candidates and the one preferred for the prefix.
-    fn best_of(
+    /// The best of two random candidates and the replica preferred for the prompt's prefix.
+    fn best_candidate(
         &self,
         now: Timestamp,
         members: &[ReplicaIndex],
         profile: &RequestProfile<'_>,
         rng: &mut impl Rng,
-        considered: &mut Considered,
+        candidates: &mut Candidates,
     ) -> Option<Scored> {
         let mut best: Option<Scored> = None;
         let mut compared = 0;
         let mut first = None;
-        for _ in 0..DRAWS {
-            if compared == COMPARED || members.is_empty() {
+        for _ in 0..MAX_RANDOM_DRAWS {
+            if compared == COMPARED_CANDIDATES || members.is_empty() {
                 break;
             }
             let candidate = members[rng.random_range(0..members.len())];
@@ -177,22 +177,22 @@
             if let Some(scored) = self.score(now, candidate, profile, false) {
                 first = first.or(Some(candidate));
                 compared += 1;
-                considered.add(scored);
+                candidates.add(scored);
                 best = Some(better(best, scored));
             }
         }
         if best.is_none() {
-            best = self.search(now, members, profile, rng);
+            best = self.first_available(now, members, profile, rng);
         }
         if let Some(preferred) = self.preferred_for_prefix(now, members, profile) {
-            considered.add(preferred);
+            candidates.add(preferred);
             best = Some(better(best, preferred));
         }
         best
     }
 
-    /// Looks at every candidate from a random start and takes the first that will do.
-    fn search(
+    /// Searches all candidates from a random start; returns the first available one.
+    fn first_available(
         &self,
         now: Timestamp,
         members: &[ReplicaIndex],
@@ -209,7 +209,7 @@
             .find_map(|candidate| self.score(now, *candidate, profile, false))
     }
 
-    /// The replica that rendezvous hashing names for the prompt's prefix.
+    /// The replica that rendezvous hashing selects for the prompt's prefix.
     fn preferred_for_prefix(
         &self,
         now: Timestamp,
@@ -223,16 +223,16 @@
         if let Some(scored) = self.score(now, first, profile, true) {
             return Some(scored);
         }
-        // Seldom: the first one is out, so the next that takes work is searched.
+        // Rare case: the selected replica is unavailable, so the best available one is searched.
         let preferred = members
             .iter()
             .copied()
-            .filter(|member| self.accepts_work(now, *member, profile))
+            .filter(|member| self.is_eligible(now, *member, profile))
             .max_by_key(weight)?;
         self.score(now, preferred, profile, true)
     }
 
-    fn accepts_work(
+    fn is_eligible(
         &self,
         now: Timestamp,
         replica: ReplicaIndex,
@@ -249,7 +249,7 @@
             )
     }
 
-    /// The replica's score, or nothing when it may not get the request.
+    /// Scores a replica; `None` if the replica may not get the request.
     fn score(
         &self,
         now: Timestamp,
@@ -257,7 +257,7 @@
         profile: &RequestProfile<'_>,
         preferred: bool,
     ) -> Option<Scored> {
-        if !self.accepts_work(now, replica, profile) {
+        if !self.is_eligible(now, replica, profile) {
             return None;
         }
         let share = match self.view.availability(now, replica) {
@@ -284,7 +284,7 @@
             Target::Service(_) => service_wait_ms(&load),
             Target::Model { .. } => {
                 let prefill = profile.prompt_tokens.saturating_sub(cached_tokens);
-                self.engine_wait_ms(&load, profile, f64::from(prefill)) * state.pace()
+                self.engine_wait_ms(&load, profile, f64::from(prefill)) * state.step_time_ratio()
             }
         };
         let reason = if preferred && cached_tokens > 0 {
@@ -308,7 +308,7 @@
         (blocks as u32 * PREFIX_BLOCK_TOKENS).min(profile.prompt_tokens)
     }
 
-    /// Expected time to the first token, in milliseconds, at the expected pace.
+    /// Expected time to the first token, in milliseconds, at the expected step time.
     fn engine_wait_ms(
         &self,
         load: &EstimatedLoad,
@@ -317,7 +317,7 @@
     ) -> f64 {
         let sequences = load.online + load.batch;
         let step_ms = self.costs.decode_step_ms(sequences);
-        // Engines prefill online prompts first.
+        // Engines prefill online prompts before batch prompts.
         let (queued_tokens, ahead) = match profile.class {
             Class::Online => (load.queued_online_prefill_tokens, load.online),
             Class::Batch => (load.queued_prefill_tokens, sequences),
@@ -325,18 +325,18 @@
         let prefill_ms = self
             .costs
             .prefill_ms(queued_tokens + prefill_tokens, sequences);
-        let over = (ahead + 1.0 - load.max_running).max(0.0);
+        let excess = (ahead + 1.0 - load.max_running).max(0.0);
         let slot_ms = if load.max_running > 0.0 {
             let request_ms = f64::from(profile.expected_output_tokens) * step_ms;
-            over * request_ms / load.max_running
+            excess * request_ms / load.max_running
         } else {
             0.0
         };
         step_ms + prefill_ms + slot_ms
     }
 
-    /// When every replica was ejected: one of them all the same, unless it is leaving.
-    fn last_resort(
+    /// Fallback if no replica is available: an ejected or silent replica, but never a leaving one.
+    fn ejected_fallback(
         &self,
         now: Timestamp,
         pool: &Pool,
@@ -369,7 +369,7 @@
             })
     }
 
-    fn why_none(
+    fn no_replica_refusal(
         &self,
         now: Timestamp,
         pool: &Pool,
@@ -381,13 +381,13 @@
         };
         let mut loaded = pool.all().iter().copied().filter(serves).peekable();
         if loaded.peek().is_none() {
-            return refused(ReasonCode::NotLoaded);
+            return refusal(ReasonCode::NotLoaded);
         }
         let is_evacuated = |member| {
             self.view.availability(now, member)
                 == Availability::Unavailable(ReasonCode::ZoneEvacuated)
         };
-        refused(if loaded.all(is_evacuated) {
+        refusal(if loaded.all(is_evacuated) {
             ReasonCode::ZoneEvacuated
         } else {
             ReasonCode::NoReplicaTakesWork
@@ -400,13 +400,13 @@
         profile: &RequestProfile<'_>,
         chosen: &Scored,
     ) -> Result<(), RoutingRefusal> {
-        let left_ms = profile.deadline.0.saturating_sub(now.0);
-        if chosen.wait_ms <= left_ms as f64 {
+        let remaining_ms = profile.deadline.0.saturating_sub(now.0);
+        if chosen.wait_ms <= remaining_ms as f64 {
             return Ok(());
         }
         let retry_after_ms = (chosen.wait_ms as u64)
-            .saturating_sub(left_ms)
-            .max(SATURATED_RETRY_MS);
+            .saturating_sub(remaining_ms)
+            .max(MIN_RETRY_AFTER_MS);
         Err(RoutingRefusal {
             reason: ReasonCode::DeadlineTooClose,
             retry_after_ms: Some(retry_after_ms),
@@ -421,10 +421,10 @@
     }
 }
 
-fn refused(reason: ReasonCode) -> RoutingRefusal {
+fn refusal(reason: ReasonCode) -> RoutingRefusal {
     RoutingRefusal {
         reason,
-        retry_after_ms: Some(SATURATED_RETRY_MS),
+        retry_after_ms: Some(MIN_RETRY_AFTER_MS),
     }
 }
 
@@ -434,7 +434,7 @@
     (1.0 + load.online + load.batch) / concurrency * SERVICE_REQUEST_MS
 }
 
-/// Weight of a replica for a key; the highest is preferred (rendezvous hashing).
+/// Rendezvous hashing weight of a replica for a key; the highest weight wins.
 fn rendezvous_weight(key: u64, id_hash: u64) -> u64 {
     let mut bytes = [0; 16];
     bytes[..8].copy_from_slice(&key.to_le_bytes());
--- a/crates/routing/src/view/mod.rs
+++ b/crates/routing/src/view/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway knows of the fleet's replicas.
+//! A gateway's view of the replicas in the fleet.
 
 mod health;
 mod names;
@@ -18,24 +18,24 @@
 pub use names::{NameIndex, Names};
 pub use prefixes::PrefixTable;
 pub use replica::{EstimatedLoad, ReplicaView};
-pub use steps::StepWatch;
+pub use steps::StepTimes;
 
 use crate::{costs::Work, profile::Class, reason::ReasonCode};
 
-/// Most replicas of a pool that may be ejected at once, in percent.
+/// Maximum share of a pool's replicas that may be ejected at once, in percent.
 pub const MAX_EJECTED_PERCENT: usize = 50;
 
-/// A replica's dense number, valid for the life of the view.
+/// Dense index of a replica, valid for the lifetime of the view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ReplicaIndex(pub u32);
 
 impl ReplicaIndex {
-    fn slot(self) -> usize {
+    fn position(self) -> usize {
         self.0 as usize
     }
 }
 
-/// What a pool serves.
+/// The model or service that a pool serves.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum PoolKey {
     /// A model.
@@ -44,24 +44,24 @@
     Service(NameIndex),
 }
 
-/// The replicas of a model or service, those of the gateway's zone first.
+/// The replicas of a model or service; replicas in the gateway's zone come first.
 #[derive(Clone, Debug, Default)]
 pub struct Pool {
     members: Vec<ReplicaIndex>,
-    local: usize,
+    local_count: usize,
 }
 
 impl Pool {
     /// Replicas in the gateway's own zone.
     #[must_use]
     pub fn local(&self) -> &[ReplicaIndex] {
-        &self.members[..self.local]
+        &self.members[..self.local_count]
     }
 
     /// Replicas in other zones.
     #[must_use]
     pub fn remote(&self) -> &[ReplicaIndex] {
-        &self.members[self.local..]
+        &self.members[self.local_count..]
     }
 
     /// All replicas.
@@ -71,31 +71,31 @@
     }
 }
 
-/// A request on its way at a replica; handed back when it ends.
-#[must_use = "a ticket that is not given back counts as work forever"]
+/// Handle of a request in flight at a replica; the caller returns it when the request ends.
+#[must_use = "a request whose ticket is not returned counts as in flight forever"]
 #[derive(Debug)]
 pub struct Ticket {
     replica: ReplicaIndex,
-    entry: u64,
+    request: u64,
     class: Class,
     sent_at: Timestamp,
     last_token_at: Option<Timestamp>,
 }
 
 impl Ticket {
-    /// The replica that it is at.
+    /// The replica that the request was sent to.
     #[must_use]
     pub fn replica(&self) -> ReplicaIndex {
         self.replica
     }
 
-    /// When it was sent.
+    /// When the request was sent.
     #[must_use]
     pub fn sent_at(&self) -> Timestamp {
         self.sent_at
     }
 
-    /// How urgent it is.
+    /// Scheduling class of the request.
     #[must_use]
     pub fn class(&self) -> Class {
         self.class
@@ -107,43 +107,43 @@
 pub struct FleetView {
     own_zone: ZoneId,
     policy: RoutingPolicy,
-    /// Zones to whose replicas nothing new goes.
-    evacuated: BTreeSet<ZoneId>,
+    /// Zones whose replicas receive no new work.
+    evacuated_zones: BTreeSet<ZoneId>,
     names: Names,
-    numbers: HashMap<ReplicaId, ReplicaIndex>,
+    indices: HashMap<ReplicaId, ReplicaIndex>,
     replicas: Vec<ReplicaView>,
     pools: HashMap<PoolKey, Pool>,
     prefixes: PrefixTable,
 }
 
 impl FleetView {
-    /// An empty view of a gateway in the given zone.
+    /// An empty view for a gateway in the given zone.
     #[must_use]
     pub fn new(own_zone: ZoneId, policy: RoutingPolicy) -> Self {
         FleetView {
             own_zone,
             policy,
-            evacuated: BTreeSet::new(),
+            evacuated_zones: BTreeSet::new(),
             names: Names::default(),
-            numbers: HashMap::new(),
+            indices: HashMap::new(),
             replicas: Vec::new(),
             pools: HashMap::new(),
             prefixes: PrefixTable::default(),
         }
     }
 
-    /// Takes over the routing rules of a new configuration.
+    /// Applies the routing policy of a new configuration.
     pub fn set_policy(&mut self, policy: RoutingPolicy) {
         self.policy = policy;
     }
 
-    /// Takes over the zones that a new configuration says are evacuated: their replicas are
-    /// given nothing new, and what is known of them stays.
+    /// Applies the evacuated zones of a new configuration. Their replicas receive no new work;
+    /// the recorded load and health of these replicas are retained.
     pub fn set_evacuated_zones(&mut self, zones: impl IntoIterator<Item = ZoneId>) {
-        self.evacuated = zones.into_iter().collect();
+        self.evacuated_zones = zones.into_iter().collect();
     }
 
-    /// The routing rules in force.
+    /// The routing policy in force.
     #[must_use]
     pub fn policy(&self) -> &RoutingPolicy {
         &self.policy
@@ -155,35 +155,35 @@
         &self.own_zone
     }
 
-    /// Replaces the whole list of replicas; those not named take no new work.
+    /// Replaces the list of replicas; replicas missing from the new list get no new work.
     pub fn set_replicas(&mut self, replicas: impl IntoIterator<Item = ReplicaInfo>) {
         for replica in &mut self.replicas {
             replica.listed = false;
         }
         for info in replicas {
-            self.put(info);
+            self.upsert(info);
         }
         self.rebuild_pools();
     }
 
-    /// Adds or changes replicas and removes others, as a delta of the list.
+    /// Applies a delta of the list: adds or changes replicas and removes others.
     pub fn update_replicas(
         &mut self,
         changed: impl IntoIterator<Item = ReplicaInfo>,
         removed: &[ReplicaId],
     ) {
         for info in changed {
-            self.put(info);
+            self.upsert(info);
         }
         for id in removed {
-            if let Some(index) = self.numbers.get(id) {
-                self.replicas[index.slot()].listed = false;
+            if let Some(index) = self.indices.get(id) {
+                self.replicas[index.position()].listed = false;
             }
         }
         self.rebuild_pools();
     }
 
-    fn put(&mut self, info: ReplicaInfo) {
+    fn upsert(&mut self, info: ReplicaInfo) {
         let key = match (&info.machine.kind, &info.engine.model) {
             (BackEndKind::Application(service), _) => {
                 Some(PoolKey::Service(self.names.intern(service.as_str())))
@@ -194,11 +194,11 @@
             (BackEndKind::Engine, None) => None,
         };
         let local = info.machine.zone == self.own_zone;
-        match self.numbers.get(&info.machine.replica) {
-            Some(index) => self.replicas[index.slot()].replace(info, key, local),
+        match self.indices.get(&info.machine.replica) {
+            Some(index) => self.replicas[index.position()].replace(info, key, local),
             None => {
                 let index = ReplicaIndex(self.replicas.len() as u32);
-                self.numbers.insert(info.machine.replica.clone(), index);
+                self.indices.insert(info.machine.replica.clone(), index);
                 self.replicas.push(ReplicaView::new(info, key, local));
             }
         }
@@ -207,7 +207,7 @@
     fn rebuild_pools(&mut self) {
         for pool in self.pools.values_mut() {
             pool.members.clear();
-            pool.local = 0;
+            pool.local_count = 0;
         }
         for local in [true, false] {
             for (number, replica) in self.replicas.iter().enumerate() {
@@ -219,7 +219,7 @@
                 }
                 let pool = self.pools.entry(key).or_default();
                 pool.members.push(ReplicaIndex(number as u32));
-                pool.local += usize::from(local);
+                pool.local_count += usize::from(local);
             }
         }
     }
@@ -234,22 +234,22 @@
         self.pools.get(&key).filter(|pool| !pool.members.is_empty())
     }
 
-    /// The number of a replica, if it was ever listed.
+    /// The index of a replica, if it was ever listed.
     #[must_use]
     pub fn index_of(&self, id: &ReplicaId) -> Option<ReplicaIndex> {
-        self.numbers.get(id).copied()
+        self.indices.get(id).copied()
     }
 
-    /// What is known of a replica.
+    /// The recorded state of a replica.
     ///
     /// # Panics
-    /// When the number is not one of this view's.
+    /// When the index does not belong to this view.
     #[must_use]
     pub fn replica(&self, index: ReplicaIndex) -> &ReplicaView {
-        &self.replicas[index.slot()]
+        &self.replicas[index.position()]
     }
 
-    /// Every replica ever listed, with its number.
+    /// Every replica ever listed, with its index.
     pub fn replicas(&self) -> impl Iterator<Item = (ReplicaIndex, &ReplicaView)> {
         self.replicas
             .iter()
@@ -257,25 +257,25 @@
             .map(|(number, replica)| (ReplicaIndex(number as u32), replica))
     }
 
-    /// Whether the replica may get new work now, and if not, why.
+    /// Whether the replica may get new work now, and the reason if not.
     #[must_use]
     pub fn availability(&self, now: Timestamp, index: ReplicaIndex) -> Availability {
-        let replica = &self.replicas[index.slot()];
-        if self.evacuated.contains(&replica.info.machine.zone) {
+        let replica = &self.replicas[index.position()];
+        if self.evacuated_zones.contains(&replica.info.machine.zone) {
             return Availability::Unavailable(ReasonCode::ZoneEvacuated);
         }
         replica.availability(now, &self.policy)
     }
 
-    /// Prefixes that this gateway sent to replicas or heard of in cache events.
+    /// Prefixes that this gateway sent to replicas or received in their cache events.
     #[must_use]
     pub fn prefixes(&self) -> &PrefixTable {
         &self.prefixes
     }
 
-    /// Takes in a load report; one measured before the newest known is ignored.
+    /// Applies a load report; ignored unless measured later than the newest stored one.
     pub fn on_load_report(&mut self, index: ReplicaIndex, report: LoadReport) {
-        self.replicas[index.slot()].take_report(report);
+        self.replicas[index.position()].apply_report(report);
     }
 
     /// Records that a request was sent.
@@ -287,10 +287,10 @@
         prefix_hashes: &[u64],
     ) -> Ticket {
         self.prefixes.record(index, prefix_hashes);
-        let entry = self.replicas[index.slot()].add_work(now, work);
+        let request = self.replicas[index.position()].add_request(now, work);
         Ticket {
             replica: index,
-            entry,
+            request,
             class: work.class,
             sent_at: now,
             last_token_at: None,
@@ -300,10 +300,10 @@
     /// Records the first token of a request.
     pub fn on_first_token(&mut self, now: Timestamp, ticket: &mut Ticket) {
         ticket.last_token_at = Some(now);
-        self.replicas[ticket.replica.slot()].first_token(now, ticket.entry);
+        self.replicas[ticket.replica.position()].first_token(now, ticket.request);
     }
 
-    /// Records that further tokens of a request came.
+    /// Records `count` further tokens of a request.
     pub fn on_tokens(&mut self, now: Timestamp, ticket: &mut Ticket, count: u32) {
         let Some(last) = ticket.last_token_at else {
             self.on_first_token(now, ticket);
@@ -311,23 +311,23 @@
         };
         ticket.last_token_at = Some(now);
         let elapsed_ms = now.0.saturating_sub(last.0);
-        self.replicas[ticket.replica.slot()].tokens(now, elapsed_ms, count);
+        self.replicas[ticket.replica.position()].tokens(now, elapsed_ms, count);
     }
 
-    /// Records that a request ended well.
+    /// Records that a request succeeded.
     pub fn on_finished(&mut self, now: Timestamp, ticket: Ticket) {
         let policy = &self.policy;
-        let replica = &mut self.replicas[ticket.replica.slot()];
-        replica.end_work(now, ticket.entry);
+        let replica = &mut self.replicas[ticket.replica.position()];
+        replica.end_request(now, ticket.request);
         replica.health.on_success(now, policy);
     }
 
-    /// Records that a request was cancelled by this side; says nothing about health.
+    /// Records that this gateway cancelled a request; does not affect the replica's health.
     pub fn on_cancelled(&mut self, now: Timestamp, ticket: Ticket) {
-        self.replicas[ticket.replica.slot()].end_work(now, ticket.entry);
+        self.replicas[ticket.replica.position()].end_request(now, ticket.request);
     }
 
-    /// Records that a request failed; tells whether this took the replica out.
+    /// Records that a request failed. Returns the reason if this ejected the replica.
     pub fn on_failure(
         &mut self,
         now: Timestamp,
@@ -335,11 +335,12 @@
         kind: FailureKind,
     ) -> Option<ReasonCode> {
         let index = ticket.replica;
-        self.replicas[index.slot()].end_work(now, ticket.entry);
+        self.replicas[index.position()].end_request(now, ticket.request);
         self.on_replica_failure(now, index, kind)
     }
 
-    /// Records a failure that no ticket stands for, such as of a probe.
+    /// Records a failure outside of a request, such as that of a probe. Returns the reason if this
+    /// ejected the replica.
     pub fn on_replica_failure(
         &mut self,
         now: Timestamp,
@@ -348,14 +349,14 @@
     ) -> Option<ReasonCode> {
         let may_eject = self.may_eject(now, index);
         let policy = &self.policy;
-        self.replicas[index.slot()]
+        self.replicas[index.position()]
             .health
             .on_failure(now, kind, may_eject, policy)
     }
 
-    /// Whether ejecting one more replica keeps its pool's ejected share allowed.
+    /// Whether the pool stays within [`MAX_EJECTED_PERCENT`] with one more replica ejected.
     fn may_eject(&self, now: Timestamp, index: ReplicaIndex) -> bool {
-        let Some(pool) = self.replicas[index.slot()]
+        let Some(pool) = self.replicas[index.position()]
             .pool
             .and_then(|key| self.pools.get(&key))
         else {
@@ -365,22 +366,22 @@
             .members
             .iter()
             .filter(|member| **member != index)
-            .filter(|member| self.replicas[member.slot()].health.is_ejected(now))
+            .filter(|member| self.replicas[member.position()].health.is_ejected(now))
             .count();
         (ejected + 1) * 100 <= pool.members.len() * MAX_EJECTED_PERCENT
     }
 
-    /// Records that a replica said, on an answer, that it takes no new work.
+    /// Records that a response of the replica said that the replica is leaving.
     pub fn on_leaving(&mut self, now: Timestamp, index: ReplicaIndex) {
-        self.replicas[index.slot()].leaving_seen_at = Some(now);
+        self.replicas[index.position()].leaving_reported_at = Some(now);
     }
 
-    /// Records that the platform's list says that a replica leaves.
+    /// Records that the platform's list marks a replica as leaving.
     pub fn on_listed_leaving(&mut self, index: ReplicaIndex) {
-        self.replicas[index.slot()].info.machine.state = MachineState::Leaving;
+        self.replicas[index.position()].info.machine.state = MachineState::Leaving;
     }
 
-    /// Records a cache event: the replica stored or dropped the prefix with this hash.
+    /// Records a cache event: the replica stored or evicted the prefix with this hash.
     pub fn on_cache_event(&mut self, index: ReplicaIndex, prefix_hash: u64, stored: bool) {
         if stored {
             self.prefixes.record(index, &[prefix_hash]);
--- a/crates/routing/src/view/names.rs
+++ b/crates/routing/src/view/names.rs
@@ -1,31 +1,31 @@
-//! Names of models and services as dense numbers.
+//! Interning of model and service names.
 
 use std::collections::HashMap;
 
-/// The number of an interned name.
+/// Dense index of an interned name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct NameIndex(u32);
 
-/// Interned names; found without allocating.
+/// Interned names; lookups do not allocate.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
-    numbers: HashMap<String, NameIndex>,
+    indices: HashMap<String, NameIndex>,
 }
 
 impl Names {
-    /// The number of a name, given on first sight.
+    /// The index of a name; assigned at the first call.
     pub fn intern(&mut self, name: &str) -> NameIndex {
-        if let Some(index) = self.numbers.get(name) {
+        if let Some(index) = self.indices.get(name) {
             return *index;
         }
-        let index = NameIndex(self.numbers.len() as u32);
-        self.numbers.insert(name.to_owned(), index);
+        let index = NameIndex(self.indices.len() as u32);
+        self.indices.insert(name.to_owned(), index);
         index
     }
 
-    /// The number of a name, if it was ever interned.
+    /// The index of a name, if it was ever interned.
     #[must_use]
     pub fn find(&self, name: &str) -> Option<NameIndex> {
-        self.numbers.get(name).copied()
+        self.indices.get(name).copied()
     }
 }
--- a/crates/routing/src/view/prefixes.rs
+++ b/crates/routing/src/view/prefixes.rs
@@ -1,23 +1,23 @@
-//! Which replica recently got which prompt prefix.
+//! Which replicas recently received which prompt prefix.
 
 use super::ReplicaIndex;
 
-/// Slots of the table; a power of two. 8,192 × 24 bytes are 192 KiB.
+/// Number of slots; must be a power of two. 8,192 slots of 24 bytes take 192 KiB.
 const SLOTS: usize = 8_192;
 
-/// Replicas remembered for one prefix.
-const HOLDERS: usize = 2;
+/// Maximum number of replicas stored per prefix.
+const MAX_HOLDERS: usize = 2;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slot {
     hash: u64,
-    holders: [Option<ReplicaIndex>; HOLDERS],
+    holders: [Option<ReplicaIndex>; MAX_HOLDERS],
 }
 
-/// A fixed-size table from prefix hash to the replicas that last got it.
+/// A fixed-size table from prefix hash to the replicas that received the prefix most recently.
 ///
-/// A newer prefix replaces an older one with the same slot, so the table is a
-/// hint: a miss costs a prefill, never a wrong answer.
+/// A newer prefix replaces an older one in the same slot, so the table is only a
+/// hint: a missing entry costs an extra prefill but never affects correctness.
 #[derive(Clone, Debug)]
 pub struct PrefixTable {
     slots: Vec<Slot>,
@@ -36,7 +36,7 @@
         (hash as usize) & (SLOTS - 1)
     }
 
-    /// Records that a replica got a prompt with these prefixes.
+    /// Records that a prompt with these prefixes was sent to a replica.
     pub fn record(&mut self, replica: ReplicaIndex, hashes: &[u64]) {
         for hash in hashes {
             let slot = &mut self.slots[Self::slot(*hash)];
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Forgets that a replica holds a prefix.
+    /// Records that a replica no longer caches a prefix.
     pub fn forget(&mut self, replica: ReplicaIndex, hash: u64) {
         let slot = &mut self.slots[Self::slot(hash)];
         if slot.hash == hash {
@@ -63,18 +63,18 @@
         }
     }
 
-    /// The replicas thought to hold the prefix.
+    /// The replicas that probably cache the prefix.
     #[must_use]
-    pub fn holders(&self, hash: u64) -> [Option<ReplicaIndex>; HOLDERS] {
+    pub fn holders(&self, hash: u64) -> [Option<ReplicaIndex>; MAX_HOLDERS] {
         let slot = &self.slots[Self::slot(hash)];
         if slot.hash == hash {
             slot.holders
         } else {
-            [None; HOLDERS]
+            [None; MAX_HOLDERS]
         }
     }
 
-    /// How many leading blocks the replica is thought to hold.
+    /// Number of leading blocks that the replica probably caches.
     #[must_use]
     pub fn cached_blocks(&self, replica: ReplicaIndex, hashes: &[u64]) -> usize {
         hashes
--- a/crates/routing/src/view/replica.rs
+++ b/crates/routing/src/view/replica.rs
@@ -1,4 +1,4 @@
-//! What is known of one replica.
+//! State of one replica as seen by this gateway.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_protocol::{
@@ -6,34 +6,35 @@
     ids::Timestamp,
 };
 
-use super::{Availability, Health, PoolKey, StepWatch};
+use super::{Availability, Health, PoolKey, StepTimes};
 use crate::{
     costs::{EngineCosts, Work},
     profile::{Class, Phase, Target},
     reason::ReasonCode,
 };
 
-/// A leaving sign of the data path is believed for this long without the list's word.
-const LEAVING_SIGN_MS: u64 = 60_000;
+/// How long a leaving signal on the data path is valid unless the platform's list confirms it.
+const LEAVING_SIGNAL_VALID_MS: u64 = 60_000;
 
-/// With own work on it and no sign of life for this long, a replica gets no new work.
-const SILENCE_MS: u64 = 1_500;
+/// A replica with work of this gateway that has sent nothing for longer than this gets no new
+/// work.
+const MAX_SILENCE_MS: u64 = 1_500;
 
-/// Time in which a request surely reached its replica, in milliseconds.
+/// Upper bound of the time that a request takes to reach its replica, in milliseconds.
 const TRANSIT_MS: u64 = 3;
 
-/// Finished requests remembered to correct late reports.
-const FINISHED_KEPT: usize = 256;
+/// Maximum number of finished requests retained to correct late load reports.
+const MAX_FINISHED_REQUESTS: usize = 256;
 
-/// Weight of a new observation in the moving average of the pace.
-const PACE_WEIGHT: f64 = 0.05;
+/// Weight of a new observation in the moving average of the step time ratio.
+const STEP_TIME_RATIO_WEIGHT: f64 = 0.05;
 
-/// Bounds of the pace, so that one odd observation excludes nothing.
-const PACE_RANGE: (f64, f64) = (0.2, 20.0);
+/// Bounds of the step time ratio, so that one outlier does not exclude a replica.
+const STEP_TIME_RATIO_RANGE: (f64, f64) = (0.2, 20.0);
 
-/// One request sent to the replica.
+/// A request that this gateway sent to the replica.
 #[derive(Clone, Copy, Debug)]
-struct Entry {
+struct SentRequest {
     id: u64,
     work: Work,
     sent_at: Timestamp,
@@ -41,69 +42,69 @@
     finished_at: Option<Timestamp>,
 }
 
-impl Entry {
-    /// When its prompt was in memory, or no longer wanted.
+impl SentRequest {
+    /// When the prefill ended: at the first token or, without one, when the request finished.
     fn prefilled_at(&self) -> Option<Timestamp> {
         self.first_token_at.or(self.finished_at)
     }
 
-    /// Prompt tokens that were left when a report was measured, if the prefill
-    /// went evenly from sending to `prefilled_at`.
-    fn prefill_left_at(&self, measured_at: Timestamp, prefilled_at: Timestamp) -> i64 {
-        let all = i64::from(self.work.prefill_tokens);
+    /// Estimated prompt tokens that remained to prefill at `measured_at`, assuming a constant
+    /// prefill rate from sending to `prefilled_at`.
+    fn remaining_prefill_at(&self, measured_at: Timestamp, prefilled_at: Timestamp) -> i64 {
+        let total_tokens = i64::from(self.work.prefill_tokens);
         if self.sent_at.0 + TRANSIT_MS > measured_at.0 {
-            return all;
+            return total_tokens;
         }
-        let left_ms = prefilled_at.0.saturating_sub(measured_at.0) as i64;
-        let all_ms = prefilled_at.0.saturating_sub(self.sent_at.0).max(1) as i64;
-        all * left_ms / all_ms
+        let remaining_ms = prefilled_at.0.saturating_sub(measured_at.0) as i64;
+        let total_ms = prefilled_at.0.saturating_sub(self.sent_at.0).max(1) as i64;
+        total_tokens * remaining_ms / total_ms
     }
 }
 
-/// A load report with this gateway's own work since then added.
+/// A load report, corrected by what this gateway sent and finished since it was measured.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct EstimatedLoad {
-    /// Prompt tokens to prefill before a new request's own.
+    /// Prompt tokens queued ahead of a new request.
     pub queued_prefill_tokens: f64,
-    /// Of these, what is thought to belong to online requests.
+    /// Estimated part of these that belongs to online requests.
     pub queued_online_prefill_tokens: f64,
     /// Online requests running or waiting.
     pub online: f64,
     /// Batch requests running or waiting.
     pub batch: f64,
-    /// Sequences that run at once; 0 when unknown.
+    /// Maximum number of concurrently running sequences; 0 if unknown.
     pub max_running: f64,
 }
 
-/// One replica: what the list says, what it reported and what this gateway saw.
+/// State of one replica: its listing, its load reports and this gateway's observations.
 #[derive(Clone, Debug)]
 pub struct ReplicaView {
     pub(super) info: ReplicaInfo,
     pub(super) pool: Option<PoolKey>,
     pub(super) local: bool,
     pub(super) listed: bool,
-    pub(super) leaving_seen_at: Option<Timestamp>,
+    pub(super) leaving_reported_at: Option<Timestamp>,
     pub(super) health: Health,
     id_hash: u64,
     report: Option<LoadReport>,
-    entries: Vec<Entry>,
-    next_entry: u64,
+    requests: Vec<SentRequest>,
+    next_request: u64,
     own_online: u32,
     own_batch: u32,
     correction: Correction,
-    pace: f64,
-    steps: StepWatch,
-    last_sign_at: Timestamp,
+    step_time_ratio: f64,
+    steps: StepTimes,
+    last_activity_at: Timestamp,
 }
 
-/// What own work changed since the report was measured.
+/// Changes by this gateway's own requests since the report was measured.
 #[derive(Clone, Copy, Debug, Default)]
 struct Correction {
     online: ClassCorrection,
     batch: ClassCorrection,
 }
 
-/// The part of one class in a correction.
+/// The correction for one class.
 #[derive(Clone, Copy, Debug, Default)]
 struct ClassCorrection {
     requests: i64,
@@ -111,7 +112,7 @@
 }
 
 impl Correction {
-    fn of(&mut self, class: Class) -> &mut ClassCorrection {
+    fn class_mut(&mut self, class: Class) -> &mut ClassCorrection {
         match class {
             Class::Online => &mut self.online,
             Class::Batch => &mut self.batch,
@@ -127,26 +128,26 @@
             pool,
             local,
             listed: true,
-            leaving_seen_at: None,
+            leaving_reported_at: None,
             health: Health::default(),
             report: None,
-            entries: Vec::new(),
-            next_entry: 0,
+            requests: Vec::new(),
+            next_request: 0,
             own_online: 0,
             own_batch: 0,
             correction: Correction::default(),
-            pace: 1.0,
-            steps: StepWatch::default(),
-            last_sign_at: Timestamp(0),
+            step_time_ratio: 1.0,
+            steps: StepTimes::default(),
+            last_activity_at: Timestamp(0),
         }
     }
 
     pub(super) fn replace(&mut self, info: ReplicaInfo, pool: Option<PoolKey>, local: bool) {
         if info.machine.address != self.info.machine.address {
             self.health = Health::default();
-            self.leaving_seen_at = None;
+            self.leaving_reported_at = None;
             self.report = None;
-            self.pace = 1.0;
+            self.step_time_ratio = 1.0;
         }
         self.info = info;
         self.pool = pool;
@@ -154,25 +155,25 @@
         self.listed = true;
     }
 
-    /// The machine and what its engine has loaded.
+    /// The machine and the state of its engine.
     #[must_use]
     pub fn info(&self) -> &ReplicaInfo {
         &self.info
     }
 
-    /// Hash of its id, the same on every gateway.
+    /// Hash of the replica id, the same on every gateway.
     #[must_use]
     pub fn id_hash(&self) -> u64 {
         self.id_hash
     }
 
-    /// Whether the list still names it.
+    /// Whether the replica is in the current list.
     #[must_use]
     pub fn is_listed(&self) -> bool {
         self.listed
     }
 
-    /// Whether it is in the gateway's own zone.
+    /// Whether the replica is in the gateway's own zone.
     #[must_use]
     pub fn is_local(&self) -> bool {
         self.local
@@ -184,31 +185,31 @@
         self.report.as_ref()
     }
 
-    /// This gateway's own online requests on it.
+    /// Number of this gateway's online requests in flight at the replica.
     #[must_use]
     pub fn own_online(&self) -> u32 {
         self.own_online
     }
 
-    /// This gateway's own batch requests on it.
+    /// Number of this gateway's batch requests in flight at the replica.
     #[must_use]
     pub fn own_batch(&self) -> u32 {
         self.own_batch
     }
 
-    /// Measured time per step relative to the expected one.
+    /// Measured step time divided by the expected step time (moving average).
     #[must_use]
-    pub fn pace(&self) -> f64 {
-        self.pace
+    pub fn step_time_ratio(&self) -> f64 {
+        self.step_time_ratio
     }
 
-    /// What its streams tell of its steps.
+    /// Step times observed in the replica's streams.
     #[must_use]
-    pub fn steps(&self) -> &StepWatch {
+    pub fn steps(&self) -> &StepTimes {
         &self.steps
     }
 
-    /// Whether the request's model version, adapter and phase are served here.
+    /// Whether the replica serves the requested model version, adapter and phase.
     #[must_use]
     pub fn serves(&self, target: &Target<'_>, phase: Phase) -> bool {
         let Target::Model {
@@ -228,7 +229,7 @@
             && adapter.is_none_or(|adapter| engine.adapters.iter().any(|name| name == adapter))
     }
 
-    /// Whether it may get new work now.
+    /// Whether the replica may get new work now.
     #[must_use]
     pub fn availability(&self, now: Timestamp, policy: &RoutingPolicy) -> Availability {
         if !self.listed {
@@ -237,72 +238,72 @@
         if self.info.machine.state == MachineState::Leaving {
             return Availability::Unavailable(ReasonCode::LeavingByList);
         }
-        let leaving_seen = self
-            .leaving_seen_at
-            .is_some_and(|at| now.0.saturating_sub(at.0) < LEAVING_SIGN_MS);
-        if leaving_seen || self.info.engine.leaving {
+        let leaving_reported = self
+            .leaving_reported_at
+            .is_some_and(|at| now.0.saturating_sub(at.0) < LEAVING_SIGNAL_VALID_MS);
+        if leaving_reported || self.info.engine.leaving {
             return Availability::Unavailable(ReasonCode::LeavingByDataPath);
         }
         if self.health.is_ejected(now) {
             return Availability::Unavailable(self.health.cause());
         }
-        let own = self.own_online + self.own_batch;
+        let own_requests = self.own_online + self.own_batch;
         if self.health.awaits_probe(now) {
-            return if own == 0 {
+            return if own_requests == 0 {
                 Availability::Probe
             } else {
                 Availability::Unavailable(self.health.cause())
             };
         }
-        if own > 0 && now.0.saturating_sub(self.last_sign_at.0) > SILENCE_MS {
+        if own_requests > 0 && now.0.saturating_sub(self.last_activity_at.0) > MAX_SILENCE_MS {
             return Availability::Unavailable(ReasonCode::Silent);
         }
         Availability::Available(self.health.slow_start_share(now, policy))
     }
 
-    pub(super) fn take_report(&mut self, report: LoadReport) {
-        let newer = self
+    pub(super) fn apply_report(&mut self, report: LoadReport) {
+        let is_newer = self
             .report
             .is_none_or(|known| report.measured_at > known.measured_at);
-        if !newer {
+        if !is_newer {
             return;
         }
         self.report = Some(report);
-        self.forget_finished_before(report.measured_at);
+        self.remove_finished_before(report.measured_at);
         self.recompute_correction(report.measured_at);
     }
 
-    fn forget_finished_before(&mut self, measured_at: Timestamp) {
-        self.entries
-            .retain(|entry| entry.finished_at.is_none_or(|at| at > measured_at));
+    fn remove_finished_before(&mut self, measured_at: Timestamp) {
+        self.requests
+            .retain(|request| request.finished_at.is_none_or(|at| at > measured_at));
     }
 
     fn recompute_correction(&mut self, measured_at: Timestamp) {
         let mut correction = Correction::default();
-        for entry in &self.entries {
-            let class = correction.of(entry.work.class);
-            let unseen = entry.sent_at.0 + TRANSIT_MS > measured_at.0;
-            if unseen {
-                class.prefill_tokens += i64::from(entry.work.prefill_tokens);
+        for request in &self.requests {
+            let class = correction.class_mut(request.work.class);
+            let is_unreported = request.sent_at.0 + TRANSIT_MS > measured_at.0;
+            if is_unreported {
+                class.prefill_tokens += i64::from(request.work.prefill_tokens);
                 class.requests += 1;
             }
-            if let Some(at) = entry.prefilled_at().filter(|at| *at > measured_at) {
-                class.prefill_tokens -= entry.prefill_left_at(measured_at, at);
+            if let Some(at) = request.prefilled_at().filter(|at| *at > measured_at) {
+                class.prefill_tokens -= request.remaining_prefill_at(measured_at, at);
             }
-            if entry.finished_at.is_some_and(|at| at > measured_at) {
+            if request.finished_at.is_some_and(|at| at > measured_at) {
                 class.requests -= 1;
             }
         }
         self.correction = correction;
     }
 
-    pub(super) fn add_work(&mut self, now: Timestamp, work: Work) -> u64 {
+    pub(super) fn add_request(&mut self, now: Timestamp, work: Work) -> u64 {
         if self.own_online + self.own_batch == 0 {
-            self.last_sign_at = now;
+            self.last_activity_at = now;
         }
-        let id = self.next_entry;
-        self.next_entry += 1;
-        self.entries.push(Entry {
+        let id = self.next_request;
+        self.next_request += 1;
+        self.requests.push(SentRequest {
             id,
             work,
             sent_at: now,
@@ -310,7 +311,7 @@
             finished_at: None,
         });
         self.count_own(work.class, true);
-        let class = self.correction.of(work.class);
+        let class = self.correction.class_mut(work.class);
         class.requests += 1;
         class.prefill_tokens += i64::from(work.prefill_tokens);
         id
@@ -328,74 +329,74 @@
         };
     }
 
-    pub(super) fn first_token(&mut self, now: Timestamp, entry: u64) {
-        self.last_sign_at = now;
-        let Some(entry) = self.entries.iter_mut().find(|known| known.id == entry) else {
+    pub(super) fn first_token(&mut self, now: Timestamp, request: u64) {
+        self.last_activity_at = now;
+        let Some(request) = self.requests.iter_mut().find(|known| known.id == request) else {
             return;
         };
-        if entry.first_token_at.is_none() {
-            entry.first_token_at = Some(now);
-            let entry = *entry;
-            self.correct_prefilled(&entry, now);
+        if request.first_token_at.is_none() {
+            request.first_token_at = Some(now);
+            let request = *request;
+            self.subtract_prefilled(&request, now);
         }
     }
 
     pub(super) fn tokens(&mut self, now: Timestamp, elapsed_ms: u64, count: u32) {
-        self.last_sign_at = now;
+        self.last_activity_at = now;
         let load = self.estimated_load(now);
         let expected_ms = EngineCosts::default().decode_step_ms(load.online + load.batch);
         let gap_ms = elapsed_ms as f64 / f64::from(count.max(1));
         self.steps.on_gap(now, gap_ms, &EngineCosts::default());
         let observed = gap_ms / expected_ms;
-        let bounded = observed.clamp(PACE_RANGE.0, PACE_RANGE.1);
-        self.pace += PACE_WEIGHT * (bounded - self.pace);
+        let bounded = observed.clamp(STEP_TIME_RATIO_RANGE.0, STEP_TIME_RATIO_RANGE.1);
+        self.step_time_ratio += STEP_TIME_RATIO_WEIGHT * (bounded - self.step_time_ratio);
     }
 
-    pub(super) fn end_work(&mut self, now: Timestamp, entry: u64) {
-        self.last_sign_at = now;
-        let Some(position) = self.entries.iter().position(|known| known.id == entry) else {
+    pub(super) fn end_request(&mut self, now: Timestamp, request: u64) {
+        self.last_activity_at = now;
+        let Some(position) = self.requests.iter().position(|known| known.id == request) else {
             return;
         };
-        let known = &mut self.entries[position];
+        let known = &mut self.requests[position];
         known.finished_at = Some(now);
         let known = *known;
         if known.first_token_at.is_none() {
-            self.correct_prefilled(&known, now);
+            self.subtract_prefilled(&known, now);
         }
-        self.correction.of(known.work.class).requests -= 1;
+        self.correction.class_mut(known.work.class).requests -= 1;
         self.count_own(known.work.class, false);
-        self.bound_entries();
+        self.trim_finished();
     }
 
-    /// Takes the rest of a prompt that is in memory now out of the corrected load.
-    fn correct_prefilled(&mut self, entry: &Entry, at: Timestamp) {
+    /// Subtracts the remaining tokens of a prompt that is now prefilled from the correction.
+    fn subtract_prefilled(&mut self, request: &SentRequest, at: Timestamp) {
         let measured_at = self
             .report
             .map_or(Timestamp(0), |report| report.measured_at);
-        let left = entry.prefill_left_at(measured_at, at);
-        self.correction.of(entry.work.class).prefill_tokens -= left;
+        let remaining = request.remaining_prefill_at(measured_at, at);
+        self.correction.class_mut(request.work.class).prefill_tokens -= remaining;
     }
 
-    fn bound_entries(&mut self) {
+    fn trim_finished(&mut self) {
         let running = (self.own_online + self.own_batch) as usize;
-        if self.entries.len() > running + FINISHED_KEPT
+        if self.requests.len() > running + MAX_FINISHED_REQUESTS
             && let Some(oldest) = self
-                .entries
+                .requests
                 .iter()
-                .position(|entry| entry.finished_at.is_some())
+                .position(|request| request.finished_at.is_some())
         {
-            self.entries.remove(oldest);
+            self.requests.remove(oldest);
         }
     }
 
-    /// The load as it should be now: the newest report, drained by the time
-    /// since then, with own work sent since then.
+    /// The estimated current load: the newest report, less the prefill done since it was measured,
+    /// plus this gateway's own requests since then.
     #[must_use]
     pub fn estimated_load(&self, now: Timestamp) -> EstimatedLoad {
         let report = self.report.unwrap_or_default();
         let correction = &self.correction;
         let age_ms = now.0.saturating_sub(report.measured_at.0) as f64;
-        let reported = Reported::new(&report).drained(age_ms, &EngineCosts::default());
+        let reported = LoadByClass::new(&report).after_prefilling(age_ms, &EngineCosts::default());
         let online = reported.online + correction.online.requests as f64;
         let batch = reported.batch + correction.batch.requests as f64;
         let online_prefill =
@@ -412,20 +413,20 @@
     }
 }
 
-/// The parts of a load report by class.
-struct Reported {
+/// A load report split by class.
+struct LoadByClass {
     online: f64,
     batch: f64,
     online_prefill: f64,
     batch_prefill: f64,
 }
 
-impl Reported {
-    fn new(report: &LoadReport) -> Reported {
+impl LoadByClass {
+    fn new(report: &LoadReport) -> LoadByClass {
         let waiting_online = report.waiting.saturating_sub(report.waiting_batch);
         let batch_prefill = report.queued_batch_prefill_tokens;
         let online_prefill = report.queued_prefill_tokens.saturating_sub(batch_prefill);
-        Reported {
+        LoadByClass {
             online: f64::from(report.running_online) + f64::from(waiting_online),
             batch: f64::from(report.running_batch) + f64::from(report.waiting_batch),
             online_prefill: f64::from(online_prefill),
@@ -433,8 +434,8 @@
         }
     }
 
-    /// What is left of the prompts after a time of prefilling, the online ones first.
-    fn drained(mut self, elapsed_ms: f64, costs: &EngineCosts) -> Reported {
+    /// The remaining load after prefilling for `elapsed_ms`; online prompts are prefilled first.
+    fn after_prefilling(mut self, elapsed_ms: f64, costs: &EngineCosts) -> LoadByClass {
         let sequences = self.online + self.batch;
         let tokens = elapsed_ms * costs.prefill_tokens_per_ms(sequences);
         self.online_prefill = (self.online_prefill - tokens).max(0.0);
--- a/crates/routing/tests/all/fixture.rs
+++ b/crates/routing/tests/all/fixture.rs
@@ -1,4 +1,4 @@
-//! Replicas, requests and generators that the tests share.
+//! Replicas, requests and random generators shared by the tests.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_protocol::{
@@ -48,7 +48,7 @@
     info
 }
 
-/// A router in zone `a` over the given replicas.
+/// A router of a gateway in zone `a` with the given replicas.
 pub(crate) fn router(replicas: impl IntoIterator<Item = ReplicaInfo>) -> Router {
     let mut router = Router::new(ZoneId::from("a"), RoutingPolicy::default());
     router.view_mut().set_replicas(replicas);
@@ -102,12 +102,12 @@
 pub(crate) fn report(
     measured_at: Timestamp,
     running_online: u32,
-    queued_prefill: u32,
+    queued_prefill_tokens: u32,
 ) -> LoadReport {
     LoadReport {
         measured_at,
         running_online,
-        queued_prefill_tokens: queued_prefill,
+        queued_prefill_tokens: queued_prefill_tokens,
         kv_capacity_tokens: 100_000,
         max_running: 64,
         ..LoadReport::default()
--- a/crates/routing/tests/all/main.rs
+++ b/crates/routing/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the decisions, one module each.
+//! Tests of the scheduling decisions, one module per topic.
 
 mod admission;
 mod answer_times;
--- a/crates/routing/tests/all/router.rs
+++ b/crates/routing/tests/all/router.rs
@@ -1,4 +1,4 @@
-//! Candidate sets, scores, health and leaving back ends.
+//! Choice of replicas: candidates, expected wait, health, and leaving replicas.
 
 use linnethitch_protocol::{
     fleet::{EngineRole, MachineState, ReplicaInfo},
@@ -19,7 +19,7 @@
     router
         .choose(NOW, profile, &mut rng())
         .map(|choice| name_of(router, choice.replica))
-        .map_err(|refused| refused.reason)
+        .map_err(|refusal| refusal.reason)
 }
 
 fn changed(name: &str, change: impl FnOnce(&mut ReplicaInfo)) -> ReplicaInfo {
@@ -37,7 +37,7 @@
 #[case::prefill_role(changed("e1", |i| i.engine.role = EngineRole::Prefill), Err(ReasonCode::NotLoaded))]
 #[case::decode_role(changed("e1", |i| i.engine.role = EngineRole::Decode), Err(ReasonCode::NotLoaded))]
 #[case::listed_as_leaving(changed("e1", |i| i.machine.state = MachineState::Leaving), Err(ReasonCode::NoReplicaTakesWork))]
-#[case::says_it_leaves(changed("e1", |i| i.engine.leaving = true), Err(ReasonCode::NoReplicaTakesWork))]
+#[case::reports_leaving(changed("e1", |i| i.engine.leaving = true), Err(ReasonCode::NoReplicaTakesWork))]
 #[case::application(application("e1", "a"), Err(ReasonCode::UnknownTarget))]
 fn only_replicas_that_serve_the_target_are_candidates(
     #[case] info: ReplicaInfo,
@@ -59,7 +59,7 @@
 #[case::prefill(Phase::Prefill, EngineRole::Prefill)]
 #[case::decode(Phase::Decode, EngineRole::Decode)]
 #[case::whole(Phase::PrefillAndDecode, EngineRole::Mixed)]
-fn a_phase_goes_to_its_role(#[case] phase: Phase, #[case] role: EngineRole) {
+fn each_phase_goes_to_replicas_with_its_role(#[case] phase: Phase, #[case] role: EngineRole) {
     let all = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
     let replicas = all.map(|role| changed(&format!("{role:?}"), |info| info.engine.role = role));
     let router = router(replicas);
@@ -78,30 +78,30 @@
 }
 
 #[rstest]
-#[case::idle_home(0, "home")]
-#[case::short_queue_at_home(500, "home")]
-#[case::long_queue_at_home(20_000, "away")]
-fn the_own_zone_is_left_only_beyond_the_spill_limit(
-    #[case] queued_at_home: u32,
+#[case::idle_local_zone(0, "home")]
+#[case::short_local_queue(500, "home")]
+#[case::long_local_queue(20_000, "away")]
+fn requests_spill_to_another_zone_only_over_the_spill_limit(
+    #[case] local_queued_tokens: u32,
     #[case] expected: &str,
 ) {
     let mut router = router([engine("home", "a"), engine("away", "b")]);
-    let home = index(&router, "home");
+    let local = index(&router, "home");
     router
         .view_mut()
-        .on_load_report(home, report(NOW, 0, queued_at_home));
+        .on_load_report(local, report(NOW, 0, local_queued_tokens));
     assert_eq!(chosen(&router, &request()), Ok(expected.to_owned()));
 }
 
 #[test]
-fn without_a_replica_at_home_another_zone_serves() {
+fn without_a_local_replica_another_zone_serves() {
     let router = router([engine("away", "b")]);
     let choice = router.choose(NOW, &request(), &mut rng()).unwrap();
     assert_eq!(choice.reason, ReasonCode::ZoneWithoutReplica);
 }
 
 #[test]
-fn short_work_avoids_the_replica_with_a_long_prompt() {
+fn short_requests_avoid_the_replica_with_a_long_prompt() {
     let mut router = router([engine("long", "a"), engine("short", "a")]);
     let long = index(&router, "long");
     let ticket = router
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn work_sent_after_a_late_report_is_added_and_finished_work_taken_off() {
+fn estimated_load_counts_requests_sent_and_finished_since_the_report() {
     let mut router = router([engine("e1", "a")]);
     let e1 = index(&router, "e1");
     let view = router.view_mut();
@@ -133,7 +133,7 @@
     assert_eq!(
         (load.online, load.queued_prefill_tokens),
         (5.0, 1_200.0),
-        "of a prefill from 0 to 250, three fifths were left at 100"
+        "of a prefill from 0 to 250 ms, three fifths remained at 100 ms"
     );
 
     view.on_finished(later(300), before);
@@ -148,19 +148,19 @@
     assert_eq!(
         view.replica(e1).estimated_load(later(220)),
         load,
-        "an older report"
+        "an older report is ignored"
     );
     view.on_cancelled(later(400), after);
 }
 
 #[rstest]
-#[case::unreachable_at_once(FailureKind::Unreachable, 1, Some(ReasonCode::Unreachable))]
-#[case::not_served_at_once(FailureKind::NotServed, 1, Some(ReasonCode::NotLoaded))]
+#[case::unreachable_immediately(FailureKind::Unreachable, 1, Some(ReasonCode::Unreachable))]
+#[case::not_served_immediately(FailureKind::NotServed, 1, Some(ReasonCode::NotLoaded))]
 #[case::one_broken_stream(FailureKind::Disconnected, 1, None)]
 #[case::three_broken_streams(FailureKind::Disconnected, 3, Some(ReasonCode::Ejected))]
 #[case::three_timeouts(FailureKind::TimedOut, 3, Some(ReasonCode::Ejected))]
 #[case::three_bad_answers(FailureKind::BadAnswer, 3, Some(ReasonCode::Ejected))]
-#[case::full_is_well(FailureKind::Full, 10, None)]
+#[case::full_is_healthy(FailureKind::Full, 10, None)]
 fn failures_eject(
     #[case] kind: FailureKind,
     #[case] count: u32,
@@ -173,15 +173,15 @@
         ejected = router.view_mut().on_replica_failure(NOW, e1, kind);
     }
     assert_eq!(ejected, expected);
-    let standing = router.view().availability(NOW, e1);
+    let availability = router.view().availability(NOW, e1);
     match expected {
-        Some(reason) => assert_eq!(standing, Availability::Unavailable(reason)),
-        None => assert_eq!(standing, Availability::Available(1.0)),
+        Some(reason) => assert_eq!(availability, Availability::Unavailable(reason)),
+        None => assert_eq!(availability, Availability::Available(1.0)),
     }
 }
 
 #[test]
-fn ejection_doubles_then_a_probe_brings_slow_start() {
+fn ejection_time_doubles_and_a_successful_probe_starts_slow_start() {
     let mut router = router([engine("e1", "a"), engine("e2", "a")]);
     let e1 = index(&router, "e1");
     let view = router.view_mut();
@@ -235,23 +235,21 @@
 }
 
 #[test]
-fn a_leaving_answer_takes_a_replica_out_at_once_although_the_list_says_live() {
+fn a_leaving_response_excludes_a_replica_immediately_although_it_is_listed_as_live() {
     let mut router = router([engine("e1", "a"), engine("e2", "a")]);
     let e1 = index(&router, "e1");
     router.view_mut().on_leaving(NOW, e1);
     router
         .view_mut()
         .set_replicas([engine("e1", "a"), engine("e2", "a")]);
-    for seed_step in 0..50 {
-        let choice = router
-            .choose(later(seed_step), &request(), &mut rng())
-            .unwrap();
+    for at_ms in 0..50 {
+        let choice = router.choose(later(at_ms), &request(), &mut rng()).unwrap();
         assert_eq!(name_of(&router, choice.replica), "e2");
     }
 }
 
 #[test]
-fn a_replica_without_sign_of_life_gets_no_new_work() {
+fn a_silent_replica_gets_no_new_work() {
     let mut router = router([engine("e1", "a"), engine("e2", "a")]);
     let e1 = index(&router, "e1");
     let view = router.view_mut();
@@ -307,7 +305,7 @@
 }
 
 #[test]
-fn a_deadline_that_cannot_be_met_is_refused_at_once_with_a_time_to_come_back() {
+fn a_deadline_that_cannot_be_met_is_refused_immediately_with_a_retry_after() {
     let mut router = router([engine("e1", "a")]);
     let e1 = index(&router, "e1");
     router
@@ -317,13 +315,13 @@
         deadline: later(500),
         ..request()
     };
-    let refused = router.choose(NOW, &profile, &mut rng()).unwrap_err();
-    assert_eq!(refused.reason, ReasonCode::DeadlineTooClose);
-    assert!(refused.retry_after_ms.unwrap() >= 1_000);
+    let refusal = router.choose(NOW, &profile, &mut rng()).unwrap_err();
+    assert_eq!(refusal.reason, ReasonCode::DeadlineTooClose);
+    assert!(refusal.retry_after_ms.unwrap() >= 1_000);
 }
 
 #[test]
-fn a_shared_prefix_returns_to_the_replica_that_holds_it() {
+fn requests_with_a_shared_prefix_go_to_the_replica_that_caches_it() {
     let names = ["e1", "e2", "e3", "e4", "e5", "e6"];
     let mut router = router(names.map(|name| engine(name, "a")));
     let hashes = [11, 22, 33, 44, 55, 66, 77, 88];
@@ -346,7 +344,7 @@
 }
 
 #[test]
-fn when_the_replica_preferred_for_a_prefix_leaves_the_next_is_always_considered() {
+fn when_the_replica_preferred_for_a_prefix_is_leaving_the_next_is_always_considered() {
     let names = ["e1", "e2", "e3", "e4", "e5", "e6"];
     let mut router = router(names.map(|name| engine(name, "a")));
     let profile = RequestProfile {
