--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,8 +1,8 @@
 //! The bounded queue of online requests in front of the router.
 //!
-//! Requests that find no room wait here, fairly between tenants by weight,
-//! and are refused at once when the queue is full or would not serve them in
-//! time.
+//! Requests that find no free capacity wait here, with weighted fair queueing
+//! between tenants. A request is refused immediately if the queue is full or the
+//! expected wait exceeds its deadline or the queue timeout.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,85 +15,85 @@
 /// Weight of a new interval in the moving average of the time between departures.
 const DEPARTURE_WEIGHT: f64 = 0.1;
 
-/// Longest interval between departures that counts, in milliseconds.
+/// Upper bound of an interval between departures in the average, in milliseconds.
 const MAX_DEPARTURE_INTERVAL_MS: f64 = 1_000.0;
 
-/// Assumed interval between departures before any was seen, in milliseconds.
-const FIRST_DEPARTURE_INTERVAL_MS: f64 = 10.0;
+/// Assumed interval between departures before the first is observed, in milliseconds.
+const INITIAL_DEPARTURE_INTERVAL_MS: f64 = 10.0;
 
-/// Shortest wait that a refused caller is told, in milliseconds.
+/// Minimum `retry_after_ms` of a refusal.
 const MIN_RETRY_AFTER_MS: u64 = 1_000;
 
-/// Longest wait that a refused caller is told, in milliseconds.
+/// Maximum `retry_after_ms` of a refusal.
 const MAX_RETRY_AFTER_MS: u64 = 30_000;
 
-/// Fixed-point unit of virtual time, so that shares divide without rounding to nothing.
+/// Fixed-point unit of virtual time, so that a cost divided by a weight does not round to zero.
 const VIRTUAL_UNIT: u64 = 1 << 20;
 
 /// A request that asks to start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Arrival {
-    /// Whose.
+    /// The tenant of the request.
     pub tenant: TenantNumber,
     /// The tenant's weight, at least 1.
     pub weight: u32,
-    /// Its size for fairness, such as prompt and expected output tokens.
+    /// Cost for fair queueing, such as prompt plus expected output tokens.
     pub cost: u32,
-    /// It must have started by then.
+    /// The request must start by this time.
     pub deadline: Timestamp,
 }
 
-/// A place in the queue.
+/// Id of a queued request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EntryId(pub u64);
 
-/// What becomes of an arrival.
+/// Outcome of offering an arrival.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionOutcome {
-    /// It may start now.
+    /// The request may start now.
     Now,
-    /// It waits.
+    /// The request is queued.
     Queued(EntryId),
-    /// It is refused, and not run.
+    /// The request is refused and must not run.
     Refused(AdmissionRefusal),
 }
 
 /// Why an arrival is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionRefusal {
-    /// Why.
+    /// The reason.
     pub reason: ReasonCode,
-    /// When it is worth coming back, in milliseconds.
+    /// How long the caller should wait before a retry, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 impl AdmissionRefusal {
-    /// The error kind that a caller is told.
+    /// The error kind reported to the caller.
     #[must_use]
     pub const fn kind(&self) -> ErrorKind {
         ErrorKind::Overloaded
     }
 }
 
-/// Order of departure: virtual finish time, then arrival.
-type Order = (u64, u64);
+/// Order of departure: virtual finish time, then order of arrival.
+type DepartureOrder = (u64, u64);
 
 #[derive(Clone, Copy, Debug)]
-struct Entry {
-    order: Order,
-    give_up_at: Timestamp,
+struct QueuedRequest {
+    order: DepartureOrder,
+    expires_at: Timestamp,
     tenant: TenantNumber,
 }
 
 /// The bounded, fair queue.
 #[derive(Clone, Debug)]
 pub struct Admission {
-    limit: usize,
+    max_waiting: usize,
     timeout_ms: u64,
-    entries: HashMap<EntryId, Entry>,
-    by_order: BTreeMap<Order, EntryId>,
-    by_give_up: BTreeMap<(Timestamp, EntryId), ()>,
-    finish_times: HashMap<TenantNumber, TenantQueue>,
+    entries: HashMap<EntryId, QueuedRequest>,
+    by_order: BTreeMap<DepartureOrder, EntryId>,
+    by_expiry: BTreeMap<(Timestamp, EntryId), ()>,
+    tenant_queues: HashMap<TenantNumber, TenantQueue>,
     virtual_time: u64,
     next_entry: u64,
     departure_interval_ms: f64,
@@ -107,30 +107,30 @@
 }
 
 impl Admission {
-    /// An empty queue by the given rules.
+    /// An empty queue with the limits of the given policy.
     #[must_use]
     pub fn new(policy: &RoutingPolicy) -> Self {
         Admission {
-            limit: policy.queue_limit as usize,
+            max_waiting: policy.queue_limit as usize,
             timeout_ms: policy.queue_timeout_ms,
             entries: HashMap::new(),
             by_order: BTreeMap::new(),
-            by_give_up: BTreeMap::new(),
-            finish_times: HashMap::new(),
+            by_expiry: BTreeMap::new(),
+            tenant_queues: HashMap::new(),
             virtual_time: 0,
             next_entry: 0,
-            departure_interval_ms: FIRST_DEPARTURE_INTERVAL_MS,
+            departure_interval_ms: INITIAL_DEPARTURE_INTERVAL_MS,
             last_departure: None,
         }
     }
 
-    /// Takes over the rules of a new configuration; waiting requests stay.
+    /// Applies the policy of a new configuration; waiting requests stay queued.
     pub fn set_policy(&mut self, policy: &RoutingPolicy) {
-        self.limit = policy.queue_limit as usize;
+        self.max_waiting = policy.queue_limit as usize;
         self.timeout_ms = policy.queue_timeout_ms;
     }
 
-    /// Requests waiting.
+    /// Number of waiting requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.entries.len()
@@ -142,61 +142,67 @@
         self.entries.is_empty()
     }
 
-    /// Expected wait of a request that queued now, in milliseconds.
+    /// Expected wait of a request queued now, in milliseconds.
     #[must_use]
     pub fn expected_wait_ms(&self) -> f64 {
         (self.entries.len() as f64 + 1.0) * self.departure_interval_ms
     }
 
-    /// Admits, queues or refuses an arrival; `room` tells whether a back end has room now.
-    pub fn offer(&mut self, now: Timestamp, arrival: &Arrival, room: bool) -> AdmissionOutcome {
-        if room && self.entries.is_empty() {
+    /// Admits, queues or refuses an arrival. `has_capacity` states whether a back end has free
+    /// capacity now.
+    pub fn offer(
+        &mut self,
+        now: Timestamp,
+        arrival: &Arrival,
+        has_capacity: bool,
+    ) -> AdmissionOutcome {
+        if has_capacity && self.entries.is_empty() {
             return AdmissionOutcome::Now;
         }
-        if self.entries.len() >= self.limit {
+        if self.entries.len() >= self.max_waiting {
             return AdmissionOutcome::Refused(self.refusal(ReasonCode::QueueFull));
         }
-        let give_up_at = Timestamp(now.0 + self.timeout_ms).min(arrival.deadline);
-        let left_ms = give_up_at.0.saturating_sub(now.0);
-        if self.expected_wait_ms() > left_ms as f64 {
+        let expires_at = Timestamp(now.0 + self.timeout_ms).min(arrival.deadline);
+        let remaining_ms = expires_at.0.saturating_sub(now.0);
+        if self.expected_wait_ms() > remaining_ms as f64 {
             return AdmissionOutcome::Refused(self.refusal(ReasonCode::QueueTooSlow));
         }
-        AdmissionOutcome::Queued(self.insert(arrival, give_up_at, now))
+        AdmissionOutcome::Queued(self.insert(arrival, expires_at, now))
     }
 
-    fn insert(&mut self, arrival: &Arrival, give_up_at: Timestamp, now: Timestamp) -> EntryId {
+    fn insert(&mut self, arrival: &Arrival, expires_at: Timestamp, now: Timestamp) -> EntryId {
         if self.entries.is_empty() {
             self.last_departure = Some(now);
         }
         let id = EntryId(self.next_entry);
         self.next_entry += 1;
-        let queue = self.finish_times.entry(arrival.tenant).or_default();
+        let queue = self.tenant_queues.entry(arrival.tenant).or_default();
         let start = queue.last_finish.max(self.virtual_time);
-        let share =
+        let scaled_cost =
             u64::from(arrival.cost.max(1)) * VIRTUAL_UNIT / u64::from(arrival.weight.max(1));
-        queue.last_finish = start + share;
+        queue.last_finish = start + scaled_cost;
         queue.waiting += 1;
         let order = (queue.last_finish, id.0);
         self.by_order.insert(order, id);
-        self.by_give_up.insert((give_up_at, id), ());
+        self.by_expiry.insert((expires_at, id), ());
         self.entries.insert(
             id,
-            Entry {
+            QueuedRequest {
                 order,
-                give_up_at,
+                expires_at,
                 tenant: arrival.tenant,
             },
         );
         id
     }
 
-    /// The request that would start next.
+    /// The request that starts next.
     #[must_use]
     pub fn peek(&self) -> Option<EntryId> {
         self.by_order.first_key_value().map(|(_, id)| *id)
     }
 
-    /// Takes out the request that starts next.
+    /// Removes and returns the request that starts next.
     pub fn pop(&mut self, now: Timestamp) -> Option<EntryId> {
         let (order, id) = self.by_order.first_key_value().map(|(o, i)| (*o, *i))?;
         self.virtual_time = self.virtual_time.max(order.0);
@@ -214,7 +220,7 @@
         self.last_departure = Some(now);
     }
 
-    /// Takes out a request whose caller went away; tells whether it was waiting.
+    /// Removes a request whose caller disconnected; returns whether it was waiting.
     pub fn cancel(&mut self, id: EntryId) -> bool {
         self.remove(id)
     }
@@ -224,30 +230,30 @@
             return false;
         };
         self.by_order.remove(&entry.order);
-        self.by_give_up.remove(&(entry.give_up_at, id));
-        if let Some(queue) = self.finish_times.get_mut(&entry.tenant) {
+        self.by_expiry.remove(&(entry.expires_at, id));
+        if let Some(queue) = self.tenant_queues.get_mut(&entry.tenant) {
             queue.waiting -= 1;
             if queue.waiting == 0 {
-                self.finish_times.remove(&entry.tenant);
+                self.tenant_queues.remove(&entry.tenant);
             }
         }
         true
     }
 
-    /// Takes out one request that has waited as long as it may; call until `None`.
+    /// Removes one request whose queue time has expired; call until it returns `None`.
     pub fn pop_expired(&mut self, now: Timestamp) -> Option<(EntryId, AdmissionRefusal)> {
-        let ((give_up_at, id), ()) = self.by_give_up.first_key_value().map(|(k, v)| (*k, *v))?;
-        if give_up_at > now {
+        let ((expires_at, id), ()) = self.by_expiry.first_key_value().map(|(k, v)| (*k, *v))?;
+        if expires_at > now {
             return None;
         }
         self.remove(id);
         Some((id, self.refusal(ReasonCode::QueueTimeout)))
     }
 
-    /// When [`Admission::pop_expired`] has something to give.
+    /// When [`Admission::pop_expired`] returns the next request.
     #[must_use]
     pub fn next_expiry(&self) -> Option<Timestamp> {
-        self.by_give_up.first_key_value().map(|((at, _), ())| *at)
+        self.by_expiry.first_key_value().map(|((at, _), ())| *at)
     }
 
     fn refusal(&self, reason: ReasonCode) -> AdmissionRefusal {
--- a/crates/routing/src/grants.rs
+++ b/crates/routing/src/grants.rs
@@ -1,9 +1,9 @@
 //! Control's allocation of batch capacity to gateways.
 //!
-//! Gateways say how much they wish; control hands out what replicas have
-//! left, for a short time. The book remembers every grant until it ends, so
-//! that what is granted on a replica never exceeds its headroom, however old
-//! the gateways' own views are.
+//! Gateways request sequences; control grants the free sequences of replicas for a
+//! short time. The table keeps every grant until it expires, so that the grants on
+//! a replica never exceed its headroom, even if a gateway still uses an outdated
+//! grant.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -13,18 +13,19 @@
     ids::{GatewayId, ModelId, ReplicaId, Timestamp, ZoneId},
 };
 
-/// Rules of granting.
+/// Settings of the allocation.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GrantSettings {
     /// Sequences of a replica kept free for a burst of online requests.
     pub reserve_sequences: u32,
     /// Share of KV memory that batch leaves free, in percent.
     pub reserve_kv_percent: u32,
-    /// Age of a load report beyond which nothing new is granted, in milliseconds.
+    /// Maximum age of a load report; with an older one nothing is granted, in milliseconds.
     pub max_report_age_ms: u64,
     /// How long a grant is valid, in milliseconds.
     pub valid_ms: u32,
-    /// Sequences of one grant at least, so that few gateways share a replica.
+    /// Minimum sequences of a grant where the request and the free capacity allow it, so that few
+    /// gateways share a replica.
     pub min_grant_sequences: u32,
 }
 
@@ -40,126 +41,129 @@
     }
 }
 
-/// A gateway's wish for one model.
+/// A gateway's request for batch capacity of one model.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CapacityRequest {
-    /// Who.
+    /// The requesting gateway.
     pub gateway: GatewayId,
-    /// In which zone.
+    /// The gateway's zone.
     pub zone: ZoneId,
-    /// For which model.
+    /// The requested model.
     pub model: ModelId,
-    /// Sequences at once, in all.
+    /// Total number of concurrent sequences requested.
     pub sequences: u32,
 }
 
-/// A replica that batch may run on.
+/// A replica that may run batch work.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchReplica {
-    /// Which.
+    /// The replica's id.
     pub replica: ReplicaId,
-    /// Its zone.
+    /// The replica's zone.
     pub zone: ZoneId,
-    /// What it serves.
+    /// The model that the replica serves.
     pub model: ModelId,
-    /// Its newest known load.
+    /// The newest load report.
     pub load: LoadReport,
-    /// Whether it takes new work (not leaving, not ejected, not loading).
+    /// Whether the replica accepts new work (not leaving, not ejected, not loading).
     pub accepts_work: bool,
 }
 
 /// A grant for one gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Allocation {
-    /// For whom.
+    /// The gateway that receives the grant.
     pub gateway: GatewayId,
-    /// What.
+    /// The grant.
     pub grant: Grant,
 }
 
-/// A grant that has not ended.
+/// A grant that has not expired.
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Held {
+struct ActiveGrant {
     gateway: GatewayId,
     sequences: u32,
     until: Timestamp,
-    /// Larger grants before this one; the holder may not have heard of the change.
-    larger_before: Vec<Larger>,
-    /// Whether it is part of the present allocation.
-    told: bool,
+    /// Earlier, larger grants that have not expired; the gateway may still use one of them if it
+    /// has not received the newer grant.
+    superseded: Vec<SupersededGrant>,
+    /// Whether the grant is part of the current allocation.
+    is_current: bool,
 }
 
-/// A grant that was replaced by a smaller one.
+/// A grant that was superseded by a smaller one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Larger {
+struct SupersededGrant {
     sequences: u32,
     until: Timestamp,
 }
 
-impl Held {
-    /// Sequences that the holder may believe it has.
-    fn counted(&self, now: Timestamp) -> u32 {
+impl ActiveGrant {
+    /// Maximum number of sequences that the gateway may use.
+    fn usable_sequences(&self, now: Timestamp) -> u32 {
         let current = if self.until > now { self.sequences } else { 0 };
         let before = self
-            .larger_before
+            .superseded
             .iter()
-            .filter(|larger| larger.until > now)
-            .map(|larger| larger.sequences)
+            .filter(|old| old.until > now)
+            .map(|old| old.sequences)
             .max();
         current.max(before.unwrap_or(0))
     }
 
     fn renew(&mut self, now: Timestamp, sequences: u32, until: Timestamp) {
-        self.larger_before.push(Larger {
+        self.superseded.push(SupersededGrant {
             sequences: self.sequences,
             until: self.until,
         });
-        self.larger_before
-            .retain(|larger| larger.until > now && larger.sequences > sequences);
+        self.superseded
+            .retain(|old| old.until > now && old.sequences > sequences);
         self.sequences = sequences;
         self.until = until;
-        self.told = true;
+        self.is_current = true;
     }
 }
 
-/// Remembers the grants that have not ended.
+/// The grants that have not expired, by replica.
 #[derive(Clone, Debug, Default)]
 pub struct GrantTable {
     settings: GrantSettings,
-    held: HashMap<ReplicaId, Vec<Held>>,
+    grants: HashMap<ReplicaId, Vec<ActiveGrant>>,
 }
 
-/// Wishes not yet met.
-struct Open<'a> {
+/// Capacity requests with the sequences not granted yet.
+struct UnmetRequests<'a> {
     positions: HashMap<(&'a GatewayId, &'a ModelId), usize>,
-    left: Vec<u32>,
+    sequences: Vec<u32>,
 }
 
-impl<'a> Open<'a> {
-    fn new(wishes: &'a [CapacityRequest]) -> Self {
-        let keys = wishes.iter().map(|wish| (&wish.gateway, &wish.model));
-        Open {
+impl<'a> UnmetRequests<'a> {
+    fn new(requests: &'a [CapacityRequest]) -> Self {
+        let keys = requests
+            .iter()
+            .map(|request| (&request.gateway, &request.model));
+        UnmetRequests {
             positions: keys.enumerate().map(|(at, key)| (key, at)).collect(),
-            left: wishes.iter().map(|wish| wish.sequences).collect(),
+            sequences: requests.iter().map(|request| request.sequences).collect(),
         }
     }
 
-    fn left_of(&mut self, gateway: &GatewayId, model: &ModelId) -> Option<&mut u32> {
+    fn unmet_mut(&mut self, gateway: &GatewayId, model: &ModelId) -> Option<&mut u32> {
         let position = *self.positions.get(&(gateway, model))?;
-        self.left.get_mut(position)
+        self.sequences.get_mut(position)
     }
 }
 
-/// A wish and what is left of it.
-type LeftWish<'a> = (&'a CapacityRequest, u32);
+/// A request and its sequences not granted yet.
+type UnmetRequest<'a> = (&'a CapacityRequest, u32);
 
 impl GrantTable {
-    /// An empty book with the given rules.
+    /// An empty table with the given settings.
     #[must_use]
     pub fn new(settings: GrantSettings) -> Self {
         GrantTable {
             settings,
-            held: HashMap::new(),
+            grants: HashMap::new(),
         }
     }
 
@@ -168,47 +172,47 @@
         self.settings = settings;
     }
 
-    /// Sequences that gateways may believe to have on a replica.
+    /// Sequences that gateways may use on a replica.
     #[must_use]
     pub fn granted(&self, now: Timestamp, replica: &ReplicaId) -> u32 {
-        self.held
+        self.grants
             .get(replica)
-            .map_or(0, |held| outstanding(now, held))
+            .map_or(0, |grants| total_usable(now, grants))
     }
 
-    /// Grants capacity for the wishes; call it about twice in each grant's life.
+    /// Allocates capacity to the requests; call it about twice per validity period of a grant.
     ///
-    /// A gateway's grant on a replica replaces its earlier one there. Grants
-    /// are renewed where they are, so that running items stay; new ones go to
-    /// wishers of the replica's own zone first. Costs time in proportion to
-    /// replicas, wishes and grants.
+    /// A gateway's grant on a replica replaces its earlier one there. Existing
+    /// grants are renewed on the same replica, so that running items stay; new
+    /// ones go first to gateways in the replica's zone. Takes time proportional
+    /// to the number of replicas, requests and grants.
     pub fn allocate(
         &mut self,
         now: Timestamp,
-        wishes: &[CapacityRequest],
+        requests: &[CapacityRequest],
         replicas: &[BatchReplica],
     ) -> Vec<Allocation> {
-        self.forget_ended(now);
-        let mut open = Open::new(wishes);
-        let mut rooms: Vec<u32> = replicas
+        self.remove_expired(now);
+        let mut unmet = UnmetRequests::new(requests);
+        let mut free_by_replica: Vec<u32> = replicas
             .iter()
-            .map(|replica| self.renew(now, replica, &mut open))
+            .map(|replica| self.renew(now, replica, &mut unmet))
             .collect();
-        self.grant_new(now, wishes, replicas, &mut rooms, &open);
-        self.told(replicas)
+        self.grant_new(now, requests, replicas, &mut free_by_replica, &unmet);
+        self.current_allocations(replicas)
     }
 
-    fn forget_ended(&mut self, now: Timestamp) {
-        self.held.retain(|_, held| {
-            held.retain(|grant| grant.counted(now) > 0);
-            for grant in held.iter_mut() {
-                grant.told = false;
+    fn remove_expired(&mut self, now: Timestamp) {
+        self.grants.retain(|_, grants| {
+            grants.retain(|grant| grant.usable_sequences(now) > 0);
+            for grant in grants.iter_mut() {
+                grant.is_current = false;
             }
-            !held.is_empty()
+            !grants.is_empty()
         });
     }
 
-    /// Sequences that batch may have on a replica in all.
+    /// Total sequences that batch work may use on a replica.
     #[must_use]
     pub fn headroom(&self, now: Timestamp, replica: &BatchReplica) -> u32 {
         let load = &replica.load;
@@ -224,119 +228,134 @@
             .saturating_sub(self.settings.reserve_sequences)
     }
 
-    /// Renews the grants on a replica as far as its room goes; tells the room left.
-    fn renew(&mut self, now: Timestamp, replica: &BatchReplica, open: &mut Open<'_>) -> u32 {
-        let mut room = self.headroom(now, replica);
+    /// Renews the grants on a replica up to its headroom; returns the remaining sequences.
+    fn renew(
+        &mut self,
+        now: Timestamp,
+        replica: &BatchReplica,
+        unmet: &mut UnmetRequests<'_>,
+    ) -> u32 {
+        let mut free = self.headroom(now, replica);
         let until = self.valid_until(now);
-        let Some(held) = self.held.get_mut(&replica.replica) else {
-            return room;
+        let Some(grants) = self.grants.get_mut(&replica.replica) else {
+            return free;
         };
-        for grant in held {
-            let wished = open.left_of(&grant.gateway, &replica.model);
-            let left = wished.as_ref().map_or(0, |left| **left);
-            let renewed = left.min(grant.sequences).min(room);
-            if let Some(wished) = wished {
-                *wished -= renewed;
+        for grant in grants {
+            let remaining = unmet.unmet_mut(&grant.gateway, &replica.model);
+            let requested = remaining.as_ref().map_or(0, |remaining| **remaining);
+            let renewed = requested.min(grant.sequences).min(free);
+            if let Some(remaining) = remaining {
+                *remaining -= renewed;
             }
             if renewed > 0 {
                 grant.renew(now, renewed, until);
             }
-            room = room.saturating_sub(grant.counted(now));
+            free = free.saturating_sub(grant.usable_sequences(now));
         }
-        room
+        free
     }
 
     fn valid_until(&self, now: Timestamp) -> Timestamp {
         Timestamp(now.0 + u64::from(self.settings.valid_ms))
     }
 
-    /// Hands out what is left, to wishers of the replica's own zone first.
+    /// Grants the remaining sequences, first to gateways in the replica's zone.
     fn grant_new<'a>(
         &mut self,
         now: Timestamp,
-        wishes: &'a [CapacityRequest],
+        requests: &'a [CapacityRequest],
         replicas: &'a [BatchReplica],
-        rooms: &mut [u32],
-        open: &Open<'_>,
+        free_by_replica: &mut [u32],
+        unmet: &UnmetRequests<'_>,
     ) {
-        let mut by_zone: BTreeMap<(&ModelId, &ZoneId), Vec<LeftWish<'a>>> = BTreeMap::new();
-        for (wish, left) in wishes.iter().zip(open.left.iter().copied()) {
-            if left > 0 {
-                let zone = by_zone.entry((&wish.model, &wish.zone)).or_default();
-                zone.push((wish, left));
+        let mut by_zone: BTreeMap<(&ModelId, &ZoneId), Vec<UnmetRequest<'a>>> = BTreeMap::new();
+        for (request, unmet) in requests.iter().zip(unmet.sequences.iter().copied()) {
+            if unmet > 0 {
+                let zone = by_zone.entry((&request.model, &request.zone)).or_default();
+                zone.push((request, unmet));
             }
         }
-        for (replica, room) in replicas.iter().zip(rooms.iter_mut()) {
+        for (replica, free) in replicas.iter().zip(free_by_replica.iter_mut()) {
             if let Some(zone) = by_zone.get_mut(&(&replica.model, &replica.zone)) {
-                self.hand_out(now, replica, room, zone);
+                self.distribute(now, replica, free, zone);
             }
         }
-        let mut by_model: BTreeMap<&ModelId, Vec<LeftWish<'a>>> = BTreeMap::new();
-        for ((model, _), left) in by_zone {
-            by_model.entry(model).or_default().extend(left);
+        let mut by_model: BTreeMap<&ModelId, Vec<UnmetRequest<'a>>> = BTreeMap::new();
+        for ((model, _), unmet) in by_zone {
+            by_model.entry(model).or_default().extend(unmet);
         }
-        for (replica, room) in replicas.iter().zip(rooms.iter_mut()) {
+        for (replica, free) in replicas.iter().zip(free_by_replica.iter_mut()) {
             if let Some(model) = by_model.get_mut(&replica.model) {
-                self.hand_out(now, replica, room, model);
+                self.distribute(now, replica, free, model);
             }
         }
     }
 
-    /// Shares a replica's room between wishers, each at least a chunk.
-    fn hand_out(
+    /// Divides a replica's free sequences among the requests, at least `min_grant_sequences` each
+    /// while enough are free.
+    fn distribute(
         &mut self,
         now: Timestamp,
         replica: &BatchReplica,
-        room: &mut u32,
-        wishes: &mut Vec<LeftWish<'_>>,
+        free: &mut u32,
+        requests: &mut Vec<UnmetRequest<'_>>,
     ) {
         let until = self.valid_until(now);
-        let share = room
-            .div_ceil(wishes.len().max(1) as u32)
+        let share = free
+            .div_ceil(requests.len().max(1) as u32)
             .max(self.settings.min_grant_sequences);
-        while *room > 0
-            && let Some((wish, left)) = wishes.pop()
+        while *free > 0
+            && let Some((request, unmet)) = requests.pop()
         {
-            let sequences = left.min(*room).min(share);
-            *room -= sequences;
-            if left > sequences {
-                wishes.insert(0, (wish, left - sequences));
+            let sequences = unmet.min(*free).min(share);
+            *free -= sequences;
+            if unmet > sequences {
+                requests.insert(0, (request, unmet - sequences));
             }
-            let held = self.held.entry(replica.replica.clone()).or_default();
-            match held.iter_mut().find(|grant| grant.gateway == wish.gateway) {
-                Some(grant) if grant.told => grant.renew(now, grant.sequences + sequences, until),
+            let grants = self.grants.entry(replica.replica.clone()).or_default();
+            match grants
+                .iter_mut()
+                .find(|grant| grant.gateway == request.gateway)
+            {
+                Some(grant) if grant.is_current => {
+                    grant.renew(now, grant.sequences + sequences, until)
+                }
                 Some(grant) => grant.renew(now, sequences, until),
-                None => held.push(Held {
-                    gateway: wish.gateway.clone(),
+                None => grants.push(ActiveGrant {
+                    gateway: request.gateway.clone(),
                     sequences,
                     until,
-                    larger_before: Vec::new(),
-                    told: true,
+                    superseded: Vec::new(),
+                    is_current: true,
                 }),
             }
         }
     }
 
-    /// The present allocation, in the order of the replicas.
-    fn told(&self, replicas: &[BatchReplica]) -> Vec<Allocation> {
+    /// The current allocation, in the order of the replicas.
+    fn current_allocations(&self, replicas: &[BatchReplica]) -> Vec<Allocation> {
         let mut allocations = Vec::new();
         for replica in replicas {
-            let held = self.held.get(&replica.replica).into_iter().flatten();
-            allocations.extend(held.filter(|grant| grant.told).map(|grant| Allocation {
-                gateway: grant.gateway.clone(),
-                grant: Grant {
-                    replica: replica.replica.clone(),
-                    sequences: grant.sequences,
-                    valid_ms: self.settings.valid_ms,
-                },
-            }));
+            let grants = self.grants.get(&replica.replica).into_iter().flatten();
+            allocations.extend(
+                grants
+                    .filter(|grant| grant.is_current)
+                    .map(|grant| Allocation {
+                        gateway: grant.gateway.clone(),
+                        grant: Grant {
+                            replica: replica.replica.clone(),
+                            sequences: grant.sequences,
+                            valid_ms: self.settings.valid_ms,
+                        },
+                    }),
+            );
         }
         allocations
     }
 }
 
-fn outstanding(now: Timestamp, held: &[Held]) -> u32 {
-    held.iter().map(|grant| grant.counted(now)).sum()
+fn total_usable(now: Timestamp, grants: &[ActiveGrant]) -> u32 {
+    grants.iter().map(|grant| grant.usable_sequences(now)).sum()
 }
 
 fn kv_percent(load: &LoadReport) -> u32 {
--- a/crates/routing/src/limits.rs
+++ b/crates/routing/src/limits.rs
@@ -1,7 +1,7 @@
-//! Limits of tenants: requests per second, tokens per second, requests in flight.
+//! Per-tenant limits: requests per second, tokens per second, requests in flight.
 //!
-//! State is held for tenants by number, 24 bytes each, so that 45,000 of them
-//! take about a megabyte.
+//! The state is stored in vectors by tenant number, 24 bytes per tenant, so that
+//! 45,000 tenants take about 1 MB.
 
 use std::collections::HashMap;
 
@@ -11,27 +11,27 @@
 
 use crate::reason::ReasonCode;
 
-/// A bucket holds this many seconds of its rate.
+/// Capacity of a token bucket, in seconds of its rate.
 const BURST_SECONDS: f32 = 2.0;
 
-/// Shortest wait that a refused caller is told, in milliseconds.
+/// Minimum `retry_after_ms` of a refusal.
 const MIN_RETRY_AFTER_MS: u64 = 100;
 
-/// Longest wait that a refused caller is told, in milliseconds.
+/// Maximum `retry_after_ms` of a refusal.
 const MAX_RETRY_AFTER_MS: u64 = 60_000;
 
-/// The dense number of a tenant.
+/// Dense number of a tenant.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct TenantNumber(pub u32);
 
-/// What one tenant may use; `None` does not bind.
+/// Limits of one tenant; `None` means unlimited.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantLimits {
-    /// Requests started per second.
+    /// Maximum requests started per second.
     pub requests_per_second: Option<f32>,
-    /// Prompt and output tokens per second.
+    /// Maximum prompt and output tokens per second.
     pub tokens_per_second: Option<f32>,
-    /// Online requests running or waiting at once.
+    /// Maximum online requests running or waiting at the same time.
     pub max_in_flight: Option<u32>,
 }
 
@@ -45,7 +45,7 @@
     }
 }
 
-/// What a tenant has left.
+/// Token buckets and requests in flight of one tenant.
 #[derive(Clone, Copy, Debug)]
 struct Usage {
     requests: f32,
@@ -57,14 +57,14 @@
 /// Why a tenant's request may not start now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LimitRefusal {
-    /// Which limit.
+    /// The limit that refused the request.
     pub reason: ReasonCode,
-    /// When the same request would pass, in milliseconds.
+    /// Time until the same request would be admitted, in milliseconds.
     pub retry_after_ms: u64,
 }
 
 impl LimitRefusal {
-    /// The error kind that a caller is told.
+    /// The error kind reported to the caller.
     #[must_use]
     pub const fn kind(&self) -> ErrorKind {
         match self.reason {
@@ -75,7 +75,7 @@
     }
 }
 
-/// What a started request took; handed back when it ends.
+/// What a started request reserved; the caller settles it when the request ends.
 #[must_use = "a reservation that is not settled counts as in flight forever"]
 #[derive(Debug, PartialEq, Eq)]
 pub struct Reservation {
@@ -92,7 +92,7 @@
 }
 
 impl Limits {
-    /// Takes over the tenants of a configuration; usage of known ones is kept.
+    /// Applies the tenants of a configuration; the usage of known tenants is retained.
     pub fn set_tenants<'a>(&mut self, tenants: impl IntoIterator<Item = &'a Tenant>) {
         for limits in &mut self.limits {
             *limits = TenantLimits::default();
@@ -103,7 +103,7 @@
         }
     }
 
-    /// The number of a tenant, given on first sight.
+    /// The number of a tenant; assigned at the first call.
     pub fn number(&mut self, tenant: &TenantId) -> TenantNumber {
         if let Some(number) = self.numbers.get(tenant) {
             return *number;
@@ -115,13 +115,13 @@
         number
     }
 
-    /// The number of a tenant that is known.
+    /// The number of a tenant, if it is known.
     #[must_use]
     pub fn find(&self, tenant: &TenantId) -> Option<TenantNumber> {
         self.numbers.get(tenant).copied()
     }
 
-    /// Tenants known.
+    /// Number of known tenants.
     #[must_use]
     pub fn len(&self) -> usize {
         self.limits.len()
@@ -139,10 +139,10 @@
         self.usage[tenant.0 as usize].map_or(0, |usage| usage.in_flight)
     }
 
-    /// Takes one request and its estimated tokens from the tenant's limits.
+    /// Reserves one request and its estimated tokens within the tenant's limits.
     ///
     /// # Errors
-    /// [`LimitRefusal`] with the first limit that does not allow it; nothing is taken then.
+    /// [`LimitRefusal`] with the first limit that is exceeded; nothing is reserved in that case.
     pub fn try_start(
         &mut self,
         now: Timestamp,
@@ -150,10 +150,10 @@
         estimated_tokens: u32,
     ) -> Result<Reservation, LimitRefusal> {
         let limits = self.limits[tenant.0 as usize];
-        let usage = self.refilled(now, tenant);
+        let usage = self.refill_usage(now, tenant);
         if limits
             .max_in_flight
-            .is_some_and(|most| usage.in_flight >= most)
+            .is_some_and(|max| usage.in_flight >= max)
         {
             return Err(LimitRefusal {
                 reason: ReasonCode::InFlight,
@@ -166,7 +166,7 @@
             return Err(refusal(ReasonCode::RequestRate, 1.0 - usage.requests, rate));
         }
         if let Some(rate) = limits.tokens_per_second {
-            // A request above the whole burst passes on a full bucket, which then goes negative.
+            // A request larger than the burst is admitted with a full bucket, which then becomes negative.
             let needed = (estimated_tokens as f32).min(rate * BURST_SECONDS);
             if usage.tokens < needed {
                 return Err(refusal(ReasonCode::TokenRate, needed - usage.tokens, rate));
@@ -183,10 +183,10 @@
         })
     }
 
-    /// Ends a request and corrects the tokens taken for it to what it used.
+    /// Ends a request and replaces its estimated tokens by the tokens used.
     pub fn settle(&mut self, now: Timestamp, reservation: Reservation, used_tokens: u32) {
         let limits = self.limits[reservation.tenant.0 as usize];
-        let usage = self.refilled(now, reservation.tenant);
+        let usage = self.refill_usage(now, reservation.tenant);
         usage.in_flight = usage.in_flight.saturating_sub(1);
         if let Some(rate) = limits.tokens_per_second {
             let corrected = usage.tokens + reservation.estimated_tokens as f32 - used_tokens as f32;
@@ -194,26 +194,31 @@
         }
     }
 
-    fn refilled(&mut self, now: Timestamp, tenant: TenantNumber) -> &mut Usage {
+    fn refill_usage(&mut self, now: Timestamp, tenant: TenantNumber) -> &mut Usage {
         let limits = self.limits[tenant.0 as usize];
-        let most_requests = burst(limits.requests_per_second).max(1.0);
-        let most_tokens = burst(limits.tokens_per_second);
+        let max_requests = burst(limits.requests_per_second).max(1.0);
+        let max_tokens = burst(limits.tokens_per_second);
         let usage = self.usage[tenant.0 as usize].get_or_insert(Usage {
-            requests: most_requests,
-            tokens: most_tokens,
+            requests: max_requests,
+            tokens: max_tokens,
             refilled_at: now,
             in_flight: 0,
         });
-        let elapsed = now.0.saturating_sub(usage.refilled_at.0) as f32 / 1000.0;
-        if elapsed > 0.0 {
+        let elapsed_seconds = now.0.saturating_sub(usage.refilled_at.0) as f32 / 1000.0;
+        if elapsed_seconds > 0.0 {
             usage.refilled_at = now;
             usage.requests = refill(
                 usage.requests,
                 limits.requests_per_second,
-                elapsed,
-                most_requests,
+                elapsed_seconds,
+                max_requests,
+            );
+            usage.tokens = refill(
+                usage.tokens,
+                limits.tokens_per_second,
+                elapsed_seconds,
+                max_tokens,
             );
-            usage.tokens = refill(usage.tokens, limits.tokens_per_second, elapsed, most_tokens);
         }
         usage
     }
@@ -223,12 +228,12 @@
     rate.unwrap_or(0.0) * BURST_SECONDS
 }
 
-fn refill(level: f32, rate: Option<f32>, elapsed_seconds: f32, most: f32) -> f32 {
-    (level + rate.unwrap_or(0.0) * elapsed_seconds).min(most)
+fn refill(level: f32, rate: Option<f32>, elapsed_seconds: f32, max: f32) -> f32 {
+    (level + rate.unwrap_or(0.0) * elapsed_seconds).min(max)
 }
 
-fn refusal(reason: ReasonCode, missing: f32, rate: f32) -> LimitRefusal {
-    let wait_ms = (missing / rate.max(f32::EPSILON) * 1000.0).ceil();
+fn refusal(reason: ReasonCode, deficit: f32, rate: f32) -> LimitRefusal {
+    let wait_ms = (deficit / rate.max(f32::EPSILON) * 1000.0).ceil();
     LimitRefusal {
         reason,
         retry_after_ms: (wait_ms as u64).clamp(MIN_RETRY_AFTER_MS, MAX_RETRY_AFTER_MS),
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,4 +1,4 @@
-//! What may be tried again after a failed attempt, and how often.
+//! Rules for retries after a failed attempt, and the retry budget.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_errors::{ErrorKind, Executed};
@@ -6,53 +6,54 @@
 
 use crate::reason::ReasonCode;
 
-/// Retries that are always allowed to collect, so that a quiet gateway can retry.
-const MIN_RETRIES: u32 = 10;
+/// The balance refills over time up to this many retries, so that a gateway with few requests
+/// can retry.
+const RESERVE_RETRIES: u32 = 10;
 
-/// Most retries that can collect.
+/// Maximum number of retries that can accumulate.
 const MAX_RETRIES: u32 = 100;
 
-/// A retry costs this much of the balance; a request deposits its percentage.
+/// Balance units per retry; each request deposits `retry_budget_percent` units.
 const RETRY_COST: u32 = 100;
 
-/// The reserve grows by one retry in this time, in milliseconds.
-const RESERVE_MS: u64 = 1_000;
+/// The reserve is refilled by one retry per this interval, in milliseconds.
+const RESERVE_REFILL_INTERVAL_MS: u64 = 1_000;
 
-/// Least time to the deadline that makes another attempt worth it, in milliseconds.
-const MIN_TIME_LEFT_MS: u64 = 20;
+/// Minimum time to the deadline for another attempt, in milliseconds.
+const MIN_REMAINING_MS: u64 = 20;
 
-/// Bounds retries to a share of requests, so that failures never multiply load.
+/// Limits retries to a share of the requests, so that failures do not multiply the load.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     balance: u32,
     deposit: u32,
-    reserve_at: Timestamp,
+    reserve_refilled_at: Timestamp,
 }
 
 impl RetryBudget {
-    /// A budget by the given rules.
+    /// A budget with the limits of the given policy.
     #[must_use]
     pub fn new(now: Timestamp, policy: &RoutingPolicy) -> Self {
         RetryBudget {
-            balance: MIN_RETRIES * RETRY_COST,
+            balance: RESERVE_RETRIES * RETRY_COST,
             deposit: policy.retry_budget_percent,
-            reserve_at: now,
+            reserve_refilled_at: now,
         }
     }
 
-    /// Takes over the rules of a new configuration.
+    /// Applies the policy of a new configuration.
     pub fn set_policy(&mut self, policy: &RoutingPolicy) {
         self.deposit = policy.retry_budget_percent;
     }
 
-    /// Counts a first attempt.
+    /// Records the first attempt of a request.
     pub fn on_request(&mut self) {
         self.balance = (self.balance + self.deposit).min(MAX_RETRIES * RETRY_COST);
     }
 
-    /// Takes one retry, if there is one.
+    /// Takes one retry from the budget; `false` if the budget is used up.
     pub fn try_take(&mut self, now: Timestamp) -> bool {
-        self.grow_reserve(now);
+        self.refill_reserve(now);
         let allowed = self.balance >= RETRY_COST;
         if allowed {
             self.balance -= RETRY_COST;
@@ -60,33 +61,35 @@
         allowed
     }
 
-    /// Whole retries left.
+    /// Number of complete retries remaining.
     #[must_use]
     pub fn remaining(&self) -> u32 {
         self.balance / RETRY_COST
     }
 
-    fn grow_reserve(&mut self, now: Timestamp) {
-        let grown = now.0.saturating_sub(self.reserve_at.0) / RESERVE_MS;
-        if grown == 0 {
+    fn refill_reserve(&mut self, now: Timestamp) {
+        let intervals =
+            now.0.saturating_sub(self.reserve_refilled_at.0) / RESERVE_REFILL_INTERVAL_MS;
+        if intervals == 0 {
             return;
         }
-        self.reserve_at = Timestamp(self.reserve_at.0 + grown * RESERVE_MS);
+        self.reserve_refilled_at =
+            Timestamp(self.reserve_refilled_at.0 + intervals * RESERVE_REFILL_INTERVAL_MS);
         if self.deposit == 0 {
             return;
         }
-        let reserve = MIN_RETRIES * RETRY_COST;
-        let added = (grown.min(u64::from(MIN_RETRIES)) as u32) * RETRY_COST;
+        let reserve = RESERVE_RETRIES * RETRY_COST;
+        let added = (intervals.min(u64::from(RESERVE_RETRIES)) as u32) * RETRY_COST;
         if self.balance < reserve {
             self.balance = (self.balance + added).min(reserve);
         }
     }
 }
 
-/// What had gone to the back end when the attempt failed.
+/// What was sent to the back end before the attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Sent {
-    /// Not a byte.
+    /// No bytes.
     Nothing,
     /// At least one byte.
     Some,
@@ -95,28 +98,29 @@
 /// How the attempt failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum AttemptFailure {
-    /// No connection.
+    /// The connection could not be made.
     Unreachable,
-    /// The back end said that it refused before starting (full, leaving or not serving this).
+    /// The back end reported that it rejected the request before starting it (full, leaving or not
+    /// serving the target).
     RefusedUnstarted,
-    /// The connection ended.
+    /// The connection closed.
     Disconnected,
-    /// No answer or no next token in time.
+    /// No response, or no further token, in time.
     TimedOut,
-    /// The answer was not the protocol's.
+    /// The response violated the protocol.
     BadProtocol,
-    /// A server error without the proof that nothing delivered.
+    /// A server error that does not prove that the request was not started.
     ServerError,
-    /// The back end refused the request as the caller's mistake.
+    /// The back end rejected the request as invalid.
     CallerError,
 }
 
-/// What of the answer the caller has got.
+/// What was delivered of the answer to the caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Delivered {
     /// Nothing.
     Nothing,
-    /// Tokens of a stream that can be resumed after them.
+    /// Tokens of a stream that can be resumed.
     Resumable,
     /// Bytes of an answer that cannot be resumed.
     NotResumable,
@@ -125,13 +129,13 @@
 /// A failed attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FailedAttempt {
-    /// What had gone to the back end.
+    /// What was sent to the back end.
     pub sent: Sent,
     /// Whether the request must run at most once.
     pub at_most_once: bool,
-    /// How it failed.
+    /// How the attempt failed.
     pub failure: AttemptFailure,
-    /// What the caller has got.
+    /// What was delivered to the caller.
     pub delivered: Delivered,
 }
 
@@ -140,21 +144,21 @@
 pub enum RetryDecision {
     /// Send the request again to another back end.
     Retry(ReasonCode),
-    /// Send it again with the tokens delivered so far, to go on after them.
+    /// Resume the request at another back end after the tokens delivered so far.
     Resume(ReasonCode),
-    /// Give the caller this answer at once.
+    /// Return this error to the caller.
     Answer {
         /// The error kind.
         kind: ErrorKind,
-        /// Whether the request ran, as far as is known.
+        /// Whether the request was executed, if known.
         executed: Executed,
-        /// Why it is not tried again.
+        /// Why the request is not retried.
         reason: ReasonCode,
     },
 }
 
 impl FailedAttempt {
-    /// Whether it is proved that no back end started the request.
+    /// Whether it is certain that no back end started the request.
     #[must_use]
     pub fn unstarted(&self) -> bool {
         self.delivered == Delivered::Nothing
@@ -165,7 +169,7 @@
                 ))
     }
 
-    /// What the rules allow, before attempts, deadline and budget are asked.
+    /// The decision by the rules alone, before attempts, deadline and budget are checked.
     #[must_use]
     pub fn allowed(&self) -> RetryDecision {
         if self.failure == AttemptFailure::CallerError {
@@ -184,7 +188,7 @@
         }
     }
 
-    /// The final answer, given for this reason.
+    /// The final error, with the given reason.
     #[must_use]
     pub fn answer(&self, reason: ReasonCode) -> RetryDecision {
         let executed = if self.unstarted() {
@@ -218,9 +222,10 @@
     }
 }
 
-/// Decides what follows a failed attempt: the rules first, then attempts, deadline and budget.
+/// Decides how to proceed after a failed attempt: first by the rules, then by attempts, deadline
+/// and budget.
 ///
-/// A retry is taken from the budget only when everything else allows it.
+/// A retry is taken from the budget only if all other checks allow it.
 pub fn after_failure(
     now: Timestamp,
     attempt: &FailedAttempt,
@@ -236,7 +241,7 @@
     if attempts_made >= policy.max_attempts {
         return attempt.answer(ReasonCode::AttemptsUsedUp);
     }
-    if deadline.0.saturating_sub(now.0) < MIN_TIME_LEFT_MS {
+    if deadline.0.saturating_sub(now.0) < MIN_REMAINING_MS {
         return attempt.answer(ReasonCode::DeadlinePassed);
     }
     if !budget.try_take(now) {
--- a/crates/routing/src/view/replica.rs
+++ b/crates/routing/src/view/replica.rs
@@ -13,7 +13,8 @@
     reason::ReasonCode,
 };
 
-/// How long a leaving signal on the data path is valid unless the platform's list confirms it.
+/// How long a leaving signal on the data path is valid without confirmation by the platform's
+/// list.
 const LEAVING_SIGNAL_VALID_MS: u64 = 60_000;
 
 /// A replica with work of this gateway that has sent nothing for longer than this gets no new
--- a/crates/routing/tests/all/admission.rs
+++ b/crates/routing/tests/all/admission.rs
@@ -1,4 +1,4 @@
-//! The bounded, fair queue.
+//! The bounded queue and its fairness between tenants.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_errors::ErrorKind;
@@ -37,15 +37,15 @@
 }
 
 #[rstest]
-#[case::room(true, 0, 60_000, "now")]
-#[case::no_room(false, 0, 60_000, "queued")]
-#[case::room_but_others_wait(true, 1, 60_000, "queued")]
+#[case::capacity(true, 0, 60_000, "now")]
+#[case::no_capacity(false, 0, 60_000, "queued")]
+#[case::capacity_but_others_wait(true, 1, 60_000, "queued")]
 #[case::full(false, 4, 60_000, "queue_full")]
-#[case::deadline_before_its_turn(false, 3, 30, "queue_too_slow")]
-fn an_arrival_starts_waits_or_is_refused_at_once(
-    #[case] room: bool,
+#[case::deadline_before_expected_start(false, 3, 30, "queue_too_slow")]
+fn an_arrival_starts_waits_or_is_refused_immediately(
+    #[case] has_capacity: bool,
     #[case] waiting: u32,
-    #[case] time_left_ms: u64,
+    #[case] deadline_in_ms: u64,
     #[case] expected: &str,
 ) {
     let mut admission = Admission::new(&policy(4, 10_000));
@@ -53,10 +53,10 @@
         queued(&mut admission, NOW, &arrival(tenant, 1));
     }
     let arrival = Arrival {
-        deadline: later(time_left_ms),
+        deadline: later(deadline_in_ms),
         ..arrival(9, 1)
     };
-    let told = match admission.offer(NOW, &arrival, room) {
+    let outcome = match admission.offer(NOW, &arrival, has_capacity) {
         AdmissionOutcome::Now => "now",
         AdmissionOutcome::Queued(_) => "queued",
         AdmissionOutcome::Refused(refusal) => {
@@ -65,11 +65,11 @@
             refusal.reason.as_str()
         }
     };
-    assert_eq!(told, expected);
+    assert_eq!(outcome, expected);
 }
 
 #[test]
-fn tenants_leave_the_queue_by_weight() {
+fn tenants_depart_in_proportion_to_their_weights() {
     let mut admission = Admission::new(&policy(1_000, 100_000));
     let mut owner = std::collections::HashMap::new();
     for _ in 0..60 {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_tenant_with_a_long_queue_does_not_hold_up_another() {
+fn a_tenant_with_a_long_queue_does_not_delay_another() {
     let mut admission = Admission::new(&policy(1_000, 100_000));
     for _ in 0..200 {
         queued(&mut admission, NOW, &arrival(1, 1));
@@ -95,12 +95,12 @@
         admission.pop(NOW);
     }
     let other = queued(&mut admission, NOW, &arrival(2, 1));
-    let place = (0..).find(|_| admission.pop(NOW) == Some(other)).unwrap();
-    assert!(place <= 1, "place {place}");
+    let position = (0..).find(|_| admission.pop(NOW) == Some(other)).unwrap();
+    assert!(position <= 1, "departed at position {position}");
 }
 
 #[test]
-fn an_arrival_that_waited_its_time_is_given_up() {
+fn a_request_expires_after_the_queue_timeout() {
     let mut admission = Admission::new(&policy(10, 1_000));
     let first = queued(&mut admission, NOW, &arrival(1, 1));
     let second = queued(&mut admission, later(500), &arrival(1, 1));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_caller_that_went_away_leaves_the_queue() {
+fn a_cancelled_request_leaves_the_queue() {
     let mut admission = Admission::new(&policy(10, 1_000));
     let first = queued(&mut admission, NOW, &arrival(1, 1));
     let second = queued(&mut admission, NOW, &arrival(1, 1));
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn a_slow_queue_refuses_sooner_and_says_when_to_come_back() {
+fn a_slow_queue_refuses_earlier_with_a_retry_after() {
     let mut admission = Admission::new(&policy(1_000, 10_000));
     for _ in 0..100 {
         queued(&mut admission, NOW, &arrival(1, 1));
--- a/crates/routing/tests/all/limits.rs
+++ b/crates/routing/tests/all/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants.
+//! Per-tenant limits.
 
 use linnethitch_config::fleet::Tenant;
 use linnethitch_errors::ErrorKind;
@@ -34,29 +34,29 @@
 #[case::in_flight(Tenant { max_in_flight: Some(3), ..tenant("t") }, 3, Some((ErrorKind::TooManyInFlight, 100)))]
 fn requests_of_fifty_tokens_pass_up_to_the_limit(
     #[case] tenant: Tenant,
-    #[case] passing: usize,
+    #[case] expected_passing: usize,
     #[case] refusal: Option<(ErrorKind, u64)>,
 ) {
     let (mut limits, number) = limits_of(tenant);
     let mut reservations = Vec::new();
-    let mut refused = None;
+    let mut first_refusal = None;
     for _ in 0..100 {
         match limits.try_start(NOW, number, 50) {
             Ok(reservation) => reservations.push(reservation),
             Err(refusal) => {
-                refused = Some(refusal);
+                first_refusal = Some(refusal);
                 break;
             }
         }
     }
-    assert_eq!(reservations.len(), passing);
-    let told = refused.map(|refusal| (refusal.kind(), refusal.retry_after_ms));
-    assert_eq!(told, refusal);
-    assert_eq!(limits.in_flight(number) as usize, passing);
+    assert_eq!(reservations.len(), expected_passing);
+    let refused_with = first_refusal.map(|refusal| (refusal.kind(), refusal.retry_after_ms));
+    assert_eq!(refused_with, refusal);
+    assert_eq!(limits.in_flight(number) as usize, expected_passing);
 }
 
 #[test]
-fn the_time_told_is_the_time_that_helps() {
+fn a_request_is_admitted_after_the_retry_after_time() {
     let (mut limits, number) = limits_of(Tenant {
         requests_per_second: Some(2.0),
         ..tenant("t")
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn tokens_are_estimated_then_settled() {
+fn estimated_tokens_are_corrected_by_settling() {
     let (mut limits, number) = limits_of(Tenant {
         tokens_per_second: Some(100.0),
         ..tenant("t")
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_request_larger_than_the_burst_passes_on_a_full_bucket_and_is_paid_back() {
+fn a_request_larger_than_the_burst_passes_with_a_full_bucket_and_delays_later_ones() {
     let (mut limits, number) = limits_of(Tenant {
         tokens_per_second: Some(100.0),
         ..tenant("t")
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn one_tenant_does_not_use_up_another() {
+fn one_tenant_does_not_use_the_limits_of_another() {
     let mut limits = Limits::default();
     let tenants = ["a", "b"].map(|name| Tenant {
         max_in_flight: Some(1),
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn forty_five_thousand_tenants_are_held() {
+fn forty_five_thousand_tenants_are_supported() {
     let tenants: Vec<Tenant> = (0..45_000)
         .map(|number| Tenant {
             requests_per_second: Some(1.0),
--- a/crates/routing/tests/all/retry.rs
+++ b/crates/routing/tests/all/retry.rs
@@ -1,4 +1,4 @@
-//! The closed rules on retries and the budget that bounds them.
+//! The retry rules and the retry budget.
 
 use linnethitch_config::fleet::RoutingPolicy;
 use linnethitch_errors::{ErrorKind, Executed};
@@ -41,7 +41,7 @@
     )
 }
 
-fn partly(kind: ErrorKind) -> RetryDecision {
+fn partly_delivered(kind: ErrorKind) -> RetryDecision {
     answer(kind, Executed::Unknown, ReasonCode::PartlyDelivered)
 }
 
@@ -53,7 +53,7 @@
 const ONCE: bool = true;
 
 #[rstest]
-// Nothing was sent: always safe, at-most-once or not.
+// Nothing was sent: a retry is safe, also for at-most-once requests.
 #[case(
     Sent::Nothing,
     REPEATABLE,
@@ -76,7 +76,7 @@
     retry_unstarted()
 )]
 #[case(Sent::Nothing, ONCE, TimedOut, Delivered::Nothing, retry_unstarted())]
-// The back end's own word that it did not start.
+// The back end reported that it did not start the request.
 #[case(
     Sent::Some,
     REPEATABLE,
@@ -91,7 +91,7 @@
     Delivered::Nothing,
     retry_unstarted()
 )]
-// Something was sent and it may have run.
+// Something was sent, so the request may have run.
 #[case(
     Sent::Some,
     REPEATABLE,
@@ -124,7 +124,7 @@
 #[case(Sent::Some, ONCE, TimedOut, Delivered::Nothing, unknown_outcome())]
 #[case(Sent::Some, ONCE, BadProtocol, Delivered::Nothing, unknown_outcome())]
 #[case(Sent::Some, ONCE, ServerError, Delivered::Nothing, unknown_outcome())]
-// Part of the answer went out.
+// Part of the answer was delivered.
 #[case(Sent::Some, REPEATABLE, Disconnected, Delivered::Resumable, resume())]
 #[case(Sent::Some, REPEATABLE, TimedOut, Delivered::Resumable, resume())]
 #[case(
@@ -146,7 +146,7 @@
     REPEATABLE,
     Disconnected,
     Delivered::NotResumable,
-    partly(ErrorKind::StreamBroken)
+    partly_delivered(ErrorKind::StreamBroken)
 )]
 #[case(
     Sent::Some,
@@ -155,7 +155,7 @@
     Delivered::NotResumable,
     unknown_outcome()
 )]
-// The caller's mistake stays one.
+// The request is invalid; a retry does not help.
 #[case(
     Sent::Some,
     REPEATABLE,
@@ -170,7 +170,7 @@
     Delivered::Nothing,
     final_answer(Executed::Unknown)
 )]
-fn the_rules(
+fn retry_rules(
     #[case] sent: Sent,
     #[case] at_most_once: bool,
     #[case] failure: AttemptFailure,
@@ -186,7 +186,7 @@
     assert_eq!(attempt.allowed(), expected);
 }
 
-/// Over every combination: what must never happen.
+/// Checks every combination of failure, sent bytes and delivered answer.
 #[test]
 fn an_at_most_once_request_is_never_sent_again_after_it_may_have_started() {
     let failures = [
@@ -237,26 +237,26 @@
 #[case::budget_empty(1, 10_000, 0, no_back_end(ReasonCode::RetryBudgetEmpty))]
 fn a_retry_needs_attempts_time_and_budget(
     #[case] attempts_made: u32,
-    #[case] time_left_ms: u64,
-    #[case] retries_left: u32,
+    #[case] remaining_ms: u64,
+    #[case] remaining_retries: u32,
     #[case] expected: RetryDecision,
 ) {
     let policy = RoutingPolicy::default();
     let mut budget = RetryBudget::new(NOW, &policy);
-    while budget.remaining() > retries_left {
+    while budget.remaining() > remaining_retries {
         assert!(budget.try_take(NOW));
     }
     let next = after_failure(
         NOW,
         &UNSTARTED,
         attempts_made,
-        later(time_left_ms),
+        later(remaining_ms),
         &policy,
         &mut budget,
     );
     assert_eq!(next, expected);
     let taken = u32::from(expected == retry_unstarted());
-    assert_eq!(budget.remaining(), retries_left - taken);
+    assert_eq!(budget.remaining(), remaining_retries - taken);
 }
 
 fn no_back_end(reason: ReasonCode) -> RetryDecision {
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn retries_stay_a_share_of_requests() {
+fn retries_are_limited_to_a_share_of_requests() {
     let policy = RoutingPolicy::default();
     let mut budget = RetryBudget::new(NOW, &policy);
     let mut retries = 0;
@@ -278,7 +278,7 @@
 }
 
 #[test]
-fn a_quiet_gateway_gets_a_reserve_of_retries_back() {
+fn the_reserve_of_retries_refills_without_requests() {
     let policy = RoutingPolicy::default();
     let mut budget = RetryBudget::new(NOW, &policy);
     while budget.try_take(NOW) {}
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn zero_percent_means_no_retry_beyond_the_first_reserve() {
+fn with_zero_percent_only_the_initial_reserve_allows_retries() {
     let policy = RoutingPolicy {
         retry_budget_percent: 0,
         ..RoutingPolicy::default()
