--- a/crates/routing/src/answer_times.rs
+++ b/crates/routing/src/answer_times.rs
@@ -1,79 +1,81 @@
-//! How long the answers of a route take, for a gateway that is to end soon.
+//! Recent answer times per route, for a gateway with a planned stop.
 
 use std::collections::HashMap;
 
-/// Answers count for one to two of these, in milliseconds.
+/// Length of a window; an answer counts in its own and in the next window.
 const WINDOW_MS: u64 = 30_000;
-/// An answer may take this many times as long as the longest one that counts.
-const RESERVE: f64 = 1.25;
+/// Safety factor on the longest recent answer time.
+const SAFETY_FACTOR: f64 = 1.25;
 
-/// The longest answers of each route of late.
+/// The longest recent answer time of each route.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerTimes {
-    by_route: HashMap<String, Longest>,
+    by_route: HashMap<String, LongestAnswers>,
 }
 
-/// The longest answers of one route.
+/// The longest answer times of one route, in the newest window with an answer and the window
+/// before.
 #[derive(Clone, Copy, Debug)]
-struct Longest {
+struct LongestAnswers {
     /// Number of the newest window with an answer.
     window: u64,
-    in_window_ms: u64,
-    in_window_before_ms: u64,
+    current_window_ms: u64,
+    previous_window_ms: u64,
 }
 
 impl AnswerTimes {
-    /// Notes how long an answer took, from its request's arrival to its end.
+    /// Records the duration of an answer, from the arrival of the request to the end of the answer.
     pub fn record(&mut self, route: &str, took_ms: u64, now_ms: u64) {
         let window = now_ms / WINDOW_MS;
         if let Some(longest) = self.by_route.get_mut(route) {
-            longest.turn_to(window);
-            longest.in_window_ms = longest.in_window_ms.max(took_ms);
+            longest.advance_to(window);
+            longest.current_window_ms = longest.current_window_ms.max(took_ms);
             return;
         }
-        // Routes that are gone, or rest, are forgotten.
-        self.by_route.retain(|_, longest| longest.counts_in(window));
-        let longest = Longest {
+        // Drops routes without a recent answer, such as removed ones.
+        self.by_route
+            .retain(|_, longest| longest.is_recent_in(window));
+        let longest = LongestAnswers {
             window,
-            in_window_ms: took_ms,
-            in_window_before_ms: 0,
+            current_window_ms: took_ms,
+            previous_window_ms: 0,
         };
         self.by_route.insert(route.to_owned(), longest);
     }
 
-    /// How long an answer may take, in milliseconds; up to the request's limit where nothing
-    /// is known of its route.
+    /// The maximum expected duration of an answer, in milliseconds. It is at most `limit_ms`, the
+    /// request's limit, which is also returned for a route without recent answers.
     #[must_use]
     pub fn max_expected_ms(&self, route: &str, limit_ms: u64, now_ms: u64) -> u64 {
         let longest = self.by_route.get(route);
-        let longest = longest.and_then(|longest| longest.at(now_ms / WINDOW_MS));
+        let longest = longest.and_then(|longest| longest.longest_at(now_ms / WINDOW_MS));
         longest.map_or(limit_ms, |longest_ms| {
-            let with_reserve = (longest_ms as f64 * RESERVE).ceil() as u64;
-            with_reserve.min(limit_ms)
+            let with_margin = (longest_ms as f64 * SAFETY_FACTOR).ceil() as u64;
+            with_margin.min(limit_ms)
         })
     }
 }
 
-impl Longest {
-    fn counts_in(&self, window: u64) -> bool {
+impl LongestAnswers {
+    fn is_recent_in(&self, window: u64) -> bool {
         self.window + 1 >= window
     }
 
-    fn turn_to(&mut self, window: u64) {
+    fn advance_to(&mut self, window: u64) {
         if window <= self.window {
             return;
         }
-        let is_next = self.counts_in(window);
-        self.in_window_before_ms = if is_next { self.in_window_ms } else { 0 };
-        self.in_window_ms = 0;
+        let is_next = self.is_recent_in(window);
+        self.previous_window_ms = if is_next { self.current_window_ms } else { 0 };
+        self.current_window_ms = 0;
         self.window = window;
     }
 
-    fn at(mut self, window: u64) -> Option<u64> {
-        if !self.counts_in(window) {
+    fn longest_at(mut self, window: u64) -> Option<u64> {
+        if !self.is_recent_in(window) {
             return None;
         }
-        self.turn_to(window);
-        Some(self.in_window_ms.max(self.in_window_before_ms))
+        self.advance_to(window);
+        Some(self.current_window_ms.max(self.previous_window_ms))
     }
 }
--- a/crates/routing/src/batch/mod.rs
+++ b/crates/routing/src/batch/mod.rs
@@ -1,3 +1,3 @@
-//! Batch work in what online work leaves over.
+//! Batch work on capacity that online work leaves free.
 
 pub mod yielding;
--- a/crates/routing/src/batch/yielding.rs
+++ b/crates/routing/src/batch/yielding.rs
@@ -1,9 +1,9 @@
-//! When a gateway's batch streams on a replica step aside, and when they return.
+//! Decides when a gateway's batch streams on a replica yield to online work and when they resume.
 //!
-//! Three things bound them: the grant that control gave, the room that the
-//! replica has by its corrected load, and pressure: online prompts being
-//! prefilled there. Under pressure batch keeps only a few sequences, because
-//! each sequence lengthens every step of a long prefill.
+//! Three limits apply: the grant by control, the free sequences by the replica's
+//! estimated load, and pressure, which means that online prompts are being
+//! prefilled there. Under pressure only a few batch sequences stay, because each
+//! sequence lengthens every step of a long prefill.
 
 use std::collections::HashMap;
 
@@ -14,18 +14,18 @@
     view::{Availability, FleetView, ReplicaIndex},
 };
 
-/// Rules of yielding.
+/// Settings of yielding.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct YieldSettings {
     /// Sequences of a replica kept free for a burst of online requests.
     pub reserve_sequences: u32,
-    /// Prompt tokens waiting on a replica from which on it counts as pressed.
+    /// Queued online prompt tokens from which on a replica is under pressure.
     pub pressure_prefill_tokens: f64,
-    /// Batch sequences of all gateways that stay on a pressed replica.
+    /// Maximum batch sequences of all gateways on a replica under pressure.
     pub pressure_sequences: u32,
     /// Whether long steps of the engine count as pressure.
     pub use_step_times: bool,
-    /// Batch returns to a replica that was not pressed for this long, in milliseconds.
+    /// Time without pressure after which batch work resumes on a replica, in milliseconds.
     pub resume_after_ms: u64,
 }
 
@@ -41,69 +41,70 @@
     }
 }
 
-/// How many batch sequences a gateway may have on a replica now.
+/// Number of batch sequences that a gateway may run on a replica now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchAllowance {
-    /// Sequences.
+    /// Maximum number of sequences.
     pub sequences: u32,
-    /// What bounds them.
+    /// Reason of the limit.
     pub reason: ReasonCode,
 }
 
-/// A grant as the gateway holds it.
+/// A grant received by the gateway.
 #[derive(Clone, Copy, Debug)]
-struct HeldGrant {
+struct ReceivedGrant {
     sequences: u32,
     until: Timestamp,
-    pressed_at: Option<Timestamp>,
+    pressure_at: Option<Timestamp>,
     share: Option<Share>,
 }
 
-/// A gateway's part of what all batch may have on a replica.
+/// The gateway's share of the sequences that all batch work may use on a replica.
 #[derive(Clone, Copy, Debug)]
 struct Share {
     set_at: Timestamp,
-    most: f64,
+    limit: f64,
     sequences: f64,
 }
 
-impl HeldGrant {
-    /// This gateway's part of what batch may have on the replica.
+impl ReceivedGrant {
+    /// This gateway's share of the sequences that all batch work may use on the replica.
     ///
-    /// While all batch together fits, the grant decides. When it does not, each
-    /// gateway keeps the share that it has of all batch there. The share stays
-    /// until a report tells what the others made of it: worked out anew from the
-    /// old report it would shrink with each step aside.
-    fn own_part(
+    /// If all batch sequences fit, the grant is the limit. Otherwise each gateway
+    /// keeps its proportion of all batch sequences on the replica. The computed
+    /// share stays in force until a newer load report shows the changes by other
+    /// gateways: recomputed from the same report, the share would shrink with each
+    /// of this gateway's own preemptions.
+    fn own_share(
         &mut self,
         now: Timestamp,
-        most: f64,
+        limit: f64,
         measured_at: Timestamp,
         own_batch: u32,
-        all_batch: f64,
+        total_batch: f64,
     ) -> u32 {
         let own_batch = f64::from(own_batch);
-        let kept = self.share.filter(|share| share.set_at >= measured_at);
-        let sequences = match kept {
-            Some(share) if most >= share.most => share.sequences,
+        let current_share = self.share.filter(|share| share.set_at >= measured_at);
+        let sequences = match current_share {
+            Some(share) if limit >= share.limit => share.sequences,
             Some(share) => {
-                let sequences = share.sequences * most / share.most;
+                let sequences = share.sequences * limit / share.limit;
                 self.share = Some(Share {
                     set_at: now,
-                    most,
+                    limit,
                     sequences,
                 });
                 sequences
             }
-            None if all_batch <= most || own_batch == 0.0 => {
+            None if total_batch <= limit || own_batch == 0.0 => {
                 self.share = None;
-                (most - all_batch + own_batch).max(0.0)
+                (limit - total_batch + own_batch).max(0.0)
             }
             None => {
-                let sequences = most * own_batch / all_batch;
+                let sequences = limit * own_batch / total_batch;
                 self.share = Some(Share {
                     set_at: now,
-                    most,
+                    limit,
                     sequences,
                 });
                 sequences
@@ -113,15 +114,15 @@
     }
 }
 
-/// The grants of one gateway and what is left of them.
+/// The grants of one gateway and the sequences that it may use of them.
 #[derive(Clone, Debug, Default)]
 pub struct BatchCapacity {
     settings: YieldSettings,
-    grants: HashMap<ReplicaIndex, HeldGrant>,
+    grants: HashMap<ReplicaIndex, ReceivedGrant>,
 }
 
 impl BatchCapacity {
-    /// No grants yet, with the given rules.
+    /// A state without grants, with the given settings.
     #[must_use]
     pub fn new(settings: YieldSettings) -> Self {
         BatchCapacity {
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Takes in a grant; it replaces an earlier one for the same replica.
+    /// Records a grant, which replaces an earlier one for the same replica.
     pub fn on_grant(
         &mut self,
         now: Timestamp,
@@ -139,25 +140,25 @@
         valid_ms: u64,
     ) {
         let known = self.grants.get(&replica);
-        let pressed_at = known.and_then(|held| held.pressed_at);
-        let share = known.and_then(|held| held.share);
+        let pressure_at = known.and_then(|grant| grant.pressure_at);
+        let share = known.and_then(|grant| grant.share);
         self.grants.insert(
             replica,
-            HeldGrant {
+            ReceivedGrant {
                 sequences,
                 until: Timestamp(now.0 + valid_ms),
-                pressed_at,
+                pressure_at,
                 share,
             },
         );
     }
 
-    /// Drops grants that have ended long ago.
+    /// Removes expired grants.
     pub fn forget_expired(&mut self, now: Timestamp) {
-        self.grants.retain(|_, held| held.until > now);
+        self.grants.retain(|_, grant| grant.until > now);
     }
 
-    /// Replicas with a grant that is not forgotten, in the order of their numbers.
+    /// Replicas with a stored grant, in the order of their indices.
     #[must_use]
     pub fn replicas(&self) -> Vec<ReplicaIndex> {
         let mut replicas: Vec<_> = self.grants.keys().copied().collect();
@@ -165,10 +166,10 @@
         replicas
     }
 
-    /// How many batch sequences this gateway may have on the replica now.
+    /// The number of batch sequences that this gateway may run on the replica now.
     ///
-    /// With more than that running there, the rest is cancelled at once; its
-    /// tokens are kept and it goes on elsewhere.
+    /// If more are running, the caller cancels the excess immediately; these items
+    /// keep their tokens and resume on another replica.
     pub fn allowance(
         &mut self,
         now: Timestamp,
@@ -176,59 +177,59 @@
         replica: ReplicaIndex,
     ) -> BatchAllowance {
         let settings = self.settings;
-        let Some(held) = self
+        let Some(grant) = self
             .grants
             .get_mut(&replica)
-            .filter(|held| held.until > now)
+            .filter(|grant| grant.until > now)
         else {
-            return none(ReasonCode::GrantExpired);
+            return no_allowance(ReasonCode::GrantExpired);
         };
         match view.availability(now, replica) {
             Availability::Available(_) => {}
-            Availability::Probe => return none(ReasonCode::Ejected),
-            Availability::Unavailable(reason) => return none(reason),
+            Availability::Probe => return no_allowance(ReasonCode::Ejected),
+            Availability::Unavailable(reason) => return no_allowance(reason),
         }
         let state = view.replica(replica);
         let load = state.estimated_load(now);
         if load.queued_online_prefill_tokens >= settings.pressure_prefill_tokens {
-            held.pressed_at = Some(now);
+            grant.pressure_at = Some(now);
         }
         if settings.use_step_times && load.online >= 1.0 {
-            held.pressed_at = held.pressed_at.max(state.steps().long_prefill_at());
+            grant.pressure_at = grant.pressure_at.max(state.steps().long_prefill_at());
         }
-        let pressed = held
-            .pressed_at
+        let under_pressure = grant
+            .pressure_at
             .is_some_and(|at| now.0.saturating_sub(at.0) < settings.resume_after_ms);
         let free = free_sequences(load.max_running, load.online, &settings);
-        let most = if pressed {
+        let limit = if under_pressure {
             free.min(f64::from(settings.pressure_sequences))
         } else {
             free
         };
         let measured_at = state.report().map_or(now, |report| report.measured_at);
-        let own = held.own_part(now, most, measured_at, state.own_batch(), load.batch);
-        if own < held.sequences {
+        let own = grant.own_share(now, limit, measured_at, state.own_batch(), load.batch);
+        if own < grant.sequences {
             BatchAllowance {
                 sequences: own,
                 reason: ReasonCode::YieldedToOnline,
             }
         } else {
             BatchAllowance {
-                sequences: held.sequences,
+                sequences: grant.sequences,
                 reason: ReasonCode::IdleCapacity,
             }
         }
     }
 }
 
-fn none(reason: ReasonCode) -> BatchAllowance {
+fn no_allowance(reason: ReasonCode) -> BatchAllowance {
     BatchAllowance {
         sequences: 0,
         reason,
     }
 }
 
-/// Sequences that online work leaves free; all of them when the size is unknown.
+/// Sequences that online work leaves free; infinite if `max_running` is unknown.
 fn free_sequences(max_running: f64, online: f64, settings: &YieldSettings) -> f64 {
     if max_running <= 0.0 {
         return f64::INFINITY;
--- a/crates/routing/src/costs.rs
+++ b/crates/routing/src/costs.rs
@@ -1,12 +1,12 @@
-//! What work costs an engine, as far as the router needs to know.
+//! Cost model of engine steps, used to estimate waits.
 
 use crate::profile::Class;
 
 /// Coefficients of an engine's step time.
 ///
 /// One step takes `base + prefill tokens × prefill + sequences × decode`. The
-/// values only need to be right relative to each other: a replica's measured
-/// pace scales them.
+/// values only need to be correct relative to each other, because a replica's
+/// measured step time ratio scales them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct EngineCosts {
     /// Fixed time of a step, in milliseconds.
@@ -15,7 +15,7 @@
     pub prefill_token_ms: f64,
     /// Time of a step per decoding sequence in it, in milliseconds.
     pub decode_sequence_ms: f64,
-    /// Most prompt tokens of one step.
+    /// Maximum prompt tokens per step.
     pub prefill_chunk_tokens: f64,
 }
 
@@ -31,19 +31,19 @@
 }
 
 impl EngineCosts {
-    /// Time of a step that decodes this many sequences, in milliseconds.
+    /// Time of a step that decodes `sequences` sequences, in milliseconds.
     #[must_use]
     pub fn decode_step_ms(&self, sequences: f64) -> f64 {
         self.step_base_ms + self.decode_sequence_ms * sequences
     }
 
-    /// Prompt tokens prefilled per millisecond while so many sequences decode.
+    /// Prompt tokens prefilled per millisecond while `sequences` sequences decode.
     #[must_use]
     pub fn prefill_tokens_per_ms(&self, sequences: f64) -> f64 {
         self.prefill_chunk_tokens / self.prefill_ms(self.prefill_chunk_tokens, sequences)
     }
 
-    /// Time to prefill so many tokens while so many sequences decode, in milliseconds.
+    /// Time to prefill `tokens` tokens while `sequences` sequences decode, in milliseconds.
     #[must_use]
     pub fn prefill_ms(&self, tokens: f64, sequences: f64) -> f64 {
         let steps = tokens / self.prefill_chunk_tokens;
@@ -51,12 +51,12 @@
     }
 }
 
-/// The work that one request brings.
+/// Work of one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Work {
-    /// How urgent it is.
+    /// Scheduling class of the request.
     pub class: Class,
-    /// Prompt tokens to prefill, less those expected in the prefix cache.
+    /// Prompt tokens to prefill, without those expected in the prefix cache.
     pub prefill_tokens: u32,
     /// Tokens expected to be generated.
     pub output_tokens: u32,
--- a/crates/routing/src/profile.rs
+++ b/crates/routing/src/profile.rs
@@ -1,39 +1,39 @@
-//! What is asked of the router and what it answers.
+//! Requests to the router and its answers.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::ids::Timestamp;
 
 use crate::{reason::ReasonCode, view::ReplicaIndex};
 
-/// Tokens of one prefix block; prefixes are compared in whole blocks.
+/// Tokens per prefix block; prefixes are compared block by block.
 pub const PREFIX_BLOCK_TOKENS: u32 = 64;
 
-/// How urgent a request is.
+/// Scheduling class of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Class {
-    /// A caller waits.
+    /// A caller is waiting for the answer.
     Online,
-    /// An item of a job; steps aside for online work.
+    /// An item of a batch job; yields to online work.
     Batch,
 }
 
-/// What a request is for.
+/// The target of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Target<'a> {
     /// A model.
     Model {
-        /// Its name.
+        /// Name of the model.
         name: &'a str,
-        /// The adapter, if one is asked for.
+        /// The requested adapter, if any.
         adapter: Option<&'a str>,
-        /// The version, if only one will do (resuming a stream needs the same one).
+        /// The required version, if any (a stream must be resumed with the same version).
         version: Option<&'a str>,
     },
     /// An application service.
     Service(&'a str),
 }
 
-/// Which part of a request is to run.
+/// Which phases of a request run on the chosen engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Phase {
     /// Prefill and decode on one engine.
@@ -45,41 +45,41 @@
     Decode,
 }
 
-/// A request as the router sees it.
+/// Properties of a request that the router uses.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestProfile<'a> {
-    /// What it is for.
+    /// The target.
     pub target: Target<'a>,
-    /// How urgent it is.
+    /// The scheduling class.
     pub class: Class,
-    /// Which part is to run.
+    /// The phases to run.
     pub phase: Phase,
-    /// Tokens of the prompt (with a resume: prompt and delivered tokens).
+    /// Tokens of the prompt; for a resumed stream, including the delivered tokens.
     pub prompt_tokens: u32,
-    /// Tokens that the answer is expected to have.
+    /// Expected tokens of the answer.
     pub expected_output_tokens: u32,
-    /// Hash of the prompt's first block, first two blocks, and so on, of
-    /// [`PREFIX_BLOCK_TOKENS`] each.
+    /// Hashes of the prompt's prefixes: its first block, its first two blocks, and so on, with
+    /// [`PREFIX_BLOCK_TOKENS`] per block.
     pub prefix_hashes: &'a [u64],
-    /// The first token must be there by then.
+    /// Deadline of the first token.
     pub deadline: Timestamp,
-    /// Replicas already tried.
+    /// Replicas already tried; not chosen again.
     pub exclude: &'a [ReplicaIndex],
 }
 
-/// How many alternatives a choice remembers for the journal.
+/// Maximum number of alternatives recorded with a choice for the journal.
 pub const MAX_ALTERNATIVES: usize = 3;
 
 /// A replica that was compared but not chosen.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Alternative {
-    /// Which.
+    /// The replica.
     pub replica: ReplicaIndex,
-    /// Its expected wait for the first token, in milliseconds.
+    /// Expected wait for the first token, in milliseconds.
     pub expected_wait_ms: f64,
 }
 
-/// Where a request should run.
+/// The replica chosen for a request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Choice {
     /// The replica.
@@ -88,23 +88,23 @@
     pub expected_wait_ms: f64,
     /// Prompt tokens expected to be in the replica's prefix cache.
     pub cached_tokens: u32,
-    /// Why this replica.
+    /// Why this replica was chosen.
     pub reason: ReasonCode,
-    /// What else was compared.
+    /// Other replicas that were compared.
     pub alternatives: [Option<Alternative>; MAX_ALTERNATIVES],
 }
 
-/// Why a request cannot run now.
+/// Refusal of a request that cannot be routed now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RoutingRefusal {
-    /// Why.
+    /// The reason.
     pub reason: ReasonCode,
-    /// When it is worth asking again, in milliseconds, where that can be told.
+    /// How long to wait before a retry, in milliseconds, if known.
     pub retry_after_ms: Option<u64>,
 }
 
 impl RoutingRefusal {
-    /// The error kind that a caller is told.
+    /// The error kind reported to the caller.
     #[must_use]
     pub const fn kind(&self) -> ErrorKind {
         match self.reason {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -115,7 +115,7 @@
     CallerError,
 }
 
-/// What was delivered of the answer to the caller.
+/// Which part of the answer the caller has received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Delivered {
     /// Nothing.
@@ -135,7 +135,7 @@
     pub at_most_once: bool,
     /// How the attempt failed.
     pub failure: AttemptFailure,
-    /// What was delivered to the caller.
+    /// Which part of the answer the caller has received.
     pub delivered: Delivered,
 }
 
--- a/crates/routing/tests/all/answer_times.rs
+++ b/crates/routing/tests/all/answer_times.rs
@@ -1,4 +1,4 @@
-//! How long answers may take, from those that were given.
+//! Expected answer times from recent answers.
 
 use linnethitch_routing::answer_times::AnswerTimes;
 use rstest::rstest;
@@ -6,13 +6,13 @@
 const LIMIT_MS: u64 = 8_000;
 
 #[rstest]
-#[case::nothing_is_known(&[], 10_000, LIMIT_MS)]
-#[case::the_longest_counts_and_a_reserve(&[(1_000, 400), (2_000, 2_000), (3_000, 40)], 4_000, 2_500)]
-#[case::never_beyond_the_limit(&[(1_000, 7_900)], 2_000, LIMIT_MS)]
-#[case::one_of_the_window_before_counts(&[(29_000, 2_000), (31_000, 40)], 59_000, 2_500)]
-#[case::older_ones_do_not(&[(1_000, 2_000), (31_000, 40)], 61_000, 50)]
-#[case::after_a_long_rest_nothing_is_known(&[(1_000, 2_000)], 61_000, LIMIT_MS)]
-fn an_answer_may_take_as_long_as_the_longest_of_late(
+#[case::no_answers(&[], 10_000, LIMIT_MS)]
+#[case::longest_answer_with_safety_factor(&[(1_000, 400), (2_000, 2_000), (3_000, 40)], 4_000, 2_500)]
+#[case::never_over_the_limit(&[(1_000, 7_900)], 2_000, LIMIT_MS)]
+#[case::answer_of_the_previous_window_counts(&[(29_000, 2_000), (31_000, 40)], 59_000, 2_500)]
+#[case::older_answers_do_not_count(&[(1_000, 2_000), (31_000, 40)], 61_000, 50)]
+#[case::no_recent_answers(&[(1_000, 2_000)], 61_000, LIMIT_MS)]
+fn the_maximum_expected_time_follows_the_longest_recent_answer(
     #[case] answers: &[(u64, u64)],
     #[case] now_ms: u64,
     #[case] expected_ms: u64,
--- a/crates/routing/tests/all/reason.rs
+++ b/crates/routing/tests/all/reason.rs
@@ -1,11 +1,11 @@
-//! The closed list of reasons.
+//! The reason codes.
 
 use std::collections::HashSet;
 
 use linnethitch_routing::ReasonCode;
 
 #[test]
-fn every_reason_has_its_own_code_and_a_description() {
+fn every_reason_has_a_unique_code_and_a_description() {
     let codes: HashSet<&str> = ReasonCode::ALL.iter().map(|one| one.as_str()).collect();
     assert_eq!(codes.len(), ReasonCode::ALL.len());
     for reason in ReasonCode::ALL {
--- a/crates/routing/tests/all/yielding.rs
+++ b/crates/routing/tests/all/yielding.rs
@@ -1,4 +1,4 @@
-//! Batch stepping aside for online work.
+//! Batch work yielding to online work.
 
 use linnethitch_routing::{
     Class, ReasonCode, Router,
@@ -11,8 +11,9 @@
 
 const GRANTED: u32 = 40;
 
-/// A gateway with a grant and as many batch streams on its only replica.
-fn filled() -> (Router, BatchCapacity) {
+/// A router with two replicas. The gateway has a grant on `e1` and runs as many batch streams
+/// there as granted.
+fn router_with_batch() -> (Router, BatchCapacity) {
     let mut router = router([engine("e1", "a"), engine("e2", "a")]);
     let e1 = index(&router, "e1");
     let mut capacity = BatchCapacity::new(YieldSettings::default());
@@ -28,30 +29,33 @@
 
 #[rstest]
 #[case::idle(0, 0, 40, GRANTED, ReasonCode::IdleCapacity)]
-#[case::all_fits(20, 0, 40, GRANTED, ReasonCode::IdleCapacity)]
-#[case::online_rises(30, 0, 40, 30, ReasonCode::YieldedToOnline)]
-#[case::online_fills_it(64, 0, 40, 0, ReasonCode::YieldedToOnline)]
+#[case::online_and_batch_fit(20, 0, 40, GRANTED, ReasonCode::IdleCapacity)]
+#[case::online_increases(30, 0, 40, 30, ReasonCode::YieldedToOnline)]
+#[case::online_fills_the_replica(64, 0, 40, 0, ReasonCode::YieldedToOnline)]
 #[case::shared_with_another_gateway(20, 0, 80, 20, ReasonCode::YieldedToOnline)]
 #[case::long_prompt_is_prefilled(4, 8_000, 40, 16, ReasonCode::YieldedToOnline)]
-fn the_load_bounds_what_stays(
+fn the_load_limits_batch_sequences(
     #[case] online: u32,
-    #[case] queued_prefill: u32,
+    #[case] queued_prefill_tokens: u32,
     #[case] batch: u32,
-    #[case] stays: u32,
+    #[case] allowed_sequences: u32,
     #[case] reason: ReasonCode,
 ) {
-    let (mut router, mut capacity) = filled();
+    let (mut router, mut capacity) = router_with_batch();
     let e1 = index(&router, "e1");
-    let mut load = report(later(100), online, queued_prefill);
+    let mut load = report(later(100), online, queued_prefill_tokens);
     load.running_batch = batch;
     router.view_mut().on_load_report(e1, load);
-    let room = capacity.allowance(later(100), router.view(), e1);
-    assert_eq!((room.sequences, room.reason), (stays, reason));
+    let allowance = capacity.allowance(later(100), router.view(), e1);
+    assert_eq!(
+        (allowance.sequences, allowance.reason),
+        (allowed_sequences, reason)
+    );
 }
 
 #[test]
-fn an_own_online_request_with_a_long_prompt_is_seen_without_a_report() {
-    let (mut router, mut capacity) = filled();
+fn a_long_prompt_of_this_gateway_causes_pressure_without_a_report() {
+    let (mut router, mut capacity) = router_with_batch();
     let e1 = index(&router, "e1");
     let mut ticket = router
         .view_mut()
@@ -71,18 +75,18 @@
     );
 }
 
-/// Tokens of a batch stream come after each of these gaps, then room is asked.
+/// Tokens of a batch stream arrive after each of these gaps; then the allowance is checked.
 #[rstest]
 #[case::short_steps(&[20, 20, 20, 20], 1, GRANTED)]
-#[case::one_chunk_is_over_when_seen(&[20, 20, 46, 20], 1, GRANTED)]
+#[case::single_long_step_is_ignored(&[20, 20, 46, 20], 1, GRANTED)]
 #[case::a_long_prefill(&[20, 20, 46, 46], 1, 16)]
-#[case::nobody_online_is_slowed(&[20, 20, 46, 46], 0, GRANTED)]
-fn long_steps_tell_of_a_long_prompt_before_any_report(
+#[case::no_online_work_is_slowed(&[20, 20, 46, 46], 0, GRANTED)]
+fn consecutive_long_steps_show_a_long_prompt_before_a_report(
     #[case] gaps_ms: &[u64],
     #[case] online: u32,
-    #[case] stays: u32,
+    #[case] allowed_sequences: u32,
 ) {
-    let (mut router, mut capacity) = filled();
+    let (mut router, mut capacity) = router_with_batch();
     let e1 = index(&router, "e1");
     let mut load = report(later(5), online, 0);
     load.running_batch = GRANTED;
@@ -95,12 +99,12 @@
         at_ms += gap_ms;
         view.on_tokens(later(at_ms), &mut ticket, 1);
     }
-    let room = capacity.allowance(later(at_ms), router.view(), e1);
-    assert_eq!(room.sequences, stays);
+    let allowance = capacity.allowance(later(at_ms), router.view(), e1);
+    assert_eq!(allowance.sequences, allowed_sequences);
 }
 
 #[test]
-fn a_share_does_not_shrink_by_its_own_stepping_aside() {
+fn a_share_does_not_shrink_by_its_own_preemptions() {
     let mut router = router([engine("e1", "a")]);
     let e1 = index(&router, "e1");
     let mut capacity = BatchCapacity::new(YieldSettings::default());
@@ -135,33 +139,33 @@
 #[rstest]
 #[case::ended(2_000, None, ReasonCode::GrantExpired)]
 #[case::unreachable(100, Some(FailureKind::Unreachable), ReasonCode::Unreachable)]
-fn without_a_grant_or_a_replica_nothing_stays(
+fn without_a_valid_grant_or_a_reachable_replica_no_batch_is_allowed(
     #[case] after_ms: u64,
     #[case] failure: Option<FailureKind>,
     #[case] reason: ReasonCode,
 ) {
-    let (mut router, mut capacity) = filled();
+    let (mut router, mut capacity) = router_with_batch();
     let e1 = index(&router, "e1");
     if let Some(kind) = failure {
         router.view_mut().on_replica_failure(NOW, e1, kind);
     }
-    let room = capacity.allowance(later(after_ms), router.view(), e1);
-    assert_eq!((room.sequences, room.reason), (0, reason));
+    let allowance = capacity.allowance(later(after_ms), router.view(), e1);
+    assert_eq!((allowance.sequences, allowance.reason), (0, reason));
 }
 
 #[test]
-fn a_leaving_replica_keeps_no_batch() {
-    let (mut router, mut capacity) = filled();
+fn a_leaving_replica_has_no_batch_allowance() {
+    let (mut router, mut capacity) = router_with_batch();
     let e1 = index(&router, "e1");
     router.view_mut().on_leaving(NOW, e1);
-    let room = capacity.allowance(later(1), router.view(), e1);
-    assert_eq!(room.reason, ReasonCode::LeavingByDataPath);
-    assert_eq!(room.sequences, 0);
+    let allowance = capacity.allowance(later(1), router.view(), e1);
+    assert_eq!(allowance.reason, ReasonCode::LeavingByDataPath);
+    assert_eq!(allowance.sequences, 0);
 }
 
 #[test]
-fn a_replica_without_a_grant_gets_no_batch() {
-    let (router, mut capacity) = filled();
+fn a_replica_without_a_grant_has_no_batch_allowance() {
+    let (router, mut capacity) = router_with_batch();
     let e2 = index(&router, "e2");
     assert_eq!(capacity.allowance(NOW, router.view(), e2).sequences, 0);
     assert_eq!(capacity.replicas(), [index(&router, "e1")]);
