--- a/crates/gateway/src/decisions/batch.rs
+++ b/crates/gateway/src/decisions/batch.rs
@@ -31,7 +31,7 @@
         let now = self.clock.now();
         let mut core = self.core.lock();
         let core = &mut *core;
-        core.capacity.forget_expired(now);
+        core.capacity.remove_expired(now);
         let view = core.router.view();
         let replicas = core.capacity.replicas();
         let rooms = replicas.into_iter().filter_map(|index| {
--- a/crates/routing/src/batch/yielding.rs
+++ b/crates/routing/src/batch/yielding.rs
@@ -154,7 +154,7 @@
     }
 
     /// Removes expired grants.
-    pub fn forget_expired(&mut self, now: Timestamp) {
+    pub fn remove_expired(&mut self, now: Timestamp) {
         self.grants.retain(|_, grant| grant.until > now);
     }
 
--- a/crates/routing/src/placement/mod.rs
+++ b/crates/routing/src/placement/mod.rs
@@ -1,8 +1,9 @@
-//! What engines should load: the fleet file against what runs.
+//! Plans which engine loads what, by comparing the fleet file with the running replicas.
 //!
-//! [`plan`] is pure: from the file, the replicas, the orders under way and the
-//! rate of the weight store it works out the next orders. Control calls it
-//! again and again; each call moves the fleet one safe step.
+//! [`plan`] is a pure function of the fleet file, the replicas, the open orders
+//! and the loads that the weight store accepts now; it returns the next orders.
+//! Control calls it repeatedly, and each call moves the fleet one safe step
+//! towards the file.
 
 mod models;
 mod roles;
@@ -16,12 +17,12 @@
 
 use crate::reason::ReasonCode;
 
-/// Rules of placement.
+/// Settings of placement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementSettings {
-    /// An order that had no effect for this long is given again, in milliseconds.
+    /// Time after which an order without effect is issued again, in milliseconds.
     pub order_timeout_ms: u64,
-    /// Of a model's serving replicas, percent that may be changed at once.
+    /// Maximum share of a model's replicas that may be changing at once, in percent.
     pub max_changing_percent: usize,
 }
 
@@ -34,79 +35,79 @@
     }
 }
 
-/// Whether a replica is there.
+/// Reachability of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReplicaHealth {
-    /// It answers.
+    /// The replica responds.
     Responding,
-    /// It has not answered lately: it gets no orders and is not counted on,
-    /// but is not replaced either.
+    /// The replica has not responded recently. It gets no orders and does not count as serving,
+    /// but it is not replaced yet.
     Unreachable,
-    /// It has been silent for so long that it has to be replaced.
+    /// The replica has been unreachable for so long that it must be replaced.
     Dead,
 }
 
-/// A replica as placement sees it.
+/// A replica as input of the planner.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlacedReplica {
-    /// What it is and has loaded.
+    /// The machine and the state of its engine.
     pub info: ReplicaInfo,
-    /// Whether it is there.
+    /// Reachability of the replica.
     pub health: ReplicaHealth,
-    /// Online requests running or waiting on it.
+    /// Online requests running or waiting on the replica.
     pub online: u32,
-    /// Sequences that it runs at once.
+    /// Maximum number of concurrently running sequences.
     pub max_running: u32,
 }
 
-/// An order that was issued and is not settled.
+/// An order that was issued and is not completed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct OpenOrder {
-    /// To which engine.
+    /// The replica that receives the order.
     pub replica: ReplicaId,
-    /// What it shall do.
+    /// The order.
     pub order: EngineOrder,
-    /// When it was issued.
+    /// When the order was issued.
     pub issued_at: Timestamp,
 }
 
 /// An order to issue.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedOrder {
-    /// To which engine.
+    /// The replica that receives the order.
     pub replica: ReplicaId,
-    /// What it shall do.
+    /// The order.
     pub order: EngineOrder,
-    /// Why.
+    /// The reason.
     pub reason: ReasonCode,
 }
 
-/// Orders to issue and what had to wait.
+/// Orders to issue and postponed changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Plan {
-    /// To issue now.
+    /// Orders to issue now.
     pub orders: Vec<PlannedOrder>,
-    /// Changes that wait, each with its reason.
+    /// Postponed changes, each with its reason.
     pub postponed: Vec<PostponedChange>,
 }
 
-/// A change that waits.
+/// A postponed change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PostponedChange {
     /// The model.
     pub model: String,
     /// The zone.
     pub zone: String,
-    /// Why.
+    /// The reason.
     pub reason: ReasonCode,
 }
 
-/// An engine while a plan is made.
+/// An engine during planning.
 #[derive(Clone, Copy, Debug)]
 struct Engine<'a> {
     placed: &'a PlacedReplica,
     order: Option<&'a EngineOrder>,
-    planned: bool,
+    has_planned_order: bool,
 }
 
 impl<'a> Engine<'a> {
@@ -114,17 +115,17 @@
         self.placed.info.machine.zone.as_str()
     }
 
-    /// Takes orders: it answers, stays, and none is under way.
+    /// Can receive an order: it responds, is not leaving, and has no open or planned order.
     fn is_free(&self) -> bool {
-        self.is_answering() && self.order.is_none() && !self.planned
+        self.is_responding() && self.order.is_none() && !self.has_planned_order
     }
 
-    fn is_answering(&self) -> bool {
-        self.placed.health == ReplicaHealth::Responding && self.is_staying()
+    fn is_responding(&self) -> bool {
+        self.placed.health == ReplicaHealth::Responding && self.is_present()
     }
 
     /// Neither dead nor leaving.
-    fn is_staying(&self) -> bool {
+    fn is_present(&self) -> bool {
         self.placed.health != ReplicaHealth::Dead
             && self.placed.info.machine.state == MachineState::Live
             && !self.placed.info.engine.leaving
@@ -134,7 +135,7 @@
         self.placed.info.engine.model.as_ref().map(|id| id.as_str())
     }
 
-    /// The model that it serves or is loading.
+    /// The model that the engine serves or is loading.
     fn model(&self) -> Option<&'a str> {
         match self.order {
             Some(EngineOrder::LoadModel { model, .. }) => Some(model.as_str()),
@@ -142,19 +143,19 @@
         }
     }
 
-    /// Whether it gives up what it serves for an order under way.
+    /// Whether an open or planned order changes what the engine serves.
     fn is_changing(&self) -> bool {
-        self.planned || matches!(self.order, Some(EngineOrder::LoadModel { .. }))
+        self.has_planned_order || matches!(self.order, Some(EngineOrder::LoadModel { .. }))
     }
 
-    /// Has the model loaded, or an order to load it.
+    /// Whether the engine has loaded the model or has an order to load it.
     fn involves(&self, model: &str) -> bool {
         self.loaded() == Some(model) || self.model() == Some(model)
     }
 
-    /// Serves the model now.
+    /// Whether the engine serves the model now.
     fn serves(&self, model: &str) -> bool {
-        self.is_answering() && !self.is_changing() && self.loaded() == Some(model)
+        self.is_responding() && !self.is_changing() && self.loaded() == Some(model)
     }
 }
 
@@ -167,9 +168,9 @@
     plan: Plan,
 }
 
-/// Works out the orders that bring the fleet one step nearer to the file.
+/// Plans the orders that bring the fleet one step closer to the file.
 ///
-/// `loads_allowed` is how many model loads the weight store takes now.
+/// `loads_allowed` is the number of model loads that the weight store accepts now.
 /// Replicas are considered in the given order, so equal input gives an equal
 /// plan.
 #[must_use]
@@ -186,8 +187,8 @@
         .filter(|placed| placed.info.machine.kind == BackEndKind::Engine)
         .map(|placed| Engine {
             placed,
-            order: under_way(now, placed, open_orders, settings),
-            planned: false,
+            order: open_order_of(now, placed, open_orders, settings),
+            has_planned_order: false,
         })
         .collect();
     let mut planner = Planner {
@@ -204,7 +205,7 @@
     planner.plan
 }
 
-fn under_way<'a>(
+fn open_order_of<'a>(
     now: Timestamp,
     placed: &PlacedReplica,
     open_orders: &'a [OpenOrder],
@@ -221,7 +222,7 @@
 impl Planner<'_> {
     fn order(&mut self, engine: usize, order: EngineOrder, reason: ReasonCode) {
         let replica = self.engines[engine].placed.info.machine.replica.clone();
-        self.engines[engine].planned = true;
+        self.engines[engine].has_planned_order = true;
         self.plan.orders.push(PlannedOrder {
             replica,
             order,
--- a/crates/routing/src/placement/models.rs
+++ b/crates/routing/src/placement/models.rs
@@ -1,4 +1,4 @@
-//! Which engine loads which model, version and adapter.
+//! Planning of models, versions and adapters.
 
 use linnethitch_config::fleet::{Adapter, ModelPool};
 use linnethitch_protocol::{command::EngineOrder, ids::ModelId};
@@ -6,17 +6,17 @@
 use super::{Engine, Planner};
 use crate::reason::ReasonCode;
 
-/// Of the sequences that serving replicas run at once, percent that online may
-/// fill before a roll-out waits.
+/// Maximum share of the remaining replicas' sequences that online requests may use during a
+/// roll-out, in percent.
 const ROLLOUT_MAX_LOAD_PERCENT: u32 = 80;
 
 impl Planner<'_> {
-    /// Loads models where fewer replicas run them than wanted.
+    /// Loads models where fewer replicas run them than desired.
     pub(super) fn place_missing(&mut self) {
         let fleet = self.fleet;
         for pool in &fleet.models {
             for placement in &pool.placement {
-                let present = self.count(&placement.zone, &pool.name);
+                let present = self.present_in(&placement.zone, &pool.name);
                 let missing = (placement.replicas as usize).saturating_sub(present);
                 for _ in 0..missing {
                     self.place_one(pool, &placement.zone);
@@ -26,16 +26,16 @@
     }
 
     /// Engines of a zone that serve or load the model.
-    fn count(&self, zone: &str, model: &str) -> usize {
+    fn present_in(&self, zone: &str, model: &str) -> usize {
         self.engines
             .iter()
-            .filter(|engine| engine.zone() == zone && engine.is_staying())
+            .filter(|engine| engine.zone() == zone && engine.is_present())
             .filter(|engine| engine.model() == Some(model))
             .count()
     }
 
     fn place_one(&mut self, pool: &ModelPool, zone: &str) {
-        let Some(engine) = self.spare(zone) else {
+        let Some(engine) = self.spare_engine(zone) else {
             return self.postpone(&pool.name, zone, ReasonCode::PlacementMissing);
         };
         if self.loads_allowed == 0 {
@@ -53,9 +53,9 @@
         self.order(engine, order, reason);
     }
 
-    /// An engine of the zone that can be given another model: an empty one
-    /// first, then one whose model is not wanted there as often.
-    fn spare(&self, zone: &str) -> Option<usize> {
+    /// An engine of the zone that can load another model: an engine without a model
+    /// if there is one, otherwise an engine whose model has surplus replicas there.
+    fn spare_engine(&self, zone: &str) -> Option<usize> {
         let candidates = || {
             self.engines
                 .iter()
@@ -71,8 +71,8 @@
         empty.or_else(surplus).map(|(number, _)| number)
     }
 
-    /// Whether its model runs more often in its zone than wanted, and still
-    /// serves elsewhere when it goes.
+    /// Whether the engine's model has more serving replicas in the zone than desired
+    /// and the engine may be interrupted.
     fn is_surplus(&self, engine: &Engine<'_>) -> bool {
         let Some(model) = engine.loaded() else {
             return true;
@@ -80,9 +80,9 @@
         let Some(pool) = self.fleet.models.iter().find(|pool| pool.name == model) else {
             return true;
         };
-        let wanted = wanted_in(pool, engine.zone());
+        let desired = desired_in(pool, engine.zone());
         let serving = self.serving(engine.zone(), model);
-        serving > wanted && self.may_take_away(pool, engine)
+        serving > desired && self.may_interrupt(pool, engine)
     }
 
     fn serving(&self, zone: &str, model: &str) -> usize {
@@ -92,13 +92,13 @@
             .count()
     }
 
-    /// Moves replicas with an older version to the wanted one, few at a time.
+    /// Updates replicas with another version to the desired one, a few at a time.
     pub(super) fn update_versions(&mut self) {
         let fleet = self.fleet;
         for pool in &fleet.models {
-            while let Some(engine) = self.behind(pool) {
+            while let Some(engine) = self.outdated_replica(pool) {
                 let zone = self.engines[engine].zone().to_owned();
-                if !self.may_take_away(pool, &self.engines[engine]) {
+                if !self.may_interrupt(pool, &self.engines[engine]) {
                     self.postpone(&pool.name, &zone, ReasonCode::CapacityGuard);
                     break;
                 }
@@ -111,8 +111,8 @@
         }
     }
 
-    /// The least loaded free replica with another version than wanted.
-    fn behind(&self, pool: &ModelPool) -> Option<usize> {
+    /// The least loaded free replica whose version is not the desired one.
+    fn outdated_replica(&self, pool: &ModelPool) -> Option<usize> {
         self.engines
             .iter()
             .enumerate()
@@ -124,14 +124,16 @@
 
     /// Whether a serving replica may stop serving for a while.
     ///
-    /// The rest must carry the online load with room to spare, only a share of
-    /// the pool changes at once, and a zone with several serving replicas
-    /// keeps one. A pool's only replica may change when nothing runs on it or
-    /// none else could ever serve: then waiting would not help.
+    /// The remaining replicas must carry the online load with a reserve, only a
+    /// share of the pool changes at once, and a zone that should have several
+    /// replicas keeps one that serves. The only serving replica may change if the
+    /// fleet file requests at most one replica, because waiting would not help, and
+    /// no other replica is changing.
     ///
-    /// A replica is changing until its load is over and its adapters are there.
-    fn may_take_away(&self, pool: &ModelPool, leaving: &Engine<'_>) -> bool {
-        let (serving, unfinished): (Vec<&Engine<'_>>, Vec<&Engine<'_>>) = self
+    /// A replica counts as changing until the load is complete and its adapters are
+    /// loaded.
+    fn may_interrupt(&self, pool: &ModelPool, interrupted: &Engine<'_>) -> bool {
+        let (serving, lacking_adapters): (Vec<&Engine<'_>>, Vec<&Engine<'_>>) = self
             .engines
             .iter()
             .filter(|engine| engine.serves(&pool.name))
@@ -142,24 +144,26 @@
             .filter(|engine| engine.is_changing())
             .filter(|engine| engine.involves(&pool.name))
             .count();
-        let changing = loading + unfinished.len();
+        let changing = loading + lacking_adapters.len();
         if serving.len() <= 1 {
-            return changing == 0 && wanted_in_all(pool) <= 1;
+            return changing == 0 && desired_in_all(pool) <= 1;
         }
-        let whole = serving.len() + changing;
-        let most_changing = (whole * self.settings.max_changing_percent / 100).max(1);
-        changing < most_changing
-            && self.keeps_zone(pool, leaving)
-            && rest_carries_online(&serving, leaving)
+        let total = serving.len() + changing;
+        let max_changing = (total * self.settings.max_changing_percent / 100).max(1);
+        changing < max_changing
+            && self.keeps_serving_in_zone(pool, interrupted)
+            && others_carry_online(&serving, interrupted)
     }
 
-    /// A zone with other replicas of the model wanted keeps one that serves.
-    fn keeps_zone(&self, pool: &ModelPool, leaving: &Engine<'_>) -> bool {
-        let others = self.serving(leaving.zone(), &pool.name).saturating_sub(1);
-        others > 0 || wanted_in(pool, leaving.zone()) <= 1
+    /// Whether the zone keeps a serving replica, if more than one is desired there.
+    fn keeps_serving_in_zone(&self, pool: &ModelPool, interrupted: &Engine<'_>) -> bool {
+        let others = self
+            .serving(interrupted.zone(), &pool.name)
+            .saturating_sub(1);
+        others > 0 || desired_in(pool, interrupted.zone()) <= 1
     }
 
-    /// Loads adapters that the file names and a replica lacks.
+    /// Loads adapters that the fleet file lists and a replica lacks.
     pub(super) fn load_adapters(&mut self) {
         let fleet = self.fleet;
         for pool in &fleet.models {
@@ -185,15 +189,15 @@
     }
 }
 
-/// Whether a replica has the wanted version, but not yet all its adapters.
+/// Whether a replica has the desired version, but not yet all adapters.
 fn lacks_adapters(pool: &ModelPool, engine: &Engine<'_>) -> bool {
     let state = &engine.placed.info.engine;
     let has = |adapter: &Adapter| state.adapters.contains(&adapter.name);
     state.version == pool.version && !pool.adapters.iter().all(has)
 }
 
-/// Replicas of the model wanted in a zone.
-pub(super) fn wanted_in(pool: &ModelPool, zone: &str) -> usize {
+/// Desired replicas of the model in a zone.
+pub(super) fn desired_in(pool: &ModelPool, zone: &str) -> usize {
     pool.placement
         .iter()
         .filter(|placement| placement.zone == zone)
@@ -201,20 +205,20 @@
         .sum()
 }
 
-fn wanted_in_all(pool: &ModelPool) -> usize {
+fn desired_in_all(pool: &ModelPool) -> usize {
     pool.placement
         .iter()
         .map(|placement| placement.replicas as usize)
         .sum()
 }
 
-/// Whether the online requests of all fit the others with room to spare.
-fn rest_carries_online(serving: &[&Engine<'_>], leaving: &Engine<'_>) -> bool {
+/// Whether the other replicas can carry the online requests of all, with a reserve.
+fn others_carry_online(serving: &[&Engine<'_>], interrupted: &Engine<'_>) -> bool {
     let online: u32 = serving.iter().map(|engine| engine.placed.online).sum();
     let capacity: u32 = serving
         .iter()
         .map(|engine| engine.placed.max_running)
         .sum::<u32>()
-        .saturating_sub(leaving.placed.max_running);
+        .saturating_sub(interrupted.placed.max_running);
     online * 100 <= capacity * ROLLOUT_MAX_LOAD_PERCENT
 }
--- a/crates/routing/src/placement/roles.rs
+++ b/crates/routing/src/placement/roles.rs
@@ -1,12 +1,12 @@
-//! How many replicas prefill only, decode only, or do both.
+//! Planning of engine roles: prefill, decode, or mixed.
 
 use linnethitch_config::fleet::ModelPool;
 use linnethitch_protocol::{command::EngineOrder, fleet::EngineRole};
 
-use super::{Planner, models::wanted_in};
+use super::{Planner, models::desired_in};
 use crate::reason::ReasonCode;
 
-/// Replicas of each role wanted in a zone.
+/// Desired replicas per role in a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct RoleCounts {
     prefill: usize,
@@ -15,7 +15,7 @@
 }
 
 impl Planner<'_> {
-    /// Changes roles, one replica of a pool and zone at a time.
+    /// Changes roles, one replica per pool and zone at a time.
     pub(super) fn change_roles(&mut self) {
         let fleet = self.fleet;
         for pool in &fleet.models {
@@ -33,8 +33,8 @@
         if changing {
             return;
         }
-        let wanted = wanted_roles(pool, zone);
-        let have = |role| {
+        let desired = desired_roles(pool, zone);
+        let current = |role| {
             self.engines
                 .iter()
                 .filter(|engine| engine.zone() == zone && engine.serves(&pool.name))
@@ -42,8 +42,12 @@
                 .count()
         };
         let all = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
-        let lacking = all.into_iter().find(|role| have(*role) < wanted.of(*role));
-        let surplus = all.into_iter().find(|role| have(*role) > wanted.of(*role));
+        let lacking = all
+            .into_iter()
+            .find(|role| current(*role) < desired.of(*role));
+        let surplus = all
+            .into_iter()
+            .find(|role| current(*role) > desired.of(*role));
         let (Some(to), Some(from)) = (lacking, surplus) else {
             return;
         };
@@ -76,10 +80,10 @@
     }
 }
 
-/// The roles of a zone's replicas. A split needs both roles, so a zone with
+/// The desired roles in a zone. A split needs a replica of each role, so a zone with
 /// one replica stays mixed.
-fn wanted_roles(pool: &ModelPool, zone: &str) -> RoleCounts {
-    let replicas = wanted_in(pool, zone);
+fn desired_roles(pool: &ModelPool, zone: &str) -> RoleCounts {
+    let replicas = desired_in(pool, zone);
     let percent = usize::from(pool.prefill_percent.min(100));
     if percent == 0 || replicas < 2 {
         return RoleCounts {
--- a/crates/routing/src/view/mod.rs
+++ b/crates/routing/src/view/mod.rs
@@ -386,7 +386,7 @@
         if stored {
             self.prefixes.record(index, &[prefix_hash]);
         } else {
-            self.prefixes.forget(index, prefix_hash);
+            self.prefixes.remove(index, prefix_hash);
         }
     }
 }
--- a/crates/routing/src/view/prefixes.rs
+++ b/crates/routing/src/view/prefixes.rs
@@ -52,7 +52,7 @@
     }
 
     /// Records that a replica no longer caches a prefix.
-    pub fn forget(&mut self, replica: ReplicaIndex, hash: u64) {
+    pub fn remove(&mut self, replica: ReplicaIndex, hash: u64) {
         let slot = &mut self.slots[Self::slot(hash)];
         if slot.hash == hash {
             for holder in &mut slot.holders {
--- a/crates/routing/tests/all/placement.rs
+++ b/crates/routing/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! The planner of loads, versions, adapters and roles.
+//! Planning of loads, versions, adapters and roles.
 
 use linnethitch_config::fleet::Fleet;
 use linnethitch_protocol::{
@@ -66,7 +66,7 @@
     replica
 }
 
-fn silent(mut replica: PlacedReplica) -> PlacedReplica {
+fn unreachable(mut replica: PlacedReplica) -> PlacedReplica {
     replica.health = ReplicaHealth::Unreachable;
     replica
 }
@@ -112,32 +112,32 @@
 use ReasonCode::{CapacityGuard, PlacementMissing, VersionBehind, WeightStoreBusy};
 
 #[rstest]
-#[case::as_wanted(vec![placed("e1", "a"), placed("e2", "a")], &[], &[])]
+#[case::as_desired(vec![placed("e1", "a"), placed("e2", "a")], &[], &[])]
 #[case::empty_engines(vec![empty("e1", "a"), empty("e2", "a")], &["e1", "e2"], &[])]
 #[case::one_missing(vec![placed("e1", "a"), empty("e2", "a")], &["e2"], &[])]
-#[case::dead_one_replaced_by_a_spare(vec![placed("e1", "a"), dead(placed("e2", "a")), empty("e3", "a")], &["e3"], &[])]
-#[case::retired_model_gives_way(vec![placed("e1", "a"), dead(placed("e2", "a")), other_model("e3", "a")], &["e3"], &[])]
-#[case::empty_goes_before_retired(vec![placed("e1", "a"), other_model("e2", "a"), empty("e3", "a")], &["e3"], &[])]
-#[case::no_engine_left(vec![placed("e1", "a"), dead(placed("e2", "a"))], &[], &[PlacementMissing])]
-#[case::silent_one_is_not_replaced(vec![placed("e1", "a"), silent(placed("e2", "a")), empty("e3", "a")], &[], &[])]
-#[case::silent_spare_is_no_spare(vec![placed("e1", "a"), silent(empty("e2", "a"))], &[], &[PlacementMissing])]
-#[case::dead_spare_is_no_spare(vec![placed("e1", "a"), dead(empty("e2", "a"))], &[], &[PlacementMissing])]
-#[case::another_zones_engine_stays_there(vec![placed("e1", "a"), empty("e2", "b")], &[], &[PlacementMissing])]
-#[case::applications_are_no_engines(vec![placed("e1", "a"), PlacedReplica { info: application("t1", "a"), ..placed("t1", "a") }], &[], &[PlacementMissing])]
+#[case::dead_replica_replaced_by_a_spare_engine(vec![placed("e1", "a"), dead(placed("e2", "a")), empty("e3", "a")], &["e3"], &[])]
+#[case::engine_of_a_retired_model_is_reused(vec![placed("e1", "a"), dead(placed("e2", "a")), other_model("e3", "a")], &["e3"], &[])]
+#[case::empty_engine_before_retired_model(vec![placed("e1", "a"), other_model("e2", "a"), empty("e3", "a")], &["e3"], &[])]
+#[case::no_free_engine(vec![placed("e1", "a"), dead(placed("e2", "a"))], &[], &[PlacementMissing])]
+#[case::unreachable_replica_is_not_replaced(vec![placed("e1", "a"), unreachable(placed("e2", "a")), empty("e3", "a")], &[], &[])]
+#[case::unreachable_engine_is_not_used(vec![placed("e1", "a"), unreachable(empty("e2", "a"))], &[], &[PlacementMissing])]
+#[case::dead_engine_is_not_used(vec![placed("e1", "a"), dead(empty("e2", "a"))], &[], &[PlacementMissing])]
+#[case::engine_of_another_zone_is_not_used(vec![placed("e1", "a"), empty("e2", "b")], &[], &[PlacementMissing])]
+#[case::application_replica_is_not_used(vec![placed("e1", "a"), PlacedReplica { info: application("t1", "a"), ..placed("t1", "a") }], &[], &[PlacementMissing])]
 fn missing_replicas_are_placed(
     #[case] replicas: Vec<PlacedReplica>,
     #[case] loads: &[&str],
-    #[case] waits: &[ReasonCode],
+    #[case] expected_postponed: &[ReasonCode],
 ) {
     let plan = planned(&fleet(2, 0, ""), &replicas, &[], LOADS);
     let expected: Vec<_> = loads.iter().map(|name| (*name, PlacementMissing)).collect();
     assert_eq!(ordered(&plan), expected);
     assert!(plan.orders.iter().all(|order| order.order == load()));
-    assert_eq!(postponed(&plan), waits);
+    assert_eq!(postponed(&plan), expected_postponed);
 }
 
 #[test]
-fn a_leaving_replica_is_replaced_before_it_is_gone() {
+fn a_leaving_replica_is_replaced_before_it_departs() {
     let mut leaving = placed("e1", "a");
     leaving.info.machine.state = MachineState::Leaving;
     let replicas = [leaving, empty("e2", "a")];
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_weight_store_bounds_the_loads() {
+fn the_weight_store_limits_the_loads() {
     let replicas = ["e1", "e2", "e3"].map(|name| empty(name, "a"));
     let plan = planned(&fleet(3, 0, ""), &replicas, &[], 2);
     assert_eq!(plan.orders.len(), 2);
@@ -154,9 +154,9 @@
 }
 
 #[rstest]
-#[case::under_way(1_000, 0)]
-#[case::without_effect_for_long(60_000, 1)]
-fn an_order_under_way_is_not_repeated(#[case] age_ms: u64, #[case] orders: usize) {
+#[case::open(1_000, 0)]
+#[case::timed_out(60_000, 1)]
+fn an_open_order_is_not_repeated_before_its_timeout(#[case] age_ms: u64, #[case] orders: usize) {
     let plan = plan(
         later(age_ms),
         &fleet(1, 0, ""),
@@ -171,11 +171,11 @@
 #[rstest]
 #[case::idle_one_at_a_time([0, 0, 0, 0], 1, None)]
 #[case::moderately_busy([40, 40, 30, 40], 1, None)]
-#[case::too_busy_to_lose_one([60, 60, 60, 60], 0, Some(CapacityGuard))]
-fn a_roll_out_never_takes_what_online_needs(
+#[case::too_busy_to_interrupt_one([60, 60, 60, 60], 0, Some(CapacityGuard))]
+fn a_roll_out_keeps_the_capacity_that_online_needs(
     #[case] online: [u32; 4],
     #[case] orders: usize,
-    #[case] waits: Option<ReasonCode>,
+    #[case] expected_postponed: Option<ReasonCode>,
 ) {
     let names = ["e1", "e2", "e3", "e4"];
     let replicas: Vec<_> = (0..4)
@@ -183,8 +183,8 @@
         .collect();
     let plan = planned(&fleet(2, 2, ""), &replicas, &[], LOADS);
     assert_eq!(plan.orders.len(), orders);
-    let waits = waits.or(Some(CapacityGuard));
-    assert_eq!(postponed(&plan).first().copied(), waits);
+    let expected_postponed = expected_postponed.or(Some(CapacityGuard));
+    assert_eq!(postponed(&plan).first().copied(), expected_postponed);
     if let Some(order) = plan.orders.first() {
         let least = online.iter().min().unwrap();
         let position = names
@@ -193,18 +193,18 @@
         assert_eq!(
             online[position.unwrap()],
             *least,
-            "the least busy one first"
+            "the least loaded replica is updated first"
         );
         assert_eq!(order.reason, VersionBehind);
     }
 }
 
-/// Steps a roll-out to its end and checks after each step that zones keep serving.
+/// Runs a roll-out to its end and checks after each step that every zone keeps a serving replica.
 #[rstest]
 #[case(2, 2)]
 #[case(3, 1)]
 #[case(6, 6)]
-fn a_roll_out_ends_and_never_empties_a_zone(#[case] in_a: u32, #[case] in_b: u32) {
+fn a_roll_out_ends_and_keeps_every_zone_serving(#[case] in_a: u32, #[case] in_b: u32) {
     let fleet = fleet(in_a, in_b, "");
     let mut replicas: Vec<PlacedReplica> = (0..in_a)
         .map(|number| old_version(&format!("a{number}"), "a", 10))
@@ -219,13 +219,16 @@
         let changing: Vec<_> = plan.orders.iter().map(|order| &order.replica).collect();
         let all = replicas.len();
         assert!(changing.len() <= (all / 4).max(1));
-        for (zone, wanted) in [("a", in_a), ("b", in_b)] {
+        for (zone, desired) in [("a", in_a), ("b", in_b)] {
             let serving = replicas
                 .iter()
                 .filter(|one| one.info.machine.zone.as_str() == zone)
                 .filter(|one| !changing.contains(&&one.info.machine.replica))
                 .count();
-            assert!(serving > 0 || wanted == 1, "zone {zone} is empty");
+            assert!(
+                serving > 0 || desired == 1,
+                "zone {zone} has no serving replica"
+            );
         }
         for replica in &mut replicas {
             if changing.contains(&&replica.info.machine.replica) {
@@ -256,8 +259,8 @@
 #[case::before_the_load(|_: &mut PlacedReplica| {}, true)]
 #[case::while_it_loads(|replica: &mut PlacedReplica| replica.info.engine.model = None, true)]
 #[case::while_its_adapters_are_missing(|replica: &mut PlacedReplica| replica.info.engine.version = "v1".to_owned(), false)]
-#[case::while_it_is_silent(|replica: &mut PlacedReplica| replica.health = ReplicaHealth::Unreachable, true)]
-fn a_roll_out_counts_replicas_that_are_changing_already(
+#[case::while_it_is_unreachable(|replica: &mut PlacedReplica| replica.health = ReplicaHealth::Unreachable, true)]
+fn a_roll_out_counts_replicas_that_are_already_changing(
     #[case] change: fn(&mut PlacedReplica),
     #[case] has_order: bool,
 ) {
--- a/crates/routing/tests/all/yielding.rs
+++ b/crates/routing/tests/all/yielding.rs
@@ -169,6 +169,6 @@
     let e2 = index(&router, "e2");
     assert_eq!(capacity.allowance(NOW, router.view(), e2).sequences, 0);
     assert_eq!(capacity.replicas(), [index(&router, "e1")]);
-    capacity.forget_expired(later(2_000));
+    capacity.remove_expired(later(2_000));
     assert!(capacity.replicas().is_empty());
 }
