--- a/crates/routing/src/answer_times.rs
+++ b/crates/routing/src/answer_times.rs
@@ -2,7 +2,7 @@
 
 use std::collections::HashMap;
 
-/// Length of a window; an answer counts in its own and in the next window.
+/// Length of a window, in milliseconds; an answer counts in its own and in the next window.
 const WINDOW_MS: u64 = 30_000;
 /// Safety factor on the longest recent answer time.
 const SAFETY_FACTOR: f64 = 1.25;
--- a/crates/routing/src/grants.rs
+++ b/crates/routing/src/grants.rs
@@ -20,7 +20,7 @@
     pub reserve_sequences: u32,
     /// Share of KV memory that batch leaves free, in percent.
     pub reserve_kv_percent: u32,
-    /// Maximum age of a load report; with an older one nothing is granted, in milliseconds.
+    /// Maximum age of a load report, in milliseconds; with an older report nothing is granted.
     pub max_report_age_ms: u64,
     /// How long a grant is valid, in milliseconds.
     pub valid_ms: u32,
--- a/crates/routing/tests/all/fixture.rs
+++ b/crates/routing/tests/all/fixture.rs
@@ -102,12 +102,12 @@
 pub(crate) fn report(
     measured_at: Timestamp,
     running_online: u32,
-    queued_prefill_tokens: u32,
+    queued_tokens: u32,
 ) -> LoadReport {
     LoadReport {
         measured_at,
         running_online,
-        queued_prefill_tokens: queued_prefill_tokens,
+        queued_prefill_tokens: queued_tokens,
         kv_capacity_tokens: 100_000,
         max_running: 64,
         ..LoadReport::default()
--- a/crates/routing/tests/all/grants.rs
+++ b/crates/routing/tests/all/grants.rs
@@ -51,10 +51,10 @@
 fn granted_by_gateway(allocations: &[Allocation]) -> Vec<(&str, &str, u32)> {
     allocations
         .iter()
-        .map(|one| {
-            let grant = &one.grant;
+        .map(|allocation| {
+            let grant = &allocation.grant;
             (
-                one.gateway.as_str(),
+                allocation.gateway.as_str(),
                 grant.replica.as_str(),
                 grant.sequences,
             )
@@ -73,7 +73,10 @@
 fn a_replica_is_filled_up_to_its_headroom(#[case] replica: BatchReplica, #[case] granted: u32) {
     let mut table = table();
     let allocations = table.allocate(NOW, &[request("g", "a", 1_000)], &[replica]);
-    let sum: u32 = allocations.iter().map(|one| one.grant.sequences).sum();
+    let sum: u32 = allocations
+        .iter()
+        .map(|allocation| allocation.grant.sequences)
+        .sum();
     assert_eq!(sum, granted);
 }
 
@@ -101,7 +104,10 @@
     let mut table = table();
     let requests = ["g1", "g2", "g3"].map(|gateway| request(gateway, "a", 100));
     let allocations = table.allocate(NOW, &requests, &[replica("r", "a", 0)]);
-    let shares: Vec<u32> = allocations.iter().map(|one| one.grant.sequences).collect();
+    let shares: Vec<u32> = allocations
+        .iter()
+        .map(|allocation| allocation.grant.sequences)
+        .collect();
     assert_eq!(shares, [20, 20, 20]);
 }
 
@@ -189,14 +195,14 @@
                 .enumerate()
                 .map(|(number, online)| measured(replica(&format!("r{number}"), "a", *online), now))
                 .collect();
-            for (number, one) in table.allocate(now, &requests, &replicas).into_iter().enumerate() {
+            for (number, allocation) in table.allocate(now, &requests, &replicas).into_iter().enumerate() {
                 if lost & (1 << (number % 8)) != 0 {
                     continue;
                 }
-                let until = Timestamp(now.0 + u64::from(one.grant.valid_ms));
+                let until = Timestamp(now.0 + u64::from(allocation.grant.valid_ms));
                 valid_grants.insert(
-                    (one.gateway, one.grant.replica.clone()),
-                    (one.grant.sequences, until),
+                    (allocation.gateway, allocation.grant.replica.clone()),
+                    (allocation.grant.sequences, until),
                 );
             }
             for replica in &replicas {
--- a/crates/routing/tests/all/placement.rs
+++ b/crates/routing/tests/all/placement.rs
@@ -106,7 +106,7 @@
 }
 
 fn postponed(plan: &Plan) -> Vec<ReasonCode> {
-    plan.postponed.iter().map(|one| one.reason).collect()
+    plan.postponed.iter().map(|change| change.reason).collect()
 }
 
 use ReasonCode::{CapacityGuard, PlacementMissing, VersionBehind, WeightStoreBusy};
@@ -222,8 +222,8 @@
         for (zone, desired) in [("a", in_a), ("b", in_b)] {
             let serving = replicas
                 .iter()
-                .filter(|one| one.info.machine.zone.as_str() == zone)
-                .filter(|one| !changing.contains(&&one.info.machine.replica))
+                .filter(|replica| replica.info.machine.zone.as_str() == zone)
+                .filter(|replica| !changing.contains(&&replica.info.machine.replica))
                 .count();
             assert!(
                 serving > 0 || desired == 1,
@@ -238,7 +238,11 @@
         steps += 1;
         assert!(steps < 50, "the roll-out does not end");
     }
-    assert!(replicas.iter().all(|one| one.info.engine.version == "v1"));
+    assert!(
+        replicas
+            .iter()
+            .all(|replica| replica.info.engine.version == "v1")
+    );
 }
 
 #[test]
--- a/crates/routing/tests/all/reason.rs
+++ b/crates/routing/tests/all/reason.rs
@@ -6,7 +6,10 @@
 
 #[test]
 fn every_reason_has_a_unique_code_and_a_description() {
-    let codes: HashSet<&str> = ReasonCode::ALL.iter().map(|one| one.as_str()).collect();
+    let codes: HashSet<&str> = ReasonCode::ALL
+        .iter()
+        .map(|reason| reason.as_str())
+        .collect();
     assert_eq!(codes.len(), ReasonCode::ALL.len());
     for reason in ReasonCode::ALL {
         assert_eq!(ReasonCode::from_code(reason.as_str()), Some(*reason));
--- a/crates/routing/tests/all/retry.rs
+++ b/crates/routing/tests/all/retry.rs
@@ -211,8 +211,8 @@
                     failure,
                     delivered,
                 };
-                let again = !matches!(attempt.allowed(), RetryDecision::Answer { .. });
-                assert!(!again || attempt.unstarted(), "{attempt:?}");
+                let is_retried = !matches!(attempt.allowed(), RetryDecision::Answer { .. });
+                assert!(!is_retried || attempt.unstarted(), "{attempt:?}");
                 if let RetryDecision::Answer { executed, .. } =
                     attempt.answer(ReasonCode::AttemptsUsedUp)
                 {
--- a/crates/routing/tests/all/router.rs
+++ b/crates/routing/tests/all/router.rs
@@ -58,7 +58,7 @@
 #[rstest]
 #[case::prefill(Phase::Prefill, EngineRole::Prefill)]
 #[case::decode(Phase::Decode, EngineRole::Decode)]
-#[case::whole(Phase::PrefillAndDecode, EngineRole::Mixed)]
+#[case::prefill_and_decode(Phase::PrefillAndDecode, EngineRole::Mixed)]
 fn each_phase_goes_to_replicas_with_its_role(#[case] phase: Phase, #[case] role: EngineRole) {
     let all = [EngineRole::Mixed, EngineRole::Prefill, EngineRole::Decode];
     let replicas = all.map(|role| changed(&format!("{role:?}"), |info| info.engine.role = role));
@@ -337,9 +337,9 @@
         .on_sent(NOW, first.replica, work(Class::Online, 600), &hashes);
     router.view_mut().on_finished(later(100), ticket);
     for _ in 0..20 {
-        let again = router.choose(later(200), &profile, &mut generator).unwrap();
-        assert_eq!(again.replica, first.replica);
-        assert_eq!(again.cached_tokens, 512);
+        let next = router.choose(later(200), &profile, &mut generator).unwrap();
+        assert_eq!(next.replica, first.replica);
+        assert_eq!(next.cached_tokens, 512);
     }
 }
 
@@ -358,7 +358,7 @@
             let choice = router.choose(NOW, &profile, &mut generator).unwrap();
             let others = choice.alternatives.iter().flatten();
             let considered: Vec<_> = others.map(|other| other.replica).collect();
-            common.retain(|one| *one == choice.replica || considered.contains(one));
+            common.retain(|replica| *replica == choice.replica || considered.contains(replica));
         }
         common
     };
