--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -65,7 +65,7 @@
         let stop = self
             .dispatcher
             .renew(store, gateway, running, now.steady_ms);
-        self.dispatcher.keep_outside(gateway, outside);
+        self.dispatcher.set_excluded_work(gateway, outside);
         let begin = self
             .dispatcher
             .lease(store, gateway, *want, *item_ms, now.steady_ms);
@@ -85,7 +85,9 @@
     /// The time that has to be counted before a job is accepted.
     fn pass_before_job(&mut self, member: &GroupMember<JobStore>, now: Now) -> Option<Vec<u8>> {
         let is_empty = member.state().is_empty();
-        let part_ms = self.age_clock.part_before_job(now.steady_ms, is_empty)?;
+        let part_ms = self
+            .age_clock
+            .interval_before_job(now.steady_ms, is_empty)?;
         self.pass(part_ms)
     }
 
@@ -93,7 +95,7 @@
     fn lead(&mut self, now: Now) {
         if !self.led {
             self.led = true;
-            self.dispatcher = Dispatcher::begin(now.steady_ms);
+            self.dispatcher = Dispatcher::for_new_leader(now.steady_ms);
             self.gate = QueueGate::default();
         }
     }
@@ -259,7 +261,7 @@
     fn upkeep(&mut self, member: &GroupMember<JobStore>, now: Now) -> Vec<Vec<u8>> {
         self.lead(now);
         let is_empty = member.state().is_empty();
-        let part_ms = self.age_clock.part_due(now.steady_ms, is_empty);
+        let part_ms = self.age_clock.interval_due(now.steady_ms, is_empty);
         part_ms
             .and_then(|part_ms| self.pass(part_ms))
             .into_iter()
--- a/crates/job-store/src/age_clock.rs
+++ b/crates/job-store/src/age_clock.rs
@@ -15,7 +15,7 @@
 impl AgeClock {
     /// The part to be counted now, in milliseconds, if it is time. Without jobs nothing
     /// is: what passes before the first one does not matter.
-    pub fn part_due(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
+    pub fn interval_due(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
         let elapsed_ms = self.elapsed_ms(now_ms);
         let is_idle = self.counted_ms.is_none() || is_empty;
         if !is_idle && elapsed_ms < COUNT_INTERVAL_MS {
@@ -26,7 +26,7 @@
     }
 
     /// The part to be counted before a job is accepted now, in milliseconds.
-    pub fn part_before_job(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
+    pub fn interval_before_job(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
         let elapsed_ms = self.elapsed_ms(now_ms);
         self.counted_ms = Some(now_ms);
         (!is_empty && elapsed_ms > 0).then_some(elapsed_ms)
--- a/crates/job-store/src/call.rs
+++ b/crates/job-store/src/call.rs
@@ -4,9 +4,9 @@
 
 use crate::{
     command::{ItemOutcome, ItemRef},
+    excluded_work::ExcludedWork,
     job::{ItemSpec, JobSpec, ListedState},
-    outside::WorkOutside,
-    progress::{HeldProgress, RunProgress},
+    progress::{RunProgress, StoredProgress},
 };
 
 /// A call of a gateway.
@@ -92,7 +92,7 @@
         /// milliseconds; 0 where it does not know.
         item_ms: u64,
         /// Items that it must not be given.
-        outside: WorkOutside,
+        outside: ExcludedWork,
     },
 }
 
@@ -155,7 +155,7 @@
     /// Time until it is due, in milliseconds; 0 when that has passed.
     pub due_in_ms: u64,
     /// What earlier runs made; it goes on after the last event.
-    pub made: HeldProgress,
+    pub made: StoredProgress,
 }
 
 /// The leader's answer.
--- a/crates/job-store/src/dispatcher.rs
+++ b/crates/job-store/src/dispatcher.rs
@@ -10,8 +10,8 @@
 use crate::{
     call::ItemWork,
     command::ItemRef,
+    excluded_work::ExcludedWork,
     lease_times::LeaseTimes,
-    outside::WorkOutside,
     plan::{self, JobDemand, Turn},
     store::JobStore,
 };
@@ -34,7 +34,7 @@
     /// Items that it could take besides, as it said last.
     free_slots: u32,
     /// Items that it must not be given, as it said last.
-    outside: WorkOutside,
+    outside: ExcludedWork,
 }
 
 /// The items of an open job that are not listed.
@@ -68,7 +68,7 @@
     /// The dispatcher of a leader that begins now. It gives nothing out until
     /// every gateway has had time to say what it works on.
     #[must_use]
-    pub fn begin(now_ms: u64) -> Self {
+    pub fn for_new_leader(now_ms: u64) -> Self {
         Dispatcher {
             settled_ms: now_ms + SETTLE_MS,
             ..Dispatcher::default()
@@ -116,7 +116,7 @@
     }
 
     /// A gateway must not be given these items.
-    pub fn keep_outside(&mut self, gateway: &str, outside: &WorkOutside) {
+    pub fn set_excluded_work(&mut self, gateway: &str, outside: &ExcludedWork) {
         let holder = self.gateways.entry(gateway.to_owned()).or_default();
         holder.outside.clone_from(outside);
     }
@@ -153,7 +153,7 @@
     }
 
     /// The next item by the order of the plan, and when it is due.
-    fn next_item(&mut self, store: &JobStore, outside: &WorkOutside) -> Option<(ItemRef, u64)> {
+    fn next_item(&mut self, store: &JobStore, outside: &ExcludedWork) -> Option<(ItemRef, u64)> {
         for turn in &mut self.turns {
             let Some(queue) = self.queues.get_mut(&turn.job) else {
                 continue;
@@ -311,7 +311,7 @@
     store: &JobStore,
     job: &str,
     free: &BTreeSet<u32>,
-    outside: &WorkOutside,
+    outside: &ExcludedWork,
 ) -> Option<u32> {
     let held = store.job(job);
     let is_outside = |number: &u32| {
--- a/crates/job-store/src/outside.rs
+++ b/crates/job-store/src/excluded_work.rs
@@ -4,7 +4,7 @@
 
 /// A route, and whether a gateway stands outside its homes.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct WorkRoute {
+pub struct RouteExclusion {
     /// Its host.
     pub host: String,
     /// Its prefix of paths.
@@ -16,15 +16,15 @@
 /// Items that a gateway must not be given: their bodies stay in the homes of their route and
 /// of their tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct WorkOutside {
+pub struct ExcludedWork {
     /// Routes outside whose homes it stands, and those below them; the longest prefix of an
     /// item's path decides.
-    pub routes: Vec<WorkRoute>,
+    pub routes: Vec<RouteExclusion>,
     /// Tenants outside whose homes it stands.
     pub tenants: Vec<String>,
 }
 
-impl WorkOutside {
+impl ExcludedWork {
     /// Whether it may be given every item.
     pub(crate) fn is_empty(&self) -> bool {
         self.routes.is_empty() && self.tenants.is_empty()
@@ -37,7 +37,7 @@
     }
 
     /// The host may carry a port.
-    fn route_of(&self, host: &str, path: &str) -> Option<&WorkRoute> {
+    fn route_of(&self, host: &str, path: &str) -> Option<&RouteExclusion> {
         let host = host.split(':').next().unwrap_or(host);
         let routes = self.routes.iter();
         routes
--- a/crates/job-store/src/first_format.rs
+++ b/crates/job-store/src/first_format.rs
@@ -14,9 +14,9 @@
 use crate::{
     call::{ItemWork, QueueBound, ResultsPage, StoreCall, StoreReply},
     command::{ItemOutcome, ItemRef},
+    excluded_work::ExcludedWork,
     job::{ItemSpec, JobSpec},
-    outside::WorkOutside,
-    progress::{HeldProgress, ItemProgress, MadeEvents, RunMark, RunProgress},
+    progress::{GeneratedEvents, ItemProgress, RunId, RunProgress, StoredProgress},
 };
 
 /// A call of a gateway.
@@ -65,7 +65,7 @@
     spec: ItemSpec,
     failures: u32,
     due_in_ms: u64,
-    made: MadeEvents,
+    made: GeneratedEvents,
 }
 
 /// The leader's answer.
@@ -170,7 +170,7 @@
                 running,
                 want,
                 item_ms,
-                outside: WorkOutside::default(),
+                outside: ExcludedWork::default(),
             },
         }
     }
@@ -199,9 +199,9 @@
             spec: first.spec,
             failures: first.failures,
             due_in_ms: first.due_in_ms,
-            made: HeldProgress {
+            made: StoredProgress {
                 made: first.made,
-                told_by: RunMark::UNKNOWN,
+                told_by: RunId::UNKNOWN,
             },
         }
     }
--- a/crates/job-store/src/progress.rs
+++ b/crates/job-store/src/progress.rs
@@ -13,7 +13,7 @@
 
 /// Events of an item, from its first one on.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct MadeEvents {
+pub struct GeneratedEvents {
     /// The data of each event, in order.
     pub events: Vec<String>,
     /// The id of the last one; `None` before the first.
@@ -28,21 +28,21 @@
     /// Events that were told before; 0 tells all.
     pub told_before: u32,
     /// The further ones.
-    pub made: MadeEvents,
+    pub made: GeneratedEvents,
 }
 
 /// Marks a run of an item under one lease: drawn at random by its gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct RunMark(pub u64);
+pub struct RunId(pub u64);
 
-impl RunMark {
+impl RunId {
     /// The run is not known: nothing was told yet, or without a mark.
-    pub const UNKNOWN: RunMark = RunMark(0);
+    pub const UNKNOWN: RunId = RunId(0);
 
     /// The mark of a number drawn at random.
     #[must_use]
-    pub fn of(random: u64) -> Self {
-        RunMark(random.max(1))
+    pub fn from_random(random: u64) -> Self {
+        RunId(random.max(1))
     }
 }
 
@@ -50,10 +50,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct RunProgress {
     /// The run that tells.
-    pub run: RunMark,
+    pub run: RunId,
     /// The run whose text this continues: the one that the lease began with, its own once
     /// it told anything. Without meaning where all is told.
-    pub continues: RunMark,
+    pub continues: RunId,
     /// What it made.
     pub progress: ItemProgress,
 }
@@ -62,8 +62,8 @@
     /// What was told without marks.
     pub(crate) fn unmarked(progress: ItemProgress) -> Self {
         RunProgress {
-            run: RunMark::UNKNOWN,
-            continues: RunMark::UNKNOWN,
+            run: RunId::UNKNOWN,
+            continues: RunId::UNKNOWN,
             progress,
         }
     }
@@ -71,14 +71,14 @@
 
 /// What earlier runs made of an item, and which of them told it last.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct HeldProgress {
+pub struct StoredProgress {
     /// The events.
-    pub made: MadeEvents,
+    pub made: GeneratedEvents,
     /// The run that told the last of them.
-    pub told_by: RunMark,
+    pub told_by: RunId,
 }
 
-impl HeldProgress {
+impl StoredProgress {
     /// Whether a part goes on exactly where this ends, in the text of the same run.
     fn is_continued_by(&self, part: &RunProgress) -> bool {
         self.told_by == part.continues
@@ -104,13 +104,13 @@
 #[derive(Clone, Debug, Archive, Serialize, Deserialize)]
 pub(crate) struct MadeOfItem {
     item: ItemRef,
-    made: MadeEvents,
+    made: GeneratedEvents,
 }
 
 /// Progress of unfinished items.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ProgressTable {
-    held: BTreeMap<ItemRef, HeldProgress>,
+    held: BTreeMap<ItemRef, StoredProgress>,
     bytes: u64,
 }
 
@@ -126,17 +126,17 @@
     }
 
     /// Who told each entry of [`Self::to_list`].
-    pub(crate) fn tellers(&self) -> Vec<RunMark> {
+    pub(crate) fn tellers(&self) -> Vec<RunId> {
         self.held.values().map(|held| held.told_by).collect()
     }
 
     /// The table of a snapshot. An entry without a teller was told without a mark.
-    pub(crate) fn from_list(list: Vec<MadeOfItem>, tellers: &[RunMark]) -> Self {
+    pub(crate) fn from_list(list: Vec<MadeOfItem>, tellers: &[RunId]) -> Self {
         let bytes = list.iter().map(|held| text_bytes(&held.made.events)).sum();
-        let tellers = tellers.iter().copied().chain(repeat(RunMark::UNKNOWN));
+        let tellers = tellers.iter().copied().chain(repeat(RunId::UNKNOWN));
         let held = list.into_iter().zip(tellers).map(|(entry, told_by)| {
             let made = entry.made;
-            (entry.item, HeldProgress { made, told_by })
+            (entry.item, StoredProgress { made, told_by })
         });
         ProgressTable {
             held: held.collect(),
@@ -153,7 +153,7 @@
             told.progress.told_before == 0 && made.events.len() >= held.made.events.len();
         if is_whole {
             self.bytes -= text_bytes(&held.made.events);
-            *held = HeldProgress::default();
+            *held = StoredProgress::default();
         } else if !held.is_continued_by(&told) {
             return false;
         }
@@ -174,7 +174,7 @@
     }
 
     /// What is held of an item.
-    pub(crate) fn of(&self, item: &ItemRef) -> HeldProgress {
+    pub(crate) fn of(&self, item: &ItemRef) -> StoredProgress {
         self.held.get(item).cloned().unwrap_or_default()
     }
 
--- a/crates/job-store/src/snapshot.rs
+++ b/crates/job-store/src/snapshot.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     job::{Item, Job, JobSpec, Listed, ListedState},
-    progress::{MadeOfItem, ProgressTable, RunMark},
+    progress::{MadeOfItem, ProgressTable, RunId},
     store::JobStore,
     text::{StoredText, Text},
 };
@@ -62,7 +62,7 @@
     index: Index,
     made: Vec<MadeOfItem>,
     /// Who told each entry of `made`; those beyond its end were told without marks.
-    tellers: Vec<RunMark>,
+    tellers: Vec<RunId>,
     tenants: Vec<JobTenant>,
 }
 
--- a/crates/job-store/src/store.rs
+++ b/crates/job-store/src/store.rs
@@ -70,7 +70,7 @@
 
     /// Bytes of texts that are in memory, since no stored snapshot holds them yet.
     #[must_use]
-    pub fn held_text_bytes(&self) -> usize {
+    pub fn in_memory_text_bytes(&self) -> usize {
         let results = self.jobs.values().flat_map(|job| &job.results);
         results.map(|listed| listed.text.held_bytes()).sum()
     }
--- a/crates/job-store/tests/all/age_clock.rs
+++ b/crates/job-store/tests/all/age_clock.rs
@@ -22,7 +22,7 @@
     fn run_until(&mut self, end_ms: u64) {
         while self.now_ms + TICK_MS <= end_ms {
             self.now_ms += TICK_MS;
-            if let Some(part_ms) = self.clock.part_due(self.now_ms, self.store.is_empty()) {
+            if let Some(part_ms) = self.clock.interval_due(self.now_ms, self.store.is_empty()) {
                 pass(&mut self.store, part_ms);
             }
         }
@@ -31,7 +31,7 @@
     fn accept(&mut self, id: &str) {
         if let Some(part_ms) = self
             .clock
-            .part_before_job(self.now_ms, self.store.is_empty())
+            .interval_before_job(self.now_ms, self.store.is_empty())
         {
             pass(&mut self.store, part_ms);
         }
--- a/crates/job-store/tests/all/dispatcher.rs
+++ b/crates/job-store/tests/all/dispatcher.rs
@@ -1,8 +1,8 @@
 //! Leases: each item at one gateway at a time, and again after a loss.
 
 use linnethitch_job_store::{
-    Dispatcher, ItemOutcome, ItemRef, JobStore, LEASE_MS, SETTLE_MS, StoreCommand, TenantJob,
-    WorkOutside, WorkRoute,
+    Dispatcher, ExcludedWork, ItemOutcome, ItemRef, JobStore, LEASE_MS, RouteExclusion, SETTLE_MS,
+    StoreCommand, TenantJob,
 };
 use rstest::rstest;
 
@@ -65,8 +65,8 @@
     assert_eq!(work[0].item, item(first, 0));
 }
 
-fn route(path_prefix: &str, is_outside: bool) -> WorkRoute {
-    WorkRoute {
+fn route(path_prefix: &str, is_outside: bool) -> RouteExclusion {
+    RouteExclusion {
         host: "desk.example".to_owned(),
         path_prefix: path_prefix.to_owned(),
         is_outside,
@@ -81,7 +81,7 @@
 #[case::of_a_longer_prefix(vec![route("/lanes/", false), route("/lanes/0", true)], &[], &[1])]
 #[case::of_another_tenant(Vec::new(), &["desk"], &[0, 1])]
 fn a_gateway_is_not_given_what_it_stands_outside_of(
-    #[case] routes: Vec<WorkRoute>,
+    #[case] routes: Vec<RouteExclusion>,
     #[case] tenants: &[&str],
     #[case] given: &[u32],
 ) {
@@ -89,11 +89,11 @@
     submit(&mut store, job("bound", 2));
     let mut dispatcher = Dispatcher::default();
     let tenants = tenants.iter().map(|name| (*name).to_owned());
-    let outside = WorkOutside {
+    let outside = ExcludedWork {
         routes,
         tenants: tenants.collect(),
     };
-    dispatcher.keep_outside("a", &outside);
+    dispatcher.set_excluded_work("a", &outside);
     let leased = lease(&mut dispatcher, &store, "a", 4, 0);
     let items: Vec<ItemRef> = given.iter().map(|number| item("bound", *number)).collect();
     assert_eq!(leased, items);
@@ -111,13 +111,13 @@
     };
     apply(&mut store, &StoreCommand::SubmitFor(Box::new(job)));
     let mut dispatcher = Dispatcher::default();
-    let outside = WorkOutside {
+    let outside = ExcludedWork {
         tenants: vec!["desk".to_owned()],
-        ..WorkOutside::default()
+        ..ExcludedWork::default()
     };
-    dispatcher.keep_outside("a", &outside);
+    dispatcher.set_excluded_work("a", &outside);
     assert!(lease(&mut dispatcher, &store, "a", 4, 0).is_empty());
-    dispatcher.keep_outside("a", &WorkOutside::default());
+    dispatcher.set_excluded_work("a", &ExcludedWork::default());
     assert_eq!(lease(&mut dispatcher, &store, "a", 4, 0).len(), 2);
 }
 
@@ -178,7 +178,7 @@
 #[test]
 fn a_new_leader_waits_until_gateways_have_said_what_they_work_on() {
     let store = two_jobs();
-    let mut dispatcher = Dispatcher::begin(1_000);
+    let mut dispatcher = Dispatcher::for_new_leader(1_000);
     assert!(lease(&mut dispatcher, &store, "a", 4, 1_000).is_empty());
     dispatcher.renew(&store, "b", &[item("early", 0), item("late", 1)], 1_100);
     let given = lease(&mut dispatcher, &store, "a", 4, 1_000 + SETTLE_MS);
--- a/crates/job-store/tests/all/layout.rs
+++ b/crates/job-store/tests/all/layout.rs
@@ -2,7 +2,7 @@
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_job_store::{
-    ItemOutcome, ItemProgress, MadeEvents, RunMark, RunProgress, StoreCommand,
+    GeneratedEvents, ItemOutcome, ItemProgress, RunId, RunProgress, StoreCommand,
 };
 use rstest::rstest;
 
@@ -16,7 +16,7 @@
     ItemProgress {
         item: item("j", 3),
         told_before: 2,
-        made: MadeEvents {
+        made: GeneratedEvents {
             events: vec!["c".to_owned()],
             last_event: Some(3),
         },
@@ -25,8 +25,8 @@
 
 fn run_progress() -> RunProgress {
     RunProgress {
-        run: RunMark(22),
-        continues: RunMark(11),
+        run: RunId(22),
+        continues: RunId(11),
         progress: progress(),
     }
 }
--- a/crates/job-store/tests/all/progress.rs
+++ b/crates/job-store/tests/all/progress.rs
@@ -2,21 +2,26 @@
 
 use linnethitch_group::StateMachine;
 use linnethitch_job_store::{
-    Dispatcher, HeldProgress, ItemOutcome, ItemProgress, ItemRef, JobStore, MadeEvents, RunMark,
-    RunProgress, StoreAnswer, StoreCommand,
+    Dispatcher, GeneratedEvents, ItemOutcome, ItemProgress, ItemRef, JobStore, RunId, RunProgress,
+    StoreAnswer, StoreCommand, StoredProgress,
 };
 use rstest::rstest;
 
 use crate::support::{apply, item, job, pass, report, snapshots, store_snapshot, submit};
 
-fn made(events: &[&str], last_event: u64) -> MadeEvents {
-    MadeEvents {
+fn made(events: &[&str], last_event: u64) -> GeneratedEvents {
+    GeneratedEvents {
         events: events.iter().map(|event| (*event).to_owned()).collect(),
         last_event: Some(last_event),
     }
 }
 
-fn tell(store: &mut JobStore, item: ItemRef, told_before: u32, made: MadeEvents) -> StoreAnswer {
+fn tell(
+    store: &mut JobStore,
+    item: ItemRef,
+    told_before: u32,
+    made: GeneratedEvents,
+) -> StoreAnswer {
     let progress = ItemProgress {
         item,
         told_before,
@@ -26,12 +31,12 @@
 }
 
 /// What a gateway that leases the first open item of a job goes on from.
-fn next_run(store: &JobStore) -> MadeEvents {
+fn next_run(store: &JobStore) -> GeneratedEvents {
     next_lease(store).made
 }
 
 /// The same with the run that told it.
-fn next_lease(store: &JobStore) -> HeldProgress {
+fn next_lease(store: &JobStore) -> StoredProgress {
     let mut dispatcher = Dispatcher::default();
     let work = dispatcher.lease(store, "gateway", 1, 0, 0);
     work.into_iter().next().expect("an open item").made
@@ -47,7 +52,7 @@
 #[case::less_told_than_held(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
 fn an_item_ends_with_its_last_events(
     #[case] told_before: u32,
-    #[case] made: MadeEvents,
+    #[case] made: GeneratedEvents,
     #[case] expected: StoreAnswer,
     #[case] listed: Option<&str>,
 ) {
@@ -103,9 +108,9 @@
 #[case::less_than_is_held(0, made(&["a"], 1), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
 fn events_are_kept_once_and_without_gaps(
     #[case] told_before: u32,
-    #[case] told: MadeEvents,
+    #[case] told: GeneratedEvents,
     #[case] answer: StoreAnswer,
-    #[case] kept: MadeEvents,
+    #[case] kept: GeneratedEvents,
 ) {
     let mut store = store_with_progress();
     assert_eq!(tell(&mut store, item("j", 0), told_before, told), answer);
@@ -156,13 +161,13 @@
 }
 
 /// Runs of one item: the second and the third began with what the first had told.
-const FIRST: RunMark = RunMark(11);
-const SECOND: RunMark = RunMark(22);
-const THIRD: RunMark = RunMark(33);
+const FIRST: RunId = RunId(11);
+const SECOND: RunId = RunId(22);
+const THIRD: RunId = RunId(33);
 
 /// What a run tells: events that were told before, the run whose text they continue,
 /// and the further ones.
-fn part(run: RunMark, told_before: u32, continues: RunMark, events: &[&str]) -> RunProgress {
+fn part(run: RunId, told_before: u32, continues: RunId, events: &[&str]) -> RunProgress {
     let last_event = u64::from(told_before) + events.len() as u64;
     RunProgress {
         run,
@@ -175,8 +180,8 @@
     }
 }
 
-fn whole(run: RunMark, events: &[&str]) -> RunProgress {
-    part(run, 0, RunMark::UNKNOWN, events)
+fn whole(run: RunId, events: &[&str]) -> RunProgress {
+    part(run, 0, RunId::UNKNOWN, events)
 }
 
 fn keep(store: &mut JobStore, told: RunProgress) -> StoreAnswer {
@@ -246,7 +251,7 @@
 )]
 #[case::without_marks_after_one_with(
     &[whole(FIRST, &["a1", "a2"])],
-    part(RunMark::UNKNOWN, 2, RunMark::UNKNOWN, &["x3"]),
+    part(RunId::UNKNOWN, 2, RunId::UNKNOWN, &["x3"]),
     tell_again(),
     &["a1", "a2"], FIRST
 )]
@@ -255,7 +260,7 @@
     #[case] told: RunProgress,
     #[case] answer: StoreAnswer,
     #[case] events: &[&str],
-    #[case] told_by: RunMark,
+    #[case] told_by: RunId,
 ) {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -6,7 +6,7 @@
 use linnethitch_group::{
     GroupMember, GroupOutput, GroupSettings, StateMachine, WholeSnapshot, bootstrap_disk,
 };
-use linnethitch_job_store::{Dispatcher, ItemOutcome, JobStore, RunMark, StoreCommand};
+use linnethitch_job_store::{Dispatcher, ItemOutcome, JobStore, RunId, StoreCommand};
 use linnethitch_protocol::ids::{MachineId, MemberId};
 use linnethitch_storage::{FolderRole, VirtualDisk};
 use rstest::rstest;
@@ -38,17 +38,17 @@
     succeed(&mut store, "j", 2, "two");
     let content = store_snapshot(&mut snapshots, 1, &mut first);
     store.snapshot_stored(first, content);
-    assert_eq!(store.held_text_bytes(), "two".len());
+    assert_eq!(store.in_memory_text_bytes(), "two".len());
     assert_eq!(texts(&store, "j"), ["zero", "", "two"]);
     // The next snapshot takes the older texts from the one before it.
     let mut second = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots, 2, &mut second);
     store.snapshot_stored(second, content.clone());
     succeed(&mut store, "j", 3, "three");
-    assert_eq!(store.held_text_bytes(), "three".len());
+    assert_eq!(store.in_memory_text_bytes(), "three".len());
     assert_eq!(texts(&store, "j"), ["zero", "", "two", "three"]);
     let restored = JobStore::from_snapshot(content).expect("it is read");
-    assert_eq!(restored.held_text_bytes(), 0);
+    assert_eq!(restored.in_memory_text_bytes(), 0);
     assert_eq!(texts(&restored, "j"), ["zero", "", "two"]);
 }
 
@@ -107,7 +107,7 @@
         for output in member.take_outputs() {
             assert!(!matches!(output, GroupOutput::Failed { .. }));
         }
-        most_held = most_held.max(member.state().held_text_bytes());
+        most_held = most_held.max(member.state().in_memory_text_bytes());
     }
     assert_eq!(commands.len(), 0, "every command was proposed");
     most_held
@@ -160,5 +160,5 @@
     let work = Dispatcher::default().lease(&store, "gateway", 1, 0, 0);
     let made = &work.first().expect("an open item").made;
     assert_eq!(made.made.events, ["a", "b"]);
-    assert_eq!(made.told_by, RunMark::UNKNOWN);
+    assert_eq!(made.told_by, RunId::UNKNOWN);
 }
--- a/crates/relay/src/homes.rs
+++ b/crates/relay/src/homes.rs
@@ -4,7 +4,7 @@
 
 use http::{Response, header};
 use linnethitch_errors::ErrorKind;
-use linnethitch_job_store::{JobSpec, WorkOutside, WorkRoute};
+use linnethitch_job_store::{ExcludedWork, JobSpec, RouteExclusion};
 use linnethitch_registry::{FleetView, Route, RouteKind, RouteTable, ZoneMap};
 use linnethitch_tenants::Tenant;
 use slog::info;
@@ -53,7 +53,10 @@
 }
 
 /// Routes that items may have and outside whose homes a gateway stands, and those below.
-fn routes_outside(table: &RouteTable, is_outside: impl Fn(&[String]) -> bool) -> Vec<WorkRoute> {
+fn routes_outside(
+    table: &RouteTable,
+    is_outside: impl Fn(&[String]) -> bool,
+) -> Vec<RouteExclusion> {
     let batch = table.routes.iter().filter(|r| r.kind == RouteKind::Batch);
     let outside: Vec<&Route> = batch.filter(|route| is_outside(&route.homes)).collect();
     let is_below = |route: &&Route| {
@@ -64,7 +67,7 @@
         })
     };
     let routes = table.routes.iter().filter(is_below);
-    let routes = routes.map(|route| WorkRoute {
+    let routes = routes.map(|route| RouteExclusion {
         host: route.host.clone(),
         path_prefix: route.path_prefix.clone(),
         is_outside: is_outside(&route.homes),
@@ -117,7 +120,7 @@
 
     /// Items that this gateway must not be given: it stands outside their homes, and their
     /// bodies are not to come here.
-    pub(crate) fn work_outside(&self) -> WorkOutside {
+    pub(crate) fn work_outside(&self) -> ExcludedWork {
         let fleet = self.gateway.fleet();
         let is_outside = |homes: &[String]| {
             let zones = self.gateway.zones().home_zones(&[homes]);
@@ -125,7 +128,7 @@
         };
         let tenants = fleet.tenants().iter();
         let tenants = tenants.filter(|tenant| is_outside(&tenant.homes));
-        WorkOutside {
+        ExcludedWork {
             routes: fleet
                 .table()
                 .map_or_else(Vec::new, |table| routes_outside(table, is_outside)),
--- a/crates/relay/src/running_items.rs
+++ b/crates/relay/src/running_items.rs
@@ -3,7 +3,7 @@
 use std::{collections::BTreeMap, sync::Arc};
 
 use linnethitch_job_store::{
-    HeldProgress, ItemProgress, ItemRef, MadeEvents, RunMark, RunProgress,
+    GeneratedEvents, ItemProgress, ItemRef, RunId, RunProgress, StoredProgress,
 };
 use parking_lot::Mutex;
 use tokio::task::AbortHandle;
@@ -13,18 +13,18 @@
 pub(crate) struct Made(Arc<Mutex<MadeState>>);
 
 struct MadeState {
-    made: MadeEvents,
+    made: GeneratedEvents,
     /// Marks this run, from the beginning of its lease on.
-    run: RunMark,
+    run: RunId,
     /// The run whose text the next part continues: its own once it told anything.
-    continues: RunMark,
+    continues: RunId,
     /// Events of which the job store was told.
     told: u32,
 }
 
 impl Made {
     /// What earlier runs made, as the job store holds it, and a run that goes on with it.
-    pub(crate) fn new(held: HeldProgress, run: RunMark) -> Self {
+    pub(crate) fn new(held: StoredProgress, run: RunId) -> Self {
         let told = held.made.events.len() as u32;
         Made(Arc::new(Mutex::new(MadeState {
             made: held.made,
@@ -35,7 +35,7 @@
     }
 
     /// The run's mark.
-    pub(crate) fn run(&self) -> RunMark {
+    pub(crate) fn run(&self) -> RunId {
         self.0.lock().run
     }
 
@@ -92,7 +92,7 @@
         let progress = ItemProgress {
             item: item.clone(),
             told_before: self.told,
-            made: MadeEvents {
+            made: GeneratedEvents {
                 events: events.unwrap_or_default().to_vec(),
                 last_event: self.made.last_event,
             },
@@ -132,12 +132,12 @@
     }
 
     /// A run ended and its outcome was reported.
-    pub(crate) fn end(&self, item: &ItemRef, run: RunMark) {
+    pub(crate) fn end(&self, item: &ItemRef, run: RunId) {
         self.inner.lock().take(item, run);
     }
 
     /// A run ended before its item did: the next gateway goes on.
-    pub(crate) fn give_back(&self, item: &ItemRef, run: RunMark) {
+    pub(crate) fn give_back(&self, item: &ItemRef, run: RunId) {
         let mut inner = self.inner.lock();
         if let Some(held) = inner.take(item, run) {
             let progress = held.made.take_untold(item);
@@ -206,7 +206,7 @@
 
 impl Inner {
     /// Takes a run off the list, unless a newer one of the same item has its place.
-    fn take(&mut self, item: &ItemRef, run: RunMark) -> Option<RunningItem> {
+    fn take(&mut self, item: &ItemRef, run: RunId) -> Option<RunningItem> {
         let held = self.running.get(item)?;
         if held.made.run() != run {
             return None;
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -12,7 +12,7 @@
 use http::{HeaderMap, HeaderValue};
 use linnethitch_clock::Instant;
 use linnethitch_cluster::{Clock, GatewayNode};
-use linnethitch_job_store::RunMark;
+use linnethitch_job_store::RunId;
 use linnethitch_protocol::slots::SlotLoad;
 use linnethitch_registry::{FleetView, ReplicaState, RouteTable};
 use linnethitch_routing::{
@@ -268,8 +268,8 @@
     }
 
     /// A mark for a run of an item that begins.
-    pub(crate) fn draw_run(&self) -> RunMark {
-        RunMark::of(self.random.lock().random())
+    pub(crate) fn draw_run(&self) -> RunId {
+        RunId::from_random(self.random.lock().random())
     }
 
     pub(crate) fn choose(&self, need: &Need<'_>, cold_use: ColdUse) -> Option<Chosen> {
--- a/crates/relay/tests/all/items.rs
+++ b/crates/relay/tests/all/items.rs
@@ -4,8 +4,8 @@
 use std::{sync::Arc, time::Duration};
 
 use linnethitch_job_store::{
-    HeldProgress, ItemProgress, ItemRef, ItemSpec, JobSpec, MadeEvents, ResultsPage, RunMark,
-    RunProgress, StoreCall, StoreReply, WorkOutside,
+    ExcludedWork, GeneratedEvents, ItemProgress, ItemRef, ItemSpec, JobSpec, ResultsPage, RunId,
+    RunProgress, StoreCall, StoreReply, StoredProgress,
 };
 use linnethitch_registry::{Backend, Configuration, Route, RouteKind, ServiceTraits};
 use linnethitch_relay::{BatchSettings, KeyPolicy, Relay, run_items};
@@ -210,7 +210,7 @@
         running,
         want,
         item_ms: 0,
-        outside: WorkOutside::default(),
+        outside: ExcludedWork::default(),
     };
     let leases = async {
         loop {
@@ -224,14 +224,14 @@
     let progress = ItemProgress {
         item: item.clone(),
         told_before: 0,
-        made: MadeEvents {
+        made: GeneratedEvents {
             events: vec!["a".to_owned()],
             last_event: Some(1),
         },
     };
     let told = RunProgress {
-        run: RunMark::of(7),
-        continues: HeldProgress::default().told_by,
+        run: RunId::from_random(7),
+        continues: StoredProgress::default().told_by,
         progress,
     };
     let told = call(&pair.fleet, StoreCall::Progress(vec![told])).await;
