--- a/crates/job-store/src/age_clock.rs
+++ b/crates/job-store/src/age_clock.rs
@@ -1,44 +1,45 @@
-//! When a leader counts the time that passed for the jobs it holds.
+//! When a leader adds elapsed time to the age of the stored jobs.
 
-/// How often the time is counted while there are jobs, in milliseconds.
+/// Interval at which elapsed time is counted while there are jobs, in milliseconds.
 const COUNT_INTERVAL_MS: u64 = 2_000;
 
-/// Counts time by the leader's steady clock, in parts that are replicated. A job grows
-/// older by each part as a whole, so that the time is also counted before a job is
-/// accepted: no part begins before a job that it counts for.
+/// Counts time by the leader's steady clock, in intervals that are replicated. The age of
+/// every stored job grows by the full length of each interval. Elapsed time is therefore
+/// also counted just before a job is accepted, so that no interval starts before a job to
+/// whose age it is added.
 #[derive(Debug, Default)]
 pub struct AgeClock {
-    /// Up to when the time is counted; `None` before the first look as leader.
-    counted_ms: Option<u64>,
+    /// Time up to which elapsed time is counted; `None` before the first call as leader.
+    counted_until_ms: Option<u64>,
 }
 
 impl AgeClock {
-    /// The part to be counted now, in milliseconds, if it is time. Without jobs nothing
-    /// is: what passes before the first one does not matter.
+    /// The interval to count now, in milliseconds, if one is due. Without jobs none is due,
+    /// since time before the first job does not matter.
     pub fn interval_due(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
         let elapsed_ms = self.elapsed_ms(now_ms);
-        let is_idle = self.counted_ms.is_none() || is_empty;
+        let is_idle = self.counted_until_ms.is_none() || is_empty;
         if !is_idle && elapsed_ms < COUNT_INTERVAL_MS {
             return None;
         }
-        self.counted_ms = Some(now_ms);
+        self.counted_until_ms = Some(now_ms);
         (!is_idle).then_some(elapsed_ms)
     }
 
-    /// The part to be counted before a job is accepted now, in milliseconds.
+    /// The interval to count before a job is accepted now, in milliseconds.
     pub fn interval_before_job(&mut self, now_ms: u64, is_empty: bool) -> Option<u64> {
         let elapsed_ms = self.elapsed_ms(now_ms);
-        self.counted_ms = Some(now_ms);
+        self.counted_until_ms = Some(now_ms);
         (!is_empty && elapsed_ms > 0).then_some(elapsed_ms)
     }
 
-    /// This member does not lead: what passes meanwhile is not counted, so that an item
-    /// is given up late rather than early.
+    /// Stops counting while this member is not the leader. Time until it leads again is not
+    /// counted, so that items are given up late rather than early.
     pub fn stop(&mut self) {
-        self.counted_ms = None;
+        self.counted_until_ms = None;
     }
 
     fn elapsed_ms(&self, now_ms: u64) -> u64 {
-        now_ms.saturating_sub(self.counted_ms.unwrap_or(now_ms))
+        now_ms.saturating_sub(self.counted_until_ms.unwrap_or(now_ms))
     }
 }
--- a/crates/job-store/src/call.rs
+++ b/crates/job-store/src/call.rs
@@ -1,4 +1,4 @@
-//! What gateways ask of the store's leader.
+//! Calls of gateways to the leader of the job store.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -12,86 +12,87 @@
 /// A call of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum StoreCall {
-    /// Accept a job, if it fits.
+    /// Accept a job if it fits into the queue of its route.
     Submit {
         /// The job.
         job: JobSpec,
-        /// Whose it is; `None` where its route needs no key.
+        /// The tenant; `None` if the route requires no key.
         tenant: Option<String>,
-        /// Bound of what may wait on its route; `None` where there is none.
+        /// Bound of the queue of the route; `None` if unbounded.
         bound: Option<QueueBound>,
     },
     /// A run of an item ended.
     Report {
         /// The item.
         item: ItemRef,
-        /// How.
+        /// How the run ended.
         outcome: ItemOutcome,
     },
-    /// An item is done: its whole answer is what its run told before and these events.
+    /// An item is finished: its complete answer is the progress reported before plus these
+    /// events.
     Finish(RunProgress),
     /// End a job.
     End {
         /// The job.
         job: String,
-        /// Who ends it.
+        /// The caller's tenant.
         tenant: Option<String>,
     },
     /// Read results.
     Results {
         /// The job.
         job: String,
-        /// Who reads.
+        /// The caller's tenant.
         tenant: Option<String>,
-        /// The first position wanted, from 0.
+        /// The first requested position, from 0.
         since: u32,
-        /// Bytes of text after which the page ends.
+        /// Maximum bytes of text in the page, unless the first result alone exceeds them.
         most_bytes: u32,
     },
-    /// Read how many results there are.
+    /// Read the number of results.
     Listed {
         /// The job.
         job: String,
-        /// Who reads.
+        /// The caller's tenant.
         tenant: Option<String>,
     },
-    /// Read results of any member that holds this many, without asking its leader: results
-    /// that are there stay as they are.
+    /// Read results from any member that has at least `listed` results, without asking the
+    /// leader. Listed results never change.
     ResultsHeld {
         /// The job.
         job: String,
-        /// Who reads.
+        /// The caller's tenant.
         tenant: Option<String>,
-        /// The first position wanted, from 0.
+        /// The first requested position, from 0.
         since: u32,
-        /// Bytes of text after which the page ends.
+        /// Maximum bytes of text in the page, unless the first result alone exceeds them.
         most_bytes: u32,
-        /// Results that there are, as the leader said.
+        /// Number of results according to the leader.
         listed: u32,
     },
-    /// Read the body of an item that is not listed.
+    /// Read the body of an unlisted item.
     Body {
         /// The job.
         job: String,
-        /// Who reads.
+        /// The caller's tenant.
         tenant: Option<String>,
         /// The item's id.
         item: String,
     },
-    /// Keep what runs of items have made since they told last.
+    /// Record events that runs have generated since their last report.
     Progress(Vec<RunProgress>),
-    /// Renew leases and ask for more.
+    /// Renew leases and request further items.
     Work {
         /// The gateway, as IP:PORT.
         gateway: String,
-        /// Items that it still works on.
+        /// Items that the gateway is still running.
         running: Vec<ItemRef>,
-        /// Items that it can take besides.
+        /// Number of further items that the gateway can run.
         want: u32,
-        /// Time that a whole item has to run, as the gateway learned it, in
-        /// milliseconds; 0 where it does not know.
+        /// Run time of a complete item as measured by the gateway, in milliseconds; 0 if
+        /// unknown.
         item_ms: u64,
-        /// Items that it must not be given.
+        /// Items that the gateway must not lease.
         outside: ExcludedWork,
     },
 }
@@ -101,16 +102,16 @@
 pub struct QueueBound {
     /// The host of the route.
     pub host: String,
-    /// Its prefix of paths.
+    /// The path prefix of the route.
     pub path_prefix: String,
-    /// Whose items count; `None` for those of nobody.
+    /// The tenant whose items count; `None` for items without a tenant.
     pub tenant: Option<String>,
-    /// Most tokens.
+    /// Maximum number of tokens.
     pub tokens: u64,
 }
 
 impl QueueBound {
-    /// Whether a job of a tenant counts.
+    /// Whether a job of a tenant counts towards this bound.
     #[must_use]
     pub fn concerns(&self, job: &JobSpec, tenant: Option<&str>) -> bool {
         self.tenant.as_deref() == tenant
@@ -124,16 +125,16 @@
 pub struct ItemResult {
     /// The item's id.
     pub id: String,
-    /// How it ended.
+    /// The item's final state.
     pub state: ListedState,
-    /// Its text.
+    /// The text.
     pub text: String,
 }
 
 /// Results of a job from a position on.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ResultsPage {
-    /// Items of the job.
+    /// Number of items of the job.
     pub total: u32,
     /// The results.
     pub results: Vec<ItemResult>,
@@ -144,17 +145,17 @@
 pub struct ItemWork {
     /// The item.
     pub item: ItemRef,
-    /// The host of its route.
+    /// The host of the item's route.
     pub host: String,
-    /// Whose it is.
+    /// The tenant, if any.
     pub tenant: Option<String>,
-    /// Its request.
+    /// The item's request.
     pub spec: ItemSpec,
-    /// Runs that failed before.
+    /// Number of failed runs so far.
     pub failures: u32,
-    /// Time until it is due, in milliseconds; 0 when that has passed.
+    /// Time until the result is due, in milliseconds; 0 after the due time.
     pub due_in_ms: u64,
-    /// What earlier runs made; it goes on after the last event.
+    /// Events of earlier runs; the run continues after the last one.
     pub made: StoredProgress,
 }
 
@@ -163,36 +164,36 @@
 pub enum StoreReply {
     /// The change is committed.
     Done,
-    /// There is no such job of the tenant, or no such item that is not listed.
+    /// The tenant has no such job, or the job has no such unlisted item.
     NotFound,
-    /// A job of another tenant has this id; nothing was done.
+    /// A job of another tenant has this id; nothing was changed.
     OtherTenant,
-    /// Results.
+    /// A page of results.
     Results(ResultsPage),
-    /// How many results there are.
+    /// The number of results.
     Listed {
-        /// Items of the job.
+        /// Number of items of the job.
         total: u32,
-        /// Those that are listed.
+        /// Number of listed items.
         listed: u32,
     },
     /// The body of an item.
     Body(Vec<u8>),
-    /// Leases.
+    /// Leased items.
     Work {
-        /// Items to begin.
+        /// Items to start.
         begin: Vec<ItemWork>,
-        /// Running items that need not be finished.
+        /// Running items to stop: they need not be finished.
         stop: Vec<ItemRef>,
     },
-    /// The change is committed, but of these items all has to be told again.
+    /// The change is committed, except for these items: all their events must be sent again.
     TellAgain(Vec<ItemRef>),
-    /// The machine asked does not lead; the leader's number if it is known.
+    /// The called machine is not the leader; the leader's machine number if known.
     NotLeader(Option<u32>),
-    /// A job does not fit beside what waits on its route; nothing was done.
+    /// The job does not fit into the queue of its route; nothing was changed.
     QueueFull,
-    /// Nothing was done, and nothing will be.
+    /// Nothing was changed, and the call has no later effect.
     Refused,
-    /// It may or may not have been done.
+    /// The change may or may not have been made.
     Unknown,
 }
--- a/crates/job-store/src/command.rs
+++ b/crates/job-store/src/command.rs
@@ -10,93 +10,94 @@
     progress::{ItemProgress, RunProgress},
 };
 
-/// Layout of commands that every build reads.
+/// Layout of the commands that every build reads.
 const FIRST_LAYOUT: u8 = 1;
-/// Layouts of commands that came later; builds that know only earlier ones refuse them.
+/// Layouts of commands added later; builds that know only earlier layouts refuse them.
 const PROGRESS_LAYOUT: u8 = 2;
 const FINISH_LAYOUT: u8 = 3;
 const TENANTS_LAYOUT: u8 = 4;
 const RUNS_LAYOUT: u8 = 5;
 
-/// An item of a job.
+/// Reference to an item of a job.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize)]
 pub struct ItemRef {
-    /// The job.
+    /// The job's id.
     pub job: String,
-    /// The item's number in it.
+    /// The item's index in the job.
     pub item: u32,
 }
 
 /// How a run of an item ended.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ItemOutcome {
-    /// With its whole answer.
+    /// The run produced the complete answer.
     Succeeded(String),
-    /// The replica says that it can never be done.
+    /// The replica reported that the item can never succeed.
     Unprocessable,
-    /// The replica ran it and failed. The number of failures before this one
-    /// makes a report that comes twice count once.
+    /// The replica ran the item and failed. The number of earlier failures makes a
+    /// duplicate report count only once.
     Failed {
-        /// Failures before this one.
+        /// Number of failures before this one.
         failures_before: u32,
     },
-    /// Its route does not exist any more.
+    /// The item's route no longer exists.
     RouteRemoved,
 }
 
 /// A change of the job store.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum StoreCommand {
-    /// Accepts a job of no tenant; one with the same id is accepted already.
+    /// Accepts a job without a tenant. No effect if a job with this id was accepted before.
     Submit(JobSpec),
     /// A run of an item ended.
     Report {
         /// The item.
         item: ItemRef,
-        /// How.
+        /// How the run ended.
         outcome: ItemOutcome,
     },
-    /// A caller of no tenant ends a job that is nobody's.
+    /// A caller without a tenant ends a job without a tenant.
     End {
         /// The job.
         job: String,
     },
-    /// Time passed: items beyond their time are given up, old jobs dropped.
+    /// Advances the age of jobs: gives up items over their time limit and drops old jobs.
     Pass {
         /// Time since the last such command, by the leader's steady clock, in milliseconds.
         elapsed_ms: u64,
-        /// Age beyond which a job is dropped once nothing of it is open, in milliseconds.
+        /// Age over which a job without open items is dropped, in milliseconds.
         kept_ms: u64,
     },
-    /// Keeps what runs without marks have made, as earlier builds wrote it.
+    /// Records progress of runs without run ids, as written by earlier builds.
     Progress(Vec<ItemProgress>),
-    /// The end of an item whose run has no mark, as earlier builds wrote it.
+    /// The end of an item whose run has no run id, as written by earlier builds.
     Finish(ItemProgress),
-    /// Accepts a tenant's job; one of it with the same id is accepted already.
+    /// Accepts a tenant's job. No effect if the tenant's job with this id was accepted before.
     SubmitFor(Box<TenantJob>),
-    /// A tenant ends a job of its own, or one that is nobody's.
+    /// A tenant ends its own job, or a job without a tenant.
     EndFor {
         /// The job.
         job: String,
         /// The tenant.
         tenant: String,
     },
-    /// Keeps what runs of items have made.
+    /// Records progress of runs.
     KeepProgress(Vec<RunProgress>),
-    /// An item is done: its whole answer is what its run told before and these events.
+    /// An item is finished: its complete answer is the progress reported before plus these
+    /// events.
     FinishRun(Box<RunProgress>),
 }
 
 impl StoreCommand {
-    /// The command as the log holds it where all members of the group read a format: runs
-    /// have no marks in the first.
+    /// The command as stored in the log while all members of the group read `format`. The
+    /// first format has no run ids.
     ///
     /// # Errors
-    /// `Internal` when it cannot be encoded.
+    /// `Internal` when the command cannot be encoded.
     pub fn to_stored_in(&self, format: Format) -> Result<Vec<u8>, Report<ErrorKind>> {
         match (format, self) {
-            (Format::First, StoreCommand::KeepProgress(told)) => {
-                let progress = told.iter().map(|told| told.progress.clone());
+            (Format::First, StoreCommand::KeepProgress(reported)) => {
+                let progress = reported.iter().map(|reported| reported.progress.clone());
                 StoreCommand::Progress(progress.collect()).to_stored()
             }
             (Format::First, StoreCommand::FinishRun(last)) => {
@@ -106,16 +107,16 @@
         }
     }
 
-    /// The first command in the newest format: an entry of it says that all members read it,
-    /// and this one does nothing else.
+    /// A command in the newest format without any other effect. An entry in the newest format
+    /// records that all members read this format.
     ///
     /// # Errors
-    /// `Internal` when it cannot be encoded.
+    /// `Internal` when the command cannot be encoded.
     pub fn raise_format() -> Result<Vec<u8>, Report<ErrorKind>> {
         StoreCommand::KeepProgress(Vec::new()).to_stored()
     }
 
-    /// The format that a stored command belongs to.
+    /// The format of a stored command.
     pub(crate) fn format_of(stored: &[u8]) -> Format {
         match stored::layout_of(stored) {
             Some(layout) if layout > TENANTS_LAYOUT => Format::Second,
@@ -123,18 +124,18 @@
         }
     }
 
-    /// The command as the log holds it, in the layout of its kind.
+    /// The command as stored in the log, in the layout of its kind.
     ///
     /// # Errors
-    /// `Internal` when it cannot be encoded.
+    /// `Internal` when the command cannot be encoded.
     pub fn to_stored(&self) -> Result<Vec<u8>, Report<ErrorKind>> {
         stored::encode(self.layout(), self)
     }
 
-    /// Reads a command of the log.
+    /// Decodes a command from the log.
     ///
     /// # Errors
-    /// `DataFolderRefused` when it is of another layout, `Corrupted`.
+    /// `DataFolderRefused` for an unknown layout, `Corrupted` for invalid bytes.
     pub fn from_stored(bytes: &[u8]) -> Result<Self, Report<ErrorKind>> {
         stored::decode(
             &[
@@ -159,15 +160,15 @@
     }
 }
 
-/// What applying a command answers.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum StoreAnswer {
-    /// The command is in force.
+    /// The command was applied.
     Done,
-    /// There is no such job of the tenant.
+    /// The tenant has no such job.
     UnknownJob,
     /// A job of another tenant has this id.
     OtherTenant,
-    /// It is in force, but of these items all has to be told again.
+    /// The command was applied, except for these items: all their events must be sent again.
     TellAgain(Vec<ItemRef>),
 }
--- a/crates/job-store/src/dispatcher.rs
+++ b/crates/job-store/src/dispatcher.rs
@@ -1,7 +1,8 @@
-//! Leases of items: which gateway works on which. Soft state of the leader.
+//! Leases of items: which gateway runs which item. Soft state of the leader.
 //!
-//! A call costs what it returns: items that may be leased, leases of a gateway and
-//! pauses are indexed. The order of jobs is found anew from time to time ([`plan`]).
+//! The cost of a call depends on the number of items it returns, not on the size of the
+//! jobs: available items, leases per gateway and retry pauses are indexed. The order of
+//! jobs is recomputed periodically ([`plan`]).
 //!
 //! [`plan`]: crate::plan
 
@@ -12,71 +13,74 @@
     command::ItemRef,
     excluded_work::ExcludedWork,
     lease_times::LeaseTimes,
-    plan::{self, JobDemand, Turn},
+    plan::{self, JobDemand, PlanStep},
     store::JobStore,
 };
 
-/// A lease ends this long after it was given or renewed, in milliseconds.
+/// Time after which a lease ends unless it is renewed, in milliseconds.
 pub const LEASE_MS: u64 = 1_800;
-/// Gateways say what they work on several times in this time, in milliseconds.
+/// Time that a new leader waits before it leases items, in milliseconds. Gateways report
+/// their running items several times within it.
 pub const SETTLE_MS: u64 = 600;
-/// Pause before an item whose run failed is given out again, in milliseconds.
+/// Pause before an item whose run ended without a result may be leased again, in
+/// milliseconds.
 const RETRY_PAUSE_MS: u64 = 150;
-/// The order of jobs counts for so long where no job was accepted, in milliseconds.
+/// Time for which the order of jobs stays valid unless a job is accepted, in milliseconds.
 const PLAN_VALID_MS: u64 = 100;
 
-/// What a gateway holds.
+/// Leases of a gateway, and what it reported last.
 #[derive(Clone, Debug, Default)]
-struct Holder {
+struct GatewayLeases {
+    /// Leased items with the start of each lease.
     items: BTreeMap<ItemRef, u64>,
-    /// When it was heard of last.
-    heard_ms: u64,
-    /// Items that it could take besides, as it said last.
+    /// Time of the last contact.
+    last_contact_ms: u64,
+    /// Number of further items that it can run.
     free_slots: u32,
-    /// Items that it must not be given, as it said last.
-    outside: ExcludedWork,
+    /// Items that it must not lease.
+    excluded: ExcludedWork,
 }
 
-/// The items of an open job that are not listed.
+/// The unlisted items of an open job.
 #[derive(Clone, Debug)]
 struct JobQueue {
-    /// Those that may be leased.
-    free: BTreeSet<u32>,
+    /// Items that may be leased.
+    available: BTreeSet<u32>,
     leased: u32,
     /// When every result is due.
     due_ms: u64,
 }
 
-/// Who works on what. Times are of a steady clock, in milliseconds.
+/// Assigns items to gateways. Times are of a steady clock, in milliseconds.
 #[derive(Clone, Debug, Default)]
 pub struct Dispatcher {
     leases: BTreeMap<ItemRef, String>,
-    gateways: BTreeMap<String, Holder>,
+    gateways: BTreeMap<String, GatewayLeases>,
     queues: BTreeMap<String, JobQueue>,
-    /// Items that are not given out before a time.
+    /// Items that must not be leased before a time.
     paused: BTreeSet<(u64, ItemRef)>,
-    /// Jobs in the order in which their items are given out.
-    turns: Vec<Turn>,
-    /// When the order was found, and how many jobs had been accepted by then.
+    /// Jobs in the order in which their items are leased.
+    plan: Vec<PlanStep>,
+    /// When the plan was computed, and the number of jobs accepted until then.
     planned: Option<(u64, u64)>,
-    times: LeaseTimes,
-    /// No item is given out before this.
-    settled_ms: u64,
+    lease_times: LeaseTimes,
+    /// No item is leased before this time.
+    lease_from_ms: u64,
 }
 
 impl Dispatcher {
-    /// The dispatcher of a leader that begins now. It gives nothing out until
-    /// every gateway has had time to say what it works on.
+    /// The dispatcher of a leader elected now. It leases no items until every gateway has had
+    /// time to report its running items.
     #[must_use]
     pub fn for_new_leader(now_ms: u64) -> Self {
         Dispatcher {
-            settled_ms: now_ms + SETTLE_MS,
+            lease_from_ms: now_ms + SETTLE_MS,
             ..Dispatcher::default()
         }
     }
 
-    /// Renews the leases of a gateway. Returns the items that it need not
-    /// finish: listed, of an ended job, or leased to another by now.
+    /// Renews the leases of a gateway. Returns the items that the gateway can stop: they are
+    /// listed, belong to an ended job or are now leased to another gateway.
     pub fn renew(
         &mut self,
         store: &JobStore,
@@ -84,91 +88,95 @@
         running: &[ItemRef],
         now_ms: u64,
     ) -> Vec<ItemRef> {
-        self.end_silent(now_ms);
+        self.expire_silent(now_ms);
         self.gateways
             .entry(gateway.to_owned())
             .or_default()
-            .heard_ms = now_ms;
+            .last_contact_ms = now_ms;
         let mut stop = Vec::new();
         for item in running {
             let holder = self.leases.get(item);
-            let held_by_other = holder.is_some_and(|holder| holder != gateway);
-            if !store.is_item_open(item) || held_by_other {
+            let leased_to_other = holder.is_some_and(|holder| holder != gateway);
+            if !store.is_item_open(item) || leased_to_other {
                 stop.push(item.clone());
             } else if holder.is_none() {
-                self.give(item, gateway, now_ms);
+                self.grant(item, gateway, now_ms);
             }
         }
-        self.end_unnamed(gateway, running, now_ms);
+        self.end_unreported(gateway, running, now_ms);
         stop
     }
 
-    /// A gateway no longer works on what it does not name.
-    fn end_unnamed(&mut self, gateway: &str, running: &[ItemRef], now_ms: u64) {
-        let named: BTreeSet<&ItemRef> = running.iter().collect();
-        let held = self.gateways.get(gateway).into_iter();
-        let held = held.flat_map(|holder| holder.items.keys());
-        let unnamed: Vec<ItemRef> = held.filter(|item| !named.contains(item)).cloned().collect();
-        for item in unnamed {
-            self.take_back(&item, now_ms);
-            self.free(item);
+    /// Ends the leases of items that the gateway no longer reports as running.
+    fn end_unreported(&mut self, gateway: &str, running: &[ItemRef], now_ms: u64) {
+        let reported: BTreeSet<&ItemRef> = running.iter().collect();
+        let leased = self.gateways.get(gateway).into_iter();
+        let leased = leased.flat_map(|holder| holder.items.keys());
+        let unreported: Vec<ItemRef> = leased
+            .filter(|item| !reported.contains(item))
+            .cloned()
+            .collect();
+        for item in unreported {
+            self.end_lease(&item, now_ms);
+            self.make_available(item);
         }
     }
 
-    /// A gateway must not be given these items.
-    pub fn set_excluded_work(&mut self, gateway: &str, outside: &ExcludedWork) {
+    /// Sets the items that a gateway must not lease.
+    pub fn set_excluded_work(&mut self, gateway: &str, excluded: &ExcludedWork) {
         let holder = self.gateways.entry(gateway.to_owned()).or_default();
-        holder.outside.clone_from(outside);
+        holder.excluded.clone_from(excluded);
     }
 
-    /// Leases up to `want` items to a gateway, in the order of the plan. An item
-    /// takes `item_ms`, as the gateway learned; 0 where it does not know.
+    /// Leases up to `requested` items to a gateway, in the order of the plan. `item_ms` is the
+    /// run time of an item as measured by the gateway; 0 if unknown.
     pub fn lease(
         &mut self,
         store: &JobStore,
         gateway: &str,
-        want: u32,
+        requested: u32,
         item_ms: u64,
         now_ms: u64,
     ) -> Vec<ItemWork> {
         let holder = self.gateways.entry(gateway.to_owned()).or_default();
-        holder.heard_ms = now_ms;
-        holder.free_slots = want;
-        let outside = holder.outside.clone();
-        if want == 0 || now_ms < self.settled_ms {
+        holder.last_contact_ms = now_ms;
+        holder.free_slots = requested;
+        let excluded = holder.excluded.clone();
+        if requested == 0 || now_ms < self.lease_from_ms {
             return Vec::new();
         }
-        self.end_silent(now_ms);
-        self.end_pauses(now_ms);
-        self.keep_plan(store, item_ms, now_ms);
-        let mut begin = Vec::new();
-        while begin.len() < want as usize {
-            let Some((item, due_ms)) = self.next_item(store, &outside) else {
+        self.expire_silent(now_ms);
+        self.end_retry_pauses(now_ms);
+        self.refresh_plan(store, item_ms, now_ms);
+        let mut leased = Vec::new();
+        while leased.len() < requested as usize {
+            let Some((item, due_ms)) = self.next_item(store, &excluded) else {
                 break;
             };
-            self.give(&item, gateway, now_ms);
-            begin.extend(work(store, item, due_ms.saturating_sub(now_ms)));
+            self.grant(&item, gateway, now_ms);
+            leased.extend(item_work(store, item, due_ms.saturating_sub(now_ms)));
         }
-        begin
+        leased
     }
 
-    /// The next item by the order of the plan, and when it is due.
-    fn next_item(&mut self, store: &JobStore, outside: &ExcludedWork) -> Option<(ItemRef, u64)> {
-        for turn in &mut self.turns {
-            let Some(queue) = self.queues.get_mut(&turn.job) else {
+    /// The next item in the order of the plan, and its due time.
+    fn next_item(&mut self, store: &JobStore, excluded: &ExcludedWork) -> Option<(ItemRef, u64)> {
+        for step in &mut self.plan {
+            let Some(queue) = self.queues.get_mut(&step.job) else {
                 continue;
             };
-            while turn.items > 0 {
-                let Some(number) = next_free(store, &turn.job, &queue.free, outside) else {
+            while step.items > 0 {
+                let Some(number) = next_available(store, &step.job, &queue.available, excluded)
+                else {
                     break;
                 };
-                queue.free.remove(&number);
+                queue.available.remove(&number);
                 let item = ItemRef {
-                    job: turn.job.clone(),
+                    job: step.job.clone(),
                     item: number,
                 };
                 if store.is_item_open(&item) {
-                    turn.items -= 1;
+                    step.items -= 1;
                     return Some((item, queue.due_ms));
                 }
             }
@@ -176,33 +184,34 @@
         None
     }
 
-    /// A run ended: the item may be leased again after a pause, if it is still open.
+    /// Ends the lease of an item whose run ended. If the item is still open, it may be leased
+    /// again after a pause.
     pub fn release(&mut self, item: &ItemRef, now_ms: u64) {
-        if self.take_back(item, now_ms) {
-            self.times.note_report();
+        if self.end_lease(item, now_ms) {
+            self.lease_times.add_report();
         }
         self.paused.insert((now_ms + RETRY_PAUSE_MS, item.clone()));
     }
 
-    /// A gateway has the lease of an item from now on.
-    fn give(&mut self, item: &ItemRef, gateway: &str, now_ms: u64) {
+    /// Leases an item to a gateway.
+    fn grant(&mut self, item: &ItemRef, gateway: &str, now_ms: u64) {
         self.leases.insert(item.clone(), gateway.to_owned());
         let holder = self.gateways.entry(gateway.to_owned()).or_default();
         holder.items.insert(item.clone(), now_ms);
         if let Some(queue) = self.queues.get_mut(&item.job) {
-            queue.free.remove(&item.item);
+            queue.available.remove(&item.item);
             queue.leased += 1;
         }
     }
 
-    /// The lease of an item ends; false where there was none.
-    fn take_back(&mut self, item: &ItemRef, now_ms: u64) -> bool {
+    /// Ends the lease of an item; false if there was none.
+    fn end_lease(&mut self, item: &ItemRef, now_ms: u64) -> bool {
         let Some(gateway) = self.leases.remove(item) else {
             return false;
         };
         let holder = self.gateways.get_mut(&gateway);
-        if let Some(since_ms) = holder.and_then(|holder| holder.items.remove(item)) {
-            self.times.note_lease(now_ms.saturating_sub(since_ms));
+        if let Some(leased_ms) = holder.and_then(|holder| holder.items.remove(item)) {
+            self.lease_times.add_lease(now_ms.saturating_sub(leased_ms));
         }
         if let Some(queue) = self.queues.get_mut(&item.job) {
             queue.leased = queue.leased.saturating_sub(1);
@@ -210,52 +219,52 @@
         true
     }
 
-    /// An item may be leased again.
-    fn free(&mut self, item: ItemRef) {
+    /// Makes an item available for a new lease.
+    fn make_available(&mut self, item: ItemRef) {
         if let Some(queue) = self.queues.get_mut(&item.job) {
-            queue.free.insert(item.item);
+            queue.available.insert(item.item);
         }
     }
 
-    /// Ends the leases of gateways that are silent.
-    fn end_silent(&mut self, now_ms: u64) {
+    /// Ends the leases of gateways without contact for [`LEASE_MS`].
+    fn expire_silent(&mut self, now_ms: u64) {
         let holders = self.gateways.iter();
-        let silent = holders.filter(|(_, holder)| holder.heard_ms + LEASE_MS <= now_ms);
+        let silent = holders.filter(|(_, holder)| holder.last_contact_ms + LEASE_MS <= now_ms);
         let silent: Vec<String> = silent.map(|(gateway, _)| gateway.clone()).collect();
         for gateway in silent {
             let Some(holder) = self.gateways.remove(&gateway) else {
                 continue;
             };
             for item in holder.items.into_keys() {
-                self.take_back(&item, now_ms);
-                self.free(item);
+                self.end_lease(&item, now_ms);
+                self.make_available(item);
             }
         }
     }
 
-    fn end_pauses(&mut self, now_ms: u64) {
+    fn end_retry_pauses(&mut self, now_ms: u64) {
         while let Some((until_ms, _)) = self.paused.first()
             && *until_ms <= now_ms
         {
             if let Some((_, item)) = self.paused.pop_first()
                 && !self.leases.contains_key(&item)
             {
-                self.free(item);
+                self.make_available(item);
             }
         }
     }
 
-    /// Finds the order of jobs anew where it is old or a job was accepted since.
-    fn keep_plan(&mut self, store: &JobStore, item_ms: u64, now_ms: u64) {
+    /// Recomputes the order of jobs if it is out of date or a job was accepted since.
+    fn refresh_plan(&mut self, store: &JobStore, item_ms: u64, now_ms: u64) {
         let accepted = store.accepted();
-        let holds = self
+        let is_current = self
             .planned
-            .is_some_and(|(at_ms, of_jobs)| of_jobs == accepted && now_ms < at_ms + PLAN_VALID_MS);
-        if holds {
+            .is_some_and(|(at_ms, jobs)| jobs == accepted && now_ms < at_ms + PLAN_VALID_MS);
+        if is_current {
             return;
         }
         self.planned = Some((now_ms, accepted));
-        self.keep_queues(store, now_ms);
+        self.refresh_queues(store, now_ms);
         let demands: Vec<JobDemand> = store
             .open_jobs()
             .filter_map(|job| {
@@ -272,12 +281,12 @@
             .collect();
         let running = self.leases.len() as u32;
         let free: u32 = self.gateways.values().map(|holder| holder.free_slots).sum();
-        let slot_ms = self.times.slot_ms_per_item().unwrap_or(item_ms);
-        self.turns = plan::turns(demands, running + free, item_ms, slot_ms);
+        let slot_ms = self.lease_times.slot_ms_per_item().unwrap_or(item_ms);
+        self.plan = plan::plan_jobs(demands, running + free, item_ms, slot_ms);
     }
 
-    /// Begins queues of new jobs and drops those of jobs that are not open.
-    fn keep_queues(&mut self, store: &JobStore, now_ms: u64) {
+    /// Adds queues of new jobs and drops queues of jobs that are no longer open.
+    fn refresh_queues(&mut self, store: &JobStore, now_ms: u64) {
         let queues = &mut self.queues;
         queues.retain(|id, _| store.job(id).is_some_and(|job| job.is_open()));
         let paused: BTreeSet<&ItemRef> = self.paused.iter().map(|(_, item)| item).collect();
@@ -286,7 +295,7 @@
                 continue;
             }
             let mut queue = JobQueue {
-                free: BTreeSet::new(),
+                available: BTreeSet::new(),
                 leased: 0,
                 due_ms: now_ms + job.due_in_ms(),
             };
@@ -298,7 +307,7 @@
                 if self.leases.contains_key(&reference) {
                     queue.leased += 1;
                 } else if !item.listed && !paused.contains(&reference) {
-                    queue.free.insert(number as u32);
+                    queue.available.insert(number as u32);
                 }
             }
             queues.insert(job.spec.id.clone(), queue);
@@ -306,34 +315,37 @@
     }
 }
 
-/// The first free item of a job that may be given out.
-fn next_free(
+/// The first available item of a job that the gateway may lease.
+fn next_available(
     store: &JobStore,
     job: &str,
-    free: &BTreeSet<u32>,
-    outside: &ExcludedWork,
+    available: &BTreeSet<u32>,
+    excluded: &ExcludedWork,
 ) -> Option<u32> {
-    let held = store.job(job);
-    let is_outside = |number: &u32| {
-        let Some(job) = held else {
+    let job = store.job(job);
+    let is_excluded = |number: &u32| {
+        let Some(job) = job else {
             return false;
         };
         let item = job.items.get(*number as usize);
         let tenant = job.tenant.as_deref();
-        item.is_some_and(|item| outside.holds(&job.spec.host, tenant, &item.spec.path))
+        item.is_some_and(|item| excluded.excludes(&job.spec.host, tenant, &item.spec.path))
     };
-    free.iter().copied().find(|number| !is_outside(number))
+    available
+        .iter()
+        .copied()
+        .find(|number| !is_excluded(number))
 }
 
-fn work(store: &JobStore, item: ItemRef, due_in_ms: u64) -> Option<ItemWork> {
+fn item_work(store: &JobStore, item: ItemRef, due_in_ms: u64) -> Option<ItemWork> {
     let job = store.job(&item.job)?;
-    let held = job.items.get(item.item as usize)?;
+    let stored = job.items.get(item.item as usize)?;
     Some(ItemWork {
-        made: store.made.of(&item),
+        made: store.progress.get(&item),
         host: job.spec.host.clone(),
         tenant: job.tenant.clone(),
-        spec: held.spec.clone(),
-        failures: held.failures,
+        spec: stored.spec.clone(),
+        failures: stored.failures,
         due_in_ms,
         item,
     })
--- a/crates/job-store/src/first_format.rs
+++ b/crates/job-store/src/first_format.rs
@@ -1,9 +1,9 @@
-//! Calls of the job store and their answers in the first format. Frozen: a build that
-//! production runs writes them. Runs of items had no marks, gateways no homes.
+//! Calls of the job store and their replies in the first format. Frozen, because a build in
+//! production uses them. The first format has no run ids and no excluded work.
 
 #![allow(
     missing_docs,
-    reason = "variants and fields are those of the types of today"
+    reason = "variants and fields are documented on the current types"
 )]
 
 use error_stack::Report;
@@ -111,14 +111,12 @@
             },
             StoreCall::Listed { .. } => return Err(not_in_first_format("count of results")),
             StoreCall::ResultsHeld { .. } => {
-                return Err(not_in_first_format(
-                    "results of a member that does not lead",
-                ));
+                return Err(not_in_first_format("reads of results from a follower"));
             }
             StoreCall::Body { job, tenant, item } => FirstFormatCall::Body { job, tenant, item },
-            StoreCall::Progress(told) => {
-                FirstFormatCall::Progress(told.into_iter().map(|told| told.progress).collect())
-            }
+            StoreCall::Progress(reports) => FirstFormatCall::Progress(
+                reports.into_iter().map(|report| report.progress).collect(),
+            ),
             StoreCall::Work {
                 gateway,
                 running,
@@ -126,7 +124,8 @@
                 item_ms,
                 outside,
             } => FirstFormatCall::Work {
-                // A leader that does not know homes could give items that must stay there.
+                // A leader without knowledge of homes could lease items that this gateway must not
+                // run.
                 want: if outside.is_empty() { want } else { 0 },
                 gateway,
                 running,
@@ -143,7 +142,7 @@
                 StoreCall::Submit { job, tenant, bound }
             }
             FirstFormatCall::Report { item, outcome } => StoreCall::Report { item, outcome },
-            FirstFormatCall::Finish(last) => StoreCall::Finish(RunProgress::unmarked(last)),
+            FirstFormatCall::Finish(last) => StoreCall::Finish(RunProgress::without_run_id(last)),
             FirstFormatCall::End { job, tenant } => StoreCall::End { job, tenant },
             FirstFormatCall::Results {
                 job,
@@ -157,9 +156,12 @@
                 most_bytes,
             },
             FirstFormatCall::Body { job, tenant, item } => StoreCall::Body { job, tenant, item },
-            FirstFormatCall::Progress(told) => {
-                StoreCall::Progress(told.into_iter().map(RunProgress::unmarked).collect())
-            }
+            FirstFormatCall::Progress(reports) => StoreCall::Progress(
+                reports
+                    .into_iter()
+                    .map(RunProgress::without_run_id)
+                    .collect(),
+            ),
             FirstFormatCall::Work {
                 gateway,
                 running,
--- a/crates/job-store/src/job.rs
+++ b/crates/job-store/src/job.rs
@@ -1,4 +1,4 @@
-//! A job, its items and its results.
+//! Jobs, items and results.
 
 use std::sync::Arc;
 
@@ -6,77 +6,77 @@
 
 use crate::text::Text;
 
-/// One item as it was submitted.
+/// A submitted item.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ItemSpec {
-    /// Its id, unique in the fleet.
+    /// The item's id, unique in the fleet.
     pub id: String,
-    /// The path of its request.
+    /// The path of the request.
     pub path: String,
-    /// Headers of its request.
+    /// The headers of the request.
     pub headers: Vec<(String, String)>,
-    /// The body of its request.
+    /// The body of the request.
     pub body: Vec<u8>,
-    /// Tokens of its prompt and, at most, of its answer.
+    /// Tokens of the prompt plus the maximum tokens of the answer.
     pub tokens: u64,
 }
 
-/// A job as it was submitted.
+/// A submitted job.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct JobSpec {
-    /// Its id.
+    /// The job's id.
     pub id: String,
-    /// The host of its route.
+    /// The host of the job's route.
     pub host: String,
-    /// The path that it was submitted to.
+    /// The path that the job was submitted to.
     pub path: String,
-    /// Failed runs after which an item is given up.
+    /// Number of failed runs after which an item is given up.
     pub max_attempts: u32,
     /// Time after which every result is due, in milliseconds.
     pub completion_ms: u64,
     /// Time after which an item may be given up, in milliseconds.
     pub give_up_ms: u64,
-    /// Its items.
+    /// The items.
     pub items: Vec<ItemSpec>,
 }
 
-/// A tenant's job as it was submitted.
+/// A submitted job of a tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TenantJob {
-    /// Whose it is.
+    /// The tenant.
     pub tenant: String,
     /// The job.
     pub job: JobSpec,
 }
 
-/// How an item ended.
+/// Final state of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ListedState {
-    /// With its whole answer.
+    /// The item has its complete answer.
     Succeeded,
-    /// Given up.
+    /// The item was given up.
     GivenUp,
 }
 
-/// An item and what became of it.
+/// An item and its state.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct Item {
-    /// As submitted; its body is dropped once it is listed.
+    /// The submitted item; the body and headers are dropped once the item is listed.
     pub(crate) spec: ItemSpec,
-    /// Runs that failed.
+    /// Number of failed runs.
     pub(crate) failures: u32,
-    /// Whether it is listed.
+    /// Whether the item is listed.
     pub(crate) listed: bool,
 }
 
-/// A result at its position.
+/// A result; its position is its index in the job's results.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Listed {
-    /// The item's number in its job.
+    /// The item's index in the job.
     pub(crate) item: u32,
-    /// How it ended.
+    /// The item's final state.
     pub(crate) state: ListedState,
-    /// Its text; empty for one that was given up.
+    /// The text; empty if the item was given up.
     pub(crate) text: Text,
 }
 
@@ -84,18 +84,18 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Job {
     pub(crate) spec: JobSpec,
-    /// Whose it is; `None` where its route needed no key.
+    /// The tenant; `None` if the route required no key.
     pub(crate) tenant: Option<String>,
-    /// Time since it was accepted that leaders have counted, in milliseconds; never
-    /// more than has passed, whatever the time of day does.
+    /// Time since acceptance as counted by leaders, in milliseconds. Never more than the
+    /// elapsed time, whatever happens to the wall clock.
     pub(crate) age_ms: u64,
     /// Order of acceptance.
     pub(crate) number: u64,
     pub(crate) items: Vec<Item>,
     pub(crate) results: Vec<Listed>,
-    /// Tokens of items that are not listed.
+    /// Tokens of unlisted items.
     pub(crate) waiting_tokens: u64,
-    /// Whether its caller ended it.
+    /// Whether a caller ended the job.
     pub(crate) ended: bool,
 }
 
@@ -120,42 +120,42 @@
         }
     }
 
-    /// Whether a caller may see it: its tenant, or anybody where it is nobody's.
+    /// Whether a caller may see the job: its own tenant, or any caller if the job has no tenant.
     #[must_use]
     pub fn is_visible_to(&self, caller: Option<&str>) -> bool {
         self.tenant.is_none() || self.tenant.as_deref() == caller
     }
 
-    /// Whether items of it may still run.
+    /// Whether items of the job may still run.
     pub(crate) fn is_open(&self) -> bool {
         !self.ended && self.results.len() < self.items.len()
     }
 
     /// Whether an item may still run.
     pub(crate) fn is_item_open(&self, item: u32) -> bool {
-        let held = self.items.get(item as usize);
-        !self.ended && held.is_some_and(|held| !held.listed)
+        let item = self.items.get(item as usize);
+        !self.ended && item.is_some_and(|item| !item.listed)
     }
 
-    /// Time until every result is due, in milliseconds; 0 when that has passed.
+    /// Time until every result is due, in milliseconds; 0 after the due time.
     pub(crate) fn due_in_ms(&self) -> u64 {
         self.spec.completion_ms.saturating_sub(self.age_ms)
     }
 
-    /// Lists an item; false when it was listed before or the job has ended.
+    /// Lists an item; false if it was listed before or the job has ended.
     pub(crate) fn list(&mut self, item: u32, state: ListedState, text: String) -> bool {
         if !self.is_item_open(item) {
             return false;
         }
-        let held = &mut self.items[item as usize];
-        held.listed = true;
-        self.waiting_tokens -= held.spec.tokens;
-        held.spec.body = Vec::new();
-        held.spec.headers = Vec::new();
+        let stored = &mut self.items[item as usize];
+        stored.listed = true;
+        self.waiting_tokens -= stored.spec.tokens;
+        stored.spec.body = Vec::new();
+        stored.spec.headers = Vec::new();
         self.results.push(Listed {
             item,
             state,
-            text: Text::Held(Arc::from(text)),
+            text: Text::InMemory(Arc::from(text)),
         });
         true
     }
--- a/crates/job-store/src/lease_times.rs
+++ b/crates/job-store/src/lease_times.rs
@@ -1,11 +1,11 @@
-//! How much time of a slot an item costs, all its runs together.
+//! Estimate of the slot time that one item takes over all its runs.
 
-/// What is known counts this much less with each further report.
-const FADING: f64 = 0.99;
-/// Reports before anything is said.
-const FEWEST_REPORTS: f64 = 8.0;
+/// Weight of earlier observations after each further report.
+const DECAY_FACTOR: f64 = 0.99;
+/// Weighted number of reports that an estimate needs.
+const MIN_REPORTS: f64 = 8.0;
 
-/// Times of leases, and the reports that they led to; older ones count less.
+/// Lease times and the number of reported items, with exponential decay.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct LeaseTimes {
     leased_ms: f64,
@@ -13,20 +13,19 @@
 }
 
 impl LeaseTimes {
-    /// Notes that a lease ended, however.
-    pub(crate) fn note_lease(&mut self, took_ms: u64) {
-        self.leased_ms += took_ms as f64;
+    /// Adds the duration of a lease that ended, with or without a report.
+    pub(crate) fn add_lease(&mut self, duration_ms: u64) {
+        self.leased_ms += duration_ms as f64;
     }
 
-    /// Notes that an item was reported.
-    pub(crate) fn note_report(&mut self) {
-        self.leased_ms *= FADING;
-        self.reports = self.reports * FADING + 1.0;
+    /// Counts a reported item.
+    pub(crate) fn add_report(&mut self) {
+        self.leased_ms *= DECAY_FACTOR;
+        self.reports = self.reports * DECAY_FACTOR + 1.0;
     }
 
-    /// Time of a slot for each item that is reported, in milliseconds; `None`
-    /// before enough was seen.
+    /// Slot time per reported item, in milliseconds; `None` before there are enough reports.
     pub(crate) fn slot_ms_per_item(&self) -> Option<u64> {
-        (self.reports >= FEWEST_REPORTS).then(|| (self.leased_ms / self.reports) as u64)
+        (self.reports >= MIN_REPORTS).then(|| (self.leased_ms / self.reports) as u64)
     }
 }
--- a/crates/job-store/src/lib.rs
+++ b/crates/job-store/src/lib.rs
@@ -1,9 +1,10 @@
-//! Batch jobs as a replicated state machine, and who works on which item.
+//! Replicated state machine for batch jobs, and scheduling of their items.
 //!
-//! [`JobStore`] keeps what was accepted: jobs, items, their bodies until they
-//! are listed, and results at fixed positions. [`Dispatcher`] is soft state of
-//! the leader: which gateway holds a lease of which item. An item may run more
-//! than once; the first committed result counts.
+//! [`JobStore`] stores accepted jobs: their items, the request body of each item
+//! until the item is listed, and results at fixed positions. An item is listed
+//! once its final result has a position in the job's results. [`Dispatcher`] is
+//! soft state of the leader: which gateway has the lease of which item. An item
+//! may run more than once; the first committed result counts.
 
 mod age_clock;
 mod call;
--- a/crates/job-store/src/queue.rs
+++ b/crates/job-store/src/queue.rs
@@ -1,27 +1,27 @@
-//! Whether a job fits beside what waits on its route.
+//! Admission of jobs: whether a job fits into the queue of its route.
 
 use std::collections::BTreeMap;
 
 use crate::{call::QueueBound, job::JobSpec, store::JobStore};
 
-/// A job that was let in counts for this long, in milliseconds, although it is
-/// not in the store yet: its command is on its way.
-const UNDER_WAY_MS: u64 = 2_000;
+/// Time for which an admitted job counts before it is in the store, in milliseconds. Its
+/// command is being committed.
+const PENDING_SUBMIT_MS: u64 = 2_000;
 
-struct LetIn {
+struct AdmittedJob {
     job: JobSpec,
     tenant: Option<String>,
-    at_ms: u64,
+    admitted_ms: u64,
 }
 
-/// Lets jobs in while they fit; soft state of the leader.
+/// Admits jobs while they fit into the queue of their route. Soft state of the leader.
 #[derive(Default)]
 pub struct QueueGate {
-    under_way: BTreeMap<String, LetIn>,
+    pending: BTreeMap<String, AdmittedJob>,
 }
 
 impl QueueGate {
-    /// Whether a job may be accepted. One that was accepted before always is.
+    /// Whether a job may be accepted. A job that was accepted before is always admitted.
     pub fn admits(
         &mut self,
         store: &JobStore,
@@ -29,36 +29,37 @@
         bound: Option<&QueueBound>,
         now_ms: u64,
     ) -> bool {
-        self.under_way
-            .retain(|id, let_in| store.job(id).is_none() && now_ms < let_in.at_ms + UNDER_WAY_MS);
+        self.pending.retain(|id, admitted| {
+            store.job(id).is_none() && now_ms < admitted.admitted_ms + PENDING_SUBMIT_MS
+        });
         let Some(bound) = bound else {
             return true;
         };
-        let is_known = store.job(&job.id).is_some() || self.under_way.contains_key(&job.id);
-        let waiting = store.waiting_tokens(bound) + self.tokens_under_way(bound);
+        let is_known = store.job(&job.id).is_some() || self.pending.contains_key(&job.id);
+        let waiting = store.waiting_tokens(bound) + self.pending_tokens(bound);
         if !is_known && waiting + tokens_of(job) > bound.tokens {
             return false;
         }
         if !is_known {
-            // Bodies are not needed here.
+            // The bodies are not needed to count tokens.
             let mut counted = job.clone();
             for item in &mut counted.items {
                 item.body = Vec::new();
             }
-            let let_in = LetIn {
+            let admitted = AdmittedJob {
                 job: counted,
                 tenant: bound.tenant.clone(),
-                at_ms: now_ms,
+                admitted_ms: now_ms,
             };
-            self.under_way.insert(job.id.clone(), let_in);
+            self.pending.insert(job.id.clone(), admitted);
         }
         true
     }
 
-    fn tokens_under_way(&self, bound: &QueueBound) -> u64 {
-        let jobs = self.under_way.values();
-        jobs.filter(|let_in| bound.concerns(&let_in.job, let_in.tenant.as_deref()))
-            .map(|let_in| tokens_of(&let_in.job))
+    fn pending_tokens(&self, bound: &QueueBound) -> u64 {
+        let jobs = self.pending.values();
+        jobs.filter(|admitted| bound.concerns(&admitted.job, admitted.tenant.as_deref()))
+            .map(|admitted| tokens_of(&admitted.job))
             .sum()
     }
 }
--- a/crates/job-store/src/snapshot.rs
+++ b/crates/job-store/src/snapshot.rs
@@ -1,10 +1,9 @@
-//! The store's snapshots: texts of results first, then an index of everything else.
+//! Snapshots of the job store: the texts of results, then an index of all other state.
 //!
-//! Content: the texts one after the other, the index as a stored value
-//! ([`stored`]), then the length of the index as a little-endian `u64`. Texts
-//! never change, so they are written piece by piece while the store goes on, and
-//! a restored store leaves them where they are: memory holds only the texts
-//! that came after the newest snapshot.
+//! Content: the concatenated texts, the index as a stored value ([`stored`]), then the
+//! length of the index as a little-endian `u64`. Texts never change, so they are written
+//! piece by piece while the store continues to apply commands. A restored store reads them
+//! from the snapshot: memory holds only the texts added after the newest snapshot.
 
 use std::collections::BTreeMap;
 
@@ -17,22 +16,23 @@
 
 use crate::{
     job::{Item, Job, JobSpec, Listed, ListedState},
-    progress::{MadeOfItem, ProgressTable, RunId},
+    progress::{ItemEvents, ProgressTable, RunId},
     store::JobStore,
     text::{StoredText, Text},
 };
 
-/// Layout of an index without the progress of items, which is still read.
+/// Layout of an index without item progress. Still read.
 const FIRST_LAYOUT: u8 = 1;
-/// Layout of an index without tenants, which is still read.
+/// Layout of an index with item progress and without tenants. Still read.
 const PROGRESS_LAYOUT: u8 = 2;
-/// Layout of an index that does not say which runs told the progress: that of the first format.
+/// Layout of an index with tenants and without the runs that reported progress: the first
+/// format.
 const TENANTS_LAYOUT: u8 = 3;
 /// Layout of the index in the newest format.
 const INDEX_LAYOUT: u8 = 4;
-/// Bytes of the length at the end of the content.
+/// Size of the length field at the end of the content, in bytes.
 const LENGTH_BYTES: usize = 8;
-/// Texts are written in pieces of about so many bytes.
+/// Approximate size of the pieces in which texts are written, in bytes.
 const PIECE_BYTES: usize = 256 * 1024;
 
 #[derive(Archive, Serialize, Deserialize)]
@@ -45,14 +45,14 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct ProgressIndex {
     index: Index,
-    made: Vec<MadeOfItem>,
+    made: Vec<ItemEvents>,
 }
 
 /// The index with tenants.
 #[derive(Archive, Serialize, Deserialize)]
 struct TenantsIndex {
     index: Index,
-    made: Vec<MadeOfItem>,
+    made: Vec<ItemEvents>,
     tenants: Vec<JobTenant>,
 }
 
@@ -60,14 +60,15 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct FullIndex {
     index: Index,
-    made: Vec<MadeOfItem>,
-    /// Who told each entry of `made`; those beyond its end were told without marks.
+    made: Vec<ItemEvents>,
+    /// The run that reported last, for each entry of `made`. Entries over its length were
+    /// reported without run ids.
     tellers: Vec<RunId>,
     tenants: Vec<JobTenant>,
 }
 
 impl FullIndex {
-    /// The index as all members read it: the first format does not say who told progress.
+    /// The index in a format that all members read. The first format has no reporting runs.
     fn into_stored(self, format: Format) -> Result<Vec<u8>, Report<ErrorKind>> {
         match format {
             Format::First => {
@@ -83,7 +84,7 @@
     }
 }
 
-/// Whose a job is.
+/// The tenant of a job.
 #[derive(Archive, Serialize, Deserialize)]
 struct JobTenant {
     job: String,
@@ -107,29 +108,29 @@
     text: StoredText,
 }
 
-/// Where the texts of a job are put, by position.
-struct PlacedJob {
+/// The positions of a job's texts in the snapshot, by result position.
+struct JobTexts {
     id: String,
     number: u64,
     texts: Vec<StoredText>,
 }
 
-/// The store at one index, written while the store goes on.
+/// The store at one log index. Can be written while the store applies further commands.
 pub struct JobStoreSnapshot {
-    /// Where texts lie that were stored before.
-    before: Option<SnapshotReader>,
+    /// The snapshot that contains the texts stored before.
+    previous: Option<SnapshotReader>,
     texts: std::vec::IntoIter<Text>,
-    placed: Vec<PlacedJob>,
-    /// The index and its length; `None` once written.
+    job_texts: Vec<JobTexts>,
+    /// The index with its length; `None` once written.
     index: Option<Vec<u8>>,
 }
 
 impl JobStoreSnapshot {
-    /// A snapshot of the store as it is now.
+    /// A snapshot of the current state.
     ///
     /// # Errors
-    /// `Internal` when it cannot be encoded.
-    pub(crate) fn of(store: &JobStore) -> Result<Self, Report<ErrorKind>> {
+    /// `Internal` when the index cannot be encoded.
+    pub(crate) fn capture(store: &JobStore) -> Result<Self, Report<ErrorKind>> {
         let mut layout = TextLayout::default();
         let jobs = store.jobs.values().map(|job| layout.index(job)).collect();
         let index = FullIndex {
@@ -137,29 +138,29 @@
                 jobs,
                 accepted: store.accepted,
             },
-            made: store.made.to_list(),
-            tellers: store.made.tellers(),
+            made: store.progress.to_list(),
+            tellers: store.progress.reporters(),
             tenants: store.jobs.values().filter_map(tenant_of).collect(),
         };
         let mut index = index.into_stored(store.format)?;
         let length = index.len() as u64;
         index.extend_from_slice(&length.to_le_bytes());
         Ok(JobStoreSnapshot {
-            before: store.snapshot.clone(),
+            previous: store.snapshot.clone(),
             texts: layout.texts.into_iter(),
-            placed: layout.placed,
+            job_texts: layout.job_texts,
             index: Some(index),
         })
     }
 
-    /// Leaves the texts that the snapshot holds to it.
-    pub(crate) fn move_texts(self, jobs: &mut BTreeMap<String, Job>) {
-        for placed in self.placed {
-            let held = jobs.get_mut(&placed.id);
-            let Some(job) = held.filter(|job| job.number == placed.number) else {
+    /// Releases the in-memory texts that the stored snapshot contains.
+    pub(crate) fn release_texts(self, jobs: &mut BTreeMap<String, Job>) {
+        for job_texts in self.job_texts {
+            let found = jobs.get_mut(&job_texts.id);
+            let Some(job) = found.filter(|job| job.number == job_texts.number) else {
                 continue;
             };
-            for (listed, stored) in job.results.iter_mut().zip(placed.texts) {
+            for (listed, stored) in job.results.iter_mut().zip(job_texts.texts) {
                 listed.text = Text::Stored(stored);
             }
         }
@@ -173,7 +174,7 @@
             let Some(text) = self.texts.next() else {
                 break;
             };
-            piece.extend_from_slice(text.read(self.before.as_ref())?.as_bytes());
+            piece.extend_from_slice(text.read(self.previous.as_ref())?.as_bytes());
         }
         if piece.is_empty() {
             return Ok(self.index.take());
@@ -182,11 +183,11 @@
     }
 }
 
-/// Puts texts one after the other.
+/// Assigns consecutive positions to texts.
 #[derive(Default)]
 struct TextLayout {
     texts: Vec<Text>,
-    placed: Vec<PlacedJob>,
+    job_texts: Vec<JobTexts>,
     next_offset: u64,
 }
 
@@ -198,10 +199,10 @@
             .map(|listed| IndexedResult {
                 item: listed.item,
                 state: listed.state,
-                text: self.place(&listed.text),
+                text: self.append(&listed.text),
             })
             .collect();
-        self.placed.push(PlacedJob {
+        self.job_texts.push(JobTexts {
             id: job.spec.id.clone(),
             number: job.number,
             texts: results.iter().map(|result| result.text).collect(),
@@ -216,7 +217,7 @@
         }
     }
 
-    fn place(&mut self, text: &Text) -> StoredText {
+    fn append(&mut self, text: &Text) -> StoredText {
         let stored = StoredText {
             offset: self.next_offset,
             bytes: text.bytes() as u32,
@@ -227,11 +228,11 @@
     }
 }
 
-/// The store of a stored snapshot; its texts stay there.
+/// Restores the store from a stored snapshot; texts remain in the snapshot.
 ///
 /// # Errors
-/// `Corrupted` when the content is no snapshot of a store, `DataFolderRefused`
-/// when it is of another layout, `Io`.
+/// `Corrupted` when the content is not a snapshot of a job store, `DataFolderRefused`
+/// for an unknown layout, `Io`.
 pub(crate) fn restore(content: SnapshotReader) -> Result<JobStore, Report<ErrorKind>> {
     let stored_index = read_index(&content)?;
     let format = match stored::layout_of(&stored_index) {
@@ -257,7 +258,7 @@
         jobs,
         accepted: index.accepted,
         snapshot: Some(content),
-        made: ProgressTable::from_list(made, &tellers),
+        progress: ProgressTable::from_list(made, &tellers),
         format,
     })
 }
@@ -297,7 +298,8 @@
 }
 
 fn read_index(content: &SnapshotReader) -> Result<Vec<u8>, Report<ErrorKind>> {
-    let too_short = || Report::new(ErrorKind::Corrupted).attach("a snapshot without an index");
+    let too_short =
+        || Report::new(ErrorKind::Corrupted).attach("job store snapshot too short for its index");
     let bytes = content.content_bytes();
     let end = bytes
         .checked_sub(LENGTH_BYTES as u64)
@@ -323,9 +325,9 @@
         state: result.state,
         text: Text::Stored(result.text),
     });
-    let waiting = job.items.iter().filter(|item| !item.listed);
+    let unlisted = job.items.iter().filter(|item| !item.listed);
     Job {
-        waiting_tokens: waiting.map(|item| item.spec.tokens).sum(),
+        waiting_tokens: unlisted.map(|item| item.spec.tokens).sum(),
         spec: job.spec,
         tenant: None,
         age_ms: job.age_ms,
--- a/crates/job-store/src/store.rs
+++ b/crates/job-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state.
+//! The replicated state of the job store.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,23 +16,23 @@
     snapshot::{self, JobStoreSnapshot},
 };
 
-/// Every job that was accepted and not yet dropped.
+/// All accepted jobs that are not dropped yet.
 #[derive(Default)]
 pub struct JobStore {
     pub(crate) jobs: BTreeMap<String, Job>,
     /// Jobs with items that may still run.
     pub(crate) open: BTreeSet<String>,
     pub(crate) accepted: u64,
-    /// The newest stored snapshot, which holds older texts.
+    /// The newest stored snapshot, which contains older texts.
     pub(crate) snapshot: Option<SnapshotReader>,
-    /// What unfinished items have made.
-    pub(crate) made: ProgressTable,
-    /// The newest format among its entries: all members read it.
+    /// Events of unfinished items.
+    pub(crate) progress: ProgressTable,
+    /// The newest format among the applied entries; all members read this format.
     pub(crate) format: Format,
 }
 
 impl JobStore {
-    /// A job by its id.
+    /// The job with an id.
     #[must_use]
     pub fn job(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
@@ -43,39 +43,39 @@
         self.open.iter().filter_map(|id| self.jobs.get(id))
     }
 
-    /// Number of jobs that were ever accepted.
+    /// Number of jobs accepted so far, including dropped jobs.
     #[must_use]
     pub fn accepted(&self) -> u64 {
         self.accepted
     }
 
-    /// Notes whether a job that changed is still open.
-    fn note_open(&mut self, id: &str) {
+    /// Removes a job from the open jobs if it is no longer open.
+    fn update_open(&mut self, id: &str) {
         if !self.jobs.get(id).is_some_and(Job::is_open) {
             self.open.remove(id);
         }
     }
 
-    /// Number of jobs held.
+    /// Number of stored jobs.
     #[must_use]
     pub fn len(&self) -> usize {
         self.jobs.len()
     }
 
-    /// Whether no job is held.
+    /// Whether no job is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.jobs.is_empty()
     }
 
-    /// Bytes of texts that are in memory, since no stored snapshot holds them yet.
+    /// Bytes of the texts in memory, which no stored snapshot contains yet.
     #[must_use]
     pub fn in_memory_text_bytes(&self) -> usize {
         let results = self.jobs.values().flat_map(|job| &job.results);
-        results.map(|listed| listed.text.held_bytes()).sum()
+        results.map(|listed| listed.text.in_memory_bytes()).sum()
     }
 
-    /// Tokens of items that are not listed, of open jobs on a route.
+    /// Tokens of the unlisted items of open jobs that count towards a bound.
     #[must_use]
     pub fn waiting_tokens(&self, bound: &QueueBound) -> u64 {
         let jobs = self
@@ -84,10 +84,10 @@
         jobs.map(|job| job.waiting_tokens).sum()
     }
 
-    /// Bytes of text that are kept of unfinished items.
+    /// Bytes of the stored event texts of unfinished items.
     #[must_use]
     pub fn progress_bytes(&self) -> u64 {
-        self.made.bytes()
+        self.progress.bytes()
     }
 
     /// Whether an item may still run.
@@ -97,15 +97,15 @@
         job.is_some_and(|job| job.is_item_open(item.item))
     }
 
-    /// Whether there is a job that a caller may see.
+    /// Whether the job exists and the caller may see it.
     #[must_use]
     pub fn is_visible(&self, job: &str, caller: Option<&str>) -> bool {
         let job = self.jobs.get(job);
         job.is_some_and(|job| job.is_visible_to(caller))
     }
 
-    /// Results from a position on; at least one if there is one. `None` when there
-    /// is no such job.
+    /// Results from a position on: up to `max_bytes` of text, but at least one result if there
+    /// is any. `None` if there is no such job.
     ///
     /// # Errors
     /// `Corrupted` or `Io` when a stored text cannot be read.
@@ -113,7 +113,7 @@
         &self,
         job: &str,
         since: u32,
-        most_bytes: u32,
+        max_bytes: u32,
     ) -> Result<Option<ResultsPage>, Report<ErrorKind>> {
         let Some(job) = self.jobs.get(job) else {
             return Ok(None);
@@ -123,7 +123,7 @@
         let mut results = Vec::new();
         for entry in listed {
             bytes += entry.text.bytes();
-            if !results.is_empty() && bytes > most_bytes as usize {
+            if !results.is_empty() && bytes > max_bytes as usize {
                 break;
             }
             results.push(ItemResult {
@@ -138,25 +138,25 @@
         }))
     }
 
-    /// Items of a job and how many are listed; `None` when there is no such job.
+    /// Number of items of a job and of its listed items; `None` if there is no such job.
     #[must_use]
     pub fn listed(&self, job: &str) -> Option<(u32, u32)> {
         let job = self.jobs.get(job)?;
         Some((job.items.len() as u32, job.results.len() as u32))
     }
 
-    /// The body of an item that is not listed, until its job is ended.
+    /// The body of an unlisted item of a job that has not been ended.
     #[must_use]
     pub fn body(&self, job: &str, item: &str) -> Option<&[u8]> {
         let job = self.jobs.get(job).filter(|job| !job.ended)?;
         let mut items = job.items.iter();
-        let found = items.find(|held| held.spec.id == item && !held.listed)?;
+        let found = items.find(|stored| stored.spec.id == item && !stored.listed)?;
         Some(&found.spec.body)
     }
 
     fn submit(&mut self, spec: JobSpec, tenant: Option<String>) -> StoreAnswer {
-        if let Some(held) = self.jobs.get(&spec.id) {
-            return if held.tenant == tenant {
+        if let Some(existing) = self.jobs.get(&spec.id) {
+            return if existing.tenant == tenant {
                 StoreAnswer::Done
             } else {
                 StoreAnswer::OtherTenant
@@ -167,7 +167,7 @@
         self.open.insert(id.clone());
         let job = Job::new(spec, tenant, self.accepted);
         self.jobs.insert(id.clone(), job);
-        self.note_open(&id);
+        self.update_open(&id);
         StoreAnswer::Done
     }
 
@@ -187,14 +187,14 @@
             }
         }
         if !job.is_item_open(item.item) {
-            self.made.forget(item);
+            self.progress.remove(item);
         }
-        self.note_open(&item.job);
+        self.update_open(&item.job);
         StoreAnswer::Done
     }
 
-    /// Lists an item whose last events came; where what was told before is not held,
-    /// its whole text has to be reported.
+    /// Lists an item whose last events were reported. If the events before them are not stored,
+    /// the gateway has to send the complete text.
     fn finish(&mut self, last: RunProgress) -> StoreAnswer {
         let item = last.progress.item.clone();
         if !self.jobs.contains_key(&item.job) {
@@ -203,51 +203,51 @@
         if !self.is_item_open(&item) {
             return StoreAnswer::Done;
         }
-        match self.made.of(&item).whole_text(last) {
+        match self.progress.get(&item).complete_text(last) {
             Some(text) => self.report(&item, ItemOutcome::Succeeded(text)),
             None => StoreAnswer::TellAgain(vec![item]),
         }
     }
 
     fn end(&mut self, id: &str, caller: Option<&str>) -> StoreAnswer {
-        let held = self.jobs.get_mut(id);
-        let Some(job) = held.filter(|job| job.is_visible_to(caller)) else {
+        let found = self.jobs.get_mut(id);
+        let Some(job) = found.filter(|job| job.is_visible_to(caller)) else {
             return StoreAnswer::UnknownJob;
         };
         job.ended = true;
         for item in &mut job.items {
             item.spec.body = Vec::new();
         }
-        self.made.forget_job(id);
-        self.note_open(id);
+        self.progress.remove_job(id);
+        self.update_open(id);
         StoreAnswer::Done
     }
 
-    fn keep(&mut self, progress: impl IntoIterator<Item = RunProgress>) -> StoreAnswer {
-        let mut tell_again = Vec::new();
-        for told in progress {
-            let item = told.progress.item.clone();
-            if self.is_item_open(&item) && !self.made.take(told) {
-                tell_again.push(item);
+    fn record_progress(&mut self, reports: impl IntoIterator<Item = RunProgress>) -> StoreAnswer {
+        let mut incomplete = Vec::new();
+        for report in reports {
+            let item = report.progress.item.clone();
+            if self.is_item_open(&item) && !self.progress.record(report) {
+                incomplete.push(item);
             }
         }
-        if tell_again.is_empty() {
+        if incomplete.is_empty() {
             StoreAnswer::Done
         } else {
-            StoreAnswer::TellAgain(tell_again)
+            StoreAnswer::TellAgain(incomplete)
         }
     }
 
-    fn pass(&mut self, elapsed_ms: u64, kept_ms: u64) -> StoreAnswer {
+    fn advance_time(&mut self, elapsed_ms: u64, retention_ms: u64) -> StoreAnswer {
         for job in self.jobs.values_mut() {
             job.age_ms += elapsed_ms;
             if job.is_open() && job.age_ms > job.spec.give_up_ms {
                 give_up_all(job);
-                self.made.forget_job(&job.spec.id);
+                self.progress.remove_job(&job.spec.id);
             }
         }
         self.jobs
-            .retain(|_, job| job.is_open() || job.age_ms <= kept_ms);
+            .retain(|_, job| job.is_open() || job.age_ms <= retention_ms);
         let jobs = &self.jobs;
         self.open
             .retain(|id| jobs.get(id).is_some_and(Job::is_open));
@@ -262,15 +262,15 @@
 }
 
 fn count_failure(job: &mut Job, item: u32, failures_before: u32) {
-    let most = job.spec.max_attempts;
-    let Some(held) = job.items.get_mut(item as usize) else {
+    let max_attempts = job.spec.max_attempts;
+    let Some(stored) = job.items.get_mut(item as usize) else {
         return;
     };
-    if held.failures != failures_before {
+    if stored.failures != failures_before {
         return;
     }
-    held.failures += 1;
-    if held.failures >= most {
+    stored.failures += 1;
+    if stored.failures >= max_attempts {
         job.list(item, ListedState::GivenUp, String::new());
     }
 }
@@ -291,24 +291,24 @@
             StoreCommand::End { job } => self.end(&job, None),
             StoreCommand::EndFor { job, tenant } => self.end(&job, Some(&tenant)),
             StoreCommand::Progress(progress) => {
-                self.keep(progress.into_iter().map(RunProgress::unmarked))
+                self.record_progress(progress.into_iter().map(RunProgress::without_run_id))
             }
-            StoreCommand::Finish(last) => self.finish(RunProgress::unmarked(last)),
-            StoreCommand::KeepProgress(progress) => self.keep(progress),
+            StoreCommand::Finish(last) => self.finish(RunProgress::without_run_id(last)),
+            StoreCommand::KeepProgress(progress) => self.record_progress(progress),
             StoreCommand::FinishRun(last) => self.finish(*last),
             StoreCommand::Pass {
                 elapsed_ms,
                 kept_ms,
-            } => self.pass(elapsed_ms, kept_ms),
+            } => self.advance_time(elapsed_ms, kept_ms),
         })
     }
 
     fn begin_snapshot(&self) -> Result<JobStoreSnapshot, Report<ErrorKind>> {
-        JobStoreSnapshot::of(self)
+        JobStoreSnapshot::capture(self)
     }
 
     fn snapshot_stored(&mut self, snapshot: JobStoreSnapshot, content: SnapshotReader) {
-        snapshot.move_texts(&mut self.jobs);
+        snapshot.release_texts(&mut self.jobs);
         self.snapshot = Some(content);
     }
 
--- a/crates/job-store/tests/all/age_clock.rs
+++ b/crates/job-store/tests/all/age_clock.rs
@@ -1,16 +1,16 @@
-//! Jobs do not grow older than they are, whenever they are accepted.
+//! The counted age of a job never exceeds its real age, whenever the job is accepted.
 
 use linnethitch_job_store::{AgeClock, JobStore, ListedState};
 use proptest::prelude::*;
 use rstest::rstest;
 
-use crate::support::{GIVE_UP_MS, job, pass, submit};
+use crate::support::{GIVE_UP_MS, advance_time, job, submit};
 
-/// A leader's tick, in milliseconds; ticks come late by a little, so that no interval
-/// of counting is a whole number of them.
+/// Interval between ticks of the leader, in milliseconds. The counting interval is not a
+/// multiple of it, as with real ticks, which are slightly late.
 const TICK_MS: u64 = 43;
 
-/// A leader with its clock and its store.
+/// A leader with its age clock and its store.
 #[derive(Default)]
 struct Leader {
     store: JobStore,
@@ -22,25 +22,25 @@
     fn run_until(&mut self, end_ms: u64) {
         while self.now_ms + TICK_MS <= end_ms {
             self.now_ms += TICK_MS;
-            if let Some(part_ms) = self.clock.interval_due(self.now_ms, self.store.is_empty()) {
-                pass(&mut self.store, part_ms);
+            if let Some(interval_ms) = self.clock.interval_due(self.now_ms, self.store.is_empty()) {
+                advance_time(&mut self.store, interval_ms);
             }
         }
     }
 
     fn accept(&mut self, id: &str) {
-        if let Some(part_ms) = self
+        if let Some(interval_ms) = self
             .clock
             .interval_before_job(self.now_ms, self.store.is_empty())
         {
-            pass(&mut self.store, part_ms);
+            advance_time(&mut self.store, interval_ms);
         }
         submit(&mut self.store, job(id, 1));
     }
 
     fn has_given_up(&self, id: &str) -> bool {
         let page = self.store.results(id, 0, u32::MAX).expect("texts are read");
-        let page = page.expect("the job is held");
+        let page = page.expect("the job is stored");
         let mut results = page.results.iter();
         results.any(|result| result.state == ListedState::GivenUp)
     }
@@ -49,7 +49,7 @@
 #[rstest]
 #[case::just_after_a_count(43)]
 #[case::just_before_a_count(1_978)]
-fn an_item_is_not_given_up_before_its_time(#[case] accepted_after_ms: u64) {
+fn an_item_is_not_given_up_before_its_time_limit(#[case] accepted_after_ms: u64) {
     let mut leader = Leader::default();
     leader.run_until(TICK_MS);
     leader.accept("first");
--- a/crates/job-store/tests/all/formats.rs
+++ b/crates/job-store/tests/all/formats.rs
@@ -1,4 +1,4 @@
-//! A job store is stored as every member of its group reads it.
+//! A job store writes snapshots in a format that every member of its group reads.
 
 use linnethitch_group::{SnapshotSource, StateMachine, WholeSnapshot};
 use linnethitch_job_store::{JobStore, StoreCommand};
@@ -6,7 +6,7 @@
 
 use crate::support::{snapshots, store_snapshot, unhex};
 
-/// Snapshots and commands that the build of commit 4f0dab2 wrote, by name.
+/// Snapshots and commands recorded with the build of commit 4f0dab2, by name.
 const RECORDED: &str = include_str!("../../../cluster/tests/recorded/format-1.txt");
 
 fn recorded(name: &str) -> Vec<u8> {
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_snapshot_is_written_for_members_of_the_build_before_as_they_wrote_it() {
+fn a_first_format_snapshot_is_written_back_unchanged() {
     let bytes = recorded("stored-store-snapshot");
     let store = restored(bytes.clone());
     assert_eq!(store.format(), Format::First);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn one_entry_of_the_newest_format_raises_it_for_good() {
+fn one_entry_in_the_newest_format_raises_the_format_permanently() {
     let mut store = restored(recorded("stored-store-snapshot"));
     let raise = StoreCommand::raise_format().expect("it is encoded");
     store.apply(LogIndex(50), &raise).expect("it is applied");
--- a/crates/job-store/tests/all/layout.rs
+++ b/crates/job-store/tests/all/layout.rs
@@ -1,4 +1,4 @@
-//! Commands of the log stay readable by later builds.
+//! Stored commands stay readable for later builds.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_job_store::{
@@ -31,7 +31,7 @@
     }
 }
 
-/// Commands as their layouts store them. A change of these bytes needs a new layout.
+/// Commands with their stored bytes. A change of these bytes needs a new layout.
 #[rstest]
 #[case::submit(
     StoreCommand::Submit(job("j", 1)),
@@ -54,10 +54,10 @@
      000000000000000000000000000000000000000000")]
 #[case::pass(StoreCommand::Pass { elapsed_ms: 2_000, kept_ms: 140_000 }, "010300000000000000d007000000000000e02202000000000000000000000000000000000000000000000000\
      000000000000000000000000000000000000000000")]
-#[case::progress_without_marks(StoreCommand::Progress(vec![progress()]), "0263ffffffffffffff6affffffffffffff0300000002000000e8ffffff010000000100000000000000030000\
+#[case::progress_without_run_ids(StoreCommand::Progress(vec![progress()]), "0263ffffffffffffff6affffffffffffff0300000002000000e8ffffff010000000100000000000000030000\
      000000000004000000d4ffffff01000000000000000000000000000000000000000000000000000000000000\
      00000000000000000000000000000000000000000000000000")]
-#[case::finish_without_marks(
+#[case::finish_without_run_ids(
     StoreCommand::Finish(progress()),
     "0363ffffffffffffff05000000000000006affffffffffffff0300000002000000e0ffffff01000000010000\
      0000000000030000000000000000000000000000000000000000000000"
@@ -78,7 +78,7 @@
     assert_eq!(read, command);
 }
 
-/// First bytes of stored values that this build does not read, and what is said of them.
+/// First bytes of stored values that this build does not read, and the kind of the error.
 #[rstest]
 #[case::newer(&[6], ErrorKind::DataFolderRefused)]
 #[case::damaged_runs(&[5, 9, 9], ErrorKind::Corrupted)]
@@ -88,7 +88,7 @@
 #[case::without_a_layout(&[0x6a], ErrorKind::DataFolderRefused)]
 #[case::damaged(&[1, 9, 9], ErrorKind::Corrupted)]
 #[case::empty(&[], ErrorKind::Corrupted)]
-fn other_layouts_and_damage_are_told_apart(#[case] bytes: &[u8], #[case] kind: ErrorKind) {
+fn unknown_layouts_and_corruption_are_distinguished(#[case] bytes: &[u8], #[case] kind: ErrorKind) {
     let refused = StoreCommand::from_stored(bytes).expect_err("it is refused");
     assert_eq!(*refused.current_context(), kind);
 }
--- a/crates/job-store/tests/all/plan.rs
+++ b/crates/job-store/tests/all/plan.rs
@@ -1,27 +1,27 @@
-//! In which order items are given out where not all can be done in time.
+//! Order in which items are leased when not all can be completed in time.
 
 use std::collections::BTreeMap;
 
 use linnethitch_job_store::{Dispatcher, ItemOutcome, ItemRef, JobStore};
 use rstest::rstest;
 
-use crate::support::{job, pass, report, submit};
+use crate::support::{advance_time, job, report, submit};
 
-/// Time that an item runs, in milliseconds.
+/// Run time of an item, in milliseconds.
 const ITEM_MS: u64 = 4_000;
-/// How often a gateway calls, in milliseconds.
+/// Interval between calls of the gateway, in milliseconds.
 const STEP_MS: u64 = 200;
-/// Jobs are due so long after they were accepted, in milliseconds.
+/// Time between acceptance and due time of a job, in milliseconds.
 const DUE_MS: u64 = 20_000;
 
-/// A gateway with some slots that takes whatever it is given.
+/// A gateway with a number of slots that requests an item for every free slot.
 struct Fleet {
     store: JobStore,
     dispatcher: Dispatcher,
     slots: usize,
     running: Vec<(ItemRef, u64)>,
     accepted_ms: BTreeMap<String, u64>,
-    /// Items done in time, by job.
+    /// Number of items completed in time, by job.
     in_time: BTreeMap<String, u32>,
     now_ms: u64,
 }
@@ -46,27 +46,28 @@
 
     fn run_until(&mut self, until_ms: u64) {
         while self.now_ms < until_ms {
-            self.end_items();
-            let named: Vec<ItemRef> = self.running.iter().map(|(item, _)| item.clone()).collect();
+            self.complete_items();
+            let reported: Vec<ItemRef> =
+                self.running.iter().map(|(item, _)| item.clone()).collect();
             self.dispatcher
-                .renew(&self.store, "gateway", &named, self.now_ms);
-            let want = (self.slots - self.running.len()) as u32;
-            let work = self
-                .dispatcher
-                .lease(&self.store, "gateway", want, ITEM_MS, self.now_ms);
-            let begun_ms = self.now_ms;
+                .renew(&self.store, "gateway", &reported, self.now_ms);
+            let requested = (self.slots - self.running.len()) as u32;
+            let work =
+                self.dispatcher
+                    .lease(&self.store, "gateway", requested, ITEM_MS, self.now_ms);
+            let started_ms = self.now_ms;
             self.running
-                .extend(work.into_iter().map(|work| (work.item, begun_ms)));
+                .extend(work.into_iter().map(|work| (work.item, started_ms)));
             self.now_ms += STEP_MS;
-            pass(&mut self.store, STEP_MS);
+            advance_time(&mut self.store, STEP_MS);
         }
     }
 
-    fn end_items(&mut self) {
+    fn complete_items(&mut self) {
         let now_ms = self.now_ms;
         let (ended, running): (Vec<_>, Vec<_>) = std::mem::take(&mut self.running)
             .into_iter()
-            .partition(|(_, begun_ms)| now_ms >= begun_ms + ITEM_MS);
+            .partition(|(_, started_ms)| now_ms >= started_ms + ITEM_MS);
         self.running = running;
         for (item, _) in ended {
             if now_ms <= self.accepted_ms[&item.job] + DUE_MS {
@@ -86,13 +87,12 @@
     }
 }
 
-/// The failure this is for (RECOVER on small twins): slots were spent on the jobs
-/// whose time ran out first, and a job that came last had nothing done in time.
-/// Ten slots do 50 items in 20 s.
+/// Guards against starvation under overload: all slots went to the jobs that were due first,
+/// and the last job had no item completed in time. Ten slots complete 50 items in 20 s.
 #[rstest]
 #[case::all_at_once(0)]
 #[case::one_after_the_other(400)]
-fn every_job_gets_a_part_where_not_all_can_be_done(#[case] apart_ms: u64) {
+fn every_job_gets_a_share_under_overload(#[case] apart_ms: u64) {
     let mut fleet = Fleet::new(10);
     let jobs = ["a", "b", "c", "d", "e"];
     for id in jobs {
@@ -105,9 +105,9 @@
     assert!(done.iter().sum::<u32>() >= 45, "{done:?}");
 }
 
-/// Where everything can be done in time, what is due first is done first.
+/// If all jobs can be completed in time, jobs are completed in the order of their due times.
 #[test]
-fn nothing_is_late_where_all_can_be_done() {
+fn no_item_is_late_without_overload() {
     let mut fleet = Fleet::new(10);
     fleet.submit("large", 30);
     fleet.run_until(4_000);
@@ -117,19 +117,20 @@
     assert_eq!(fleet.done_in_time("small"), 10);
 }
 
-/// A call costs what it returns: 270,000 items of one job are not walked for it.
-/// Counts what a leader holds and gives out, in order, over a whole job.
+/// Leases a large job in many calls and checks that every item is leased once and in order. The
+/// cost of a call depends on the number of items it returns, not on the 270,000 items of the
+/// job.
 #[test]
-fn a_job_of_270_000_items_is_given_out_once() {
+fn a_job_of_270_000_items_is_leased_once() {
     const ITEMS: u32 = 270_000;
-    const AT_ONCE: u32 = 500;
+    const ITEMS_PER_CALL: u32 = 500;
     let mut store = JobStore::default();
     submit(&mut store, job("large", ITEMS));
     let mut dispatcher = Dispatcher::default();
     let mut expected = 0;
-    for call in 0..ITEMS / AT_ONCE {
+    for call in 0..ITEMS / ITEMS_PER_CALL {
         let gateway = format!("gateway-{}", call % 250);
-        let work = dispatcher.lease(&store, &gateway, AT_ONCE, 0, u64::from(call));
+        let work = dispatcher.lease(&store, &gateway, ITEMS_PER_CALL, 0, u64::from(call));
         for work in work {
             assert_eq!(work.item.item, expected);
             expected += 1;
--- a/crates/job-store/tests/all/progress.rs
+++ b/crates/job-store/tests/all/progress.rs
@@ -1,4 +1,4 @@
-//! What unfinished items have made is kept, and the next run goes on after it.
+//! Events of unfinished items are stored, and the next run continues after them.
 
 use linnethitch_group::StateMachine;
 use linnethitch_job_store::{
@@ -7,7 +7,7 @@
 };
 use rstest::rstest;
 
-use crate::support::{apply, item, job, pass, report, snapshots, store_snapshot, submit};
+use crate::support::{advance_time, apply, item, job, report, snapshots, store_snapshot, submit};
 
 fn made(events: &[&str], last_event: u64) -> GeneratedEvents {
     GeneratedEvents {
@@ -16,7 +16,7 @@
     }
 }
 
-fn tell(
+fn report_progress(
     store: &mut JobStore,
     item: ItemRef,
     told_before: u32,
@@ -30,26 +30,26 @@
     apply(store, &StoreCommand::Progress(vec![progress]))
 }
 
-/// What a gateway that leases the first open item of a job goes on from.
-fn next_run(store: &JobStore) -> GeneratedEvents {
-    next_lease(store).made
+/// The events from which a gateway continues that leases the first open item.
+fn events_for_next_run(store: &JobStore) -> GeneratedEvents {
+    progress_for_next_run(store).made
 }
 
-/// The same with the run that told it.
-fn next_lease(store: &JobStore) -> StoredProgress {
+/// The same events with the run that reported them last.
+fn progress_for_next_run(store: &JobStore) -> StoredProgress {
     let mut dispatcher = Dispatcher::default();
     let work = dispatcher.lease(store, "gateway", 1, 0, 0);
     work.into_iter().next().expect("an open item").made
 }
 
-/// Events that are told with the end of an item of which "a" and "b" were told, the
-/// answer, and the text that is listed.
+/// Events reported with the end of an item whose events "a" and "b" were reported before, the
+/// answer, and the listed text.
 #[rstest]
 #[case::the_last_ones(2, made(&["c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
-#[case::none_is_left(2, made(&[], 2), StoreAnswer::Done, Some("a\nb"))]
+#[case::no_further_ones(2, made(&[], 2), StoreAnswer::Done, Some("a\nb"))]
 #[case::all_of_them(0, made(&["a", "b", "c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
 #[case::a_gap(3, made(&["d"], 4), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
-#[case::less_told_than_held(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
+#[case::less_than_reported_before(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
 fn an_item_ends_with_its_last_events(
     #[case] told_before: u32,
     #[case] made: GeneratedEvents,
@@ -69,7 +69,7 @@
     assert_eq!(texts, listed.into_iter().collect::<Vec<&str>>());
 }
 
-/// The end of an item may be told twice, and of a job that is gone.
+/// The end of an item may be reported twice, and for a job that no longer exists.
 #[test]
 fn the_end_of_an_item_counts_once() {
     let mut store = store_with_progress();
@@ -94,43 +94,47 @@
 fn store_with_progress() -> JobStore {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
-    let answer = tell(&mut store, item("j", 0), 0, made(&["a", "b"], 2));
+    let answer = report_progress(&mut store, item("j", 0), 0, made(&["a", "b"], 2));
     assert_eq!(answer, StoreAnswer::Done);
     store
 }
 
-/// What is told next, the answer, and what the next run goes on from.
+/// The next report, the answer, and the events from which the next run continues.
 #[rstest]
 #[case::further_events(2, made(&["c"], 3), StoreAnswer::Done, made(&["a", "b", "c"], 3))]
 #[case::all_again(0, made(&["a", "b", "c"], 3), StoreAnswer::Done, made(&["a", "b", "c"], 3))]
 #[case::a_gap(3, made(&["d"], 4), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
 #[case::an_overlap(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
-#[case::less_than_is_held(0, made(&["a"], 1), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
-fn events_are_kept_once_and_without_gaps(
+#[case::less_than_is_stored(0, made(&["a"], 1), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
+fn events_are_stored_once_and_without_gaps(
     #[case] told_before: u32,
-    #[case] told: GeneratedEvents,
+    #[case] reported: GeneratedEvents,
     #[case] answer: StoreAnswer,
-    #[case] kept: GeneratedEvents,
+    #[case] expected: GeneratedEvents,
 ) {
     let mut store = store_with_progress();
-    assert_eq!(tell(&mut store, item("j", 0), told_before, told), answer);
-    assert_eq!(next_run(&store), kept);
+    assert_eq!(
+        report_progress(&mut store, item("j", 0), told_before, reported),
+        answer
+    );
+    assert_eq!(events_for_next_run(&store), expected);
 }
 
-/// The failure this is for: after a loss of power every item ran again from its start.
+/// Guards against loss of progress in a restart: after a power loss every item ran again from
+/// its start.
 #[test]
-fn progress_is_kept_over_a_restart() {
+fn progress_survives_a_restart() {
     let store = store_with_progress();
     let mut snapshot = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots(), 1, &mut snapshot);
     let mut restored = JobStore::from_snapshot(content).expect("it is read");
-    assert_eq!(next_run(&restored), made(&["a", "b"], 2));
-    let answer = tell(&mut restored, item("j", 0), 2, made(&["c"], 3));
+    assert_eq!(events_for_next_run(&restored), made(&["a", "b"], 2));
+    let answer = report_progress(&mut restored, item("j", 0), 2, made(&["c"], 3));
     assert_eq!(answer, StoreAnswer::Done);
-    assert_eq!(next_run(&restored), made(&["a", "b", "c"], 3));
+    assert_eq!(events_for_next_run(&restored), made(&["a", "b", "c"], 3));
 }
 
-/// What ends an item, after which nothing is kept of it.
+/// What ends an item. Its progress is removed afterwards.
 #[rstest]
 #[case::listed(|store: &mut JobStore| {
     report(store, item("j", 0), ItemOutcome::Succeeded("ab".to_owned()));
@@ -138,35 +142,35 @@
 #[case::job_ended(|store: &mut JobStore| {
     apply(store, &StoreCommand::End { job: "j".to_owned() });
 })]
-#[case::given_up(|store: &mut JobStore| { pass(store, 30_001); })]
-fn progress_goes_with_its_item(#[case] end: fn(&mut JobStore)) {
+#[case::given_up(|store: &mut JobStore| { advance_time(store, 30_001); })]
+fn progress_is_removed_when_its_item_ends(#[case] end: fn(&mut JobStore)) {
     let mut store = store_with_progress();
     assert_eq!(store.progress_bytes(), 2);
     end(&mut store);
     assert_eq!(store.progress_bytes(), 0);
-    let late = tell(&mut store, item("j", 0), 2, made(&["c"], 3));
+    let late = report_progress(&mut store, item("j", 0), 2, made(&["c"], 3));
     assert_eq!(late, StoreAnswer::Done);
     assert_eq!(store.progress_bytes(), 0);
 }
 
 #[test]
-fn progress_beyond_the_bound_is_not_kept() {
+fn progress_over_the_limit_is_not_stored() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 40));
     let megabyte = "x".repeat(1024 * 1024);
     for number in 0..40 {
-        tell(&mut store, item("j", number), 0, made(&[&megabyte], 1));
+        report_progress(&mut store, item("j", number), 0, made(&[&megabyte], 1));
     }
     assert_eq!(store.progress_bytes(), 8 * 1024 * 1024);
 }
 
-/// Runs of one item: the second and the third began with what the first had told.
+/// Runs of one item: the second and the third started with the progress reported by the first.
 const FIRST: RunId = RunId(11);
 const SECOND: RunId = RunId(22);
 const THIRD: RunId = RunId(33);
 
-/// What a run tells: events that were told before, the run whose text they continue,
-/// and the further ones.
+/// A report of a run: the number of events reported before, the run whose text the report
+/// continues, and the events after them.
 fn part(run: RunId, told_before: u32, continues: RunId, events: &[&str]) -> RunProgress {
     let last_event = u64::from(told_before) + events.len() as u64;
     RunProgress {
@@ -180,84 +184,85 @@
     }
 }
 
-fn whole(run: RunId, events: &[&str]) -> RunProgress {
+fn complete(run: RunId, events: &[&str]) -> RunProgress {
     part(run, 0, RunId::UNKNOWN, events)
 }
 
-fn keep(store: &mut JobStore, told: RunProgress) -> StoreAnswer {
-    apply(store, &StoreCommand::KeepProgress(vec![told]))
+fn record(store: &mut JobStore, reported: RunProgress) -> StoreAnswer {
+    apply(store, &StoreCommand::KeepProgress(vec![reported]))
 }
 
-fn tell_again() -> StoreAnswer {
+fn incomplete() -> StoreAnswer {
     StoreAnswer::TellAgain(vec![item("j", 0)])
 }
 
-/// What was told before, each taken, then a part, and what is held after it. "a1" is an
-/// event of the first run, "b2" the second event of the second run.
+/// Earlier reports that are all recorded, then a report, its answer, the events stored after
+/// it and the run that reported them. "a1" is the first event of the first run, "b2" the
+/// second event of the second run.
 #[rstest]
 #[case::its_own_text(
-    &[whole(FIRST, &["a1", "a2"])],
+    &[complete(FIRST, &["a1", "a2"])],
     part(FIRST, 2, FIRST, &["a3"]),
     StoreAnswer::Done,
     &["a1", "a2", "a3"], FIRST
 )]
-#[case::what_its_lease_began_with(
-    &[whole(FIRST, &["a1", "a2"])],
+#[case::the_text_its_lease_started_with(
+    &[complete(FIRST, &["a1", "a2"])],
     part(SECOND, 2, FIRST, &["b3"]),
     StoreAnswer::Done,
     &["a1", "a2", "b3"], SECOND
 )]
-#[case::an_older_run_told_all_again_and_lengths_agree(
-    &[whole(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"]), whole(FIRST, &["a1", "a2", "a3"])],
+#[case::an_older_run_reported_all_again_with_the_same_length(
+    &[complete(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"]), complete(FIRST, &["a1", "a2", "a3"])],
     part(SECOND, 3, SECOND, &["b4"]),
-    tell_again(),
+    incomplete(),
     &["a1", "a2", "a3"], FIRST
 )]
-#[case::an_older_run_goes_on_after_a_newer_one(
-    &[whole(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
+#[case::an_older_run_continues_after_a_newer_one(
+    &[complete(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
     part(FIRST, 3, FIRST, &["a4"]),
-    tell_again(),
+    incomplete(),
     &["a1", "a2", "b3"], SECOND
 )]
-#[case::a_third_run_began_with_the_same_text(
-    &[whole(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
+#[case::a_third_run_started_with_the_same_text(
+    &[complete(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
     part(THIRD, 2, FIRST, &["c3"]),
-    tell_again(),
+    incomplete(),
     &["a1", "a2", "b3"], SECOND
 )]
-#[case::a_first_part_that_comes_twice(
-    &[whole(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
+#[case::a_duplicate_first_part(
+    &[complete(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"])],
     part(SECOND, 2, FIRST, &["b3"]),
-    tell_again(),
+    incomplete(),
     &["a1", "a2", "b3"], SECOND
 )]
-#[case::a_later_part_that_comes_twice(
-    &[whole(SECOND, &["b1", "b2"]), part(SECOND, 2, SECOND, &["b3"])],
+#[case::a_duplicate_later_part(
+    &[complete(SECOND, &["b1", "b2"]), part(SECOND, 2, SECOND, &["b3"])],
     part(SECOND, 2, SECOND, &["b3"]),
-    tell_again(),
+    incomplete(),
     &["b1", "b2", "b3"], SECOND
 )]
-#[case::a_whole_text_replaces_another_run_s(
-    &[whole(FIRST, &["a1", "a2", "a3"])],
-    whole(SECOND, &["a1", "a2", "b3"]),
+#[case::a_complete_text_replaces_the_text_of_another_run(
+    &[complete(FIRST, &["a1", "a2", "a3"])],
+    complete(SECOND, &["a1", "a2", "b3"]),
     StoreAnswer::Done,
     &["a1", "a2", "b3"], SECOND
 )]
-#[case::a_whole_text_that_is_shorter(
-    &[whole(FIRST, &["a1", "a2", "a3"])],
-    whole(SECOND, &["b1", "b2"]),
-    tell_again(),
+#[case::a_shorter_complete_text(
+    &[complete(FIRST, &["a1", "a2", "a3"])],
+    complete(SECOND, &["b1", "b2"]),
+    incomplete(),
     &["a1", "a2", "a3"], FIRST
 )]
-#[case::without_marks_after_one_with(
-    &[whole(FIRST, &["a1", "a2"])],
+#[case::without_a_run_id_after_a_report_with_one(
+    &[complete(FIRST, &["a1", "a2"])],
     part(RunId::UNKNOWN, 2, RunId::UNKNOWN, &["x3"]),
-    tell_again(),
+    incomplete(),
     &["a1", "a2"], FIRST
 )]
-fn a_text_is_of_one_run_and_what_that_began_with(
+fn a_text_is_of_one_run_and_the_text_it_started_with(
     #[case] before: &[RunProgress],
-    #[case] told: RunProgress,
+    #[case] reported: RunProgress,
     #[case] answer: StoreAnswer,
     #[case] events: &[&str],
     #[case] told_by: RunId,
@@ -265,45 +270,45 @@
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
     for earlier in before {
-        assert_eq!(keep(&mut store, earlier.clone()), StoreAnswer::Done);
+        assert_eq!(record(&mut store, earlier.clone()), StoreAnswer::Done);
     }
-    assert_eq!(keep(&mut store, told), answer);
-    let held = next_lease(&store);
+    assert_eq!(record(&mut store, reported), answer);
+    let stored = progress_for_next_run(&store);
     assert_eq!(
-        (held.made.events.as_slice(), held.told_by),
+        (stored.made.events.as_slice(), stored.told_by),
         (strings(events).as_slice(), told_by)
     );
 }
 
-/// The end of a run after what was told before: the answer, and the text that is listed.
+/// Earlier reports, then the last report of a run, its answer and the listed text.
 #[rstest]
 #[case::its_own_text(
-    &[whole(SECOND, &["b1", "b2"])],
+    &[complete(SECOND, &["b1", "b2"])],
     part(SECOND, 2, SECOND, &["b3"]),
     StoreAnswer::Done,
     Some("b1\nb2\nb3")
 )]
-#[case::at_once_after_what_its_lease_began_with(
-    &[whole(FIRST, &["a1", "a2"])],
+#[case::directly_after_the_text_its_lease_started_with(
+    &[complete(FIRST, &["a1", "a2"])],
     part(SECOND, 2, FIRST, &["b3"]),
     StoreAnswer::Done,
     Some("a1\na2\nb3")
 )]
-#[case::another_run_told_as_much(
-    &[whole(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"]), whole(FIRST, &["a1", "a2", "a3"])],
+#[case::another_run_reported_as_many_events(
+    &[complete(FIRST, &["a1", "a2"]), part(SECOND, 2, FIRST, &["b3"]), complete(FIRST, &["a1", "a2", "a3"])],
     part(SECOND, 3, SECOND, &["b4"]),
-    tell_again(),
+    incomplete(),
     None
 )]
-#[case::nothing_is_left_and_another_run_told_as_much(
-    &[whole(SECOND, &["b1", "b2"]), whole(FIRST, &["a1", "a2"])],
+#[case::no_further_events_and_another_run_reported_as_many(
+    &[complete(SECOND, &["b1", "b2"]), complete(FIRST, &["a1", "a2"])],
     part(SECOND, 2, SECOND, &[]),
-    tell_again(),
+    incomplete(),
     None
 )]
-#[case::all_of_it_whoever_told_before(
-    &[whole(FIRST, &["a1", "a2", "a3"])],
-    whole(SECOND, &["b1", "b2"]),
+#[case::all_events_whichever_run_reported_before(
+    &[complete(FIRST, &["a1", "a2", "a3"])],
+    complete(SECOND, &["b1", "b2"]),
     StoreAnswer::Done,
     Some("b1\nb2")
 )]
@@ -316,7 +321,7 @@
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
     for earlier in before {
-        assert_eq!(keep(&mut store, earlier.clone()), StoreAnswer::Done);
+        assert_eq!(record(&mut store, earlier.clone()), StoreAnswer::Done);
     }
     let finish = StoreCommand::FinishRun(Box::new(last));
     assert_eq!(apply(&mut store, &finish), answer);
@@ -327,26 +332,26 @@
 }
 
 #[test]
-fn a_snapshot_says_whose_text_is_held() {
+fn a_snapshot_records_which_run_reported_the_text() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
-    let mut second = whole(SECOND, &["b1"]);
+    let mut second = complete(SECOND, &["b1"]);
     second.progress.item = item("j", 1);
-    assert_eq!(keep(&mut store, second), StoreAnswer::Done);
+    assert_eq!(record(&mut store, second), StoreAnswer::Done);
     assert_eq!(
-        keep(&mut store, whole(FIRST, &["a1", "a2"])),
+        record(&mut store, complete(FIRST, &["a1", "a2"])),
         StoreAnswer::Done
     );
     let mut snapshot = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots(), 1, &mut snapshot);
     let mut restored = JobStore::from_snapshot(content).expect("it is read");
-    assert_eq!(next_lease(&restored).told_by, FIRST);
+    assert_eq!(progress_for_next_run(&restored).told_by, FIRST);
     assert_eq!(
-        keep(&mut restored, part(SECOND, 2, SECOND, &["b3"])),
-        tell_again()
+        record(&mut restored, part(SECOND, 2, SECOND, &["b3"])),
+        incomplete()
     );
     assert_eq!(
-        keep(&mut restored, part(FIRST, 2, FIRST, &["a3"])),
+        record(&mut restored, part(FIRST, 2, FIRST, &["a3"])),
         StoreAnswer::Done
     );
 }
--- a/crates/job-store/tests/all/queue.rs
+++ b/crates/job-store/tests/all/queue.rs
@@ -1,4 +1,4 @@
-//! A job is taken only where it fits beside what waits on its route.
+//! A job is admitted only if it fits into the queue of its route.
 
 use linnethitch_group::StateMachine;
 use linnethitch_job_store::{ItemOutcome, JobStore, QueueBound, QueueGate, StoreCommand};
@@ -6,7 +6,7 @@
 
 use crate::support::{apply, item, job, report, snapshots, store_snapshot, submit};
 
-/// Each item of the tests' jobs has 100 tokens.
+/// Each item of the test jobs has 100 tokens.
 fn bound(tokens: u64) -> QueueBound {
     QueueBound {
         host: "desk.example".to_owned(),
@@ -16,29 +16,29 @@
     }
 }
 
-/// Two items wait, 200 tokens.
+/// A store with two waiting items of 200 tokens in total.
 fn store() -> JobStore {
     let mut store = JobStore::default();
     submit(&mut store, job("waiting", 2));
     store
 }
 
-/// Items of a further job, the bound in tokens, and whether it is taken.
+/// Number of items of a further job, the bound in tokens, and whether the job is admitted.
 #[rstest]
 #[case::fits_exactly(3, 500, true)]
 #[case::one_token_too_many(3, 499, false)]
 #[case::larger_than_the_bound(6, 500, false)]
-fn a_job_fits_or_not(#[case] items: u32, #[case] tokens: u64, #[case] taken: bool) {
+fn a_job_fits_or_not(#[case] items: u32, #[case] tokens: u64, #[case] admitted: bool) {
     let mut gate = QueueGate::default();
     let further = job("further", items);
     assert_eq!(
         gate.admits(&store(), &further, Some(&bound(tokens)), 0),
-        taken
+        admitted
     );
     assert!(gate.admits(&store(), &further, None, 0), "no bound");
 }
 
-/// What makes room for a job that does not fit.
+/// What frees capacity for a job that does not fit.
 #[rstest]
 #[case::finished(|store: &mut JobStore| {
     report(store, item("waiting", 0), ItemOutcome::Succeeded(String::new()));
@@ -49,7 +49,7 @@
 #[case::ended(|store: &mut JobStore| {
     apply(store, &StoreCommand::End { job: "waiting".to_owned() });
 })]
-fn room_is_made_by_items_that_no_longer_wait(#[case] end: fn(&mut JobStore)) {
+fn items_that_no_longer_wait_free_capacity(#[case] end: fn(&mut JobStore)) {
     let mut store = store();
     let mut gate = QueueGate::default();
     let further = job("further", 2);
@@ -72,20 +72,20 @@
     assert!(gate.admits(&store(), &job("further", 3), Some(&other), 0));
 }
 
-/// Two gateways hand jobs in at the same moment: the second sees the first,
-/// which is not in the store yet.
+/// Two gateways submit jobs at the same time: the first job counts for the second although
+/// the first is not in the store yet.
 #[test]
-fn jobs_under_way_count() {
+fn admitted_jobs_count_before_they_are_committed() {
     let store = store();
     let mut gate = QueueGate::default();
     assert!(gate.admits(&store, &job("first", 2), Some(&bound(500)), 0));
     assert!(!gate.admits(&store, &job("second", 2), Some(&bound(500)), 5));
     assert!(gate.admits(&store, &job("first", 2), Some(&bound(500)), 10));
-    // The first never came: its command was lost.
+    // The command of the first job was lost, so the job stops counting.
     assert!(gate.admits(&store, &job("second", 2), Some(&bound(500)), 5_000));
 }
 
-/// Totals and open jobs are found again when a member restarts from a snapshot.
+/// A member that restarts from a snapshot restores totals and open jobs.
 #[test]
 fn totals_and_open_jobs_are_the_same_after_a_restart() {
     let mut store = store();
--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -1,4 +1,5 @@
-//! Texts leave the memory once a snapshot holds them, and are read from there.
+//! Once a stored snapshot contains a text, the text is released from memory and read from the
+//! snapshot.
 
 use std::sync::Arc;
 
@@ -22,7 +23,7 @@
 
 fn texts(store: &JobStore, job: &str) -> Vec<String> {
     let page = store.results(job, 0, PAGE).expect("texts are read");
-    let results = page.expect("the job is held").results;
+    let results = page.expect("the job is stored").results;
     results.into_iter().map(|result| result.text).collect()
 }
 
@@ -34,13 +35,13 @@
     succeed(&mut store, "j", 0, "zero");
     succeed(&mut store, "j", 1, "");
     let mut first = store.begin_snapshot().expect("a snapshot");
-    // This one comes while the snapshot is written.
+    // Reported while the snapshot is being written.
     succeed(&mut store, "j", 2, "two");
     let content = store_snapshot(&mut snapshots, 1, &mut first);
     store.snapshot_stored(first, content);
     assert_eq!(store.in_memory_text_bytes(), "two".len());
     assert_eq!(texts(&store, "j"), ["zero", "", "two"]);
-    // The next snapshot takes the older texts from the one before it.
+    // The next snapshot reads the older texts from the previous snapshot.
     let mut second = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots, 2, &mut second);
     store.snapshot_stored(second, content.clone());
@@ -52,14 +53,17 @@
     assert_eq!(texts(&restored, "j"), ["zero", "", "two"]);
 }
 
-/// Content that is no snapshot of a store, and what is said of it.
+/// Content that is not a readable snapshot, and the kind of the error.
 #[rstest]
 #[case::empty(&[], ErrorKind::Corrupted)]
 #[case::noise(&[7; 40], ErrorKind::Corrupted)]
 #[case::damaged_tenants(&[3, 9, 9, 9, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::Corrupted)]
 #[case::damaged_runs(&[4, 9, 9, 9, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::Corrupted)]
-#[case::other_layout(&[5, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::DataFolderRefused)]
-fn damage_and_other_layouts_are_told_apart(#[case] content: &[u8], #[case] kind: ErrorKind) {
+#[case::unknown_layout(&[5, 0, 0, 0, 4, 0, 0, 0, 0, 0, 0, 0], ErrorKind::DataFolderRefused)]
+fn corruption_and_unknown_layouts_are_distinguished(
+    #[case] content: &[u8],
+    #[case] kind: ErrorKind,
+) {
     let mut source = WholeSnapshot::new(content.to_vec());
     let content = store_snapshot(&mut snapshots(), 1, &mut source);
     let refused = JobStore::from_snapshot(content).map(|_| ());
@@ -69,9 +73,9 @@
 const SNAPSHOT_LOG_BYTES: u64 = 256 * 1024;
 const TEXT_BYTES: usize = 8 * 1024;
 const ITEMS: u32 = 400;
-/// Texts of the log since the snapshot before the newest one, and some that came
-/// while a snapshot was written.
-const MOST_HELD_BYTES: usize = 4 * SNAPSHOT_LOG_BYTES as usize;
+/// Texts of the log since the second newest snapshot, plus texts added while a snapshot was
+/// written.
+const MAX_IN_MEMORY_BYTES: usize = 4 * SNAPSHOT_LOG_BYTES as usize;
 
 fn open(disk: &VirtualDisk, first: bool) -> GroupMember<JobStore> {
     let own = MachineId(1);
@@ -89,9 +93,9 @@
     GroupMember::open(settings, Arc::new(disk.clone()), 0).expect("the folder opens")
 }
 
-/// Lets a member alone in its group work; returns the most text that it held.
+/// Runs the only member of a group; returns the maximum bytes of text in memory.
 fn run(member: &mut GroupMember<JobStore>, now_ms: &mut u64, commands: &[StoreCommand]) -> usize {
-    let mut most_held = 0;
+    let mut max_in_memory = 0;
     let mut commands = commands.iter();
     let mut open = 0;
     for _ in 0..4 * ITEMS {
@@ -107,16 +111,16 @@
         for output in member.take_outputs() {
             assert!(!matches!(output, GroupOutput::Failed { .. }));
         }
-        most_held = most_held.max(member.state().in_memory_text_bytes());
+        max_in_memory = max_in_memory.max(member.state().in_memory_text_bytes());
     }
     assert_eq!(commands.len(), 0, "every command was proposed");
-    most_held
+    max_in_memory
 }
 
-/// The failure this is for: a store held every text in memory, and once more for a
-/// snapshot, until it was ended for its memory and ended again at each start.
+/// Guards against a store that holds all texts in memory, and a second copy while it writes a
+/// snapshot: such a process was killed for its memory use, and again after each restart.
 #[test]
-fn a_member_holds_few_texts_whatever_it_keeps_and_after_a_restart() {
+fn a_member_holds_few_texts_in_memory_also_after_a_restart() {
     let disk = VirtualDisk::new(7);
     let mut member = open(&disk, true);
     let mut commands = vec![StoreCommand::Submit(job("j", ITEMS))];
@@ -125,24 +129,33 @@
         outcome: ItemOutcome::Succeeded(format!("{number:0>TEXT_BYTES$}")),
     }));
     let mut now_ms = 0;
-    let most_held = run(&mut member, &mut now_ms, &commands);
-    assert!(most_held <= MOST_HELD_BYTES, "{most_held} bytes held");
+    let max_in_memory = run(&mut member, &mut now_ms, &commands);
+    assert!(
+        max_in_memory <= MAX_IN_MEMORY_BYTES,
+        "{max_in_memory} bytes in memory"
+    );
     drop(member);
     disk.crash();
     let mut member = open(&disk, false);
-    let most_held = run(&mut member, &mut now_ms, &[]);
-    assert!(most_held <= MOST_HELD_BYTES, "{most_held} bytes held");
+    let max_in_memory = run(&mut member, &mut now_ms, &[]);
+    assert!(
+        max_in_memory <= MAX_IN_MEMORY_BYTES,
+        "{max_in_memory} bytes in memory"
+    );
     let page = member.state().results("j", 0, u32::MAX);
-    let results = page.expect("texts are read").expect("it is held").results;
+    let results = page
+        .expect("texts are read")
+        .expect("the job is stored")
+        .results;
     assert_eq!(results.len(), ITEMS as usize);
     for (number, result) in results.iter().enumerate() {
         assert_eq!(result.text, format!("{number:0>TEXT_BYTES$}"));
     }
 }
 
-/// A snapshot as a build without marks of runs wrote it: of tenant "t" the job "j", whose
-/// item made "a" and "b".
-const UNMARKED_SNAPSHOT: &str = "036465736b2e6578616d706c650000000000000000000000006a2d6974656d2d302f6c616e65732f30e8ffff\
+/// A snapshot written by a build without run ids: tenant "t" has the job "j", whose item has
+/// generated the events "a" and "b".
+const SNAPSHOT_WITHOUT_RUN_IDS: &str = "036465736b2e6578616d706c650000000000000000000000006a2d6974656d2d302f6c616e65732f30e8ffff\
      ff00000000e0ffffff04000000640000000000000000000000000000006affffffffffffff8c000000b0ffff\
      ff2f6c616e65732fff0300000000000000204e000000000000307500000000000098ffffff00000000000000\
      0000000000010000000000000088ffffff01000000b0ffffff00000000000000000000000061ffffffffffff\
@@ -151,8 +164,8 @@
      00d8ffffff010000001101000000000000";
 
 #[test]
-fn a_snapshot_without_marks_of_runs_is_read() {
-    let bytes = unhex(UNMARKED_SNAPSHOT);
+fn a_snapshot_without_run_ids_is_read() {
+    let bytes = unhex(SNAPSHOT_WITHOUT_RUN_IDS);
     let mut source = WholeSnapshot::new(bytes);
     let content = store_snapshot(&mut snapshots(), 1, &mut source);
     let store = JobStore::from_snapshot(content).expect("it is read");
--- a/crates/job-store/tests/all/store.rs
+++ b/crates/job-store/tests/all/store.rs
@@ -1,22 +1,22 @@
-//! What was accepted stays, each item is listed once, positions are fixed.
+//! Accepted jobs are retained, each item is listed once, positions of results are fixed.
 
 use linnethitch_group::StateMachine;
 use linnethitch_job_store::{ItemOutcome, JobStore, ListedState, StoreAnswer, StoreCommand};
 use rstest::rstest;
 
-use crate::support::{apply, item, job, pass, report, snapshots, store_snapshot, submit};
+use crate::support::{advance_time, apply, item, job, report, snapshots, store_snapshot, submit};
 
 const PAGE: u32 = 1_000_000;
 
 fn texts(store: &JobStore, job: &str, since: u32) -> Vec<(String, ListedState, String)> {
     let page = store.results(job, since, PAGE).expect("texts are read");
-    let page = page.expect("the job is held");
+    let page = page.expect("the job is stored");
     let results = page.results.into_iter();
     results.map(|r| (r.id, r.state, r.text)).collect()
 }
 
 #[test]
-fn a_job_that_comes_again_is_accepted_once() {
+fn a_resubmitted_job_is_accepted_once() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
     report(
@@ -29,11 +29,11 @@
     assert_eq!(store.len(), 1);
 }
 
-/// Two reports of one item; the first that lists it counts.
+/// Two reports of one item; the first report that lists the item counts.
 #[rstest]
 #[case::second_text(ItemOutcome::Succeeded("b".to_owned()))]
 #[case::given_up_later(ItemOutcome::Unprocessable)]
-#[case::route_gone_later(ItemOutcome::RouteRemoved)]
+#[case::route_removed_later(ItemOutcome::RouteRemoved)]
 #[case::failed_later(ItemOutcome::Failed { failures_before: 0 })]
 fn the_first_result_of_an_item_counts(#[case] second: ItemOutcome) {
     let mut store = JobStore::default();
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn positions_follow_the_order_of_ends_and_stay() {
+fn positions_follow_the_order_of_reports_and_are_fixed() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 3));
     for number in [2, 0, 1] {
@@ -76,8 +76,11 @@
 #[rstest]
 #[case::three_failures(&[0, 1, 2], true)]
 #[case::two_failures(&[0, 1], false)]
-#[case::a_report_that_comes_twice(&[0, 0, 1, 1], false)]
-fn an_item_is_given_up_after_its_attempts(#[case] reports: &[u32], #[case] given_up: bool) {
+#[case::duplicate_reports(&[0, 0, 1, 1], false)]
+fn an_item_is_given_up_after_the_maximum_of_attempts(
+    #[case] reports: &[u32],
+    #[case] given_up: bool,
+) {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
     for failures_before in reports {
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn the_body_of_an_item_is_there_until_it_is_listed() {
+fn the_body_of_an_item_is_stored_until_the_item_is_listed() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
     assert_eq!(store.body("j", "j-item-1"), Some([1; 4].as_slice()));
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn an_ended_job_runs_no_more_and_keeps_its_list() {
+fn an_ended_job_runs_no_items_and_keeps_its_results() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
     report(
@@ -131,28 +134,27 @@
     assert_eq!(apply(&mut store, &unknown), StoreAnswer::UnknownJob);
 }
 
-/// The leader counts time by its steady clock, in parts; what it tells of the
-/// time of day does not matter.
+/// The leader counts time by its steady clock, in intervals; the wall clock does not matter.
 #[rstest]
 #[case::before_its_time(&[15_000, 15_000], 0)]
 #[case::after_its_time(&[15_000, 15_000, 1], 2)]
-fn items_are_given_up_after_their_time_only(#[case] parts: &[u64], #[case] listed: usize) {
+fn items_are_given_up_only_after_their_time_limit(#[case] parts: &[u64], #[case] listed: usize) {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
     for elapsed_ms in parts {
-        pass(&mut store, *elapsed_ms);
+        advance_time(&mut store, *elapsed_ms);
     }
     assert_eq!(texts(&store, "j", 0).len(), listed);
 }
 
 #[rstest]
-#[case::open_jobs_stay(false, 20_000, true)]
-#[case::finished_jobs_stay_for_their_time(true, 120_000, true)]
-#[case::finished_jobs_go_after_it(true, 120_001, false)]
-fn only_jobs_with_nothing_open_are_dropped(
+#[case::open_jobs_are_retained(false, 20_000, true)]
+#[case::finished_jobs_are_retained_for_the_retention_time(true, 120_000, true)]
+#[case::finished_jobs_are_dropped_after_it(true, 120_001, false)]
+fn only_jobs_without_open_items_are_dropped(
     #[case] finished: bool,
     #[case] elapsed_ms: u64,
-    #[case] held: bool,
+    #[case] stored: bool,
 ) {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
@@ -163,12 +165,12 @@
             ItemOutcome::Succeeded("a".to_owned()),
         );
     }
-    pass(&mut store, elapsed_ms);
-    assert_eq!(store.job("j").is_some(), held);
+    advance_time(&mut store, elapsed_ms);
+    assert_eq!(store.job("j").is_some(), stored);
 }
 
 #[test]
-fn a_page_ends_after_its_bytes_but_holds_one_result() {
+fn a_page_ends_at_its_byte_limit_but_has_at_least_one_result() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 3));
     for number in 0..3 {
@@ -179,16 +181,16 @@
         );
     }
     let lengths = [(1, 1), (150, 1), (250, 2), (300, 3)];
-    for (most_bytes, expected) in lengths {
-        let page = store.results("j", 0, most_bytes).expect("texts are read");
-        let page = page.expect("held");
-        assert_eq!(page.results.len(), expected, "{most_bytes} bytes");
+    for (max_bytes, expected) in lengths {
+        let page = store.results("j", 0, max_bytes).expect("texts are read");
+        let page = page.expect("the job is stored");
+        assert_eq!(page.results.len(), expected, "{max_bytes} bytes");
         assert_eq!(page.total, 3);
     }
 }
 
 #[test]
-fn a_snapshot_holds_everything() {
+fn a_snapshot_contains_the_complete_state() {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 2));
     report(
--- a/crates/job-store/tests/all/support.rs
+++ b/crates/job-store/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Jobs and commands for tests.
+//! Jobs, commands and snapshots for tests.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use linnethitch_protocol::{consensus::SnapshotMeta, ids::LogIndex};
 use linnethitch_storage::{SnapshotReader, SnapshotStore, VirtualDisk};
 
-/// Age at which items of jobs of tests are given up, in milliseconds.
+/// Age over which items of test jobs are given up, in milliseconds.
 pub(crate) const GIVE_UP_MS: u64 = 30_000;
 
 pub(crate) fn job(id: &str, items: u32) -> JobSpec {
@@ -47,8 +47,8 @@
     apply(store, &StoreCommand::Submit(job))
 }
 
-/// Lets time pass; jobs stay for two minutes.
-pub(crate) fn pass(store: &mut JobStore, elapsed_ms: u64) -> StoreAnswer {
+/// Advances the age of jobs; ended jobs are retained for two minutes.
+pub(crate) fn advance_time(store: &mut JobStore, elapsed_ms: u64) -> StoreAnswer {
     let kept_ms = 120_000;
     apply(
         store,
@@ -63,13 +63,13 @@
     apply(store, &StoreCommand::Report { item, outcome })
 }
 
-/// Snapshots on a virtual disk, of which the newest is kept.
+/// A snapshot store on a virtual disk that retains only the newest snapshot.
 pub(crate) fn snapshots() -> SnapshotStore {
     let disk = Arc::new(VirtualDisk::new(1));
     SnapshotStore::open_keeping(disk, 1).expect("it opens")
 }
 
-/// Stores a snapshot at an index.
+/// Writes a snapshot at a log index and opens it.
 pub(crate) fn store_snapshot(
     snapshots: &mut SnapshotStore,
     index: u64,
@@ -87,7 +87,7 @@
     snapshots.reader(LogIndex(index)).expect("it is read")
 }
 
-/// Bytes of their hexadecimal digits.
+/// Decodes hexadecimal digits.
 pub(crate) fn unhex(text: &str) -> Vec<u8> {
     let pairs = text.as_bytes().chunks(2);
     let digits = pairs.map(|pair| std::str::from_utf8(pair).expect("ASCII"));
