--- a/crates/ledger/src/answer.rs
+++ b/crates/ledger/src/answer.rs
@@ -1,9 +1,9 @@
-//! Answers of applied commands.
+//! Answers to applied commands.
 //!
-//! Some answers hold payloads: the lines of leased items, a kept answer. Only
-//! the member that tells the answer needs them, so [`Ledger::apply`] leaves
-//! them in the payload store and [`Ledger::outcome`] fetches them. A payload
-//! that cannot be read therefore never decides what a command does.
+//! Some answers contain payloads: the lines of leased items, or a stored answer. Only the
+//! member that sends the answer needs them, so [`Ledger::apply`] does not read them and
+//! [`Ledger::outcome`] does. An unreadable payload therefore never affects what a command
+//! does.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -16,18 +16,18 @@
     ledger::Ledger, line_index::position_in_chunk, sessions::LeasedEntry, stored_bytes::Piece,
 };
 
-/// What an applied command answers; [`Ledger::outcome`] turns it into words.
+/// The answer to an applied command; [`Ledger::outcome`] converts it into an [`Outcome`].
 #[derive(Clone, Debug, PartialEq, Eq)]
-#[must_use = "an answer that nobody awaits is dropped by name"]
+#[must_use = "an answer that is not needed must be dropped explicitly"]
 pub struct Answer(Content);
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Content {
     Ready(Outcome),
-    /// The items that the lease still holds.
+    /// The items still under the lease.
     Lease(GatewayId, LeaseEpoch),
-    /// The answer kept under an idempotency key.
-    Kept(Piece),
+    /// The answer stored for an idempotency key.
+    Stored(Piece),
 }
 
 impl Answer {
@@ -36,24 +36,23 @@
         Answer(Content::Ready(outcome))
     }
 
-    /// The items of a lease that are still out.
+    /// The items still under a lease.
     pub(crate) fn lease(gateway: &GatewayId, lease: LeaseEpoch) -> Self {
         Answer(Content::Lease(gateway.clone(), lease))
     }
 
-    /// The answer kept under an idempotency key.
-    pub(crate) fn kept(piece: Piece) -> Self {
-        Answer(Content::Kept(piece))
+    /// The answer stored for an idempotency key.
+    pub(crate) fn stored(piece: Piece) -> Self {
+        Answer(Content::Stored(piece))
     }
 }
 
 impl Ledger {
-    /// The outcome to tell, with the payloads that belong to it.
+    /// Converts an answer into the outcome to send, including its payloads.
     ///
-    /// Call it before the next command is applied. The state does not change
-    /// and a failure leaves the ledger usable, but what the command did is
-    /// committed: the failure must be told as an unknown outcome, never as a
-    /// refusal.
+    /// Must be called before the next command is applied. The state does not change, and the
+    /// ledger remains usable after a failure. The effect of the command is committed, however:
+    /// a failure must be reported as an unknown outcome, never as a refusal.
     ///
     /// # Errors
     /// `Corrupted`, `NotFound` or `Io` when this member cannot read a payload.
@@ -61,24 +60,24 @@
         match answer.0 {
             Content::Ready(outcome) => Ok(outcome),
             Content::Lease(gateway, lease) => Ok(Outcome::Leased(self.leased(&gateway, lease)?)),
-            Content::Kept(piece) => {
-                let kept = self.kept_answer(&piece)?;
-                Ok(Outcome::Claim(ClaimOutcome::Answered(kept)))
+            Content::Stored(piece) => {
+                let answer = self.read_answer(&piece)?;
+                Ok(Outcome::Claim(ClaimOutcome::Answered(answer)))
             }
         }
     }
 
-    /// The items of a lease that are still out, with their lines.
+    /// The items still under a lease, with their lines.
     fn leased(
         &mut self,
         gateway: &GatewayId,
         lease: LeaseEpoch,
     ) -> Result<Vec<LeasedItem>, Report<ErrorKind>> {
         let session = self.sessions.by_gateway.get(gateway);
-        let Some(held) = session.and_then(|session| session.leases.get(&lease)) else {
+        let Some(stored) = session.and_then(|session| session.leases.get(&lease)) else {
             return Ok(Vec::new());
         };
-        let entries = held.items.clone();
+        let entries = stored.items.clone();
         let mut items = Vec::with_capacity(entries.len());
         for entry in entries {
             items.extend(self.leased_item(entry, lease)?);
@@ -86,7 +85,7 @@
         Ok(items)
     }
 
-    /// One leased item with its line; `None` if its job wants no result of it any more.
+    /// A leased item with its line; `None` if its job no longer needs a result.
     fn leased_item(
         &mut self,
         entry: LeasedEntry,
@@ -98,7 +97,7 @@
         let Some(file) = self.state.files.get(&job.input) else {
             return Ok(None);
         };
-        if !job.takes_results() || !job.open.contains(entry.item.0) {
+        if !job.accepts_results() || !job.open.contains(entry.item.0) {
             return Ok(None);
         }
         let payloads = self.payloads.as_ref();
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of online requests.
+//! Idempotency keys of online requests and their claims.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,13 +25,14 @@
     timers::{TimerKey, after},
 };
 
-/// A tenant's key, as a hash: the first 16 bytes of a SHA-256.
+/// Hash of a tenant and an idempotency key: the first 16 bytes of a SHA-256 digest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 #[rkyv(derive(PartialEq, Eq, PartialOrd, Ord))]
 pub(crate) struct ClaimKey(pub(crate) [u8; 16]);
 
 impl ClaimKey {
-    /// The hash of a tenant and its key; the length keeps the two apart.
+    /// Hashes a tenant and its key. The hash includes the tenant's length, so that different
+    /// pairs with the same concatenation differ.
     pub(crate) fn new(tenant: &TenantId, key: &IdempotencyKey) -> Self {
         let mut hasher = Sha256::new();
         hasher.update((tenant.as_str().len() as u64).to_le_bytes());
@@ -44,42 +45,43 @@
     }
 }
 
-/// The run that holds a claim.
+/// The attempt that holds a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct ClaimHolder {
-    /// On which gateway.
+    /// The gateway.
     pub(crate) gateway: GatewayId,
-    /// In which of its sessions.
+    /// The gateway's session.
     pub(crate) session: SessionEpoch,
-    /// The gateway's number of the run.
+    /// The gateway's number of the attempt.
     pub(crate) attempt: u64,
 }
 
-/// Where a claim stands.
+/// State of a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum ClaimState {
     /// The request may be running.
     Running(Box<ClaimHolder>),
-    /// The encoded [`KeptAnswer`] that every resend gets.
+    /// The encoded [`KeptAnswer`] that is returned to every resent request.
     Answered(Piece),
-    /// It may have run; nobody will know.
+    /// The request may have run, but its outcome cannot be determined.
     OutcomeUnknown,
 }
 
-/// A claim.
+/// A claim of an idempotency key.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct Claim {
-    /// Digest of what the caller sent.
+    /// Digest of the caller's request.
     pub(crate) content_digest: u64,
     /// Whether the request must run at most once.
     pub(crate) at_most_once: bool,
-    /// When it is dropped.
+    /// When the claim is dropped.
     pub(crate) expires_at: Timestamp,
-    /// Where it stands.
+    /// The state.
     pub(crate) state: ClaimState,
 }
 
-/// Maps of claims, cut by the key's first byte so that a snapshot copies little.
+/// Number of shards, selected by the key's first byte. While a snapshot holds the claims, a
+/// change copies only the affected shard.
 const SHARDS: usize = 256;
 
 /// All claims.
@@ -103,17 +105,17 @@
         usize::from(key.0[0])
     }
 
-    /// How many there are.
+    /// Number of claims.
     pub(crate) fn len(&self) -> usize {
         self.len
     }
 
-    /// One claim.
+    /// The claim of a key.
     pub(crate) fn get(&self, key: &ClaimKey) -> Option<&Claim> {
         self.shards[Self::shard(key)].get(key)
     }
 
-    /// One claim, to change it.
+    /// The claim of a key, mutable.
     pub(crate) fn get_mut(&mut self, key: &ClaimKey) -> Option<&mut Claim> {
         Arc::make_mut(&mut self.shards[Self::shard(key)]).get_mut(key)
     }
@@ -133,17 +135,17 @@
         removed
     }
 
-    /// All claims in the order of their keys.
+    /// All claims in key order.
     pub(crate) fn iter(&self) -> impl Iterator<Item = (&ClaimKey, &Claim)> {
         self.shards.iter().flat_map(|shard| shard.iter())
     }
 
-    /// The maps, in the order of their keys.
+    /// The shards in key order.
     pub(crate) fn into_shards(self) -> std::vec::IntoIter<Arc<BTreeMap<ClaimKey, Claim>>> {
         self.shards.into_iter()
     }
 
-    /// All claims in the order of their keys, to change them.
+    /// All claims in key order, mutable.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (&ClaimKey, &mut Claim)> {
         let shards = self.shards.iter_mut();
         shards.flat_map(|shard| Arc::make_mut(shard).iter_mut())
@@ -154,18 +156,24 @@
     pub(crate) fn claim_request(&mut self, new: &NewClaim) -> Applied {
         let names = [new.tenant.as_str(), new.key.as_str()];
         if new.key.as_str().is_empty() || names.iter().any(|name| name.len() > MAX_NAME_BYTES) {
-            return refuse(ErrorKind::InvalidValue, "the key is empty or too long");
+            return refuse(
+                ErrorKind::InvalidValue,
+                "the idempotency key is empty or a name is too long",
+            );
         }
         let key = ClaimKey::new(&new.tenant, &new.key);
         if let Some(claim) = self.state.claims.get(&key) {
             return self.answer_claim(claim, new);
         }
-        let room = self.state.claims.len() < MAX_CLAIMS;
+        let has_capacity = self.state.claims.len() < MAX_CLAIMS;
         let Some(session) = self.sessions.running(&new.gateway, new.session) else {
             return refuse(ErrorKind::InvalidState, "the session has ended");
         };
-        if !room || session.claims.len() >= MAX_CLAIMS_PER_SESSION {
-            return refuse(ErrorKind::Overloaded, "too many idempotency keys are kept");
+        if !has_capacity || session.claims.len() >= MAX_CLAIMS_PER_SESSION {
+            return refuse(
+                ErrorKind::Overloaded,
+                "too many idempotency keys are stored",
+            );
         }
         session.claims.insert(key);
         let expires_at = after(self.state.now, self.configuration.retention_ms());
@@ -193,22 +201,22 @@
         }
         let outcome = match &claim.state {
             ClaimState::Running(holder) => {
-                let resent = holder.gateway == new.gateway
+                let is_resend = holder.gateway == new.gateway
                     && holder.session == new.session
                     && holder.attempt == new.attempt;
-                if resent {
+                if is_resend {
                     ClaimOutcome::Granted
                 } else {
                     ClaimOutcome::InProgress
                 }
             }
-            ClaimState::Answered(piece) => return Ok(Answer::kept(*piece)),
+            ClaimState::Answered(piece) => return Ok(Answer::stored(*piece)),
             ClaimState::OutcomeUnknown => ClaimOutcome::OutcomeUnknown,
         };
         ready(Outcome::Claim(outcome))
     }
 
-    pub(crate) fn kept_answer(&self, piece: &Piece) -> StorageResult<KeptAnswer> {
+    pub(crate) fn read_answer(&self, piece: &Piece) -> StorageResult<KeptAnswer> {
         let encoded = self.payloads.read(&piece.payload)?;
         frame::decode(&encoded)
     }
@@ -216,34 +224,43 @@
     pub(crate) fn finish_claim(
         &mut self,
         key: ClaimKey,
-        finisher: &ClaimHolder,
+        holder: &ClaimHolder,
         answer: Option<&KeptAnswer>,
     ) -> Applied {
         if answer.is_some_and(|answer| answer.body.len() > MAX_ANSWER_BYTES) {
-            return refuse(ErrorKind::BodyTooLarge, "the answer is too large to keep");
+            return refuse(ErrorKind::BodyTooLarge, "the answer is too large to store");
         }
         let Some(claim) = self.state.claims.get(&key) else {
-            // A resend of the command that freed the key.
+            // Without an answer, this is a resend of the command that freed the key.
             return match answer {
                 None => ready(Outcome::Done),
-                Some(_) => refuse(ErrorKind::InvalidState, "the key is not claimed"),
+                Some(_) => refuse(
+                    ErrorKind::InvalidState,
+                    "the idempotency key is not claimed",
+                ),
             };
         };
         match &claim.state {
-            ClaimState::Running(holder) if **holder == *finisher => {}
+            ClaimState::Running(current) if **current == *holder => {}
             ClaimState::Answered(_) => return ready(Outcome::Done),
             ClaimState::Running(_) => {
-                return refuse(ErrorKind::InvalidState, "another run holds the key");
+                return refuse(
+                    ErrorKind::InvalidState,
+                    "another attempt holds the idempotency key",
+                );
             }
             ClaimState::OutcomeUnknown => {
-                return refuse(ErrorKind::OutcomeUnknown, "the key's run was given up");
+                return refuse(
+                    ErrorKind::OutcomeUnknown,
+                    "the session of the attempt ended before its answer",
+                );
             }
         }
-        if let Some(session) = self.sessions.running(&finisher.gateway, finisher.session) {
+        if let Some(session) = self.sessions.running(&holder.gateway, holder.session) {
             session.claims.remove(&key);
         }
         match answer {
-            Some(answer) => self.keep_answer(key, answer),
+            Some(answer) => self.store_answer(key, answer),
             None => {
                 self.drop_claim(key);
                 ready(Outcome::Done)
@@ -251,7 +268,7 @@
         }
     }
 
-    fn keep_answer(&mut self, key: ClaimKey, answer: &KeptAnswer) -> Applied {
+    fn store_answer(&mut self, key: ClaimKey, answer: &KeptAnswer) -> Applied {
         let encoded = frame::encode(answer)?;
         let payload = self.payloads.append(&encoded)?;
         let expires_at = after(self.state.now, self.configuration.retention_ms());
@@ -267,7 +284,7 @@
         ready(Outcome::Done)
     }
 
-    /// Frees a key and releases its answer.
+    /// Removes a claim and releases the payload of its answer.
     pub(crate) fn drop_claim(&mut self, key: ClaimKey) {
         let Some(claim) = self.state.claims.remove(&key) else {
             return;
@@ -278,8 +295,9 @@
         }
     }
 
-    /// Settles the claims that an ended session was running.
-    pub(crate) fn end_claims(&mut self, keys: BTreeSet<ClaimKey>) {
+    /// Settles the running claims of an ended session: at-most-once requests get an unknown
+    /// outcome, the keys of other requests become free.
+    pub(crate) fn settle_claims(&mut self, keys: BTreeSet<ClaimKey>) {
         for key in keys {
             let Some(claim) = self.state.claims.get_mut(&key) else {
                 continue;
@@ -292,7 +310,7 @@
         }
     }
 
-    /// What is kept of a key.
+    /// The record of a key's claim, as reported to callers.
     pub(crate) fn claim_record(
         &self,
         tenant: &TenantId,
@@ -303,7 +321,7 @@
         };
         Ok(Some(match &claim.state {
             ClaimState::Running(_) => ClaimRecord::Running,
-            ClaimState::Answered(piece) => ClaimRecord::Answered(self.kept_answer(piece)?),
+            ClaimState::Answered(piece) => ClaimRecord::Answered(self.read_answer(piece)?),
             ClaimState::OutcomeUnknown => ClaimRecord::OutcomeUnknown,
         }))
     }
--- a/crates/ledger/src/completion.rs
+++ b/crates/ledger/src/completion.rs
@@ -1,4 +1,4 @@
-//! Starting items and storing their results.
+//! Starting items and storing results.
 
 use std::sync::Arc;
 
@@ -18,14 +18,14 @@
     sessions::LeasedEntry,
 };
 
-/// What becomes of a result.
+/// Decision on a reported result.
 enum Verdict {
-    /// It is stored.
+    /// The result is stored.
     Store,
-    /// It is dropped.
+    /// The result is dropped.
     Drop,
-    /// It is dropped, and the item ends with an unknown outcome.
-    Lose,
+    /// The result is dropped, and the item ends with an unknown outcome.
+    OutcomeUnknown,
 }
 
 impl Ledger {
@@ -42,7 +42,7 @@
         ready(Outcome::Started(started.collect()))
     }
 
-    /// Records a start; returns whether the item may be sent.
+    /// Records the start of an item; returns whether the gateway may send the item.
     fn start_item(
         &mut self,
         gateway: &GatewayId,
@@ -57,12 +57,12 @@
             item: key.item,
         };
         let session = self.sessions.running(gateway, epoch);
-        let held = session.is_some_and(|session| session.holds(key.lease, entry));
+        let is_leased = session.is_some_and(|session| session.holds(key.lease, entry));
         let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) else {
             return false;
         };
-        let wanted = job.phase == JobPhase::Running && job.open.contains(key.item.0);
-        if !wanted || !(held || self.overrides.skip_lease_fencing) {
+        let is_open = job.phase == JobPhase::Running && job.open.contains(key.item.0);
+        if !is_open || !(is_leased || self.overrides.skip_lease_fencing) {
             return false;
         }
         let file = self.state.files.get(&job.input);
@@ -113,18 +113,18 @@
             item: outcome.item,
         };
         let session = self.sessions.running(gateway, epoch);
-        let held = session.is_some_and(|session| session.give_back(lease, entry));
-        if held {
-            self.count_returned(number);
+        let was_leased = session.is_some_and(|session| session.return_item(lease, entry));
+        if was_leased {
+            self.decrement_leased(number);
         }
-        match self.judge(entry, lease, held, outcome) {
+        match self.verdict(entry, lease, was_leased, outcome) {
             Verdict::Drop => Ok(false),
-            Verdict::Lose => {
-                self.lose_outcome(entry)?;
+            Verdict::OutcomeUnknown => {
+                self.store_unknown_outcome(entry)?;
                 Ok(false)
             }
             Verdict::Store => {
-                self.unqueue_item(entry);
+                self.dequeue_item(entry);
                 if outcome.body.len() > MAX_RESULT_BODY_BYTES {
                     self.store_result(number, &failure(outcome.item, ErrorKind::BodyTooLarge))?;
                 } else {
@@ -135,19 +135,20 @@
         }
     }
 
-    /// Decides by the rules of the first committed result and of at-most-once items.
-    fn judge(
+    /// Decides on a result: the first committed result of an item counts, and a result of an
+    /// at-most-once item counts only under the lease that started the item.
+    fn verdict(
         &self,
         entry: LeasedEntry,
         lease: LeaseEpoch,
-        held: bool,
+        was_leased: bool,
         outcome: &ItemOutcome,
     ) -> Verdict {
         let Some(job) = self.state.jobs.get(&entry.job) else {
             return Verdict::Drop;
         };
-        let issued = lease.0 >= 1 && lease <= self.state.last_lease;
-        if !job.takes_results() || !job.open.contains(entry.item.0) || !issued {
+        let is_issued = lease.0 >= 1 && lease <= self.state.last_lease;
+        if !job.accepts_results() || !job.open.contains(entry.item.0) || !is_issued {
             return Verdict::Drop;
         }
         let file = self.state.files.get(&job.input);
@@ -156,11 +157,11 @@
             return Verdict::Store;
         }
         let started = job.started.get(&entry.item.0) == Some(&lease);
-        match (held, started) {
+        match (was_leased, started) {
             (true, true) => Verdict::Store,
-            // It failed before it was sent.
+            // The item failed before it was sent to a replica.
             (true, false) if is_failure(outcome) => Verdict::Store,
-            (true, false) => Verdict::Lose,
+            (true, false) => Verdict::OutcomeUnknown,
             (false, _) => Verdict::Drop,
         }
     }
--- a/crates/ledger/src/configuration.rs
+++ b/crates/ledger/src/configuration.rs
@@ -1,4 +1,4 @@
-//! The configuration: revisions, changes and the differences between revisions.
+//! The configuration: revisions, changes and deltas between revisions.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -20,29 +20,29 @@
 
 use crate::{
     limits::{
-        KEPT_CHANGES, KEPT_DELTAS, MAX_CHANGES, MAX_DELTA_BYTES, MAX_INVALID_MESSAGE_BYTES,
-        MAX_NAME_BYTES,
+        MAX_DELTA_BYTES, MAX_INVALID_MESSAGE_BYTES, MAX_NAME_BYTES, MAX_STORED_CHANGES,
+        MAX_STORED_DELTAS, MIN_STORED_CHANGES,
     },
     refusal::{Applied, ready, refuse},
 };
 
-/// The remembered end of a change.
+/// The recorded outcome of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct ChangeRecord {
     /// SHA-256 of the content.
     pub(crate) content: [u8; 32],
-    /// What was answered, and is answered to every resend.
+    /// The outcome that is also returned for every resend.
     pub(crate) outcome: ApplyOutcome,
-    /// When it was decided.
+    /// When the change was decided.
     pub(crate) at: Timestamp,
 }
 
-/// The difference from one revision to the next.
+/// The delta from one revision to the next.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct Delta {
-    /// The revision that results.
+    /// The resulting revision.
     pub(crate) to: Revision,
-    /// Edits of the text of the revision before.
+    /// Edits of the previous revision's text.
     pub(crate) edits: Vec<TextEdit>,
     /// Digest of the resulting text.
     pub(crate) digest: u64,
@@ -54,25 +54,25 @@
     }
 }
 
-/// Answers kept by change id, oldest first.
+/// Recorded outcomes of changes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Changes {
-    /// By id.
+    /// Records by change id.
     pub(crate) records: BTreeMap<ChangeId, ChangeRecord>,
-    /// In order of their decision.
+    /// Change ids in the order of decision.
     pub(crate) order: VecDeque<ChangeId>,
 }
 
 /// The replicated part of the configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct ConfigurationState {
-    /// The revision in force; 0 when none was ever applied.
+    /// The current revision; 0 if none was applied yet.
     pub(crate) revision: Revision,
-    /// The operator's file.
+    /// The text of the operator's file.
     pub(crate) content: Arc<str>,
-    /// Kept differences, oldest first, without gap up to `revision`.
+    /// Stored deltas up to `revision`, oldest first, without gaps.
     pub(crate) deltas: VecDeque<Arc<Delta>>,
-    /// Kept answers.
+    /// Recorded outcomes.
     pub(crate) changes: Arc<Changes>,
 }
 
@@ -80,8 +80,8 @@
     Sha256::digest(content.as_bytes()).into()
 }
 
-/// Cuts a message to its allowed length, at a character's boundary.
-fn shortened(mut message: String) -> String {
+/// Truncates a message to [`MAX_INVALID_MESSAGE_BYTES`], at a character boundary.
+fn truncated(mut message: String) -> String {
     let mut end = message.len().min(MAX_INVALID_MESSAGE_BYTES);
     while !message.is_char_boundary(end) {
         end -= 1;
@@ -90,19 +90,19 @@
     message
 }
 
-/// The configuration with what is derived from it.
+/// The configuration with derived data.
 #[derive(Debug, Default)]
 pub(crate) struct Configuration {
     /// The replicated part.
     pub(crate) state: ConfigurationState,
-    /// The content, parsed; `None` while there is none.
+    /// The parsed content; `None` before the first revision.
     document: Option<FleetDocument>,
-    /// Weight of each tenant that has one above the default.
+    /// Weights of tenants that differ from the default of 1.
     weights: BTreeMap<String, u32>,
 }
 
 impl Configuration {
-    /// Takes a restored state over.
+    /// The configuration of a restored state.
     pub(crate) fn from_state(state: ConfigurationState) -> Self {
         let mut configuration = Configuration::default();
         if state.revision > Revision(0) {
@@ -112,17 +112,17 @@
         configuration
     }
 
-    /// Parses a text; what stands in the one in force too is not parsed again.
+    /// Parses a text. Sections that are unchanged from the current text are not parsed again.
     fn parse(&self, content: &str) -> Result<FleetDocument, String> {
         let text = content.to_owned();
         let parsed = match &self.document {
             Some(document) => document.replaced_by(text),
             None => FleetDocument::parse(text),
         };
-        parsed.map_err(|error| shortened(error.to_string()))
+        parsed.map_err(|error| truncated(error.to_string()))
     }
 
-    /// The content, parsed; `None` while there is none.
+    /// The parsed content; `None` before the first revision.
     pub(crate) fn fleet(&self) -> Option<&Arc<Fleet>> {
         self.document.as_ref().map(FleetDocument::fleet)
     }
@@ -138,25 +138,25 @@
         self.document = document;
     }
 
-    /// A tenant's share relative to others, at least 1.
+    /// A tenant's weight for fair queueing, at least 1.
     pub(crate) fn weight(&self, tenant: &str) -> u32 {
         self.weights.get(tenant).copied().unwrap_or(1).max(1)
     }
 
-    /// How long results stay readable, in milliseconds.
+    /// Time for which files, results and answers are retained, in milliseconds.
     pub(crate) fn retention_ms(&self) -> u64 {
         u64::from(self.batch().retention_hours) * 3_600_000
     }
 
-    /// The rules of batch work in force.
+    /// The current batch policy.
     pub(crate) fn batch(&self) -> linnethitch_config::fleet::BatchPolicy {
         self.fleet()
             .map(|fleet| fleet.batch.clone())
             .unwrap_or_default()
     }
 
-    /// Whether a model, or an adapter of one (`model:adapter`), takes batch items.
-    pub(crate) fn takes_batch(&self, model: &str) -> ModelUse {
+    /// Whether a model or an adapter (`model:adapter`) accepts batch items.
+    pub(crate) fn batch_use(&self, model: &str) -> ModelUse {
         let (name, adapter) = match model.split_once(':') {
             Some((name, adapter)) => (name, Some(adapter)),
             None => (model, None),
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Carries [`linnethitch_protocol::command::CommandBody::ApplyConfiguration`] out.
+    /// Applies [`linnethitch_protocol::command::CommandBody::ApplyConfiguration`].
     pub(crate) fn apply(
         &mut self,
         now: Timestamp,
@@ -198,7 +198,7 @@
             return ready(Outcome::Configuration(outcome));
         }
         let outcome = self.decide(expected, content);
-        self.remember(
+        self.record_change(
             change,
             ChangeRecord {
                 content: hash,
@@ -228,7 +228,7 @@
             digest: document.digest(),
         }));
         let mut bytes: usize = state.deltas.iter().map(|delta| delta.bytes()).sum();
-        while state.deltas.len() > KEPT_DELTAS || bytes > MAX_DELTA_BYTES {
+        while state.deltas.len() > MAX_STORED_DELTAS || bytes > MAX_DELTA_BYTES {
             let Some(oldest) = state.deltas.pop_front() else {
                 break;
             };
@@ -240,24 +240,24 @@
         to
     }
 
-    fn remember(&mut self, change: &ChangeId, record: ChangeRecord) {
+    fn record_change(&mut self, change: &ChangeId, record: ChangeRecord) {
         let changes = Arc::make_mut(&mut self.state.changes);
         changes.records.insert(change.clone(), record);
         changes.order.push_back(change.clone());
-        if changes.order.len() > MAX_CHANGES {
+        if changes.order.len() > MAX_STORED_CHANGES {
             drop_oldest(changes);
         }
     }
 
-    /// Whether an answer is due to be dropped.
+    /// Whether the oldest recorded outcome is due to be dropped.
     pub(crate) fn has_expired_change(&self, now: Timestamp) -> bool {
         let changes = &self.state.changes;
         let oldest = changes.order.front().and_then(|id| changes.records.get(id));
-        changes.order.len() > KEPT_CHANGES
+        changes.order.len() > MIN_STORED_CHANGES
             && oldest.is_some_and(|record| record.at.0 + self.retention_ms() <= now.0)
     }
 
-    /// Drops answers past their retention, up to `steps`; returns how many.
+    /// Drops up to `steps` outcomes past their retention time; returns their number.
     pub(crate) fn expire_changes(&mut self, now: Timestamp, steps: usize) -> usize {
         let mut dropped = 0;
         while dropped < steps && self.has_expired_change(now) {
@@ -267,7 +267,7 @@
         dropped
     }
 
-    /// The revision that a change became, if it was accepted.
+    /// The revision that resulted from a change, if the change was accepted.
     pub(crate) fn accepted_change(&self, change: &ChangeId) -> Option<Revision> {
         match self.state.changes.records.get(change)?.outcome {
             ApplyOutcome::Accepted(revision) => Some(revision),
@@ -275,7 +275,7 @@
         }
     }
 
-    /// The steps from a revision to the one in force; `None` when it is too old or unknown.
+    /// The deltas from a revision to the current one; `None` if `from` is too old or unknown.
     pub(crate) fn updates_since(&self, from: Revision) -> Option<Vec<ConfigurationUpdate>> {
         let state = &self.state;
         let missing = state.revision.0.checked_sub(from.0)? as usize;
@@ -292,7 +292,7 @@
         Some(updates.collect())
     }
 
-    /// The configuration in force as a whole.
+    /// The complete current configuration.
     pub(crate) fn full_update(&self) -> ConfigurationUpdate {
         ConfigurationUpdate::Full {
             revision: self.state.revision,
@@ -305,14 +305,14 @@
     }
 }
 
-/// What a configuration says of a model.
+/// Use of a model according to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ModelUse {
-    /// Not in the configuration.
+    /// The model is not in the configuration.
     Unknown,
-    /// Takes online requests only.
+    /// The model accepts online requests only.
     OnlineOnly,
-    /// Takes batch items too.
+    /// The model also accepts batch items.
     Batch,
 }
 
--- a/crates/ledger/src/expire.rs
+++ b/crates/ledger/src/expire.rs
@@ -1,4 +1,4 @@
-//! What the passing of time does, in bounded steps.
+//! Sessions, and the expiry of sessions, jobs, files and claims in bounded steps.
 
 use std::sync::Arc;
 
@@ -22,11 +22,11 @@
 
 impl Ledger {
     pub(crate) fn open_session(&mut self, gateway: &GatewayId, nonce: u64) -> Applied {
-        let known = self.sessions.by_gateway.get(gateway);
-        if let Some(session) = known.filter(|session| session.nonce == nonce) {
+        let existing = self.sessions.by_gateway.get(gateway);
+        if let Some(session) = existing.filter(|session| session.nonce == nonce) {
             return ready(Outcome::Session(session.epoch));
         }
-        if known.is_none() && self.sessions.by_gateway.len() >= MAX_SESSIONS {
+        if existing.is_none() && self.sessions.by_gateway.len() >= MAX_SESSIONS {
             return refuse(ErrorKind::Overloaded, "too many sessions are open");
         }
         self.end_session(gateway)?;
@@ -39,7 +39,7 @@
         ready(Outcome::Session(epoch))
     }
 
-    /// Ends a gateway's session and all that it held; returns the steps taken.
+    /// Ends a gateway's session with its leases and claims; returns the steps taken.
     fn end_session(&mut self, gateway: &GatewayId) -> Result<usize, Rejection> {
         let Some(session) = self.sessions.by_gateway.remove(gateway) else {
             return Ok(0);
@@ -50,7 +50,7 @@
         for (epoch, lease) in session.leases {
             self.end_lease(epoch, lease)?;
         }
-        self.end_claims(session.claims);
+        self.settle_claims(session.claims);
         Ok(steps)
     }
 
@@ -71,7 +71,7 @@
         ready(Outcome::Done)
     }
 
-    /// Takes the step of a job that is due; returns the steps taken.
+    /// Performs the due transition of a job; returns the steps taken.
     fn advance_job(&mut self, number: JobNumber, steps: usize) -> Result<usize, Rejection> {
         let Some(job) = self.state.jobs.get(&number) else {
             return Ok(0);
@@ -79,15 +79,15 @@
         match job.phase {
             JobPhase::Running => {
                 self.stop_at_deadline(number);
-                self.give_items_up(number, steps)
+                self.give_up_items(number, steps)
             }
-            JobPhase::GivingUp => self.give_items_up(number, steps),
+            JobPhase::GivingUp => self.give_up_items(number, steps),
             JobPhase::Cancelling(_) => {
                 self.end_job(number, JobPhase::Cancelled)?;
                 Ok(1)
             }
             JobPhase::Completed | JobPhase::Cancelled | JobPhase::Expired => {
-                self.begin_dropping_job(number);
+                self.start_dropping_job(number);
                 Ok(self.drop_job(number, steps))
             }
             JobPhase::Dropping => Ok(self.drop_job(number, steps)),
@@ -95,7 +95,7 @@
     }
 
     fn stop_at_deadline(&mut self, number: JobNumber) {
-        self.unqueue_job(number);
+        self.dequeue_job(number);
         let applied = self.state.applied;
         self.stopped.insert((applied, number));
         if let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) {
@@ -104,8 +104,8 @@
         }
     }
 
-    /// Gives items without a result an error each, up to `steps`.
-    fn give_items_up(&mut self, number: JobNumber, steps: usize) -> Result<usize, Rejection> {
+    /// Stores an error for up to `steps` items without a result; returns the steps taken.
+    fn give_up_items(&mut self, number: JobNumber, steps: usize) -> Result<usize, Rejection> {
         let mut taken = 0;
         while taken < steps {
             let Some(job) = self.state.jobs.get(&number) else {
@@ -128,8 +128,8 @@
         Ok(taken)
     }
 
-    /// Hides a job; its key may be used for another one from now on.
-    fn begin_dropping_job(&mut self, number: JobNumber) {
+    /// Hides a job from callers. Its idempotency key becomes free.
+    fn start_dropping_job(&mut self, number: JobNumber) {
         if let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) {
             job.phase = JobPhase::Dropping;
             if let Some(applied) = job.stopped_at {
@@ -141,7 +141,8 @@
         }
     }
 
-    /// Releases a job's results, up to `steps`; the last step drops its record.
+    /// Releases up to `steps` payloads of a job's results, and removes the job after the last
+    /// one. Returns the steps taken.
     fn drop_job(&mut self, number: JobNumber, steps: usize) -> usize {
         let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) else {
             return 0;
@@ -150,23 +151,23 @@
         let mut taken = job.output.stored.release(payloads, steps);
         taken += job.errors.stored.release(payloads, steps - taken);
         if taken < steps || (job.output.len() == 0 && job.errors.len() == 0) {
-            self.forget_job(number);
+            self.remove_job(number);
         }
         taken
     }
 
-    /// Takes the step of a file that is due; returns the steps taken.
+    /// Performs the due transition of a file; returns the steps taken.
     fn advance_file(&mut self, file: &FileId, steps: usize) -> Result<usize, Rejection> {
         let Some(stored) = self.state.files.get(file) else {
             return Ok(0);
         };
         if stored.phase != FilePhase::Dropping && stored.open_jobs > 0 {
-            // Its last job moves the time when it ends.
+            // The end of the file's last job sets a new expiry time.
             self.postpone_file(file);
             return Ok(1);
         }
         if stored.phase != FilePhase::Dropping {
-            self.begin_dropping_file(file);
+            self.start_dropping_file(file);
         }
         let Some(stored) = self.state.files.get_mut(file).map(Arc::make_mut) else {
             return Ok(0);
@@ -196,7 +197,7 @@
     fn expire_claim(&mut self, key: ClaimKey) -> usize {
         let claim = self.state.claims.get_mut(&key);
         if let Some(claim) = claim.filter(|claim| matches!(claim.state, ClaimState::Running(_))) {
-            // It ends with its session, not before.
+            // A running claim ends only with its session.
             let expires_at = after(self.state.now, self.configuration.retention_ms().max(1));
             self.timers
                 .reset(&mut claim.expires_at, expires_at, TimerKey::Claim(key));
--- a/crates/ledger/src/files.rs
+++ b/crates/ledger/src/files.rs
@@ -1,4 +1,4 @@
-//! Input files: uploaded in pieces, then visible and unchangeable.
+//! Input files: uploaded in pieces, then visible and immutable.
 
 use std::sync::Arc;
 
@@ -21,35 +21,35 @@
     timers::{TimerKey, after},
 };
 
-/// Where a file is in its life.
+/// Life cycle of a file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, rkyv::Archive, rkyv::Serialize, rkyv::Deserialize)]
 pub(crate) enum FilePhase {
-    /// Pieces may follow.
+    /// The upload is in progress.
     Unfinished,
-    /// Visible and unchangeable since then.
+    /// Visible and immutable since the given time.
     Finished(Timestamp),
-    /// Gone for callers; its payloads are released bit by bit.
+    /// No longer visible to callers; the payloads are being released in bounded steps.
     Dropping,
 }
 
-/// A file.
+/// An input file.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct InputFile {
-    /// Whose.
+    /// The tenant.
     pub(crate) tenant: TenantId,
-    /// `batch`.
+    /// The purpose: `batch`.
     pub(crate) purpose: String,
-    /// The caller's name of it.
+    /// The caller's file name.
     pub(crate) filename: String,
-    /// Its bytes.
+    /// The content.
     pub(crate) content: StoredBytes,
-    /// Its lines.
+    /// The line index.
     pub(crate) index: LineIndex,
-    /// Its phase.
+    /// The phase.
     pub(crate) phase: FilePhase,
-    /// When it is dropped, unless a job needs it then.
+    /// When the file is dropped, unless an open job uses it at that time.
     pub(crate) expires_at: Timestamp,
-    /// Jobs not yet at an end that read it.
+    /// Number of open jobs that use the file.
     pub(crate) open_jobs: u32,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// What is told of it; `None` unless it is finished.
+    /// The record reported to callers; `None` unless the file is finished.
     pub(crate) fn finished_record(&self, file: &FileId) -> Option<FileRecord> {
         match self.phase {
             FilePhase::Finished(at) => Some(self.record(file, at)),
@@ -87,19 +87,19 @@
         if file.as_str().is_empty() || names.iter().any(|name| name.len() > MAX_NAME_BYTES) {
             return refuse(ErrorKind::InvalidValue, "a name is empty or too long");
         }
-        if let Some(known) = self.state.files.get(file) {
-            let same = known.tenant == *tenant && known.filename == filename;
-            if same && known.phase != FilePhase::Dropping {
+        if let Some(existing) = self.state.files.get(file) {
+            let same = existing.tenant == *tenant && existing.filename == filename;
+            if same && existing.phase != FilePhase::Dropping {
                 return ready(Outcome::Done);
             }
-            return refuse(ErrorKind::InvalidState, "the file id is taken");
+            return refuse(ErrorKind::InvalidState, "the file id is already in use");
         }
-        if self.unfinished_files_of.of(tenant) >= MAX_UNFINISHED_FILES_PER_TENANT {
+        if self.unfinished_files_by_tenant.get(tenant) >= MAX_UNFINISHED_FILES_PER_TENANT {
             return refuse(ErrorKind::Overloaded, "too many unfinished files");
         }
         let expires_at = after(self.state.now, UNFINISHED_FILE_MS);
         self.timers.add(expires_at, TimerKey::File(file.clone()));
-        self.unfinished_files_of.add(tenant);
+        self.unfinished_files_by_tenant.add(tenant);
         let created = InputFile {
             tenant: tenant.clone(),
             purpose: purpose.to_owned(),
@@ -130,19 +130,19 @@
             return refuse(ErrorKind::InvalidState, "the file is finished");
         }
         if offset > length {
-            let message = format!("a piece at {offset} leaves a gap after {length}");
+            let message = format!("a piece at offset {offset} leaves a gap after {length} bytes");
             return refuse(ErrorKind::InvalidState, message);
         }
         if end > max_bytes {
             return refuse(ErrorKind::BodyTooLarge, "the file is too large");
         }
-        let known = (length - offset) as usize;
+        let overlap = (length - offset) as usize;
         let Some(stored) = self.state.files.get_mut(file).map(Arc::make_mut) else {
             return refuse(ErrorKind::NotFound, "no such file");
         };
         stored
             .content
-            .append(self.payloads.as_mut(), &data[known..])?;
+            .append(self.payloads.as_mut(), &data[overlap..])?;
         let expires_at = after(now, UNFINISHED_FILE_MS);
         self.timers.reset(
             &mut stored.expires_at,
@@ -159,19 +159,19 @@
         heads: &[ItemHead],
     ) -> Applied {
         let stored = self.file_for_upload(file)?;
-        let known = stored.index.lines;
-        if first.0 > known {
-            let message = format!("items from {first} leave a gap after {known}");
+        let indexed = stored.index.lines;
+        if first.0 > indexed {
+            let message = format!("items from {first} on leave a gap after {indexed} items");
             return refuse(ErrorKind::InvalidState, message);
         }
-        let already = (known - first.0) as usize;
-        if already >= heads.len() {
+        let overlap = (indexed - first.0) as usize;
+        if overlap >= heads.len() {
             return ready(Outcome::Done);
         }
         if stored.phase != FilePhase::Unfinished {
             return refuse(ErrorKind::InvalidState, "the file is finished");
         }
-        let heads = &heads[already..];
+        let heads = &heads[overlap..];
         self.check_heads(stored, heads)?;
         self.add_heads(file, heads)?;
         ready(Outcome::Done)
@@ -180,10 +180,7 @@
     pub(crate) fn finish_file(&mut self, file: &FileId, bytes: u64, heads: &[ItemHead]) -> Applied {
         let stored = self.file_for_upload(file)?;
         if stored.content.len() != bytes {
-            let message = format!(
-                "{} bytes have arrived, {bytes} are expected",
-                stored.content.len()
-            );
+            let message = format!("received {} bytes, expected {bytes}", stored.content.len());
             return refuse(ErrorKind::TruncatedUpload, message);
         }
         if let Some(record) = stored.finished_record(file) {
@@ -193,12 +190,12 @@
         let new_bytes: u64 = heads.iter().map(|head| u64::from(head.bytes)).sum();
         let indexed = stored.index.bytes + new_bytes;
         if indexed != bytes && !(indexed == 0 && stored.purpose != "batch") {
-            let message = format!("the lines add up to {indexed} bytes, not {bytes}");
+            let message = format!("the lines have {indexed} bytes in total, the file has {bytes}");
             return refuse(ErrorKind::InvalidValue, message);
         }
         let tenant = stored.tenant.clone();
         self.add_heads(file, heads)?;
-        self.unfinished_files_of.remove(&tenant);
+        self.unfinished_files_by_tenant.remove(&tenant);
         let now = self.state.now;
         let expires_at = after(now, self.configuration.retention_ms());
         let Some(stored) = self.state.files.get_mut(file).map(Arc::make_mut) else {
@@ -221,14 +218,14 @@
             return refuse(ErrorKind::NotFound, "no such file");
         }
         if stored.open_jobs > 0 {
-            return refuse(ErrorKind::InvalidState, "a job still needs the file");
+            return refuse(ErrorKind::InvalidState, "an open job uses the file");
         }
-        self.begin_dropping_file(file);
+        self.start_dropping_file(file);
         ready(Outcome::Done)
     }
 
-    /// Hides a file and leaves its payloads to `Expire`.
-    pub(crate) fn begin_dropping_file(&mut self, file: &FileId) {
+    /// Hides a file from callers. `Expire` commands then release the payloads.
+    pub(crate) fn start_dropping_file(&mut self, file: &FileId) {
         let now = self.state.now;
         let Some(stored) = self.state.files.get_mut(file).map(Arc::make_mut) else {
             return;
@@ -239,12 +236,12 @@
             .reset(&mut stored.expires_at, now, TimerKey::File(file.clone()));
         let tenant = stored.tenant.clone();
         if was_unfinished {
-            self.unfinished_files_of.remove(&tenant);
+            self.unfinished_files_by_tenant.remove(&tenant);
         }
     }
 
-    /// Lets a file go on for a while after its last job's end.
-    pub(crate) fn leave_file(&mut self, file: &FileId) {
+    /// Records that a job no longer uses a file, and restarts the file's retention time.
+    pub(crate) fn end_file_use(&mut self, file: &FileId) {
         let expires_at = after(self.state.now, self.configuration.retention_ms());
         if let Some(stored) = self.state.files.get_mut(file).map(Arc::make_mut) {
             stored.open_jobs = stored.open_jobs.saturating_sub(1);
@@ -267,7 +264,7 @@
         let max_items = self.configuration.batch().max_items as usize;
         let lines = stored.index.lines as usize + heads.len();
         if heads.len() > MAX_HEADS_PER_COMMAND || lines > max_items {
-            let message = format!("over {max_items} items");
+            let message = format!("more than {max_items} items");
             return refuse(ErrorKind::BodyTooLarge, message);
         }
         stored.index.check(heads)
--- a/crates/ledger/src/indexes.rs
+++ b/crates/ledger/src/indexes.rs
@@ -1,4 +1,4 @@
-//! Lookups derived from the replicated state; rebuilt after a restore.
+//! Indexes derived from the replicated state and rebuilt after a restore.
 
 use std::collections::BTreeMap;
 
@@ -11,22 +11,22 @@
     timers::TimerKey,
 };
 
-/// How many of something each tenant has.
+/// Counts by tenant.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TenantCounts(BTreeMap<TenantId, usize>);
 
 impl TenantCounts {
     /// The count of a tenant.
-    pub(crate) fn of(&self, tenant: &TenantId) -> usize {
+    pub(crate) fn get(&self, tenant: &TenantId) -> usize {
         self.0.get(tenant).copied().unwrap_or(0)
     }
 
-    /// Counts one more.
+    /// Increments the count of a tenant.
     pub(crate) fn add(&mut self, tenant: &TenantId) {
         *self.0.entry(tenant.clone()).or_default() += 1;
     }
 
-    /// Counts one less.
+    /// Decrements the count of a tenant.
     pub(crate) fn remove(&mut self, tenant: &TenantId) {
         let Some(count) = self.0.get_mut(tenant) else {
             return;
@@ -39,7 +39,7 @@
 }
 
 impl Ledger {
-    /// Enters a job into all lookups and, while it runs, into the scheduler.
+    /// Adds a job to all indexes and its pending items to the scheduler.
     pub(crate) fn index_job(&mut self, number: JobNumber, job: &Job) {
         self.job_numbers.insert(job.id.clone(), number);
         self.tenant_jobs.insert((job.tenant.clone(), number));
@@ -53,7 +53,7 @@
         }
         if !job.has_ended() {
             self.open_jobs += 1;
-            self.open_jobs_of.add(&job.tenant);
+            self.open_jobs_by_tenant.add(&job.tenant);
         }
         for queue in &job.pending {
             if !queue.items.is_empty() {
@@ -64,8 +64,9 @@
         }
     }
 
-    /// Removes a job that was being dropped, and its lookups; its key was freed before.
-    pub(crate) fn forget_job(&mut self, number: JobNumber) {
+    /// Removes a job that was being dropped, with its index entries. Its idempotency key was
+    /// freed when dropping started.
+    pub(crate) fn remove_job(&mut self, number: JobNumber) {
         let Some(job) = self.state.jobs.remove(&number) else {
             return;
         };
@@ -74,7 +75,7 @@
         self.timers.remove(job.due, TimerKey::Job(number));
     }
 
-    /// Builds all lookups of a restored state.
+    /// Builds all indexes of a restored state.
     pub(crate) fn rebuild_indexes(&mut self) {
         let jobs = self.state.jobs.clone();
         for (number, job) in &jobs {
@@ -84,7 +85,7 @@
         for (id, file) in &files {
             self.timers.add(file.expires_at, TimerKey::File(id.clone()));
             if file.phase == FilePhase::Unfinished {
-                self.unfinished_files_of.add(&file.tenant);
+                self.unfinished_files_by_tenant.add(&file.tenant);
             }
         }
         for (key, claim) in self.state.claims.iter() {
--- a/crates/ledger/src/job.rs
+++ b/crates/ledger/src/job.rs
@@ -1,4 +1,4 @@
-//! A job and the state of its items.
+//! Jobs and the state of their items.
 
 use std::collections::BTreeMap;
 
@@ -11,7 +11,7 @@
 
 use crate::results::ResultStream;
 
-/// A job's place in the order of acceptance; never used again.
+/// A job's position in the order of acceptance; never reused.
 #[derive(
     Clone,
     Copy,
@@ -28,22 +28,22 @@
 )]
 pub(crate) struct JobNumber(pub(crate) u64);
 
-/// Where a job is in its life.
+/// Life cycle of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum JobPhase {
-    /// Items are leased and run.
+    /// Items are leased and executed.
     Running,
-    /// Its deadline has passed; items without a result are being given up.
+    /// The deadline has passed; items without a result are being given up.
     GivingUp,
-    /// Cancelled; leases may still be out, at the latest until the given time.
+    /// Cancelled; items may still be under lease, at the latest until the given time.
     Cancelling(Timestamp),
-    /// Every item has its result.
+    /// Every item has a result.
     Completed,
-    /// Cancelled, and no lease is out.
+    /// Cancelled, and no item is under lease.
     Cancelled,
-    /// The deadline passed and every item has its result.
+    /// The deadline has passed and every item has a result.
     Expired,
-    /// Gone for callers; its payloads are released bit by bit.
+    /// No longer visible to callers; the payloads are being released in bounded steps.
     Dropping,
 }
 
@@ -52,54 +52,54 @@
 pub(crate) struct PendingQueue {
     /// The model.
     pub(crate) model: ModelId,
-    /// Its pending items.
+    /// The pending items.
     pub(crate) items: RoaringBitmap,
 }
 
 /// A job.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Job {
-    /// Its id.
+    /// The job's id.
     pub(crate) id: JobId,
-    /// Whose.
+    /// The tenant.
     pub(crate) tenant: TenantId,
-    /// Its input file.
+    /// The input file.
     pub(crate) input: FileId,
-    /// The path of its items.
+    /// The request path of all items.
     pub(crate) endpoint: String,
     /// The caller's metadata.
     pub(crate) metadata: String,
-    /// The caller's key, if any.
+    /// The caller's idempotency key, if any.
     pub(crate) idempotency: Option<IdempotencyKey>,
-    /// Digest of what the caller sent.
+    /// Digest of the caller's request.
     pub(crate) content_digest: u64,
-    /// Items in all.
+    /// Total number of items.
     pub(crate) total: u32,
-    /// Items with a successful result.
+    /// Number of items with a successful result.
     pub(crate) completed: u32,
-    /// Items with a failed result.
+    /// Number of items with a failed result.
     pub(crate) failed: u32,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub(crate) created_at: Timestamp,
-    /// When it must be complete.
+    /// When the job must be complete.
     pub(crate) deadline: Timestamp,
-    /// When it reached its end.
+    /// When the job ended.
     pub(crate) finished_at: Option<Timestamp>,
-    /// Its phase.
+    /// The phase.
     pub(crate) phase: JobPhase,
-    /// Where its timer stands.
+    /// When the job's timer is due.
     pub(crate) due: Timestamp,
-    /// The command that stopped it before its end (cancel, deadline).
+    /// Log index of the command that stopped the job early (cancellation or deadline).
     pub(crate) stopped_at: Option<LogIndex>,
     /// Pending items by model.
     pub(crate) pending: Vec<PendingQueue>,
     /// Items without a result.
     pub(crate) open: RoaringBitmap,
-    /// Items that were leased at least once, and may have run.
+    /// Items that were leased at least once and may have run.
     pub(crate) touched: RoaringBitmap,
     /// At-most-once items that may have started, and the lease of each.
     pub(crate) started: BTreeMap<u32, LeaseEpoch>,
-    /// Items under lease.
+    /// Number of items under lease.
     pub(crate) leased: u32,
     /// Successful results, as lines of the output file.
     pub(crate) output: ResultStream,
@@ -107,7 +107,7 @@
     pub(crate) errors: ResultStream,
 }
 
-/// Which of a job's two result files.
+/// The two result files of a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ResultFile {
     /// Successful results.
@@ -130,7 +130,7 @@
         FileId(format!("{FILE_PREFIX}{job}{suffix}"))
     }
 
-    /// The job and kind that a file id names, if it has their form.
+    /// The job and kind of a result file id; `None` if the id has another form.
     pub(crate) fn parse(file: &FileId) -> Option<(JobId, ResultFile)> {
         let name = file.as_str().strip_prefix(FILE_PREFIX)?;
         if let Some(job) = name.strip_suffix(OUTPUT_SUFFIX) {
@@ -142,7 +142,7 @@
 }
 
 impl Job {
-    /// The state in the words of the interface.
+    /// The state as reported to callers.
     pub(crate) fn state(&self) -> JobState {
         match self.phase {
             JobPhase::Running | JobPhase::GivingUp => JobState::InProgress,
@@ -153,12 +153,12 @@
         }
     }
 
-    /// Whether results are still stored.
-    pub(crate) fn takes_results(&self) -> bool {
+    /// Whether results are still accepted.
+    pub(crate) fn accepts_results(&self) -> bool {
         matches!(self.phase, JobPhase::Running | JobPhase::GivingUp)
     }
 
-    /// Whether it has reached its last state.
+    /// Whether the job has reached a final phase.
     pub(crate) fn has_ended(&self) -> bool {
         matches!(
             self.phase,
@@ -166,12 +166,12 @@
         )
     }
 
-    /// Whether it is gone for callers.
+    /// Whether the job is being dropped and no longer visible to callers.
     pub(crate) fn is_dropping(&self) -> bool {
         self.phase == JobPhase::Dropping
     }
 
-    /// What is told of it.
+    /// The record reported to callers.
     pub(crate) fn record(&self) -> JobRecord {
         JobRecord {
             job: self.id.clone(),
@@ -191,7 +191,7 @@
         }
     }
 
-    /// One of its result streams.
+    /// A result stream of the job.
     pub(crate) fn results(&self, file: ResultFile) -> &ResultStream {
         match file {
             ResultFile::Output => &self.output,
--- a/crates/ledger/src/jobs.rs
+++ b/crates/ledger/src/jobs.rs
@@ -29,8 +29,8 @@
 
 impl Ledger {
     pub(crate) fn create_job(&mut self, new: &NewJob) -> Applied {
-        if let Some(known) = self.resent_job(new)? {
-            return Ok(known);
+        if let Some(answer) = self.resubmitted_job(new)? {
+            return Ok(answer);
         }
         self.check_new_job(new)?;
         let file = self.finished_input(&new.tenant, new)?;
@@ -49,13 +49,13 @@
         ready(Outcome::Job(record))
     }
 
-    /// The answer to a job that was accepted before.
-    fn resent_job(&self, new: &NewJob) -> Result<Option<Answer>, Rejection> {
+    /// The answer for a job that was accepted before.
+    fn resubmitted_job(&self, new: &NewJob) -> Result<Option<Answer>, Rejection> {
         if let Some(key) = &new.idempotency {
-            let holder = (new.tenant.clone(), key.clone());
+            let job_key = (new.tenant.clone(), key.clone());
             if let Some(job) = self
                 .job_keys
-                .get(&holder)
+                .get(&job_key)
                 .and_then(|n| self.state.jobs.get(n))
             {
                 if job.content_digest == new.content_digest {
@@ -63,7 +63,7 @@
                 }
                 return refuse(
                     ErrorKind::IdempotencyConflict,
-                    "the idempotency key belongs to a job of other content",
+                    "the idempotency key was used for a job with different content",
                 );
             }
         }
@@ -81,7 +81,7 @@
         if same {
             return Ok(Some(Answer::ready(Outcome::Job(job.record()))));
         }
-        refuse(ErrorKind::InvalidState, "the job id is taken")
+        refuse(ErrorKind::InvalidState, "the job id is already in use")
     }
 
     fn check_new_job(&self, new: &NewJob) -> Result<(), Rejection> {
@@ -96,7 +96,7 @@
         if self.open_jobs >= MAX_OPEN_JOBS {
             return refuse(ErrorKind::Overloaded, "too many jobs are open");
         }
-        if self.open_jobs_of.of(&new.tenant) >= MAX_OPEN_JOBS_PER_TENANT {
+        if self.open_jobs_by_tenant.get(&new.tenant) >= MAX_OPEN_JOBS_PER_TENANT {
             return refuse(
                 ErrorKind::TooManyInFlight,
                 "too many jobs of the tenant are open",
@@ -115,34 +115,38 @@
             return refuse(ErrorKind::InvalidState, "the input file is not finished");
         }
         if file.index.lines == 0 {
-            return refuse(ErrorKind::InvalidValue, "the input file holds no item");
+            return refuse(ErrorKind::InvalidValue, "the input file has no items");
         }
         Ok(file)
     }
 
-    /// Checks every line at once, through the names that the index keeps.
+    /// Checks all lines by the distinct endpoints and models in the file's index.
     fn check_lines(&self, file: &InputFile, endpoint: &str) -> Result<(), Rejection> {
-        let foreign = file
+        let mismatch = file
             .index
             .endpoints
             .iter()
             .find(|usage| usage.endpoint != endpoint);
-        if let Some(usage) = foreign {
+        if let Some(usage) = mismatch {
             let line = usage.first + 1;
-            let message = format!("line {line}: url {} is not {endpoint}", usage.endpoint);
+            let message = format!(
+                "line {line}: url {} differs from the job's endpoint {endpoint}",
+                usage.endpoint
+            );
             return refuse(ErrorKind::InvalidBatchLine, message);
         }
         for lines in &file.index.models {
             let line = lines.items.min().unwrap_or(0) + 1;
             let model = &lines.model;
-            match self.configuration.takes_batch(model.as_str()) {
+            match self.configuration.batch_use(model.as_str()) {
                 ModelUse::Batch => {}
                 ModelUse::Unknown => {
-                    let message = format!("line {line}: the model {model} is not known");
+                    let message = format!("line {line}: unknown model {model}");
                     return refuse(ErrorKind::UnknownModel, message);
                 }
                 ModelUse::OnlineOnly => {
-                    let message = format!("line {line}: the model {model} takes no batch items");
+                    let message =
+                        format!("line {line}: the model {model} does not accept batch items");
                     return refuse(ErrorKind::InvalidBatchLine, message);
                 }
             }
@@ -151,7 +155,7 @@
     }
 
     pub(crate) fn cancel_job(&mut self, tenant: &TenantId, id: &JobId) -> Applied {
-        let Some((number, job)) = self.job_of(tenant, id) else {
+        let Some((number, job)) = self.visible_job(tenant, id) else {
             return refuse(ErrorKind::NotFound, "no such job");
         };
         match job.phase {
@@ -165,7 +169,7 @@
         }
         let until = self.sessions.last_lease_end(number);
         let applied = self.state.applied;
-        self.unqueue_job(number);
+        self.dequeue_job(number);
         self.stopped.insert((applied, number));
         if let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) {
             job.phase = JobPhase::Cancelling(until);
@@ -176,11 +180,11 @@
         self.end_cancelled_job(number)?;
         match self.state.jobs.get(&number) {
             Some(job) => ready(Outcome::Job(job.record())),
-            None => refuse(ErrorKind::Internal, "the job vanished"),
+            None => refuse(ErrorKind::Internal, "the cancelled job is missing"),
         }
     }
 
-    /// Ends a cancelled job once none of its leases is out.
+    /// Ends a cancelled job once none of its items is under lease.
     pub(crate) fn end_cancelled_job(&mut self, number: JobNumber) -> Result<(), Rejection> {
         let Some(job) = self.state.jobs.get(&number) else {
             return Ok(());
@@ -191,7 +195,7 @@
         Ok(())
     }
 
-    /// Ends a job whose last item got its result.
+    /// Ends a job once every item has a result.
     pub(crate) fn end_finished_job(&mut self, number: JobNumber) -> Result<(), Rejection> {
         let Some(job) = self.state.jobs.get(&number) else {
             return Ok(());
@@ -203,9 +207,9 @@
         }
     }
 
-    /// Brings a job to its last state; what items needed in memory is given up.
+    /// Moves a job to its final phase and frees the memory of its items.
     pub(crate) fn end_job(&mut self, number: JobNumber, phase: JobPhase) -> Result<(), Rejection> {
-        self.unqueue_job(number);
+        self.dequeue_job(number);
         let now = self.state.now;
         let due = after(now, self.configuration.retention_ms());
         let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) else {
@@ -222,13 +226,13 @@
         self.timers.reset(&mut job.due, due, TimerKey::Job(number));
         let input = job.input.clone();
         self.open_jobs = self.open_jobs.saturating_sub(1);
-        self.open_jobs_of.remove(&job.tenant);
-        self.leave_file(&input);
+        self.open_jobs_by_tenant.remove(&job.tenant);
+        self.end_file_use(&input);
         Ok(())
     }
 
-    /// Takes a job's pending items away from the scheduler.
-    pub(crate) fn unqueue_job(&mut self, number: JobNumber) {
+    /// Removes a job's pending items from the scheduler.
+    pub(crate) fn dequeue_job(&mut self, number: JobNumber) {
         let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) else {
             return;
         };
@@ -251,7 +255,7 @@
             return Ok(());
         };
         let Some(file) = self.state.files.get(&job.input) else {
-            let message = format!("the input file of {} is gone", job.id);
+            let message = format!("the input file of job {} is missing", job.id);
             return Err(Report::new(ErrorKind::Internal).attach(message).into());
         };
         let chunk = self
@@ -275,22 +279,23 @@
         Ok(())
     }
 
-    /// At how many waiting bytes results are written: less when many jobs are open.
+    /// Number of buffered bytes at which a job's results are written to the payload store. The
+    /// more jobs are open, the smaller.
     fn result_block_bytes(&self) -> usize {
         let share = RESULT_BUFFER_BYTES / self.open_jobs.max(1);
         share.clamp(MIN_RESULT_BLOCK_BYTES, MAX_RESULT_BLOCK_BYTES)
     }
 
-    /// A tenant's job that callers can see.
-    pub(crate) fn job_of(&self, tenant: &TenantId, id: &JobId) -> Option<(JobNumber, &Job)> {
+    /// A tenant's job, unless the job is being dropped.
+    pub(crate) fn visible_job(&self, tenant: &TenantId, id: &JobId) -> Option<(JobNumber, &Job)> {
         let number = *self.job_numbers.get(id)?;
         let job = self.state.jobs.get(&number)?;
-        let visible = job.tenant == *tenant && !job.is_dropping();
-        visible.then_some((number, job))
+        let is_visible = job.tenant == *tenant && !job.is_dropping();
+        is_visible.then_some((number, job))
     }
 }
 
-/// A job in its first state: all items pending.
+/// A new job with all items pending.
 fn build_job(new: &NewJob, file: &InputFile, now: Timestamp, deadline: Timestamp) -> Job {
     let total = file.index.lines;
     let mut open = RoaringBitmap::new();
--- a/crates/ledger/src/leasing.rs
+++ b/crates/ledger/src/leasing.rs
@@ -1,4 +1,4 @@
-//! Handing items out and taking them back.
+//! Leasing items and returning them.
 
 use std::sync::Arc;
 
@@ -17,19 +17,19 @@
     },
     line_index::LineBounds,
     refusal::{Applied, Rejection, ready, refuse},
-    scheduler::Turn,
+    scheduler::NextJob,
     sessions::{Lease, LeasedEntry},
     timers::{TimerKey, after},
 };
 
-/// What a lease command may still hand out.
-struct Allowance {
+/// Remaining limits of a lease command.
+struct LeaseBudget {
     items: usize,
     bytes: u64,
 }
 
-impl Allowance {
-    fn is_used_up(&self) -> bool {
+impl LeaseBudget {
+    fn is_exhausted(&self) -> bool {
         self.items == 0 || self.bytes == 0
     }
 }
@@ -40,7 +40,7 @@
         gateway: &GatewayId,
         epoch: SessionEpoch,
         sequence: u64,
-        wanted: &[WantedItems],
+        requested: &[WantedItems],
         until: Timestamp,
     ) -> Applied {
         self.extend_session(gateway, epoch, until)?;
@@ -54,14 +54,14 @@
             return ready(Outcome::Leased(Vec::new()));
         }
         session.highest_sequence = sequence;
-        let room = MAX_ITEMS_PER_SESSION.saturating_sub(session.leased) as usize;
-        let mut allowance = Allowance {
-            items: room.min(MAX_ITEMS_PER_LEASE),
+        let capacity = MAX_ITEMS_PER_SESSION.saturating_sub(session.leased) as usize;
+        let mut budget = LeaseBudget {
+            items: capacity.min(MAX_ITEMS_PER_LEASE),
             bytes: MAX_LEASE_BYTES,
         };
         let mut items = Vec::new();
-        for wish in wanted {
-            self.take_items(wish, &mut allowance, &mut items);
+        for request in requested {
+            self.lease_from_model(request, &mut budget, &mut items);
         }
         if items.is_empty() {
             return ready(Outcome::Leased(Vec::new()));
@@ -76,41 +76,42 @@
         Ok(Answer::lease(gateway, lease))
     }
 
-    fn take_items(
+    fn lease_from_model(
         &mut self,
-        wish: &WantedItems,
-        allowance: &mut Allowance,
+        request: &WantedItems,
+        budget: &mut LeaseBudget,
         items: &mut Vec<LeasedEntry>,
     ) {
-        let mut wanted = wish.count as usize;
-        while wanted > 0 && !allowance.is_used_up() {
-            let Some(turn) = self.scheduler.next(&wish.model) else {
+        let mut remaining = request.count as usize;
+        while remaining > 0 && !budget.is_exhausted() {
+            let Some(next) = self.scheduler.next(&request.model) else {
                 break;
             };
-            let weight = self.configuration.weight(turn.tenant.as_str());
+            let weight = self.configuration.weight(next.tenant.as_str());
             let quantum = FAIRNESS_QUANTUM.saturating_mul(u64::from(weight)) as usize;
-            let most = wanted.min(quantum).min(allowance.items);
-            let taken = self.take_turn(&wish.model, &turn, most, allowance, items);
-            if taken == 0 {
+            let max_items = remaining.min(quantum).min(budget.items);
+            let leased = self.lease_from_job(&request.model, &next, max_items, budget, items);
+            if leased == 0 {
                 break;
             }
             self.scheduler
-                .charge(&wish.model, &turn.tenant, taken as u64, weight);
-            self.unqueue_if_empty(&wish.model, turn.job);
-            wanted -= taken;
+                .charge(&request.model, &next.tenant, leased as u64, weight);
+            self.dequeue_if_empty(&request.model, next.job);
+            remaining -= leased;
         }
     }
 
-    /// Takes up to `most` items of one job; stops when the lines grow too long together.
-    fn take_turn(
+    /// Leases up to `max_items` items of one job; stops when the total length of the lines
+    /// exceeds the budget.
+    fn lease_from_job(
         &mut self,
         model: &ModelId,
-        turn: &Turn,
-        most: usize,
-        allowance: &mut Allowance,
+        next: &NextJob,
+        max_items: usize,
+        budget: &mut LeaseBudget,
         items: &mut Vec<LeasedEntry>,
     ) -> usize {
-        let Some(job) = self.state.jobs.get_mut(&turn.job).map(Arc::make_mut) else {
+        let Some(job) = self.state.jobs.get_mut(&next.job).map(Arc::make_mut) else {
             return 0;
         };
         let Some(file) = self.state.files.get(&job.input) else {
@@ -120,33 +121,33 @@
             return 0;
         };
         let mut bounds = LineBounds::new(&file.index);
-        let mut taken = 0;
-        while taken < most {
+        let mut leased = 0;
+        while leased < max_items {
             let Some(item) = queue.items.min().map(ItemNumber) else {
                 break;
             };
             let bytes = bounds.next(item);
-            if bytes > allowance.bytes && !items.is_empty() {
-                allowance.bytes = 0;
+            if bytes > budget.bytes && !items.is_empty() {
+                budget.bytes = 0;
                 break;
             }
             queue.items.remove(item.0);
             job.touched.insert(item.0);
             items.push(LeasedEntry {
-                job: turn.job,
+                job: next.job,
                 item,
             });
-            allowance.bytes = allowance.bytes.saturating_sub(bytes);
-            taken += 1;
+            budget.bytes = budget.bytes.saturating_sub(bytes);
+            leased += 1;
         }
-        allowance.items -= taken;
-        job.leased += taken as u32;
-        self.scheduler.remove_pending(model, taken as u64);
-        taken
+        budget.items -= leased;
+        job.leased += leased as u32;
+        self.scheduler.remove_pending(model, leased as u64);
+        leased
     }
 
-    /// Takes a job without pending items of a model out of the model's queue.
-    pub(crate) fn unqueue_if_empty(&mut self, model: &ModelId, number: JobNumber) {
+    /// Removes a job without pending items of a model from the model's queue.
+    pub(crate) fn dequeue_if_empty(&mut self, model: &ModelId, number: JobNumber) {
         let Some(job) = self.state.jobs.get(&number) else {
             return;
         };
@@ -157,7 +158,7 @@
         }
     }
 
-    /// Makes an item pending again, if its job still wants a result of it.
+    /// Makes an item pending again if its job still needs a result.
     fn requeue(&mut self, entry: LeasedEntry) {
         let Some(job) = self.state.jobs.get_mut(&entry.job).map(Arc::make_mut) else {
             return;
@@ -186,8 +187,8 @@
         }
     }
 
-    /// Takes an item that got its result out of the pending ones.
-    pub(crate) fn unqueue_item(&mut self, entry: LeasedEntry) {
+    /// Removes an item that has its result from the pending items.
+    pub(crate) fn dequeue_item(&mut self, entry: LeasedEntry) {
         let Some(job) = self.state.jobs.get_mut(&entry.job).map(Arc::make_mut) else {
             return;
         };
@@ -198,7 +199,7 @@
         queue.items.remove(entry.item.0);
         let model = queue.model.clone();
         self.scheduler.remove_pending(&model, 1);
-        self.unqueue_if_empty(&model, entry.job);
+        self.dequeue_if_empty(&model, entry.job);
     }
 
     pub(crate) fn release_items(
@@ -227,8 +228,8 @@
                 continue;
             }
             let session = self.sessions.running(gateway, epoch);
-            if session.is_some_and(|session| session.give_back(key.lease, entry)) {
-                self.count_returned(number);
+            if session.is_some_and(|session| session.return_item(key.lease, entry)) {
+                self.decrement_leased(number);
                 self.requeue(entry);
                 self.end_cancelled_job(number)?;
             }
@@ -236,21 +237,22 @@
         ready(Outcome::Done)
     }
 
-    /// Counts an item of a job that came back from its lease.
-    pub(crate) fn count_returned(&mut self, number: JobNumber) {
+    /// Decrements a job's number of leased items.
+    pub(crate) fn decrement_leased(&mut self, number: JobNumber) {
         if let Some(job) = self.state.jobs.get_mut(&number).map(Arc::make_mut) {
             job.leased = job.leased.saturating_sub(1);
         }
     }
 
-    /// Ends what an ended session held of one lease.
+    /// Ends a lease of an ended session: started at-most-once items get an unknown outcome,
+    /// other items become pending again.
     pub(crate) fn end_lease(&mut self, epoch: LeaseEpoch, lease: Lease) -> Result<(), Rejection> {
         for entry in lease.items {
-            self.count_returned(entry.job);
+            self.decrement_leased(entry.job);
             let job = self.state.jobs.get(&entry.job);
             let started = job.and_then(|job| job.started.get(&entry.item.0));
             if started == Some(&epoch) && !self.overrides.skip_lease_fencing {
-                self.lose_outcome(entry)?;
+                self.store_unknown_outcome(entry)?;
             } else {
                 self.requeue(entry);
             }
@@ -259,11 +261,12 @@
         Ok(())
     }
 
-    /// Ends an at-most-once item whose executor is gone.
-    pub(crate) fn lose_outcome(&mut self, entry: LeasedEntry) -> Result<(), Rejection> {
+    /// Ends an at-most-once item whose executor has failed with the result "unknown outcome".
+    pub(crate) fn store_unknown_outcome(&mut self, entry: LeasedEntry) -> Result<(), Rejection> {
         let job = self.state.jobs.get(&entry.job);
-        let wanted = job.is_some_and(|job| job.takes_results() && job.open.contains(entry.item.0));
-        if wanted {
+        let is_open =
+            job.is_some_and(|job| job.accepts_results() && job.open.contains(entry.item.0));
+        if is_open {
             let outcome = crate::results::failure(entry.item, ErrorKind::OutcomeUnknown);
             self.store_result(entry.job, &outcome)?;
             self.end_finished_job(entry.job)?;
@@ -271,7 +274,7 @@
         Ok(())
     }
 
-    /// Moves a session's end; it never comes closer.
+    /// Extends a session. Its end never moves to an earlier time.
     pub(crate) fn extend_session(
         &mut self,
         gateway: &GatewayId,
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -1,4 +1,4 @@
-//! The state machine itself: which command goes where.
+//! The state machine and the dispatch of commands.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -28,35 +28,37 @@
     timers::Timers,
 };
 
-/// Safety rules that a test may switch off to show that their absence is found.
+/// Switches that disable safety rules. Tests set them to show that checks find the missing
+/// rule.
 ///
-/// All are off in production; nothing outside tests sets them.
+/// All are false in production; only tests set them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct SafetyOverrides {
-    /// Accept any result of an at-most-once item, and run it again after its executor died.
+    /// Accept any result of an at-most-once item, and lease the item again after its executor
+    /// failed.
     pub skip_lease_fencing: bool,
-    /// Free the key of an at-most-once request whose gateway died.
+    /// Free the key of an at-most-once request whose gateway failed.
     pub skip_claim_fencing: bool,
 }
 
-/// The replicated maps and counters that have no component of their own.
+/// Replicated maps and counters that belong to no other component.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct State {
-    /// The last command applied.
+    /// Log index of the last applied command.
     pub(crate) applied: LogIndex,
-    /// The ledger's time; it never falls.
+    /// The ledger's time; never decreases.
     pub(crate) now: Timestamp,
-    /// Number of the next job.
+    /// The number of the next accepted job.
     pub(crate) next_job: u64,
-    /// The newest lease.
+    /// The epoch of the newest lease.
     pub(crate) last_lease: LeaseEpoch,
-    /// The newest session.
+    /// The epoch of the newest session.
     pub(crate) last_session: SessionEpoch,
-    /// Results that were dropped, since another was first or the job had stopped.
+    /// Number of dropped results: the item had a result already or its job had stopped.
     pub(crate) dropped_results: u64,
     /// Files by id.
     pub(crate) files: BTreeMap<FileId, Arc<InputFile>>,
-    /// Jobs in the order of their acceptance.
+    /// Jobs in order of acceptance.
     pub(crate) jobs: BTreeMap<JobNumber, Arc<Job>>,
     /// Idempotency keys of online requests.
     pub(crate) claims: Claims,
@@ -64,8 +66,8 @@
 
 /// The replicated state machine.
 ///
-/// Equal commands in equal order give equal states and outcomes on every
-/// member; [`Ledger::digest`] compares them.
+/// The same commands in the same order produce the same state and outcomes on every
+/// member. Compare [`Ledger::digest`] to check this.
 pub struct Ledger {
     pub(crate) payloads: Box<dyn Payloads + Send>,
     pub(crate) overrides: SafetyOverrides,
@@ -81,9 +83,9 @@
     pub(crate) job_keys: BTreeMap<(TenantId, IdempotencyKey), JobNumber>,
     pub(crate) tenant_jobs: BTreeSet<(TenantId, JobNumber)>,
     pub(crate) stopped: BTreeSet<(LogIndex, JobNumber)>,
-    pub(crate) unfinished_files_of: TenantCounts,
+    pub(crate) unfinished_files_by_tenant: TenantCounts,
     pub(crate) open_jobs: usize,
-    pub(crate) open_jobs_of: TenantCounts,
+    pub(crate) open_jobs_by_tenant: TenantCounts,
     pub(crate) chunks: ChunkCache,
 }
 
@@ -116,52 +118,54 @@
             job_keys: BTreeMap::new(),
             tenant_jobs: BTreeSet::new(),
             stopped: BTreeSet::new(),
-            unfinished_files_of: TenantCounts::default(),
+            unfinished_files_by_tenant: TenantCounts::default(),
             open_jobs: 0,
-            open_jobs_of: TenantCounts::default(),
+            open_jobs_by_tenant: TenantCounts::default(),
             chunks: ChunkCache::default(),
         }
     }
 
-    /// Switches safety rules off, for tests that must then find a broken promise.
+    /// Disables safety rules, for tests that must then detect a violation.
     pub fn set_safety_overrides(&mut self, overrides: SafetyOverrides) {
         self.overrides = overrides;
     }
 
-    /// The payload store, to sync it before a snapshot counts as durable.
+    /// The payload store. It must be synced before a snapshot counts as durable.
     pub fn payloads(&mut self) -> &mut (dyn Payloads + Send) {
         self.payloads.as_mut()
     }
 
-    /// The last command applied.
+    /// Log index of the last applied command.
     #[must_use]
     pub fn applied_index(&self) -> LogIndex {
         self.state.applied
     }
 
-    /// The ledger's time: the highest of all commands so far.
+    /// The ledger's time: the latest time of all applied commands.
     #[must_use]
     pub fn now(&self) -> Timestamp {
         self.state.now
     }
 
-    /// Carries one committed command out.
+    /// Applies a committed command.
     ///
-    /// Never panics. A command against the rules answers [`Outcome::Refused`] and
-    /// changes nothing but the applied index and the time. Indexes must rise;
-    /// gaps (entries without a command) are allowed.
+    /// Never panics. A command that violates the rules results in [`Outcome::Refused`] and
+    /// changes only the applied index and the time. Indexes must increase; gaps (entries
+    /// without a command) are allowed.
     ///
     /// # Errors
-    /// `Corrupted`, `NotFound`, `Io` or `StorageFull` when this member's payload
-    /// store failed in the middle of the command. Its state may then differ from
-    /// the others': the member must stop, tell nothing, and come back from its
-    /// last snapshot and the log. Every later command gives an error too.
+    /// `Corrupted`, `NotFound`, `Io` or `StorageFull` when this member's payload store failed
+    /// during the command. This member's state may then differ from the state of the others:
+    /// the member must stop without sending an answer, and recover from its last snapshot and
+    /// the log. Every later command returns an error as well.
     pub fn apply(&mut self, index: LogIndex, command: &Command) -> StorageResult<Answer> {
         if let Some(kind) = self.failure {
-            return Err(Report::new(kind).attach("the state machine has stopped before"));
+            return Err(
+                Report::new(kind).attach("the state machine has stopped after an earlier failure")
+            );
         }
         if index <= self.state.applied {
-            let message = format!("the command {index} was applied before");
+            let message = format!("command {index} was applied before");
             let refusal = Refusal::new(ErrorKind::Internal, message);
             return Ok(Answer::ready(Outcome::Refused(refusal)));
         }
--- a/crates/ledger/src/lib.rs
+++ b/crates/ledger/src/lib.rs
@@ -1,11 +1,10 @@
-//! The replicated state machine: configuration, files, jobs and items, leases,
-//! idempotency keys and fenced orders.
+//! The replicated state machine of the control members: configuration, files, jobs and
+//! items, leases, idempotency keys and fenced orders.
 //!
-//! [`Ledger::apply`] takes committed commands one after the other and reads
-//! neither a clock nor a socket nor a random source: time comes with each
-//! command. Payloads (input lines, results, kept answers) lie in a
-//! [`linnethitch_storage::Payloads`] store; memory holds what decides.
-//! `docs/design/0005-item-ledger.md` argues the structure.
+//! [`Ledger::apply`] applies committed commands in order. It reads no clock, socket or
+//! random source: each command carries its time. Payloads (input lines, results, stored
+//! answers) are in a [`linnethitch_storage::Payloads`] store; memory holds only the state
+//! that decisions depend on. `docs/design/0005-item-ledger.md` explains the structure.
 
 #![allow(missing_docs, reason = "rkyv's derive generates undocumented items")]
 
--- a/crates/ledger/src/line_index.rs
+++ b/crates/ledger/src/line_index.rs
@@ -1,8 +1,8 @@
 //! The line index of a batch input file.
 //!
-//! Lengths and `custom_id`s lie in the payload store, in chunks of
-//! [`INDEX_CHUNK_ITEMS`] lines. Memory holds one reference a chunk and, as
-//! compressed bitmaps, which lines name which model and which are at most once.
+//! Line lengths and `custom_id`s are in the payload store, in chunks of
+//! [`INDEX_CHUNK_ITEMS`] lines. Memory holds one reference per chunk and compressed
+//! bitmaps of the lines of each model and of the at-most-once lines.
 
 use std::sync::Arc;
 
@@ -31,7 +31,7 @@
     line_ends: Vec<u32>,
     /// End of each `custom_id` in `custom_ids`.
     id_ends: Vec<u32>,
-    /// All `custom_id`s, one after the other.
+    /// All `custom_id`s, concatenated.
     custom_ids: Vec<u8>,
 }
 
@@ -54,7 +54,7 @@
         lengths.max().unwrap_or(0)
     }
 
-    /// Offset and length of a line of this chunk in the file.
+    /// Byte offset in the file and length of a line of this chunk.
     pub(crate) fn line(&self, position: usize) -> Option<(u64, u32)> {
         let end = *self.line_ends.get(position)?;
         let start = preceding(&self.line_ends, position);
@@ -69,9 +69,9 @@
     }
 }
 
-/// The end before the one at `position`.
+/// The end of the entry before `position`.
 fn preceding(ends: &[u32], position: usize) -> u32 {
-    position.checked_sub(1).map_or(0, |before| ends[before])
+    position.checked_sub(1).map_or(0, |previous| ends[previous])
 }
 
 /// A full chunk in the payload store.
@@ -79,53 +79,53 @@
 pub(crate) struct StoredChunk {
     /// Hash of the encoded chunk.
     pub(crate) checksum: u64,
-    /// Bytes of its lines.
+    /// Total length of the chunk's lines, in bytes.
     pub(crate) bytes: u32,
-    /// Bytes of its longest line.
+    /// Length of the longest line, in bytes.
     pub(crate) longest: u32,
-    /// Where this member stores it.
+    /// Position in this member's payload store.
     pub(crate) payload: PayloadRef,
 }
 
-/// A model named by lines of the file.
+/// The lines of a file that name one model.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ModelLines {
     /// The model.
     pub(crate) model: ModelId,
-    /// The lines that name it.
+    /// The lines.
     pub(crate) items: RoaringBitmap,
 }
 
-/// An endpoint named by lines of the file.
+/// An endpoint named in a file.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct EndpointUse {
     /// The path.
     pub(crate) endpoint: String,
-    /// The first line that names it.
+    /// The first line that names the endpoint.
     pub(crate) first: u32,
 }
 
-/// The whole index.
+/// The line index of a file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct LineIndex {
-    /// Lines indexed so far.
+    /// Number of lines indexed so far.
     pub(crate) lines: u32,
-    /// Bytes of these lines.
+    /// Total length of these lines, in bytes.
     pub(crate) bytes: u64,
-    /// Full chunks.
+    /// Stored chunks.
     pub(crate) chunks: Vec<StoredChunk>,
-    /// The chunk being filled; after the end the last chunk is stored too.
+    /// The chunk being filled; empty once the file is finished.
     pub(crate) open: IndexChunk,
     /// Lines by model.
     pub(crate) models: Vec<ModelLines>,
-    /// Endpoints.
+    /// Endpoints in the order of first use.
     pub(crate) endpoints: Vec<EndpointUse>,
     /// Lines that must run at most once.
     pub(crate) at_most_once: RoaringBitmap,
 }
 
 impl LineIndex {
-    /// Checks lines that are to follow, without changing anything.
+    /// Checks the next lines without adding them.
     pub(crate) fn check(&self, heads: &[ItemHead]) -> Result<(), Rejection> {
         let mut models: Vec<&str> = self
             .models
@@ -140,14 +140,15 @@
         for (position, head) in heads.iter().enumerate() {
             let line = self.lines as usize + position + 1;
             if head.bytes == 0 || head.bytes > MAX_LINE_BYTES {
-                let message = format!("line {line}: {} bytes are not allowed", head.bytes);
+                let message = format!("line {line}: invalid length of {} bytes", head.bytes);
                 return refuse(ErrorKind::InvalidBatchLine, message);
             }
-            if note_name(&mut models, head.model.as_str())
-                || note_name(&mut endpoints, &head.endpoint)
+            if add_name(&mut models, head.model.as_str())
+                || add_name(&mut endpoints, &head.endpoint)
             {
-                let message =
-                    format!("line {line}: over {MAX_NAMES_PER_FILE} different models or paths");
+                let message = format!(
+                    "line {line}: more than {MAX_NAMES_PER_FILE} different models or paths"
+                );
                 return refuse(ErrorKind::InvalidBatchLine, message);
             }
         }
@@ -176,7 +177,7 @@
         self.open.push(head);
         let line = self.lines;
         self.model_lines(&head.model).insert(line);
-        self.note_endpoint(&head.endpoint);
+        self.add_endpoint(&head.endpoint);
         if head.at_most_once {
             self.at_most_once.insert(line);
         }
@@ -196,7 +197,7 @@
         &mut self.models[position].items
     }
 
-    fn note_endpoint(&mut self, endpoint: &str) {
+    fn add_endpoint(&mut self, endpoint: &str) {
         if !self
             .endpoints
             .iter()
@@ -224,7 +225,7 @@
         Ok(())
     }
 
-    /// Stores the rest; no line follows.
+    /// Stores the last chunk. No lines may be added afterwards.
     pub(crate) fn finish(&mut self, payloads: &mut dyn Payloads) -> StorageResult<()> {
         self.store_open(payloads)?;
         self.chunks.shrink_to_fit();
@@ -235,10 +236,10 @@
         Ok(())
     }
 
-    /// Releases up to `steps` chunks; returns how many.
+    /// Releases up to `steps` chunks from the end; returns their number.
     pub(crate) fn release(&mut self, payloads: &mut dyn Payloads, steps: usize) -> usize {
-        let kept = self.chunks.len().saturating_sub(steps);
-        let released = self.chunks.split_off(kept);
+        let remaining = self.chunks.len().saturating_sub(steps);
+        let released = self.chunks.split_off(remaining);
         for chunk in &released {
             payloads.release(&chunk.payload);
         }
@@ -246,22 +247,23 @@
     }
 }
 
-/// Notes a name; returns whether there are too many.
-fn note_name<'a>(names: &mut Vec<&'a str>, name: &'a str) -> bool {
+/// Adds a name unless it is known; returns whether there are more than
+/// [`MAX_NAMES_PER_FILE`].
+fn add_name<'a>(names: &mut Vec<&'a str>, name: &'a str) -> bool {
     if !names.contains(&name) {
         names.push(name);
     }
     names.len() > MAX_NAMES_PER_FILE
 }
 
-/// Chunks decoded lately by this member; not part of the replicated state.
+/// Recently decoded chunks of this member; not part of the replicated state.
 #[derive(Debug, Default)]
 pub(crate) struct ChunkCache {
     entries: std::collections::VecDeque<(PayloadRef, Arc<IndexChunk>)>,
 }
 
 impl ChunkCache {
-    /// The chunk that holds an item of a finished file.
+    /// The chunk with an item of a finished file.
     pub(crate) fn chunk(
         &mut self,
         payloads: &dyn Payloads,
@@ -270,7 +272,8 @@
     ) -> StorageResult<Arc<IndexChunk>> {
         let number = item.0 as usize / INDEX_CHUNK_ITEMS;
         let stored = index.chunks.get(number).ok_or_else(|| {
-            error_stack::Report::new(ErrorKind::Internal).attach(format!("no line {}", item.0))
+            error_stack::Report::new(ErrorKind::Internal)
+                .attach(format!("no index chunk for line {}", item.0))
         })?;
         let cached = self
             .entries
@@ -289,16 +292,18 @@
     }
 }
 
-/// Upper bounds for the bytes of lines, from what memory holds of each chunk.
+/// Upper bounds for the total length of lines, computed from the chunk sizes in memory.
 ///
-/// The length of a single line lies in the payload store, and what a command
-/// does must not depend on a read. Of `n` lines of a chunk it is known that
-/// they have at most `n` times the longest line's bytes, and at most the chunk's.
+/// The lengths of single lines are in the payload store, and the effect of a command must
+/// not depend on a read. `n` lines of a chunk have at most `n` times the length of the
+/// longest line, and at most the length of the chunk.
 pub(crate) struct LineBounds<'a> {
     index: &'a LineIndex,
     chunk: Option<usize>,
-    counted: u64,
-    taken: u64,
+    /// The bound so far for lines of the current chunk, in bytes.
+    bound_bytes: u64,
+    /// Number of lines of the current chunk so far.
+    lines: u64,
 }
 
 impl<'a> LineBounds<'a> {
@@ -307,31 +312,32 @@
         LineBounds {
             index,
             chunk: None,
-            counted: 0,
-            taken: 0,
+            bound_bytes: 0,
+            lines: 0,
         }
     }
 
-    /// By how many bytes one more line raises the bound; lines come in rising order.
+    /// Adds a line and returns the increase of the bound, in bytes. Lines must be added in
+    /// ascending order.
     pub(crate) fn next(&mut self, item: ItemNumber) -> u64 {
         let number = item.0 as usize / INDEX_CHUNK_ITEMS;
         if self.chunk != Some(number) {
             self.chunk = Some(number);
-            self.counted = 0;
-            self.taken = 0;
+            self.bound_bytes = 0;
+            self.lines = 0;
         }
         let Some(chunk) = self.index.chunks.get(number) else {
             return 0;
         };
-        self.taken += 1;
-        let bound = (self.taken * u64::from(chunk.longest)).min(u64::from(chunk.bytes));
-        let more = bound - self.counted;
-        self.counted = bound;
-        more
+        self.lines += 1;
+        let bound = (self.lines * u64::from(chunk.longest)).min(u64::from(chunk.bytes));
+        let increase = bound - self.bound_bytes;
+        self.bound_bytes = bound;
+        increase
     }
 }
 
-/// Position of an item in its chunk.
+/// The index of an item in its chunk.
 pub(crate) fn position_in_chunk(item: ItemNumber) -> usize {
     item.0 as usize % INDEX_CHUNK_ITEMS
 }
--- a/crates/ledger/src/orders.rs
+++ b/crates/ledger/src/orders.rs
@@ -1,4 +1,4 @@
-//! Fenced orders to engines.
+//! Orders to engines, fenced by tokens.
 
 use std::collections::BTreeMap;
 
@@ -14,18 +14,18 @@
     refusal::{Applied, ready, refuse},
 };
 
-/// An order that is not settled.
+/// An order that is not settled yet.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct OpenOrder {
-    /// Its token; higher than that of every order before it.
+    /// The order's fencing token; higher than the token of every earlier order.
     pub token: FencingToken,
-    /// What the engine shall do.
+    /// What the engine has to do.
     pub order: EngineOrder,
-    /// When it was issued.
+    /// When the order was issued.
     pub issued_at: Timestamp,
 }
 
-/// Tokens and open orders.
+/// The newest token and the open orders.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Orders {
     /// The newest token.
@@ -44,7 +44,7 @@
     ) -> Applied {
         if term < self.last_token.term {
             let message = format!(
-                "an order of term {term} after one of {}",
+                "stale order: term {term} is older than term {} of the newest order",
                 self.last_token.term
             );
             return refuse(ErrorKind::InvalidState, message);
--- a/crates/ledger/src/queries.rs
+++ b/crates/ledger/src/queries.rs
@@ -1,4 +1,4 @@
-//! Reads: what callers and operators are told.
+//! Queries of callers and operators.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -17,20 +17,20 @@
 
 const RESULT_PURPOSE: &str = "batch_output";
 
-/// What lies behind a file id.
-enum Found<'a> {
+/// The file that a file id refers to.
+enum FoundFile<'a> {
     Input(&'a crate::files::InputFile),
     Result(&'a Job, ResultFile),
 }
 
 impl Ledger {
-    /// Answers a read from the state as applied so far.
+    /// Answers a query from the current state.
     ///
-    /// Members, gateways and replicas of [`QueryAnswer::Status`] are left empty.
+    /// Members, gateways and replicas in [`QueryAnswer::Status`] remain empty.
     ///
     /// # Errors
-    /// `NotFound` for a file unknown to the tenant; `Corrupted` or `Io` when
-    /// this member's payload store fails, so that another member may be asked.
+    /// `NotFound` if the tenant has no such file; `Corrupted` or `Io` when this member's
+    /// payload store fails. The query can then be sent to another member.
     pub fn query(&self, query: &Query) -> Result<QueryAnswer, Refusal> {
         self.answer(query).map_err(|rejection| match rejection {
             Rejection::Refused(refusal) => refusal,
@@ -50,7 +50,7 @@
                 QueryAnswer::Change(self.configuration.accepted_change(change))
             }
             Query::Job(tenant, job) => {
-                QueryAnswer::Job(self.job_of(tenant, job).map(|(_, job)| job.record()))
+                QueryAnswer::Job(self.visible_job(tenant, job).map(|(_, job)| job.record()))
             }
             Query::Jobs {
                 tenant,
@@ -76,7 +76,7 @@
 
     fn job_page(&self, tenant: &TenantId, after: Option<&JobId>, limit: u32) -> QueryAnswer {
         let before = after
-            .and_then(|job| self.job_of(tenant, job))
+            .and_then(|job| self.visible_job(tenant, job))
             .map(|(number, _)| number);
         let first = (tenant.clone(), JobNumber(0));
         let last = (tenant.clone(), before.unwrap_or(JobNumber(u64::MAX)));
@@ -95,7 +95,7 @@
         QueryAnswer::Jobs { jobs, more }
     }
 
-    /// Looks at every file of the ledger: there are a few thousand of them.
+    /// Scans all files of the ledger, of which there are a few thousand.
     fn file_page(&self, tenant: &TenantId, after: Option<&FileId>, limit: u32) -> QueryAnswer {
         let mut records: Vec<FileRecord> = self
             .state
@@ -119,20 +119,21 @@
         QueryAnswer::Files { files, more }
     }
 
-    fn find_file(&self, tenant: &TenantId, file: &FileId) -> Option<Found<'_>> {
+    fn find_file(&self, tenant: &TenantId, file: &FileId) -> Option<FoundFile<'_>> {
         if let Some(input) = self.state.files.get(file) {
-            let visible = input.tenant == *tenant && matches!(input.phase, FilePhase::Finished(_));
-            return visible.then_some(Found::Input(input));
+            let is_visible =
+                input.tenant == *tenant && matches!(input.phase, FilePhase::Finished(_));
+            return is_visible.then_some(FoundFile::Input(input));
         }
         let (job, kind) = ResultFile::parse(file)?;
-        let (_, job) = self.job_of(tenant, &job)?;
-        Some(Found::Result(job, kind))
+        let (_, job) = self.visible_job(tenant, &job)?;
+        Some(FoundFile::Result(job, kind))
     }
 
     fn file_record(&self, tenant: &TenantId, file: &FileId) -> Option<FileRecord> {
         match self.find_file(tenant, file)? {
-            Found::Input(input) => input.finished_record(file),
-            Found::Result(job, kind) => Some(FileRecord {
+            FoundFile::Input(input) => input.finished_record(file),
+            FoundFile::Result(job, kind) => Some(FileRecord {
                 file: file.clone(),
                 tenant: tenant.clone(),
                 purpose: RESULT_PURPOSE.to_owned(),
@@ -144,7 +145,7 @@
         }
     }
 
-    /// The cursor of a file's content is its byte offset.
+    /// Reads a page of a file's content. The cursor is a byte offset.
     fn file_content(
         &self,
         tenant: &TenantId,
@@ -155,11 +156,11 @@
         let limit = limit.clamp(1, MAX_CONTENT_BYTES) as usize;
         let payloads = self.payloads.as_ref();
         let (data, length) = match self.find_file(tenant, file) {
-            Some(Found::Input(input)) => (
+            Some(FoundFile::Input(input)) => (
                 input.content.read(payloads, cursor, limit)?,
                 input.content.len(),
             ),
-            Some(Found::Result(job, kind)) => {
+            Some(FoundFile::Result(job, kind)) => {
                 let results = job.results(kind);
                 (results.read(payloads, cursor, limit)?, results.len())
             }
--- a/crates/ledger/src/refusal.rs
+++ b/crates/ledger/src/refusal.rs
@@ -1,4 +1,4 @@
-//! How a command fails inside the state machine.
+//! Reasons why the state machine rejects a command.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -6,12 +6,12 @@
 
 use crate::answer::Answer;
 
-/// Why a command was not carried out.
+/// Why a command was not applied.
 #[derive(Debug)]
 pub(crate) enum Rejection {
-    /// By the rules; every member refuses it alike.
+    /// The command violates the rules; every member refuses it in the same way.
     Refused(Refusal),
-    /// This member's payload store failed or its state is not sound; the member must stop.
+    /// This member's payload store failed or its state is inconsistent; the member must stop.
     Fatal(Report<ErrorKind>),
 }
 
@@ -27,15 +27,15 @@
     }
 }
 
-/// What applying one kind of command gives.
+/// Result of applying a command.
 pub(crate) type Applied = Result<Answer, Rejection>;
 
-/// Shorthand for a command that is done and whose outcome needs no payload.
+/// Shorthand for an applied command whose outcome needs no payload.
 pub(crate) fn ready(outcome: Outcome) -> Applied {
     Ok(Answer::ready(outcome))
 }
 
-/// Shorthand for a refusal of the given kind.
+/// Shorthand for a refusal.
 pub(crate) fn refuse<T>(kind: ErrorKind, message: impl Into<String>) -> Result<T, Rejection> {
     Err(Rejection::Refused(Refusal::new(kind, message)))
 }
--- a/crates/ledger/src/results.rs
+++ b/crates/ledger/src/results.rs
@@ -1,4 +1,4 @@
-//! Results as lines of a job's output and error files.
+//! Results, stored as lines of a job's output and error files.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -11,24 +11,24 @@
 
 use crate::stored_bytes::StoredBytes;
 
-/// A result file: written blocks, and the lines that wait for the next block.
+/// A result file: written blocks, and buffered lines of the next block.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct ResultStream {
     /// Written blocks.
     pub(crate) stored: StoredBytes,
     /// Lines not yet written to the payload store.
     pub(crate) tail: Vec<u8>,
-    /// Lines in all.
+    /// Total number of lines.
     pub(crate) lines: u32,
 }
 
 impl ResultStream {
-    /// Bytes in all.
+    /// Total length in bytes.
     pub(crate) fn len(&self) -> u64 {
         self.stored.len() + self.tail.len() as u64
     }
 
-    /// Adds a line; the waiting lines are written once they reach `block_bytes`.
+    /// Adds a line. The buffered lines are written once they reach `block_bytes`.
     pub(crate) fn push(
         &mut self,
         payloads: &mut dyn Payloads,
@@ -43,14 +43,14 @@
         Ok(())
     }
 
-    /// Writes the waiting lines.
+    /// Writes the buffered lines.
     pub(crate) fn flush(&mut self, payloads: &mut dyn Payloads) -> StorageResult<()> {
         self.stored.append(payloads, &self.tail)?;
         self.tail = Vec::new();
         Ok(())
     }
 
-    /// Reads up to `limit` bytes from `offset`; less only at the end.
+    /// Reads up to `limit` bytes from `offset`; fewer only at the end.
     pub(crate) fn read(
         &self,
         payloads: &dyn Payloads,
@@ -75,7 +75,7 @@
     !outcome.error_code.is_empty()
 }
 
-/// An item's result where there is no answer of a back end.
+/// A failed result of an item without an answer from a back end.
 pub(crate) fn failure(item: ItemNumber, kind: ErrorKind) -> ItemOutcome {
     ItemOutcome {
         item,
@@ -85,7 +85,7 @@
     }
 }
 
-/// The line of the output or error file, line feed included.
+/// The line of the output or error file, including the line feed.
 pub(crate) fn render(job: &JobId, custom_id: &str, outcome: &ItemOutcome) -> Vec<u8> {
     let id = format!("batch_req_{job}_{}", outcome.item);
     let request_id = format!("req_{job}_{}", outcome.item);
@@ -121,13 +121,13 @@
     line
 }
 
-/// Writes a body as JSON on one line; what is no JSON becomes a string.
+/// Writes a body as JSON on one line. A body that is not JSON is written as a JSON string.
 fn push_body(line: &mut Vec<u8>, body: &[u8]) {
     let is_json = serde_json::from_slice::<&RawValue>(body).is_ok();
     if !is_json {
         line.extend_from_slice(json!(String::from_utf8_lossy(body)).to_string().as_bytes());
     } else if body.contains(&b'\n') || body.contains(&b'\r') {
-        // Line breaks of valid JSON stand between its tokens only.
+        // In valid JSON, line breaks occur only between tokens.
         line.extend(body.iter().filter(|byte| !matches!(byte, b'\n' | b'\r')));
     } else {
         line.extend_from_slice(body);
--- a/crates/ledger/src/scheduler.rs
+++ b/crates/ledger/src/scheduler.rs
@@ -1,9 +1,8 @@
-//! Which pending item is leased next.
+//! Order in which pending items are leased.
 //!
-//! Per model: tenants take turns by virtual time (start-time fair queueing,
-//! weighted by their share), and each tenant's jobs go by their deadline. A
-//! tenant that comes back after a pause starts at the model's virtual time, so
-//! it can neither save up turns nor starve others.
+//! Per model, tenants are served by virtual time (start-time fair queueing with weights), and
+//! the jobs of a tenant by deadline. A tenant that returns after an idle time starts at the
+//! model's virtual time, so that it can neither accumulate credit nor starve others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -27,25 +26,26 @@
 struct ModelQueue {
     virtual_time: u64,
     tenants: BTreeMap<TenantId, TenantQueue>,
-    turns: BTreeSet<(u64, TenantId)>,
+    /// Tenants in the order of their virtual times.
+    by_virtual_time: BTreeSet<(u64, TenantId)>,
     pending: u64,
 }
 
 /// A tenant's virtual time, for snapshots.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct TenantTime {
-    /// Whose.
+    /// The tenant.
     pub(crate) tenant: TenantId,
-    /// Its time.
+    /// The tenant's virtual time.
     pub(crate) virtual_time: u64,
 }
 
 /// The virtual times of one model, for snapshots.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct ModelTimes {
-    /// Which model.
+    /// The model.
     pub(crate) model: ModelId,
-    /// The model's own time.
+    /// The model's virtual time.
     pub(crate) virtual_time: u64,
     /// Tenants with pending items.
     pub(crate) tenants: Vec<TenantTime>,
@@ -57,17 +57,17 @@
     models: BTreeMap<ModelId, ModelQueue>,
 }
 
-/// A job that has its turn.
+/// The job whose items are leased next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct Turn {
+pub(crate) struct NextJob {
     /// The tenant.
     pub(crate) tenant: TenantId,
-    /// Its job of the nearest deadline.
+    /// The tenant's job with the earliest deadline.
     pub(crate) job: JobNumber,
 }
 
 impl Scheduler {
-    /// Queues a job that has pending items of a model.
+    /// Queues a job with pending items of a model.
     pub(crate) fn add_job(
         &mut self,
         model: &ModelId,
@@ -83,7 +83,7 @@
         };
         if !queue.tenants.contains_key(tenant) {
             let virtual_time = queue.virtual_time;
-            queue.turns.insert((virtual_time, tenant.clone()));
+            queue.by_virtual_time.insert((virtual_time, tenant.clone()));
             queue.tenants.insert(
                 tenant.clone(),
                 TenantQueue {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Takes a job without pending items of the model out.
+    /// Removes a job without pending items of the model.
     pub(crate) fn remove_job(
         &mut self,
         model: &ModelId,
@@ -113,23 +113,25 @@
         };
         entry.jobs.remove(&(deadline, job));
         if entry.jobs.is_empty() {
-            queue.turns.remove(&(entry.virtual_time, tenant.clone()));
+            queue
+                .by_virtual_time
+                .remove(&(entry.virtual_time, tenant.clone()));
             queue.tenants.remove(tenant);
         }
     }
 
-    /// The job whose items of a model go next.
-    pub(crate) fn next(&self, model: &ModelId) -> Option<Turn> {
+    /// The job whose items of a model are leased next.
+    pub(crate) fn next(&self, model: &ModelId) -> Option<NextJob> {
         let queue = self.models.get(model)?;
-        let (_, tenant) = queue.turns.first()?;
+        let (_, tenant) = queue.by_virtual_time.first()?;
         let (_, job) = *queue.tenants.get(tenant)?.jobs.first()?;
-        Some(Turn {
+        Some(NextJob {
             tenant: tenant.clone(),
             job,
         })
     }
 
-    /// Charges a tenant for items that were leased.
+    /// Advances a tenant's virtual time by the cost of leased items.
     pub(crate) fn charge(&mut self, model: &ModelId, tenant: &TenantId, items: u64, weight: u32) {
         let Some(queue) = self.models.get_mut(model) else {
             return;
@@ -137,30 +139,34 @@
         let Some(entry) = queue.tenants.get_mut(tenant) else {
             return;
         };
-        queue.turns.remove(&(entry.virtual_time, tenant.clone()));
+        queue
+            .by_virtual_time
+            .remove(&(entry.virtual_time, tenant.clone()));
         queue.virtual_time = queue.virtual_time.max(entry.virtual_time);
         let cost = (ITEM_COST / u64::from(weight.max(1))).max(1);
         entry.virtual_time = entry
             .virtual_time
             .saturating_add(items.saturating_mul(cost));
-        queue.turns.insert((entry.virtual_time, tenant.clone()));
+        queue
+            .by_virtual_time
+            .insert((entry.virtual_time, tenant.clone()));
     }
 
-    /// Counts items that became pending.
+    /// Adds to the number of pending items.
     pub(crate) fn add_pending(&mut self, model: &ModelId, items: u64) {
         if let Some(queue) = self.models.get_mut(model) {
             queue.pending += items;
         }
     }
 
-    /// Counts items that are pending no more.
+    /// Subtracts from the number of pending items.
     pub(crate) fn remove_pending(&mut self, model: &ModelId, items: u64) {
         if let Some(queue) = self.models.get_mut(model) {
             queue.pending = queue.pending.saturating_sub(items);
         }
     }
 
-    /// Pending items by model, models without any left out.
+    /// Number of pending items by model, for models with pending items.
     pub(crate) fn pending(&self) -> impl Iterator<Item = (&ModelId, u64)> {
         let counts = self
             .models
@@ -169,7 +175,7 @@
         counts.filter(|(_, count)| *count > 0)
     }
 
-    /// What must be kept beside the jobs to restore the queues.
+    /// The virtual times: together with the jobs, they restore the queues.
     pub(crate) fn times(&self) -> Vec<ModelTimes> {
         let models = self.models.iter().map(|(model, queue)| ModelTimes {
             model: model.clone(),
@@ -186,7 +192,7 @@
         models.collect()
     }
 
-    /// Queues without jobs, with the given times; jobs are added next.
+    /// Queues with the given virtual times and without jobs, which are added afterwards.
     pub(crate) fn with_times(times: Vec<ModelTimes>) -> Self {
         let models = times.into_iter().map(|entry| {
             let tenants = entry.tenants.into_iter().map(|time| {
@@ -201,8 +207,8 @@
                 tenants: tenants.collect(),
                 ..ModelQueue::default()
             };
-            let turns = queue.tenants.iter();
-            queue.turns = turns
+            let tenants = queue.tenants.iter();
+            queue.by_virtual_time = tenants
                 .map(|(tenant, entry)| (entry.virtual_time, tenant.clone()))
                 .collect();
             (entry.model, queue)
--- a/crates/ledger/src/sessions.rs
+++ b/crates/ledger/src/sessions.rs
@@ -1,4 +1,4 @@
-//! Gateway sessions and the leases that they hold.
+//! Sessions of gateways with their leases and claims.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,42 +10,42 @@
 /// An item under lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub(crate) struct LeasedEntry {
-    /// Its job.
+    /// The item's job.
     pub(crate) job: JobNumber,
-    /// Which item.
+    /// The item's number in the job.
     pub(crate) item: ItemNumber,
 }
 
 /// Items leased by one command.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct Lease {
-    /// The gateway's number of the command.
+    /// The gateway's sequence number of the command.
     pub(crate) sequence: u64,
-    /// What is still out, sorted.
+    /// Items still under lease, sorted.
     pub(crate) items: Vec<LeasedEntry>,
 }
 
-/// One life of a gateway process.
+/// A session: one incarnation of a gateway process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Session {
-    /// Its number.
+    /// The session's epoch.
     pub(crate) epoch: SessionEpoch,
-    /// The nonce that it was opened with.
+    /// The nonce with which the gateway opened the session.
     pub(crate) nonce: u64,
-    /// It ends then unless renewed.
+    /// When the session ends unless it is renewed.
     pub(crate) until: Timestamp,
-    /// The highest lease sequence seen.
+    /// The highest sequence number of a lease command so far.
     pub(crate) highest_sequence: u64,
-    /// Leases that still hold items.
+    /// Leases with items.
     pub(crate) leases: BTreeMap<LeaseEpoch, Lease>,
-    /// Claims that are running.
+    /// Running claims.
     pub(crate) claims: BTreeSet<ClaimKey>,
-    /// Items under lease.
+    /// Number of items under lease.
     pub(crate) leased: u32,
 }
 
 impl Session {
-    /// A session that holds nothing.
+    /// A session without leases and claims.
     pub(crate) fn new(epoch: SessionEpoch, nonce: u64, until: Timestamp) -> Self {
         Session {
             epoch,
@@ -58,21 +58,21 @@
         }
     }
 
-    /// The lease with a sequence, if it still holds items.
+    /// The lease with a sequence number, if the lease still has items.
     pub(crate) fn lease_of_sequence(&self, sequence: u64) -> Option<LeaseEpoch> {
         let mut leases = self.leases.iter();
         let found = leases.find(|(_, lease)| lease.sequence == sequence);
         found.map(|(epoch, _)| *epoch)
     }
 
-    /// Whether a lease holds an item.
+    /// Whether the item is under this lease.
     pub(crate) fn holds(&self, epoch: LeaseEpoch, entry: LeasedEntry) -> bool {
         let lease = self.leases.get(&epoch);
         lease.is_some_and(|lease| lease.items.binary_search(&entry).is_ok())
     }
 
-    /// Takes an item out of its lease; returns whether the lease held it.
-    pub(crate) fn give_back(&mut self, epoch: LeaseEpoch, entry: LeasedEntry) -> bool {
+    /// Removes an item from its lease; returns whether the item was under this lease.
+    pub(crate) fn return_item(&mut self, epoch: LeaseEpoch, entry: LeasedEntry) -> bool {
         let Some(lease) = self.leases.get_mut(&epoch) else {
             return false;
         };
@@ -88,15 +88,15 @@
     }
 }
 
-/// All sessions, one a gateway.
+/// All sessions, at most one per gateway.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Sessions {
-    /// By gateway.
+    /// Sessions by gateway.
     pub(crate) by_gateway: BTreeMap<GatewayId, Session>,
 }
 
 impl Sessions {
-    /// The running session of a gateway, if it is the given one.
+    /// The gateway's session, if it is running and has this epoch.
     pub(crate) fn running(
         &mut self,
         gateway: &GatewayId,
@@ -106,7 +106,7 @@
         (session.epoch == epoch).then_some(session)
     }
 
-    /// When the last lease of a job's items ends unless it is renewed.
+    /// When the last lease of a job's items ends, unless it is renewed.
     pub(crate) fn last_lease_end(&self, job: JobNumber) -> Timestamp {
         let holding = self.by_gateway.values().filter(|session| {
             let mut items = session.leases.values().flat_map(|lease| &lease.items);
@@ -118,7 +118,7 @@
             .unwrap_or_default()
     }
 
-    /// Items under lease.
+    /// Number of items under lease.
     pub(crate) fn leased_items(&self) -> u64 {
         let sessions = self.by_gateway.values();
         sessions.map(|session| u64::from(session.leased)).sum()
--- a/crates/ledger/src/snapshot/mod.rs
+++ b/crates/ledger/src/snapshot/mod.rs
@@ -1,11 +1,10 @@
-//! Snapshots: the whole state as a stream of chunks, and back.
+//! Snapshots: writing the complete state as a stream of chunks, and restoring it.
 //!
-//! The stream is a sequence of sections, each with kind, length and checksum:
-//! the state as encoded records, and then, if asked for, the live payloads in
-//! the order in which the records name them. A snapshot for this member's own
-//! disk leaves the payloads out: they lie in the payload store already, so its
-//! cost does not grow with them. A snapshot for another member brings them
-//! along, and the receiver stores them anew.
+//! The stream is a sequence of sections, each with kind, length and checksum: the state as
+//! encoded records, then optionally the live payloads in the order in which the records
+//! refer to them. A snapshot for this member's own disk has no payloads: they are already
+//! in the payload store, so the cost of the snapshot does not grow with them. A snapshot
+//! for another member includes them, and the receiver stores them in its own payload store.
 
 mod records;
 mod restore;
@@ -14,15 +13,15 @@
 pub use restore::{OpenPayloads, Restorer};
 pub use writer::{SnapshotScope, SnapshotWriter};
 
-/// Version of the stream that this build writes and reads.
+/// Version of the stream format that this build writes and reads.
 pub(crate) const SNAPSHOT_VERSION: u32 = 1;
-/// First bytes of a snapshot.
+/// Magic number of a snapshot.
 pub(crate) const SNAPSHOT_MAGIC: u64 = u64::from_le_bytes(*b"lnhledgr");
-/// Bytes before a section: kind, length, checksum.
+/// Size of a section header in bytes: kind, length, checksum.
 pub(crate) const SECTION_HEADER_BYTES: usize = 9;
-/// Longest section that is accepted, in bytes.
+/// Maximum length of a section, in bytes.
 pub(crate) const MAX_SECTION_BYTES: usize = 256 * 1024 * 1024;
-/// A section that holds a record of the state.
+/// Kind of a section with a record of the state.
 pub(crate) const RECORD_SECTION: u8 = 1;
-/// A section that holds a payload.
+/// Kind of a section with a payload.
 pub(crate) const PAYLOAD_SECTION: u8 = 2;
--- a/crates/ledger/src/snapshot/records.rs
+++ b/crates/ledger/src/snapshot/records.rs
@@ -1,4 +1,4 @@
-//! The state as records that can be encoded.
+//! The state as encodable records.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -43,7 +43,7 @@
     End { payloads: u64 },
 }
 
-/// First record.
+/// The first record of a snapshot.
 #[derive(Clone, Debug, Archive, Serialize, Deserialize)]
 pub(crate) struct Header {
     pub(crate) magic: u64,
@@ -55,19 +55,19 @@
     pub(crate) last_lease: LeaseEpoch,
     pub(crate) last_session: SessionEpoch,
     pub(crate) dropped_results: u64,
-    /// Up to where this member's payload store belongs to the state; only
-    /// meaningful without payloads.
+    /// The checkpoint of this member's payload store that belongs to the state. Only used
+    /// without payloads.
     pub(crate) mark: PayloadMark,
 }
 
-/// A set of item numbers, in the portable format of roaring bitmaps.
+/// A set of item numbers, in the portable format of Roaring bitmaps.
 #[derive(Clone, Debug, Archive, Serialize, Deserialize)]
 pub(crate) struct Items(Vec<u8>);
 
 impl Items {
     fn new(bitmap: &RoaringBitmap) -> Self {
-        // From one starting form, so that equal sets give equal bytes whatever
-        // has happened to them: runs and arrays of one size are both stable.
+        // Starts from a form without runs, so that equal sets give equal bytes whatever their
+        // history: `optimize` keeps a container whose run and array forms have the same size.
         let mut compact = bitmap.clone();
         compact.remove_run_compression();
         compact.optimize();
@@ -263,7 +263,7 @@
     }
 }
 
-/// A session.
+/// A session of a gateway.
 #[derive(Clone, Debug, Archive, Serialize, Deserialize)]
 pub(crate) struct SessionState {
     epoch: SessionEpoch,
@@ -301,7 +301,7 @@
     }
 }
 
-/// References to payloads, in the order of the records.
+/// Payload references in the order of the records.
 pub(crate) fn file_payloads(file: &mut InputFile) -> impl Iterator<Item = &mut PayloadRef> {
     let pieces = file
         .content
@@ -311,14 +311,14 @@
     pieces.chain(file.index.chunks.iter_mut().map(|chunk| &mut chunk.payload))
 }
 
-/// References to payloads, in the order of the records.
+/// Payload references in the order of the records.
 pub(crate) fn job_payloads(job: &mut Job) -> impl Iterator<Item = &mut PayloadRef> {
     let output = job.output.stored.pieces.iter_mut();
     let pieces = output.chain(job.errors.stored.pieces.iter_mut());
     pieces.map(|piece| &mut piece.payload)
 }
 
-/// The reference of a claim's answer, if it has one.
+/// The payload reference of a claim's answer, if there is one.
 pub(crate) fn claim_payload(claim: &mut Claim) -> Option<&mut PayloadRef> {
     match &mut claim.state {
         ClaimState::Answered(piece) => Some(&mut piece.payload),
@@ -326,13 +326,13 @@
     }
 }
 
-/// Takes a reference's place out of it, since it differs between members.
+/// Clears the position of a payload reference, which differs between members.
 pub(crate) fn mask(payload: &mut PayloadRef) {
     payload.segment = 0;
     payload.offset = 0;
 }
 
-/// A shared record taken out of its share, copied if it is still shared.
+/// The value of an `Arc`, cloned if it is still shared.
 pub(crate) fn owned<T: Clone>(shared: Arc<T>) -> T {
     Arc::unwrap_or_clone(shared)
 }
--- a/crates/ledger/src/snapshot/restore.rs
+++ b/crates/ledger/src/snapshot/restore.rs
@@ -1,4 +1,4 @@
-//! Building a ledger from a snapshot.
+//! Restoring a ledger from a snapshot.
 
 use std::{collections::VecDeque, io::Read, sync::Arc};
 
@@ -20,10 +20,10 @@
     scheduler::{ModelTimes, Scheduler},
 };
 
-/// Bytes read at once from a reader.
+/// Size of the read buffer, in bytes.
 const READ_BYTES: usize = 256 * 1024;
 
-/// Where the stream is.
+/// Stage of reading the stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
     Start,
@@ -32,15 +32,16 @@
     Ended,
 }
 
-/// Opens the payload store of the ledger to be, as of a checkpoint: that of the
-/// snapshot if it is this member's own, the default if it brings its payloads.
+/// Opens the payload store of the restored ledger as of a checkpoint: the checkpoint in the
+/// snapshot if the snapshot is this member's own, the default if the snapshot includes its
+/// payloads.
 pub type OpenPayloads =
     Box<dyn FnOnce(PayloadMark) -> Result<Box<dyn Payloads + Send>, Report<ErrorKind>> + Send>;
 
-/// A ledger in the making. Bytes may arrive in pieces of any size.
+/// Restores a ledger from a stream. Bytes may arrive in pieces of any size.
 ///
-/// Nothing of a half-read snapshot is ever visible: the ledger comes out of
-/// [`Restorer::finish`] once the stream has ended as it should.
+/// A partially read snapshot is never visible: [`Restorer::finish`] returns the ledger only
+/// after a complete stream.
 pub struct Restorer {
     open: Option<OpenPayloads>,
     ledger: Ledger,
@@ -48,7 +49,7 @@
     changes: Changes,
     times: Vec<ModelTimes>,
     with_payloads: bool,
-    stored: Vec<PayloadRef>,
+    stored_payloads: Vec<PayloadRef>,
     buffer: VecDeque<u8>,
     stage: Stage,
 }
@@ -62,12 +63,12 @@
     }
 }
 
-fn damaged(message: impl Into<String>) -> Report<ErrorKind> {
+fn corrupted(message: impl Into<String>) -> Report<ErrorKind> {
     Report::new(ErrorKind::Corrupted).attach(message.into())
 }
 
 impl Restorer {
-    /// Begins; the payload store is opened once the snapshot has told how.
+    /// Starts a restore. The payload store is opened once the snapshot's header was read.
     #[must_use]
     pub fn new(open: OpenPayloads) -> Self {
         Restorer {
@@ -77,47 +78,47 @@
             changes: Changes::default(),
             times: Vec::new(),
             with_payloads: false,
-            stored: Vec::new(),
+            stored_payloads: Vec::new(),
             buffer: VecDeque::new(),
             stage: Stage::Start,
         }
     }
 
-    /// Takes the next bytes of the stream.
+    /// Processes the next bytes of the stream.
     ///
     /// # Errors
-    /// Those of opening the payload store, and
-    /// `Corrupted` for a damaged or foreign stream, `DataFolderRefused` for
-    /// one of another format version, `StorageFull` or `Io` of the payload store.
+    /// Errors of opening the payload store, `Corrupted` if the stream is damaged or is not a
+    /// snapshot of a ledger, `DataFolderRefused` for another format version, `StorageFull` or
+    /// `Io` of the payload store.
     pub fn push(&mut self, data: &[u8]) -> Result<(), Report<ErrorKind>> {
         self.buffer.extend(data);
         while let Some((kind, section)) = self.next_section()? {
             match kind {
                 RECORD_SECTION => {
-                    self.take_record(frame::decode(&section).map_err(|report| {
-                        damaged(format!("a record of the snapshot: {report:?}"))
+                    self.apply_record(frame::decode(&section).map_err(|report| {
+                        corrupted(format!("invalid record in the snapshot: {report:?}"))
                     })?)?
                 }
-                PAYLOAD_SECTION => self.take_payload(&section)?,
-                other => return Err(damaged(format!("a section of kind {other}"))),
+                PAYLOAD_SECTION => self.apply_payload(&section)?,
+                other => return Err(corrupted(format!("unknown section kind {other}"))),
             }
         }
         Ok(())
     }
 
-    /// The next whole section, if it has arrived.
+    /// The next section, if it has arrived completely.
     fn next_section(&mut self) -> Result<Option<(u8, Vec<u8>)>, Report<ErrorKind>> {
         if self.buffer.len() < SECTION_HEADER_BYTES {
             return Ok(None);
         }
         let mut header = [0; SECTION_HEADER_BYTES];
-        for (place, byte) in header.iter_mut().zip(&self.buffer) {
-            *place = *byte;
+        for (target, byte) in header.iter_mut().zip(&self.buffer) {
+            *target = *byte;
         }
         let [kind, a, b, c, d, e, f, g, h] = header;
         let length = u32::from_le_bytes([a, b, c, d]) as usize;
         if length > MAX_SECTION_BYTES {
-            return Err(damaged(format!("a section of {length} bytes")));
+            return Err(corrupted(format!("section of {length} bytes is too long")));
         }
         if self.buffer.len() < SECTION_HEADER_BYTES + length {
             return Ok(None);
@@ -125,31 +126,31 @@
         self.buffer.drain(..SECTION_HEADER_BYTES);
         let section: Vec<u8> = self.buffer.drain(..length).collect();
         if checksum(kind, &section) != u32::from_le_bytes([e, f, g, h]) {
-            return Err(damaged("the checksum of a section differs"));
+            return Err(corrupted("section checksum mismatch"));
         }
         Ok(Some((kind, section)))
     }
 
-    fn take_record(&mut self, record: Record) -> Result<(), Report<ErrorKind>> {
+    fn apply_record(&mut self, record: Record) -> Result<(), Report<ErrorKind>> {
         match (self.stage, record) {
-            (Stage::Start, Record::Header(header)) => self.take_header(&header),
+            (Stage::Start, Record::Header(header)) => self.apply_header(&header),
             (Stage::State, Record::EndOfState) => {
                 self.stage = Stage::Payloads;
                 Ok(())
             }
-            (Stage::State, record) => self.take_state(record),
-            (Stage::Payloads, Record::End { payloads }) => self.take_end(payloads),
-            (stage, _) => Err(damaged(format!("a record out of place in stage {stage:?}"))),
+            (Stage::State, record) => self.apply_state(record),
+            (Stage::Payloads, Record::End { payloads }) => self.apply_end(payloads),
+            (stage, _) => Err(corrupted(format!("unexpected record in stage {stage:?}"))),
         }
     }
 
-    fn take_header(&mut self, header: &Header) -> Result<(), Report<ErrorKind>> {
+    fn apply_header(&mut self, header: &Header) -> Result<(), Report<ErrorKind>> {
         if header.magic != SNAPSHOT_MAGIC {
-            return Err(damaged("not a snapshot of a ledger"));
+            return Err(corrupted("not a snapshot of a ledger"));
         }
         if header.version != SNAPSHOT_VERSION {
             let message = format!(
-                "snapshot version {}, not {SNAPSHOT_VERSION}",
+                "unsupported snapshot version {}, expected {SNAPSHOT_VERSION}",
                 header.version
             );
             return Err(Report::new(ErrorKind::DataFolderRefused).attach(message));
@@ -171,7 +172,7 @@
         Ok(())
     }
 
-    fn take_state(&mut self, record: Record) -> Result<(), Report<ErrorKind>> {
+    fn apply_state(&mut self, record: Record) -> Result<(), Report<ErrorKind>> {
         let ledger = &mut self.ledger;
         match record {
             Record::Configuration { revision, content } => {
@@ -207,26 +208,29 @@
             }
             Record::Times(times) => self.times.push(times),
             Record::Header(_) | Record::EndOfState | Record::End { .. } => {
-                return Err(damaged("a record out of place"));
+                return Err(corrupted("unexpected record in the state"));
             }
         }
         Ok(())
     }
 
-    fn take_payload(&mut self, data: &[u8]) -> Result<(), Report<ErrorKind>> {
+    fn apply_payload(&mut self, data: &[u8]) -> Result<(), Report<ErrorKind>> {
         if self.stage != Stage::Payloads || !self.with_payloads {
-            return Err(damaged("a payload out of place"));
+            return Err(corrupted("unexpected payload section"));
         }
-        self.stored.push(self.ledger.payloads.append(data)?);
+        self.stored_payloads
+            .push(self.ledger.payloads.append(data)?);
         Ok(())
     }
 
-    fn take_end(&mut self, payloads: u64) -> Result<(), Report<ErrorKind>> {
-        if payloads != self.stored.len() as u64 {
-            return Err(damaged("payloads of the snapshot are missing"));
+    fn apply_end(&mut self, payloads: u64) -> Result<(), Report<ErrorKind>> {
+        if payloads != self.stored_payloads.len() as u64 {
+            return Err(corrupted(
+                "the number of payloads differs from the end record",
+            ));
         }
         if self.with_payloads {
-            self.place_payloads()?;
+            self.replace_references()?;
         } else {
             self.adopt_payloads()?;
         }
@@ -234,8 +238,8 @@
         Ok(())
     }
 
-    /// Puts this member's references in the place of the sender's.
-    fn place_payloads(&mut self) -> Result<(), Report<ErrorKind>> {
+    /// Replaces the sender's payload references by those of this member.
+    fn replace_references(&mut self) -> Result<(), Report<ErrorKind>> {
         let state = &mut self.ledger.state;
         let files = state
             .files
@@ -251,23 +255,25 @@
             .claims
             .iter_mut()
             .filter_map(|(_, claim)| claim_payload(claim));
-        let mut stored = self.stored.iter();
-        for place in files.chain(jobs).chain(claims) {
+        let mut stored = self.stored_payloads.iter();
+        for reference in files.chain(jobs).chain(claims) {
             let payload = stored
                 .next()
-                .ok_or_else(|| damaged("a payload is missing"))?;
-            if payload.length != place.length {
-                return Err(damaged("a payload of another length"));
+                .ok_or_else(|| corrupted("fewer payloads than references"))?;
+            if payload.length != reference.length {
+                return Err(corrupted(
+                    "the length of a payload differs from its reference",
+                ));
             }
-            *place = *payload;
+            *reference = *payload;
         }
         if stored.next().is_some() {
-            return Err(damaged("a payload that nothing names"));
+            return Err(corrupted("more payloads than references"));
         }
         Ok(())
     }
 
-    /// Names every payload of the state to the store that holds it already.
+    /// Registers every payload of the state with the payload store, which already contains it.
     fn adopt_payloads(&mut self) -> Result<(), Report<ErrorKind>> {
         for payload in references(&self.ledger.state) {
             self.ledger.payloads.adopt(&payload)?;
@@ -275,13 +281,15 @@
         Ok(())
     }
 
-    /// The ledger, once the whole stream has arrived.
+    /// Returns the ledger after the complete stream.
     ///
     /// # Errors
-    /// `Corrupted` when the stream is cut short or more follows its end.
+    /// `Corrupted` when the stream is truncated or has bytes after its end.
     pub fn finish(mut self) -> Result<Ledger, Report<ErrorKind>> {
         if self.stage != Stage::Ended || !self.buffer.is_empty() {
-            return Err(damaged("the snapshot is cut short"));
+            return Err(corrupted(
+                "the snapshot is truncated or has bytes after its end",
+            ));
         }
         self.configuration.changes = Arc::new(self.changes);
         self.ledger.configuration = Configuration::from_state(self.configuration);
@@ -292,10 +300,10 @@
 }
 
 impl Ledger {
-    /// Restores a ledger from a whole snapshot.
+    /// Restores a ledger from a complete snapshot.
     ///
     /// # Errors
-    /// Those of [`Restorer::push`] and [`Restorer::finish`], and `Io` of the reader.
+    /// Errors of [`Restorer::push`] and [`Restorer::finish`], and `Io` of the reader.
     pub fn restore(open: OpenPayloads, reader: &mut dyn Read) -> Result<Ledger, Report<ErrorKind>> {
         let mut restorer = Restorer::new(open);
         let mut buffer = vec![0; READ_BYTES];
--- a/crates/ledger/src/snapshot/writer.rs
+++ b/crates/ledger/src/snapshot/writer.rs
@@ -1,4 +1,4 @@
-//! Writing a snapshot while commands go on being applied.
+//! Writing a snapshot while further commands are applied.
 
 use std::{iter, sync::Arc};
 
@@ -23,20 +23,20 @@
     sessions::Sessions,
 };
 
-/// Small sections are put together into chunks of about this many bytes.
+/// Approximate size of the chunks into which small sections are combined, in bytes.
 const CHUNK_BYTES: usize = 256 * 1024;
 
-/// For whom a snapshot is.
+/// Purpose of a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SnapshotScope {
-    /// For this member's own disk: without payloads, which lie there already.
+    /// For this member's own disk: without payloads, which are already in the payload store.
     Local,
     /// For another member: with all live payloads.
     Transfer,
 }
 
-/// The state at one index; taking it copies references only.
-struct Frozen {
+/// The state at one log index. Capturing it copies references only.
+struct FrozenState {
     state: State,
     configuration: ConfigurationState,
     sessions: Sessions,
@@ -47,7 +47,7 @@
 type Records = Box<dyn Iterator<Item = Record> + Send>;
 type References = Box<dyn Iterator<Item = PayloadRef> + Send>;
 
-/// A snapshot in the making. It shows the state at the time it was begun.
+/// Writes a snapshot of the state at the time when the writer was created.
 pub struct SnapshotWriter {
     records: Records,
     references: References,
@@ -64,7 +64,7 @@
     }
 }
 
-impl Frozen {
+impl FrozenState {
     fn header(&self, scope: SnapshotScope, mark: PayloadMark) -> Header {
         Header {
             magic: SNAPSHOT_MAGIC,
@@ -80,7 +80,7 @@
         }
     }
 
-    /// All records; references are masked for a digest.
+    /// All records. For a digest, payload references are masked.
     fn records(self, scope: SnapshotScope, mark: PayloadMark, masked: bool) -> Records {
         let header = Record::Header(self.header(scope, mark));
         let configuration = Record::Configuration {
@@ -142,7 +142,7 @@
     }
 }
 
-/// References to all payloads, in the order of the records.
+/// All payload references in the order of the records.
 pub(super) fn references(state: &State) -> References {
     let files = state.files.clone().into_values().flat_map(|file| {
         let mut file = owned(file);
@@ -169,8 +169,8 @@
 }
 
 impl Ledger {
-    fn freeze(&self) -> Frozen {
-        Frozen {
+    fn freeze(&self) -> FrozenState {
+        FrozenState {
             state: self.state.clone(),
             configuration: self.configuration.state.clone(),
             sessions: self.sessions.clone(),
@@ -179,9 +179,9 @@
         }
     }
 
-    /// Begins a snapshot of the state as applied so far.
+    /// Starts a snapshot of the current state.
     ///
-    /// One for this member's own disk first syncs the payload store and makes a
+    /// For [`SnapshotScope::Local`], this first syncs the payload store and creates a
     /// checkpoint in it.
     ///
     /// # Errors
@@ -205,8 +205,8 @@
 
     /// The next chunk of a snapshot; `None` after the last.
     ///
-    /// Payloads are read from this ledger's store, which keeps released ones
-    /// until a newer checkpoint is durable: none may be published meanwhile.
+    /// Payloads are read from this ledger's store, which retains released payloads until a
+    /// newer checkpoint is durable. No newer checkpoint may be settled before the last chunk.
     ///
     /// # Errors
     /// `Corrupted`, `NotFound` or `Io` when a payload cannot be read.
@@ -235,12 +235,13 @@
         Ok((!chunk.is_empty()).then_some(chunk))
     }
 
-    /// Rewrites one payload segment that is mostly dead; returns whether there was one.
+    /// Rewrites one payload segment in which most payloads are released; returns whether there
+    /// was one.
     ///
-    /// Looks at all references of the state, so it is not for every command.
+    /// Scans all payload references of the state, so it is too expensive for every command.
     ///
     /// # Errors
-    /// `Corrupted`, `StorageFull` (nothing has changed then) or `Io` of the payload store.
+    /// `Corrupted`, `StorageFull` (nothing is changed then) or `Io` of the payload store.
     pub fn compact_payloads(&mut self) -> Result<bool, Report<ErrorKind>> {
         let Some(segment) = self.payloads.compaction_candidate() else {
             return Ok(false);
@@ -252,7 +253,7 @@
         Ok(true)
     }
 
-    /// A digest of the replicated state, equal on members that applied the same commands.
+    /// A digest of the replicated state; equal on members that applied the same commands.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let mut hasher = Xxh3::new();
@@ -269,17 +270,17 @@
 impl SnapshotWriter {
     /// The checkpoint of the payload store that the snapshot belongs to.
     ///
-    /// Once no older snapshot is kept, [`Ledger::payloads`] may be told that
-    /// this checkpoint is settled.
+    /// Once no older snapshot is stored, this checkpoint may be settled in
+    /// [`Ledger::payloads`].
     #[must_use]
     pub fn mark(&self) -> PayloadMark {
         self.mark
     }
 
-    /// The next chunk of the state proper, without the ledger: may run on another thread.
+    /// The next chunk of the state records. Needs no ledger, so it can run on another thread.
     ///
-    /// `None` once the records are through; payloads and the end follow from
-    /// [`Ledger::next_snapshot_chunk`].
+    /// `None` after the last record; [`Ledger::next_snapshot_chunk`] then returns the payloads
+    /// and the end.
     ///
     /// # Errors
     /// `Internal` when a record cannot be encoded.
--- a/crates/ledger/src/stored_bytes.rs
+++ b/crates/ledger/src/stored_bytes.rs
@@ -1,17 +1,17 @@
-//! Long byte streams: pieces in the payload store, their ends in memory.
+//! Long byte streams: the pieces are in the payload store, their end offsets in memory.
 
 use linnethitch_storage::{PayloadRef, Payloads, StorageResult};
 use rkyv::{Archive, Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// One piece of a stream.
+/// A piece of a stream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct Piece {
     /// Byte offset in the stream after this piece.
     pub(crate) end: u64,
-    /// Hash of the piece, to compare replicas without reading it.
+    /// Hash of the piece, to compare members without reading the piece.
     pub(crate) checksum: u64,
-    /// Where this member stores it.
+    /// Position in this member's payload store.
     pub(crate) payload: PayloadRef,
 }
 
@@ -23,12 +23,12 @@
 }
 
 impl StoredBytes {
-    /// Bytes in all.
+    /// Total length in bytes.
     pub(crate) fn len(&self) -> u64 {
         self.pieces.last().map_or(0, |piece| piece.end)
     }
 
-    /// Stores a piece at the end.
+    /// Appends a piece.
     pub(crate) fn append(&mut self, payloads: &mut dyn Payloads, data: &[u8]) -> StorageResult<()> {
         if data.is_empty() {
             return Ok(());
@@ -42,7 +42,7 @@
         Ok(())
     }
 
-    /// Reads up to `limit` bytes from `offset`; less only at the stream's end.
+    /// Reads up to `limit` bytes from `offset`; fewer only at the end of the stream.
     pub(crate) fn read(
         &self,
         payloads: &dyn Payloads,
@@ -68,10 +68,10 @@
         Ok(data)
     }
 
-    /// Releases up to `steps` pieces from the end; returns how many.
+    /// Releases up to `steps` pieces from the end; returns their number.
     pub(crate) fn release(&mut self, payloads: &mut dyn Payloads, steps: usize) -> usize {
-        let kept = self.pieces.len().saturating_sub(steps);
-        let released = self.pieces.split_off(kept);
+        let remaining = self.pieces.len().saturating_sub(steps);
+        let released = self.pieces.split_off(remaining);
         for piece in &released {
             payloads.release(&piece.payload);
         }
--- a/crates/ledger/src/timers.rs
+++ b/crates/ledger/src/timers.rs
@@ -1,5 +1,5 @@
-//! Times at which something is due. Every entity has exactly one entry, so the
-//! timers can be rebuilt from the entities after a restore.
+//! Timers of sessions, jobs, files and claims. Each of them has exactly one timer, so that
+//! the timers can be rebuilt from the state after a restore.
 
 use std::collections::BTreeSet;
 
@@ -7,20 +7,20 @@
 
 use crate::{claims::ClaimKey, job::JobNumber};
 
-/// What is due.
+/// The owner of a timer.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum TimerKey {
-    /// A session ends.
+    /// The end of a session.
     Session(GatewayId),
-    /// A job's next step: its deadline, or the end of its retention.
+    /// A job's next transition: its deadline, or the end of its retention time.
     Job(JobNumber),
-    /// A file is dropped.
+    /// The end of a file's retention time.
     File(FileId),
-    /// A kept answer is dropped.
+    /// The end of a claim's retention time.
     Claim(ClaimKey),
 }
 
-/// All timers, by time.
+/// All timers in the order of time.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Timers {
     entries: BTreeSet<(Timestamp, TimerKey)>,
@@ -37,21 +37,21 @@
         self.entries.remove(&(at, key));
     }
 
-    /// Moves a timer; `at` is where its entity keeps the time.
+    /// Moves a timer and updates `at`, the time stored by the timer's owner.
     pub(crate) fn reset(&mut self, at: &mut Timestamp, to: Timestamp, key: TimerKey) {
         let old = std::mem::replace(at, to);
         self.entries.remove(&(old, key.clone()));
         self.entries.insert((to, key));
     }
 
-    /// The first timer that is due at `now`; it stays until it is moved or removed.
+    /// The first timer due at `now`. The timer remains until it is moved or removed.
     pub(crate) fn first_due(&self, now: Timestamp) -> Option<&TimerKey> {
         let (at, key) = self.entries.first()?;
         (*at <= now).then_some(key)
     }
 }
 
-/// A time `ms` milliseconds later.
+/// The time `ms` milliseconds after `now`.
 pub(crate) fn after(now: Timestamp, ms: u64) -> Timestamp {
     Timestamp(now.0.saturating_add(ms))
 }
--- a/crates/ledger/src/views.rs
+++ b/crates/ledger/src/views.rs
@@ -1,4 +1,4 @@
-//! What control reads of the state to do its own work.
+//! Read access to the state for the control member itself.
 
 use std::sync::Arc;
 
@@ -11,35 +11,35 @@
 use crate::{job::JobNumber, ledger::Ledger, orders::OpenOrder};
 
 impl Ledger {
-    /// The revision in force; 0 when none was ever applied.
+    /// The current revision; 0 if none was applied yet.
     #[must_use]
     pub fn revision(&self) -> Revision {
         self.configuration.state.revision
     }
 
-    /// The operator's file as applied.
+    /// The text of the operator's file, as applied.
     #[must_use]
     pub fn configuration_text(&self) -> Arc<str> {
         Arc::clone(&self.configuration.state.content)
     }
 
-    /// The configuration in force, parsed.
+    /// The current configuration, parsed.
     #[must_use]
     pub fn fleet(&self) -> Option<Arc<Fleet>> {
         self.configuration.fleet().cloned()
     }
 
-    /// The configuration in force as one update.
+    /// The complete current configuration, as one update.
     #[must_use]
     pub fn configuration_full(&self) -> ConfigurationUpdate {
         self.configuration.full_update()
     }
 
-    /// One delta a revision after `from`, up to the one in force.
+    /// One delta per revision after `from`, up to the current revision.
     ///
-    /// `None` when `from` is older than the kept history or not yet reached
-    /// here: the whole configuration must be sent then. The last
-    /// [`crate::limits::KEPT_DELTAS`] revisions are kept.
+    /// `None` if `from` is older than the stored deltas or newer than the current revision:
+    /// the complete configuration must be sent then. At most the deltas of the last
+    /// [`crate::limits::MAX_STORED_DELTAS`] revisions are stored.
     #[must_use]
     pub fn configuration_updates_since(&self, from: Revision) -> Option<Vec<ConfigurationUpdate>> {
         self.configuration.updates_since(from)
@@ -55,20 +55,20 @@
         pending.collect()
     }
 
-    /// Results that were dropped so far: another had been first, or the job had stopped.
+    /// Number of dropped results: the item had a result already or its job had stopped.
     #[must_use]
     pub fn dropped_results(&self) -> u64 {
         self.state.dropped_results
     }
 
-    /// Bytes of the payloads that the state refers to.
+    /// Total size of the payloads that the state refers to, in bytes.
     #[must_use]
     pub fn payload_bytes(&self) -> u64 {
         self.payloads.live_bytes()
     }
 
-    /// Jobs that were cancelled or passed their deadline after the given
-    /// command; their running items must be stopped.
+    /// Jobs that were cancelled or reached their deadline after the command at `index`. Their
+    /// running items must be stopped.
     #[must_use]
     pub fn jobs_stopped_since(&self, index: LogIndex) -> Vec<JobId> {
         let from = (LogIndex(index.0.saturating_add(1)), JobNumber(0));
@@ -77,26 +77,26 @@
         jobs.map(|job| job.id.clone()).collect()
     }
 
-    /// The command that stopped a job last; 0 when none did.
+    /// Log index of the last command that stopped a job; 0 if there is none.
     #[must_use]
     pub fn last_stopped(&self) -> LogIndex {
         self.stopped.last().map_or(LogIndex(0), |(index, _)| *index)
     }
 
-    /// Whether an `Expire` command has anything to do at the given time.
+    /// Whether an `Expire` command is needed at the given time.
     #[must_use]
     pub fn is_expiry_due(&self, now: Timestamp) -> bool {
         let now = now.max(self.state.now);
         self.timers.first_due(now).is_some() || self.configuration.has_expired_change(now)
     }
 
-    /// Gateways with a running session: the session and when it ends unless renewed.
+    /// Running sessions by gateway: the epoch, and when the session ends unless it is renewed.
     pub fn sessions(&self) -> impl Iterator<Item = (&GatewayId, SessionEpoch, Timestamp)> {
         let sessions = self.sessions.by_gateway.iter();
         sessions.map(|(gateway, session)| (gateway, session.epoch, session.until))
     }
 
-    /// Orders that are not settled, by replica.
+    /// Open orders by replica.
     pub fn open_orders(&self) -> impl Iterator<Item = (&ReplicaId, &OpenOrder)> {
         self.orders.open.iter()
     }
--- a/crates/ledger/tests/all/claims.rs
+++ b/crates/ledger/tests/all/claims.rs
@@ -1,4 +1,4 @@
-//! Idempotency keys of online requests, and fenced orders.
+//! Idempotency keys of online requests, and orders fenced by tokens.
 
 use linnethitch_ledger::SafetyOverrides;
 use linnethitch_protocol::{
@@ -12,7 +12,7 @@
 use crate::support::{Fixture, HOUR_MS, answer, new_claim, refusal_code};
 
 #[rstest]
-fn an_answer_lasts_until_its_retention_ends(#[values(false, true)] snapshot: bool) {
+fn an_answer_is_stored_until_its_retention_time_ends(#[values(false, true)] snapshot: bool) {
     let mut fixture = Fixture::new();
     let session = fixture.session("gateway", 1);
     let claim = new_claim("key", "gateway", session);
@@ -23,19 +23,19 @@
         ..claim.clone()
     };
     assert_eq!(fixture.claim(rival.clone()), ClaimOutcome::InProgress);
-    let kept = answer("{\"pass\":1}");
+    let stored = answer("{\"pass\":1}");
     for _ in 0..2 {
-        let finished = fixture.finish_claim("key", "gateway", session, Some(kept.clone()));
+        let finished = fixture.finish_claim("key", "gateway", session, Some(stored.clone()));
         assert_eq!(finished, Outcome::Done);
     }
     fixture.session("gateway", 2);
     if snapshot {
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
     fixture.expire_after(2 * HOUR_MS - 1);
     assert_eq!(
         fixture.claim(rival.clone()),
-        ClaimOutcome::Answered(kept.clone())
+        ClaimOutcome::Answered(stored.clone())
     );
     let differs = NewClaim {
         content_digest: 2,
@@ -46,7 +46,7 @@
     let record = fixture.ledger.query(&query);
     assert_eq!(
         record,
-        Ok(QueryAnswer::Claim(Some(ClaimRecord::Answered(kept))))
+        Ok(QueryAnswer::Claim(Some(ClaimRecord::Answered(stored))))
     );
     fixture.expire_after(1);
     assert_eq!(fixture.ledger.query(&query), Ok(QueryAnswer::Claim(None)));
@@ -56,7 +56,7 @@
 #[rstest]
 #[case::restart(true)]
 #[case::silence(false)]
-fn a_dead_gateway_leaves_an_unknown_outcome_or_a_free_key(
+fn a_failed_gateway_leaves_an_unknown_outcome_or_a_free_key(
     #[case] restart: bool,
     #[values(false, true)] at_most_once: bool,
 ) {
@@ -72,7 +72,7 @@
     } else {
         fixture.expire_after(10_000);
     }
-    // The late answer of the dead run is not taken.
+    // The late answer of the ended session is not accepted.
     let late = fixture.finish_claim("key", "gateway", session, Some(answer("late")));
     assert!(matches!(late, Outcome::Refused(_)));
     let other = fixture.session("other", 1);
@@ -86,7 +86,7 @@
         ClaimOutcome::Granted
     };
     assert_eq!(fixture.claim(again.clone()), expected);
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     assert_eq!(fixture.claim(again), expected);
 }
 
@@ -106,10 +106,10 @@
         fixture.claim(new_claim("key", "other", other)),
         ClaimOutcome::Granted
     );
-    // The first run's resend must not end the second run.
+    // A resend of the first attempt must not finish the second attempt.
     let stale = fixture.finish_claim("key", "gateway", session, None);
     assert_eq!(refusal_code(&stale), "invalid_state");
-    // Nor an earlier attempt's resend a later attempt of the same session.
+    // A resend of an earlier attempt must not finish a later attempt of the same session.
     fixture.claim(NewClaim {
         attempt: 2,
         ..new_claim("twice", "gateway", session)
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn keys_of_different_tenants_do_not_meet() {
+fn equal_keys_of_different_tenants_are_independent() {
     let mut fixture = Fixture::new();
     let session = fixture.session("gateway", 1);
     fixture.claim(new_claim("key", "gateway", session));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn without_fencing_a_lost_at_most_once_key_is_granted_again() {
+fn without_fencing_an_at_most_once_key_is_granted_again() {
     let mut fixture = Fixture::new();
     fixture.ledger.set_safety_overrides(SafetyOverrides {
         skip_claim_fencing: true,
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn tokens_grow_over_terms_replicas_and_snapshots() {
+fn tokens_increase_over_terms_replicas_and_snapshots() {
     let mut fixture = Fixture::new();
     let mut last = FencingToken::default();
     for (replica, term) in [("a", 1), ("b", 1), ("a", 1), ("a", 3), ("b", 3)] {
@@ -165,7 +165,7 @@
         };
         assert!(token > last);
         last = token;
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
     assert_eq!(refusal_code(&issue(&mut fixture, "a", 2)), "invalid_state");
     assert_eq!(fixture.ledger.open_orders().count(), 2);
--- a/crates/ledger/tests/all/configuration.rs
+++ b/crates/ledger/tests/all/configuration.rs
@@ -1,4 +1,4 @@
-//! Revisions, changes and deltas.
+//! Revisions, changes and deltas of the configuration.
 
 use linnethitch_protocol::{
     attach::ConfigurationUpdate,
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn of_equal_expected_revisions_exactly_one_wins() {
+fn of_changes_with_equal_expected_revision_exactly_one_is_accepted() {
     let mut fixture = Fixture::new();
     let outcomes: Vec<ApplyOutcome> = (0..5)
         .map(|number| fixture.configure(&format!("change-{number}"), 1, &text(number)))
@@ -33,7 +33,7 @@
 #[rstest]
 #[case::accepted(1, FLEET, ApplyOutcome::Accepted(Revision(2)))]
 #[case::conflict(0, FLEET, ApplyOutcome::Conflict(Revision(1)))]
-#[case::conflict_from_the_future(9, FLEET, ApplyOutcome::Conflict(Revision(1)))]
+#[case::conflict_with_a_future_revision(9, FLEET, ApplyOutcome::Conflict(Revision(1)))]
 fn a_resent_change_gets_the_same_answer(
     #[case] expected: u64,
     #[case] content: &str,
@@ -43,7 +43,7 @@
     let mut fixture = Fixture::new();
     assert_eq!(fixture.configure("change", expected, content), answer);
     for number in 0..snapshots {
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
         let revision = fixture.ledger.revision().0;
         fixture.configure(&format!("other-{number}"), revision, &text(revision));
     }
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn an_invalid_configuration_is_refused_whole_and_for_ever() {
+fn an_invalid_configuration_is_refused_completely_and_permanently() {
     let mut fixture = Fixture::new();
     let broken = FLEET.replace("worcester\", replicas = 2", "nowhere\", replicas = 2");
     let ApplyOutcome::Invalid(message) = fixture.configure("broken", 1, &broken) else {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn ten_thousand_changes_keep_their_answers_past_the_retention() {
+fn the_outcomes_of_ten_thousand_changes_are_stored_past_the_retention_time() {
     let mut fixture = Fixture::new();
     for number in 0..10_000 {
         fixture.configure(&format!("change-{number}"), 0, FLEET);
@@ -77,7 +77,7 @@
     fixture.expire_after(3 * HOUR_MS);
     let change = fixture.configure("change-0", 0, FLEET);
     assert_eq!(change, ApplyOutcome::Conflict(Revision(1)));
-    // The oldest of 10,001 is beyond the kept number and its retention.
+    // The oldest of 10,001 changes is over the stored number and past its retention time.
     let first = Query::Change(ChangeId::from("first"));
     assert_eq!(fixture.ledger.query(&first), Ok(QueryAnswer::Change(None)));
     assert_eq!(fixture.ledger.revision(), Revision(1));
@@ -91,11 +91,11 @@
     for number in 1..=changes {
         fixture.configure(&format!("change-{number}"), number, &text(number));
     }
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     let updates = fixture
         .ledger
         .configuration_updates_since(Revision(1))
-        .expect("kept");
+        .expect("the deltas are stored");
     assert_eq!(updates.len() as u64, changes);
     let mut content = FLEET.to_owned();
     for update in updates {
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn beyond_the_kept_history_the_whole_configuration_is_due() {
+fn without_stored_deltas_the_complete_configuration_must_be_sent() {
     let mut fixture = Fixture::new();
     for number in 1..=1_100 {
         fixture.configure(&format!("change-{number}"), number, &text(number));
@@ -132,13 +132,13 @@
     );
 }
 
-/// An operator evacuates a zone, and takes that back, by the fleet file.
+/// An operator evacuates a zone and revokes the evacuation, both in the fleet file.
 #[rstest]
 fn a_status_names_the_evacuated_zones(#[values(0, 1)] snapshots: usize) {
     let mut fixture = Fixture::new();
     let mut evacuated = |revision: u64, content: &str| {
         fixture.configure(&format!("change-{revision}"), revision, content);
-        (0..snapshots).for_each(|_| fixture.through_snapshot());
+        (0..snapshots).for_each(|_| fixture.restore_from_snapshot());
         match fixture.ledger.query(&Query::Status) {
             Ok(QueryAnswer::Status(status)) => status.evacuated_zones,
             other => panic!("{other:?}"),
--- a/crates/ledger/tests/all/faults.rs
+++ b/crates/ledger/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Payload stores that fail in the middle of commands.
+//! Payload stores that fail while commands are applied.
 
 use std::sync::{
     Arc,
@@ -86,24 +86,24 @@
     }
 }
 
-/// Two members that get the same commands; the payload store of one can fail.
+/// Two members that apply the same commands; the payload store of one can fail.
 struct Pair {
     intact: Fixture,
-    weak: Fixture,
+    faulty: Fixture,
     failing: Arc<AtomicBool>,
 }
 
 impl Pair {
     fn new() -> Self {
         let failing = Arc::new(AtomicBool::new(false));
-        let mut weak = Fixture::empty();
-        weak.ledger = Ledger::new(Box::new(FailingPayloads {
+        let mut faulty = Fixture::empty();
+        faulty.ledger = Ledger::new(Box::new(FailingPayloads {
             payloads: MemoryPayloads::new(),
             failing: Arc::clone(&failing),
         }));
         let mut pair = Pair {
             intact: Fixture::empty(),
-            weak,
+            faulty,
             failing,
         };
         pair.both(|fixture| {
@@ -118,7 +118,7 @@
     }
 
     fn both<T>(&mut self, act: impl Fn(&mut Fixture) -> T) -> [T; 2] {
-        [act(&mut self.intact), act(&mut self.weak)]
+        [act(&mut self.intact), act(&mut self.faulty)]
     }
 
     fn fail(&self, failing: bool) {
@@ -145,7 +145,7 @@
     CommandBody::ClaimRequest(new_claim("key", "other", SESSION))
 }
 
-/// Applies a command without asking for its outcome's payloads.
+/// Applies a command without reading the payloads of its outcome.
 fn apply(fixture: &mut Fixture, body: CommandBody) -> StorageResult<Answer> {
     fixture.index += 1;
     let command = Command {
@@ -155,7 +155,7 @@
     fixture.ledger.apply(LogIndex(fixture.index), &command)
 }
 
-/// Whether a command was applied, and its outcome if that can be told.
+/// Whether a command was applied, and its outcome if the payloads could be read.
 fn step(fixture: &mut Fixture, body: CommandBody) -> (bool, Option<Outcome>) {
     let answer = apply(fixture, body);
     let applied = answer.is_ok();
@@ -165,24 +165,24 @@
 
 #[rstest]
 #[case::lines_of_a_lease(lease_command())]
-#[case::a_kept_answer(claim_command())]
-fn a_failed_read_decides_nothing_and_the_resend_is_answered(#[case] body: CommandBody) {
+#[case::a_stored_answer(claim_command())]
+fn a_failed_read_does_not_affect_the_state_and_the_resend_is_answered(#[case] body: CommandBody) {
     let mut pair = Pair::new();
     pair.fail(true);
-    let [intact, weak] = pair.both(|fixture| step(fixture, body.clone()));
-    assert!(intact.0 && weak.0, "both members carry the command out");
-    assert_eq!(weak.1, None, "the weak one has no words for it");
-    assert_eq!(pair.weak.ledger.digest(), pair.intact.ledger.digest());
+    let [intact, faulty] = pair.both(|fixture| step(fixture, body.clone()));
+    assert!(intact.0 && faulty.0, "both members apply the command");
+    assert_eq!(faulty.1, None, "the faulty member cannot read the outcome");
+    assert_eq!(pair.faulty.ledger.digest(), pair.intact.ledger.digest());
     pair.fail(false);
     let [again, later] = pair.both(|fixture| step(fixture, body.clone()));
     assert_eq!((&again.1, &later.1), (&intact.1, &intact.1));
 }
 
 #[test]
-fn a_store_that_fails_in_a_command_stops_the_member() {
+fn a_payload_store_failure_during_a_command_stops_the_member() {
     let mut pair = Pair::new();
-    // The answer is not asked for, so nothing of the file is cached yet.
-    assert!(apply(&mut pair.weak, lease_command()).is_ok());
+    // The outcome is not read, so no chunk of the file is cached yet.
+    assert!(apply(&mut pair.faulty, lease_command()).is_ok());
     pair.fail(true);
     let outcomes = (0..500).map(|item| (LeaseEpoch(1), success(ItemNumber(item))));
     let results = vec![JobResults {
@@ -194,8 +194,8 @@
         session: SESSION,
         results,
     };
-    assert_eq!(step(&mut pair.weak, complete), (false, None));
-    // Nothing more is done or told, also once the store works again.
+    assert_eq!(step(&mut pair.faulty, complete), (false, None));
+    // The member applies no further commands, even after the store has recovered.
     pair.fail(false);
-    assert_eq!(step(&mut pair.weak, CommandBody::Expire), (false, None));
+    assert_eq!(step(&mut pair.faulty, CommandBody::Expire), (false, None));
 }
--- a/crates/ledger/tests/all/files.rs
+++ b/crates/ledger/tests/all/files.rs
@@ -1,4 +1,4 @@
-//! Uploads in pieces.
+//! Uploads in pieces, line indexes and life cycle of input files.
 
 use linnethitch_protocol::{
     command::{CommandBody, Outcome},
@@ -49,7 +49,7 @@
         refusal_code(&fixture.append(FILE, 4, b"e")),
         "invalid_state"
     );
-    // Only the applied index may differ.
+    // Only the applied index may have changed.
     assert_ne!(fixture.index, index);
     assert_eq!(
         refusal_code(&fixture.finish(FILE, 6, Vec::new())),
@@ -68,7 +68,7 @@
     let text = fixture.content("acme", FILE).expect("readable");
     let end = text.len() as u64;
     assert_eq!(refusal_code(&fixture.append(FILE, end, b"more")), code);
-    // Resends of what made it are answered as before.
+    // Resent pieces and the resent finish get the same answers as before.
     assert_eq!(fixture.append(FILE, 0, text.as_bytes()), Outcome::Done);
     let again = fixture.finish(FILE, end, heads(&lines));
     assert!(matches!(again, Outcome::File(record) if record.lines == 3 && record.bytes == end));
@@ -76,11 +76,13 @@
 }
 
 #[rstest]
-#[case::whole(&[(0, 0..600)])]
+#[case::all_at_once(&[(0, 0..600)])]
 #[case::pieces(&[(0, 0..255), (255, 255..256), (256, 256..257), (257, 257..600)])]
-#[case::twice(&[(0, 0..300), (0, 0..300), (300, 300..600), (300, 300..600)])]
+#[case::each_piece_twice(&[(0, 0..300), (0, 0..300), (300, 300..600), (300, 300..600)])]
 #[case::overlapping(&[(0, 0..300), (200, 200..600)])]
-fn lines_can_be_told_while_the_file_arrives(#[case] pieces: &[(u32, std::ops::Range<usize>)]) {
+fn lines_can_be_indexed_before_the_content_arrives(
+    #[case] pieces: &[(u32, std::ops::Range<usize>)],
+) {
     let lines: Vec<Line> = (0..600)
         .map(|number| Line {
             text: format!("line {number}\n"),
@@ -116,7 +118,7 @@
 }
 
 #[test]
-fn lines_must_leave_no_gap_and_add_up() {
+fn lines_must_be_contiguous_and_match_the_length_of_the_file() {
     let mut fixture = Fixture::new();
     let lines = vec![Line::new(MODEL); 3];
     fixture.create_file("acme", FILE);
@@ -148,7 +150,7 @@
 }
 
 #[test]
-fn a_file_in_use_is_not_deleted_and_a_deleted_one_is_gone() {
+fn a_file_in_use_is_not_deleted_and_a_deleted_file_is_not_found() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 2);
     let file = "file-batch_1-input";
@@ -160,11 +162,11 @@
         refusal_code(&fixture.apply(delete.clone())),
         "invalid_state"
     );
-    let foreign = CommandBody::DeleteFile {
+    let other_tenant = CommandBody::DeleteFile {
         tenant: TenantId::from("heavy"),
         file: FileId::from(file),
     };
-    assert_eq!(refusal_code(&fixture.apply(foreign)), "not_found");
+    assert_eq!(refusal_code(&fixture.apply(other_tenant)), "not_found");
     fixture.cancel("acme", "batch_1");
     assert_eq!(fixture.apply(delete.clone()), Outcome::Done);
     assert!(fixture.content("acme", file).is_err());
--- a/crates/ledger/tests/all/items.rs
+++ b/crates/ledger/tests/all/items.rs
@@ -1,4 +1,5 @@
-//! Leases, starts, results: each failure alone, twice and in pairs.
+//! Leases, starts and results of items under single failures, repeated failures and pairs of
+//! failures.
 
 use linnethitch_ledger::SafetyOverrides;
 use linnethitch_protocol::{
@@ -11,7 +12,7 @@
 use crate::support::{Fixture, Line, MODEL, failed, numbers, refusal_code, success};
 
 #[test]
-fn the_same_sequence_gets_the_same_lease() {
+fn the_same_sequence_number_gets_the_same_lease() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 10);
     let session = fixture.session("gateway", 1);
@@ -20,7 +21,7 @@
         fixture.lease_outcome("gateway", session, 5, MODEL, 4),
         first
     );
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     assert_eq!(
         fixture.lease_outcome("gateway", session, 5, MODEL, 4),
         first
@@ -29,7 +30,7 @@
         panic!("a lease is expected");
     };
     assert_eq!(numbers(&items), [0, 1, 2, 3]);
-    // Once it is done with, a late resend gets nothing new.
+    // After all its items are completed, a late resend leases no further items.
     fixture.complete("gateway", session, &items);
     let late = fixture.lease_outcome("gateway", session, 5, MODEL, 4);
     assert_eq!(late, Outcome::Leased(Vec::new()));
@@ -48,41 +49,41 @@
     assert_eq!(seen, (0..100).collect::<Vec<u32>>());
 }
 
-/// A way in which an executor goes away with items in flight.
+/// How an executor fails with items in flight.
 #[derive(Clone, Copy, Debug)]
-enum Death {
-    /// It restarts under the same name.
+enum GatewayFailure {
+    /// The gateway restarts under the same name.
     Restart,
-    /// It stays silent until its session expires.
+    /// The gateway is silent until its session expires.
     Silence,
 }
 
-fn die(fixture: &mut Fixture, gateway: &str, death: Death) {
-    match death {
-        Death::Restart => {
+fn fail_gateway(fixture: &mut Fixture, gateway: &str, failure: GatewayFailure) {
+    match failure {
+        GatewayFailure::Restart => {
             let nonce = fixture.index + 1_000;
             fixture.session(gateway, nonce);
         }
-        Death::Silence => fixture.expire_after(10_000),
+        GatewayFailure::Silence => fixture.expire_after(10_000),
     }
 }
 
 #[rstest]
-fn a_repeatable_item_survives_its_executors(
-    #[values(Death::Restart, Death::Silence)] first: Death,
-    #[values(Death::Restart, Death::Silence)] second: Death,
+fn a_repeatable_item_survives_failures_of_its_executors(
+    #[values(GatewayFailure::Restart, GatewayFailure::Silence)] first: GatewayFailure,
+    #[values(GatewayFailure::Restart, GatewayFailure::Silence)] second: GatewayFailure,
     #[values(false, true)] snapshot: bool,
 ) {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 1);
-    for (number, death) in [first, second].into_iter().enumerate() {
+    for (number, failure) in [first, second].into_iter().enumerate() {
         let gateway = format!("gateway-{number}");
         let session = fixture.session(&gateway, 1);
         let items = fixture.lease(&gateway, session, MODEL, 1);
         assert_eq!(fixture.start(&gateway, session, &items), [true]);
-        die(&mut fixture, &gateway, death);
+        fail_gateway(&mut fixture, &gateway, failure);
         if snapshot {
-            fixture.through_snapshot();
+            fixture.restore_from_snapshot();
         }
     }
     let session = fixture.session("gateway-9", 1);
@@ -94,23 +95,23 @@
 
 #[rstest]
 fn an_at_most_once_item_never_runs_again_after_its_start(
-    #[values(Death::Restart, Death::Silence)] death: Death,
+    #[values(GatewayFailure::Restart, GatewayFailure::Silence)] failure: GatewayFailure,
     #[values(false, true)] snapshot: bool,
 ) {
     let mut fixture = Fixture::new();
-    fixture.job_of("acme", "batch_1", &[Line::at_most_once()]);
+    fixture.submit_job("acme", "batch_1", &[Line::at_most_once()]);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 1);
     assert_eq!(fixture.start("gateway", session, &items), [true]);
-    // The start's answer was lost; the resend is from the same holder.
+    // The answer to the start was lost, and the same holder resends the start.
     assert_eq!(fixture.start("gateway", session, &items), [true]);
     if snapshot {
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
-    die(&mut fixture, "gateway", death);
+    fail_gateway(&mut fixture, "gateway", failure);
     let other = fixture.session("other", 1);
     assert!(fixture.lease("other", other, MODEL, 1).is_empty());
-    // The late result of the dead executor does not count any more.
+    // The late result of the failed executor is dropped.
     assert_eq!(fixture.complete("gateway", session, &items), (0, 1));
     let record = fixture.job("acme", "batch_1").expect("known");
     assert_eq!((record.state, record.failed), (JobState::Completed, 1));
@@ -119,15 +120,15 @@
 }
 
 #[rstest]
-fn an_at_most_once_item_that_was_not_started_goes_to_another(
-    #[values(Death::Restart, Death::Silence)] death: Death,
+fn an_at_most_once_item_that_was_not_started_is_leased_to_another_gateway(
+    #[values(GatewayFailure::Restart, GatewayFailure::Silence)] failure: GatewayFailure,
 ) {
     let mut fixture = Fixture::new();
-    fixture.job_of("acme", "batch_1", &[Line::at_most_once()]);
+    fixture.submit_job("acme", "batch_1", &[Line::at_most_once()]);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 1);
-    die(&mut fixture, "gateway", death);
-    // The old holder may not start it any more.
+    fail_gateway(&mut fixture, "gateway", failure);
+    // The old holder may no longer start the item.
     assert_eq!(fixture.start("gateway", session, &items), [false]);
     let other = fixture.session("other", 1);
     let again = fixture.lease("other", other, MODEL, 1);
@@ -142,7 +143,7 @@
         skip_lease_fencing: true,
         ..SafetyOverrides::default()
     });
-    fixture.job_of("acme", "batch_1", &[Line::at_most_once()]);
+    fixture.submit_job("acme", "batch_1", &[Line::at_most_once()]);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 1);
     assert_eq!(fixture.start("gateway", session, &items), [true]);
@@ -153,7 +154,7 @@
 }
 
 #[test]
-fn the_first_committed_result_wins() {
+fn the_first_committed_result_counts() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 2);
     let session = fixture.session("gateway", 1);
@@ -195,7 +196,7 @@
 }
 
 #[test]
-fn a_result_under_a_lease_that_never_was_is_dropped() {
+fn a_result_under_an_unknown_lease_is_dropped() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 1);
     let session = fixture.session("gateway", 1);
@@ -216,7 +217,7 @@
     #[case] code: &str,
 ) {
     let mut fixture = Fixture::new();
-    fixture.job_of("acme", "batch_1", &[Line::at_most_once()]);
+    fixture.submit_job("acme", "batch_1", &[Line::at_most_once()]);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 1);
     let item = items[0].key.item;
@@ -230,9 +231,9 @@
 }
 
 #[test]
-fn a_started_at_most_once_item_is_not_given_back() {
+fn a_started_at_most_once_item_cannot_be_released() {
     let mut fixture = Fixture::new();
-    fixture.job_of(
+    fixture.submit_job(
         "acme",
         "batch_1",
         &[Line::at_most_once(), Line::at_most_once()],
@@ -267,13 +268,13 @@
     let mut fixture = Fixture::new();
     let session = fixture.session("gateway", 1);
     assert_eq!(fixture.session("gateway", 1), session);
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     assert_eq!(fixture.session("gateway", 1), session);
     assert!(fixture.session("gateway", 2) > session);
 }
 
 #[test]
-fn a_wild_clock_cannot_hold_a_lease_for_ever() {
+fn a_gateway_with_a_wrong_clock_cannot_hold_a_lease_indefinitely() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 1);
     let session = fixture.session("gateway", 1);
@@ -289,7 +290,7 @@
 }
 
 #[test]
-fn earlier_deadlines_go_first_within_a_tenant() {
+fn items_with_earlier_deadlines_are_leased_first_within_a_tenant() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_late", 2);
     fixture.upload("acme", "file-soon", &[Line::new(MODEL), Line::new(MODEL)]);
@@ -310,8 +311,8 @@
 #[test]
 fn tenants_share_by_weight_and_none_starves() {
     let mut fixture = Fixture::new();
-    fixture.job_of("acme", "batch_a", &vec![Line::new(MODEL); 4_000]);
-    fixture.job_of("heavy", "batch_h", &vec![Line::new(MODEL); 4_000]);
+    fixture.submit_job("acme", "batch_a", &vec![Line::new(MODEL); 4_000]);
+    fixture.submit_job("heavy", "batch_h", &vec![Line::new(MODEL); 4_000]);
     let session = fixture.session("gateway", 1);
     let mut heavy = 0;
     for _ in 0..40 {
@@ -322,16 +323,16 @@
             .count();
         fixture.complete("gateway", session, &items);
     }
-    // A share of 3 in 4 of 640 items, within one turn.
+    // The share is 3 in 4 of 640 items, with a tolerance of one quantum.
     assert!((456..=504).contains(&heavy), "{heavy}");
-    // A tenant that comes late starts beside the others, not behind them.
-    fixture.job_of("late", "batch_l", &vec![Line::new(MODEL); 100]);
+    // A tenant that arrives late is served at once along with the others.
+    fixture.submit_job("late", "batch_l", &vec![Line::new(MODEL); 100]);
     let items = fixture.lease("gateway", session, MODEL, 64);
     assert!(items.iter().any(|item| item.tenant.as_str() == "late"));
 }
 
 #[test]
-fn commands_of_no_session_are_refused() {
+fn commands_without_a_session_are_refused() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 1);
     let outcome = fixture.lease_outcome("gateway", SessionEpoch(7), 1, MODEL, 1);
@@ -343,7 +344,7 @@
 }
 
 #[test]
-fn long_lines_make_short_leases() {
+fn long_lines_limit_the_items_of_a_lease() {
     let mut fixture = Fixture::new();
     let line = Line {
         text: "x".repeat(3 * 1024 * 1024),
--- a/crates/ledger/tests/all/jobs.rs
+++ b/crates/ledger/tests/all/jobs.rs
@@ -1,4 +1,4 @@
-//! Accepting, listing, cancelling, expiring and dropping jobs.
+//! Acceptance, listing, cancellation, expiry and dropping of jobs.
 
 use linnethitch_ledger::limits::MAX_OPEN_JOBS_PER_TENANT;
 use linnethitch_protocol::{
@@ -21,27 +21,31 @@
     "invalid_batch_line",
     "line 2"
 )]
-fn a_job_is_refused_whole_for_one_line(#[case] bad: Line, #[case] code: &str, #[case] told: &str) {
+fn one_invalid_line_refuses_the_complete_job(
+    #[case] bad: Line,
+    #[case] code: &str,
+    #[case] location: &str,
+) {
     let mut fixture = Fixture::new();
     let good = Line::new(MODEL);
     fixture.upload("acme", "file-1", &[good.clone(), bad, good]);
     let outcome = fixture.create_job(new_job("acme", "batch_1", "file-1"));
     assert_eq!(refusal_code(&outcome), code);
-    assert!(matches!(&outcome, Outcome::Refused(refusal) if refusal.message.contains(told)));
+    assert!(matches!(&outcome, Outcome::Refused(refusal) if refusal.message.contains(location)));
     assert_eq!(fixture.job("acme", "batch_1"), None);
     assert!(fixture.ledger.pending_items().is_empty());
 }
 
 #[test]
-fn adapters_are_models_of_their_own() {
+fn an_adapter_is_accepted_as_a_model() {
     let mut fixture = Fixture::new();
-    let record = fixture.job_of("acme", "batch_1", &[Line::new("granite:rates")]);
+    let record = fixture.submit_job("acme", "batch_1", &[Line::new("granite:rates")]);
     assert_eq!(record.total, 1);
 }
 
 #[rstest]
-#[case::foreign_file("heavy", "file-1", "not_found")]
-#[case::no_file("acme", "file-2", "not_found")]
+#[case::file_of_another_tenant("heavy", "file-1", "not_found")]
+#[case::unknown_file("acme", "file-2", "not_found")]
 #[case::unfinished("acme", "file-open", "invalid_state")]
 fn the_input_must_be_a_finished_file_of_the_tenant(
     #[case] tenant: &str,
@@ -71,9 +75,9 @@
     fixture.upload("acme", "file-1", &[Line::new(MODEL)]);
     let first = fixture.create_job(keyed("batch_1", 1));
     if snapshot {
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
-    // The resend went to another gateway, which made another id.
+    // The resend went to another gateway, which generated another id.
     assert_eq!(fixture.create_job(keyed("batch_2", 1)), first);
     assert_eq!(fixture.create_job(keyed("batch_1", 1)), first);
     assert_eq!(
@@ -94,7 +98,7 @@
     for number in 0..5 {
         fixture.simple_job(&format!("batch_{number}"), 1);
     }
-    fixture.job_of("heavy", "batch_other", &[Line::new(MODEL)]);
+    fixture.submit_job("heavy", "batch_other", &[Line::new(MODEL)]);
     let mut seen = Vec::new();
     let mut after = None;
     loop {
@@ -119,13 +123,13 @@
 }
 
 #[test]
-fn a_completed_job_shows_both_kinds_of_results() {
+fn a_completed_job_has_both_kinds_of_results() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 2);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 2);
     fixture.complete("gateway", session, &items[..1]);
-    // Readable while the job runs.
+    // Results are readable while the job runs.
     assert_eq!(fixture.results("acme", "batch_1").0.len(), 1);
     fixture.complete_with(
         "gateway",
@@ -156,7 +160,7 @@
 
 #[rstest]
 #[case::lines("{\n \"a\": 1\r\n}", "{ \"a\": 1}")]
-#[case::no_json("plain \"text\"\n", "\"plain \\\"text\\\"\\n\"")]
+#[case::not_json("plain \"text\"\n", "\"plain \\\"text\\\"\\n\"")]
 #[case::empty("", "\"\"")]
 fn each_result_is_one_line_of_json(#[case] body: &str, #[case] shown: &str) {
     let mut fixture = Fixture::new();
@@ -176,7 +180,7 @@
 }
 
 #[test]
-fn cancel_without_leases_ends_at_once_and_can_be_resent() {
+fn a_cancel_without_leases_ends_the_job_at_once_and_can_be_resent() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 3);
     for _ in 0..2 {
@@ -195,26 +199,26 @@
     );
 }
 
-/// How the leases of a cancelled job come back.
+/// How the leases of a cancelled job end.
 #[derive(Clone, Copy, Debug)]
-enum ComesBack {
+enum LeaseEnd {
     Results,
     Release,
     Expiry,
     Restart,
-    NeverWhileRenewed,
+    DeadlineDespiteRenewal,
 }
 
 #[rstest]
-fn a_cancelled_job_yields_nothing_and_ends(
+fn a_cancelled_job_stores_no_further_results_and_ends(
     #[values(
-        ComesBack::Results,
-        ComesBack::Release,
-        ComesBack::Expiry,
-        ComesBack::Restart,
-        ComesBack::NeverWhileRenewed
+        LeaseEnd::Results,
+        LeaseEnd::Release,
+        LeaseEnd::Expiry,
+        LeaseEnd::Restart,
+        LeaseEnd::DeadlineDespiteRenewal
     )]
-    way: ComesBack,
+    lease_end: LeaseEnd,
     #[values(false, true)] snapshot: bool,
 ) {
     let mut fixture = Fixture::new();
@@ -225,18 +229,18 @@
     let cancelled = fixture.cancel("acme", "batch_1");
     assert!(matches!(cancelled, Outcome::Job(record) if record.state == JobState::Cancelling));
     if snapshot {
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
-    match way {
-        ComesBack::Results => {
+    match lease_end {
+        LeaseEnd::Results => {
             assert_eq!(fixture.complete("gateway", session, &items[1..]), (0, 2));
         }
-        ComesBack::Release => fixture.release("gateway", session, &items[1..]),
-        ComesBack::Expiry => fixture.expire_after(10_000),
-        ComesBack::Restart => {
+        LeaseEnd::Release => fixture.release("gateway", session, &items[1..]),
+        LeaseEnd::Expiry => fixture.expire_after(10_000),
+        LeaseEnd::Restart => {
             fixture.session("gateway", 2);
         }
-        ComesBack::NeverWhileRenewed => {
+        LeaseEnd::DeadlineDespiteRenewal => {
             fixture.advance(9_000);
             fixture.renew("gateway", session);
             fixture.expire_after(1_000);
@@ -252,19 +256,19 @@
 }
 
 #[test]
-fn past_the_deadline_each_unfinished_item_gets_an_error() {
+fn after_the_deadline_each_unfinished_item_gets_an_error() {
     let mut fixture = Fixture::new();
     let mut lines = vec![Line::new(MODEL); 3];
     lines.push(Line::at_most_once());
-    fixture.job_of("acme", "batch_1", &lines);
+    fixture.submit_job("acme", "batch_1", &lines);
     fixture.advance(HOUR_MS - 5_000);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 2);
     fixture.complete("gateway", session, &items[..1]);
-    // The third item is never leased; the at-most-once one is started.
-    let rest = fixture.lease("gateway", session, MODEL, 2);
-    fixture.start("gateway", session, &rest[1..]);
-    fixture.release("gateway", session, &rest[..1]);
+    // The third item is released without a start; the at-most-once item is started.
+    let remaining = fixture.lease("gateway", session, MODEL, 2);
+    fixture.start("gateway", session, &remaining[1..]);
+    fixture.release("gateway", session, &remaining[..1]);
     fixture.expire_after(5_000);
     let record = fixture.job("acme", "batch_1").expect("known");
     assert_eq!(record.state, JobState::Expired);
@@ -281,7 +285,7 @@
 }
 
 #[test]
-fn an_item_that_was_never_leased_is_told_as_not_run() {
+fn an_item_that_was_never_leased_is_reported_as_not_started() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 1);
     fixture.expire_after(HOUR_MS);
@@ -298,14 +302,14 @@
     let record = fixture.job("acme", "batch_1").expect("known");
     assert_eq!(record.state, JobState::InProgress);
     assert!(record.failed > 0 && record.failed < 20_000);
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     fixture.expire_after(0);
     let record = fixture.job("acme", "batch_1").expect("known");
     assert_eq!((record.state, record.failed), (JobState::Expired, 20_000));
 }
 
 #[test]
-fn results_stay_until_the_retention_ends_and_then_free_their_space() {
+fn results_are_retained_for_the_retention_time_and_then_released() {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_1", 2);
     let session = fixture.session("gateway", 1);
@@ -319,9 +323,9 @@
 }
 
 #[test]
-fn the_key_of_a_job_past_its_retention_is_free_while_its_payloads_are_given_back() {
+fn the_key_of_a_job_past_its_retention_time_is_free_while_its_payloads_are_released() {
     let mut fixture = Fixture::new();
-    // Dropping this file takes all steps of one command but one.
+    // Dropping this file takes all but one of the steps of one command.
     let many = vec![Line::new(MODEL); 8_158];
     fixture.create_file("acme", "file-many");
     let mut bytes = 0;
@@ -343,7 +347,7 @@
     assert_eq!(fixture.job("acme", "batch_1"), None);
     assert!(
         fixture.ledger.payloads().live_bytes() > 0,
-        "nothing is left to give back"
+        "no payloads remain to be released"
     );
 
     fixture.upload("acme", "file-2", &[Line::new(MODEL)]);
@@ -357,12 +361,12 @@
             other => panic!("{other:?}"),
         }
         fixture.expire_after(0);
-        fixture.through_snapshot();
+        fixture.restore_from_snapshot();
     }
 }
 
 #[test]
-fn one_tenant_cannot_take_the_room_of_the_others_for_jobs() {
+fn one_tenant_cannot_use_up_the_capacity_for_jobs() {
     let mut fixture = Fixture::new();
     for tenant in ["acme", "heavy"] {
         fixture.upload(tenant, &format!("file-{tenant}"), &[Line::new(MODEL)]);
@@ -374,16 +378,16 @@
             &format!("file-{tenant}"),
         )
     };
-    let taken = |outcome| matches!(outcome, Outcome::Job(_));
+    let accepted = |outcome| matches!(outcome, Outcome::Job(_));
     for number in 0..MAX_OPEN_JOBS_PER_TENANT {
-        assert!(taken(fixture.create_job(job("acme", number))));
+        assert!(accepted(fixture.create_job(job("acme", number))));
     }
-    fixture.through_snapshot();
+    fixture.restore_from_snapshot();
     let refused = fixture.create_job(job("acme", MAX_OPEN_JOBS_PER_TENANT));
     assert_eq!(refusal_code(&refused), "too_many_in_flight");
-    assert!(taken(fixture.create_job(job("heavy", 0))));
+    assert!(accepted(fixture.create_job(job("heavy", 0))));
     fixture.cancel("acme", "batch_acme_7");
-    assert!(taken(
+    assert!(accepted(
         fixture.create_job(job("acme", MAX_OPEN_JOBS_PER_TENANT))
     ));
 }
--- a/crates/ledger/tests/all/main.rs
+++ b/crates/ledger/tests/all/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the state machine: rules, failures alone, twice and in pairs.
+//! Tests of the state machine: its rules, single failures, repeated failures and pairs of
+//! failures.
 
 mod claims;
 mod configuration;
--- a/crates/ledger/tests/all/model.rs
+++ b/crates/ledger/tests/all/model.rs
@@ -1,4 +1,4 @@
-//! The rules of the ledger, said once more and simply.
+//! A simple model of the ledger's rules.
 
 use std::collections::BTreeMap;
 
@@ -22,13 +22,13 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ClaimState {
-    /// On this gateway.
+    /// Running on this gateway.
     Running(usize),
     Answered(String),
     Unknown,
 }
 
-/// Who holds an item.
+/// The lease that an item is under.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Holder {
     pub(crate) gateway: usize,
@@ -48,13 +48,13 @@
 pub(crate) struct Job {
     pub(crate) items: Vec<Item>,
     pub(crate) cancelled: bool,
-    /// When its cancel ends even if leases are still out.
+    /// When the cancellation ends even if items are still under lease.
     pub(crate) cancel_ends: u64,
     pub(crate) completed: u32,
     pub(crate) failed: u32,
 }
 
-/// A gateway's newest session: its number, its end, its nonce.
+/// A gateway's newest session.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Session {
     pub(crate) epoch: SessionEpoch,
@@ -63,7 +63,7 @@
     pub(crate) running: bool,
 }
 
-/// The rules, said once more and simply.
+/// The model's state.
 #[derive(Default)]
 pub(crate) struct Model {
     pub(crate) jobs: BTreeMap<String, Job>,
@@ -77,9 +77,9 @@
 impl Model {
     pub(crate) fn item(&mut self, key: &LeasedItemKey) -> (&mut Item, bool) {
         let job = self.jobs.get_mut(&key.job.0).expect("a job of the test");
-        let wanted = !job.cancelled;
+        let accepts_results = !job.cancelled;
         let item = &mut job.items[key.item.0 as usize];
-        let open = wanted && !item.done;
+        let open = accepts_results && !item.done;
         (item, open)
     }
 
@@ -95,8 +95,8 @@
         }
         for job in self.jobs.values_mut() {
             for item in &mut job.items {
-                let held = item.holder.filter(|holder| holder.gateway == gateway);
-                let Some(holder) = held else { continue };
+                let ended = item.holder.filter(|holder| holder.gateway == gateway);
+                let Some(holder) = ended else { continue };
                 item.holder = None;
                 if item.started == Some(holder.lease) && !item.done && !job.cancelled {
                     item.done = true;
@@ -122,11 +122,11 @@
     pub(crate) fn complete(&mut self, holder: Holder, key: &LeasedItemKey) -> bool {
         let running = self.is_running(holder);
         let (item, open) = self.item(key);
-        let held = running && item.holder == Some(holder);
-        if held {
+        let is_leased = running && item.holder == Some(holder);
+        if is_leased {
             item.holder = None;
         }
-        if !open || (item.at_most_once && !held) {
+        if !open || (item.at_most_once && !is_leased) {
             return false;
         }
         item.done = true;
@@ -151,9 +151,10 @@
     }
 
     pub(crate) fn state(job: &Job, now: u64) -> JobState {
-        let held = job.items.iter().any(|item| item.holder.is_some()) && now < job.cancel_ends;
+        let has_leases =
+            job.items.iter().any(|item| item.holder.is_some()) && now < job.cancel_ends;
         let finished = job.items.iter().all(|item| item.done);
-        match (job.cancelled, held, finished) {
+        match (job.cancelled, has_leases, finished) {
             (true, true, _) => JobState::Cancelling,
             (true, false, _) => JobState::Cancelled,
             (false, _, true) => JobState::Completed,
@@ -161,7 +162,7 @@
         }
     }
 
-    /// What a claim of a key is answered; it is never a resend of the same attempt.
+    /// The answer to a claim of a key. The claim is never a resend of the same attempt.
     pub(crate) fn claim(&mut self, gateway: usize, key: &str, at_most_once: bool) -> ClaimOutcome {
         let known = self.claims.get(key).map(|claim| claim.state.clone());
         match known {
@@ -180,7 +181,7 @@
         }
     }
 
-    /// What a change of the configuration is answered.
+    /// The answer to a configuration change.
     pub(crate) fn change(&mut self, id: &str, expected: u64) -> ApplyOutcome {
         if let Some(outcome) = self.changes.get(id) {
             return outcome.clone();
--- a/crates/ledger/tests/all/sequences.rs
+++ b/crates/ledger/tests/all/sequences.rs
@@ -1,5 +1,5 @@
-//! Any sequence of commands against a small model of the rules, with a second
-//! ledger that goes through snapshots.
+//! Random sequences of commands, checked against a small model of the rules and against a
+//! second ledger that is restored from snapshots in between.
 
 use linnethitch_ledger::SafetyOverrides;
 use linnethitch_protocol::{
@@ -13,31 +13,31 @@
     support::{FLEET, Fixture, Line, MODEL, answer, new_claim},
 };
 
-/// How long a session lasts without renewal, as the fleet file of the tests says.
+/// Duration of a session without renewal, as in the fleet file of the tests.
 const LEASE_MS: u64 = 10_000;
 
-/// One step; numbers choose among what there is at the time.
+/// One step. Numbers select among the elements that exist at that time.
 #[derive(Clone, Debug)]
 enum Step {
-    /// Accepts a job; each item is at most once where the flag is set.
+    /// Accepts a job; a set flag makes the item at-most-once.
     Accept(Vec<bool>),
-    /// A gateway starts anew.
+    /// Restarts a gateway.
     Restart(usize),
     Lease(usize, u32),
     Start(usize),
     Complete(usize),
     Release(usize),
     Cancel(usize),
-    /// A request with one of a few keys; every second key is at most once.
+    /// A request with one of a few keys; every second key is at-most-once.
     Claim(usize, u64),
-    /// The answer under a key is kept, or the key is freed.
+    /// Stores the answer for a key, or frees the key.
     Finish(usize, bool),
-    /// One of a few change ids with an expected revision.
+    /// A change with one of a few ids and an expected revision.
     Change(u64, u64),
     Order(u64),
-    /// Time passes and what is due expires.
-    Pass(u64),
-    /// The second ledger is replaced by one restored from its snapshot.
+    /// Advances the time and expires what is due.
+    Advance(u64),
+    /// Replaces the second ledger by a ledger restored from its snapshot.
     Snapshot,
 }
 
@@ -51,19 +51,19 @@
         2 => any::<usize>().prop_map(Step::Release),
         1 => any::<usize>().prop_map(Step::Cancel),
         3 => ((0..GATEWAYS), 0_u64..4).prop_map(|(gateway, key)| Step::Claim(gateway, key)),
-        2 => (any::<usize>(), any::<bool>()).prop_map(|(choice, kept)| Step::Finish(choice, kept)),
+        2 => (any::<usize>(), any::<bool>()).prop_map(|(choice, stored)| Step::Finish(choice, stored)),
         2 => (0_u64..6, 1_u64..5).prop_map(|(change, expected)| Step::Change(change, expected)),
         1 => (0_u64..3).prop_map(Step::Order),
-        2 => (1_000_u64..LEASE_MS).prop_map(Step::Pass),
+        2 => (1_000_u64..LEASE_MS).prop_map(Step::Advance),
         1 => Just(Step::Snapshot),
     ]
 }
 
-/// The model, and two ledgers of which one goes through snapshots.
+/// The model and two ledgers, of which the second is restored from snapshots.
 struct Run {
     model: Model,
     ledgers: [Fixture; 2],
-    /// Every item that was ever leased, and to whom.
+    /// Every item leased so far, with its holder.
     leased: Vec<(Holder, LeasedItem)>,
     attempts: u64,
 }
@@ -85,19 +85,19 @@
         }
     }
 
-    /// Does the same to both ledgers, which must answer alike.
+    /// Runs the same action on both ledgers, which must give equal answers.
     fn both<T: PartialEq + std::fmt::Debug>(&mut self, act: impl Fn(&mut Fixture) -> T) -> T {
         let [plain, restored] = &mut self.ledgers;
         let answer = act(plain);
         assert_eq!(
             answer,
             act(restored),
-            "the restored ledger answers otherwise"
+            "the restored ledger gives another answer"
         );
         answer
     }
 
-    fn take(&mut self, step: &Step) {
+    fn perform(&mut self, step: &Step) {
         match step {
             Step::Accept(flags) => self.accept(flags),
             Step::Restart(gateway) => self.restart(*gateway),
@@ -125,7 +125,7 @@
             }),
             Step::Cancel(choice) => self.cancel(*choice),
             Step::Claim(gateway, key) => self.claim(*gateway, *key),
-            Step::Finish(choice, kept) => self.finish(*choice, *kept),
+            Step::Finish(choice, stored) => self.finish(*choice, *stored),
             Step::Change(change, expected) => {
                 let id = format!("change-{change}");
                 let outcome = self.model.change(&id, *expected);
@@ -146,8 +146,8 @@
                 });
                 assert!(matches!(token, Outcome::Order(_)));
             }
-            Step::Pass(ms) => self.pass(*ms),
-            Step::Snapshot => self.ledgers[1].through_snapshot(),
+            Step::Advance(ms) => self.advance(*ms),
+            Step::Snapshot => self.ledgers[1].restore_from_snapshot(),
         }
         self.check();
     }
@@ -159,7 +159,7 @@
             false => Line::new(MODEL),
         };
         let lines: Vec<Line> = flags.iter().map(line).collect();
-        self.both(|ledger| ledger.job_of("acme", &name, &lines));
+        self.both(|ledger| ledger.submit_job("acme", &name, &lines));
         let items = flags.iter().map(|flag| Item {
             at_most_once: *flag,
             ..Item::default()
@@ -234,7 +234,7 @@
         }
     }
 
-    fn finish(&mut self, choice: usize, kept: bool) {
+    fn finish(&mut self, choice: usize, stored: bool) {
         let claims = self.model.claims.iter();
         let running: Vec<(String, usize, u64)> = claims
             .filter_map(|(key, claim)| match claim.state {
@@ -253,14 +253,14 @@
             gateway: GatewayId(gateway_name(gateway)),
             session: self.model.sessions[gateway].epoch,
             attempt,
-            answer: kept.then(|| answer(&text)),
+            answer: stored.then(|| answer(&text)),
         };
         assert_eq!(
             self.both(|ledger| ledger.apply(finish.clone())),
             Outcome::Done
         );
         match self.model.claims.get_mut(&key) {
-            Some(claim) if kept => claim.state = ClaimState::Answered(text),
+            Some(claim) if stored => claim.state = ClaimState::Answered(text),
             _ => {
                 self.model.claims.remove(&key);
             }
@@ -299,7 +299,7 @@
         job.cancel_ends = ends.max().unwrap_or_default();
     }
 
-    fn pass(&mut self, ms: u64) {
+    fn advance(&mut self, ms: u64) {
         self.both(|ledger| ledger.expire_after(ms));
         let now = self.ledgers[0].now;
         for gateway in 0..GATEWAYS {
@@ -387,7 +387,7 @@
     ) {
         let mut run = Run::new();
         for step in &steps {
-            run.take(step);
+            run.perform(step);
         }
     }
 }
