--- a/crates/ledger/tests/all/snapshots.rs
+++ b/crates/ledger/tests/all/snapshots.rs
@@ -1,4 +1,4 @@
-//! Snapshots, damaged ones among them.
+//! Snapshots, intact and damaged.
 
 use linnethitch_ledger::{Ledger, Restorer, SnapshotScope};
 use linnethitch_protocol::{
@@ -11,14 +11,14 @@
     Fixture, Line, MODEL, answer, in_memory, new_claim, restored, snapshot_bytes,
 };
 
-/// A ledger with something of everything.
-fn busy() -> Fixture {
+/// A ledger with state of every kind.
+fn populated() -> Fixture {
     let mut fixture = Fixture::new();
     fixture.simple_job("batch_done", 2);
     let session = fixture.session("gateway", 1);
     let items = fixture.lease("gateway", session, MODEL, 2);
     fixture.complete("gateway", session, &items);
-    fixture.job_of(
+    fixture.submit_job(
         "heavy",
         "batch_open",
         &[Line::new(MODEL), Line::at_most_once()],
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_restored_ledger_equals_the_original() {
-    let mut fixture = busy();
+    let mut fixture = populated();
     let mut copy = restored(&mut fixture.ledger);
     assert_eq!(copy.digest(), fixture.ledger.digest());
     assert_eq!(copy.applied_index(), fixture.ledger.applied_index());
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn a_snapshot_shows_the_state_at_its_beginning() {
-    let mut fixture = busy();
+fn a_snapshot_contains_the_state_at_its_start() {
+    let mut fixture = populated();
     let digest = fixture.ledger.digest();
     let mut writer = fixture
         .ledger
@@ -61,19 +61,25 @@
         .next_snapshot_chunk(&mut writer)
         .expect("readable")
     {
-        restorer.push(&chunk).expect("whole");
+        restorer.push(&chunk).expect("the snapshot is complete");
     }
-    assert_eq!(restorer.finish().expect("whole").digest(), digest);
+    assert_eq!(
+        restorer
+            .finish()
+            .expect("the snapshot is complete")
+            .digest(),
+        digest
+    );
 }
 
 #[test]
-fn a_local_snapshot_leaves_the_payloads_where_they_are() {
+fn a_local_snapshot_contains_no_payloads() {
     let mut fixture = Fixture::new();
     let line = Line {
         text: "x".repeat(100_000),
         ..Line::new(MODEL)
     };
-    fixture.job_of("acme", "batch_1", &[line]);
+    fixture.submit_job("acme", "batch_1", &[line]);
     let mut writer = fixture
         .ledger
         .snapshot_writer(SnapshotScope::Local)
@@ -90,16 +96,16 @@
 }
 
 #[rstest]
-fn a_snapshot_cut_short_is_refused(#[values(0, 1, 8, 40, 500, 2_000)] cut: usize) {
-    let bytes = snapshot_bytes(&mut busy().ledger);
-    let kept = if cut == 0 { bytes.len() - 1 } else { cut };
-    let mut reader = &bytes[..kept];
+fn a_truncated_snapshot_is_refused(#[values(0, 1, 8, 40, 500, 2_000)] length: usize) {
+    let bytes = snapshot_bytes(&mut populated().ledger);
+    let prefix_bytes = if length == 0 { bytes.len() - 1 } else { length };
+    let mut reader = &bytes[..prefix_bytes];
     assert!(Ledger::restore(in_memory(), &mut reader).is_err());
 }
 
 #[test]
 fn a_flipped_bit_anywhere_is_refused() {
-    let bytes = snapshot_bytes(&mut busy().ledger);
+    let bytes = snapshot_bytes(&mut populated().ledger);
     for position in (0..bytes.len()).step_by(37) {
         let mut damaged = bytes.clone();
         damaged[position] ^= 0x10;
@@ -109,19 +115,19 @@
 }
 
 #[test]
-fn foreign_bytes_are_refused() {
-    for foreign in [
+fn bytes_that_are_not_a_snapshot_are_refused() {
+    for other in [
         &b"#!/bin/sh"[..],
         &[0; 4096],
         &[1, 255, 255, 255, 255, 0, 0, 0, 0],
     ] {
-        assert!(Ledger::restore(in_memory(), &mut &foreign[..]).is_err());
+        assert!(Ledger::restore(in_memory(), &mut &other[..]).is_err());
     }
 }
 
 #[test]
-fn an_index_applied_before_changes_nothing() {
-    let mut fixture = busy();
+fn a_command_at_an_applied_index_changes_nothing() {
+    let mut fixture = populated();
     let digest = fixture.ledger.digest();
     let command = Command {
         now: Timestamp(fixture.now + 1_000_000),
@@ -133,7 +139,7 @@
 }
 
 #[test]
-fn time_never_falls() {
+fn time_never_decreases() {
     let mut fixture = Fixture::new();
     let before = fixture.ledger.now();
     fixture.now = 5;
--- a/crates/ledger/tests/all/support.rs
+++ b/crates/ledger/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! A ledger in memory with short ways to say the usual commands.
+//! A ledger in memory with helper functions for the usual commands.
 
 use linnethitch_ledger::{Ledger, OpenPayloads, Restorer, SnapshotScope};
 use linnethitch_protocol::{
@@ -18,7 +18,7 @@
 pub(crate) const ENDPOINT: &str = "/v1/chat/completions";
 pub(crate) const HOUR_MS: u64 = 3_600_000;
 
-/// A fleet file with two batch models, an online-only one, an adapter and weighted tenants.
+/// A fleet file with two batch models, an online-only model, an adapter and weighted tenants.
 pub(crate) const FLEET: &str = r#"
 name = "test"
 
@@ -76,7 +76,7 @@
         }
     }
 
-    /// A ledger with [`FLEET`] in force.
+    /// A ledger with [`FLEET`] applied.
     pub(crate) fn new() -> Self {
         let mut fixture = Fixture::empty();
         assert_eq!(
@@ -105,7 +105,7 @@
         assert_eq!(self.apply(CommandBody::Expire), Outcome::Done);
     }
 
-    /// Moves time on and lets everything expire that is due.
+    /// Advances the time and expires everything that is due.
     pub(crate) fn expire_after(&mut self, ms: u64) {
         self.advance(ms);
         for _ in 0..1_000 {
@@ -114,7 +114,7 @@
             }
             self.expire();
         }
-        panic!("expiry does not come to an end");
+        panic!("expiry does not end");
     }
 
     pub(crate) fn configure(&mut self, change: &str, expected: u64, text: &str) -> ApplyOutcome {
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Uploads a finished file of the given lines.
+    /// Uploads and finishes a file of the given lines.
     pub(crate) fn upload(&mut self, tenant: &str, file: &str, lines: &[Line]) {
         self.create_file(tenant, file);
         let text: String = lines.iter().map(|line| line.text.as_str()).collect();
@@ -169,8 +169,8 @@
         self.apply(CommandBody::CreateJob(new))
     }
 
-    /// A job over a fresh file of the given lines.
-    pub(crate) fn job_of(&mut self, tenant: &str, job: &str, lines: &[Line]) -> JobRecord {
+    /// Uploads a new file of the given lines and creates a job over it.
+    pub(crate) fn submit_job(&mut self, tenant: &str, job: &str, lines: &[Line]) -> JobRecord {
         let file = format!("file-{job}-input");
         self.upload(tenant, &file, lines);
         match self.create_job(new_job(tenant, job, &file)) {
@@ -179,9 +179,9 @@
         }
     }
 
-    /// A job of `count` repeatable items of [`MODEL`].
+    /// Creates a job of `count` repeatable items of [`MODEL`].
     pub(crate) fn simple_job(&mut self, job: &str, count: usize) -> JobRecord {
-        self.job_of("acme", job, &vec![Line::new(MODEL); count])
+        self.submit_job("acme", job, &vec![Line::new(MODEL); count])
     }
 
     pub(crate) fn job(&self, tenant: &str, job: &str) -> Option<JobRecord> {
@@ -278,7 +278,7 @@
         });
     }
 
-    /// Completes items with success; returns stored and dropped.
+    /// Completes items successfully; returns the numbers of stored and dropped results.
     pub(crate) fn complete(
         &mut self,
         gateway: &str,
@@ -314,7 +314,7 @@
         }
     }
 
-    /// The whole content of a file, read in small pages.
+    /// The complete content of a file, read in small pages.
     pub(crate) fn content(&self, tenant: &str, file: &str) -> Result<String, Refusal> {
         let mut bytes = Vec::new();
         let mut cursor = Some(0);
@@ -336,7 +336,7 @@
         Ok(String::from_utf8(bytes).expect("the content is UTF-8"))
     }
 
-    /// Lines of a job's output and of its error file.
+    /// The lines of a job's output file and of its error file.
     pub(crate) fn results(&self, tenant: &str, job: &str) -> (Vec<String>, Vec<String>) {
         let record = self.job(tenant, job).expect("the job is known");
         let lines = |file: &str| -> Vec<String> {
@@ -370,8 +370,8 @@
         })
     }
 
-    /// Replaces the ledger by one restored from its own transfer snapshot.
-    pub(crate) fn through_snapshot(&mut self) {
+    /// Replaces the ledger by a ledger restored from its own transfer snapshot.
+    pub(crate) fn restore_from_snapshot(&mut self) {
         self.ledger = restored(&mut self.ledger);
     }
 }
@@ -381,14 +381,14 @@
     Box::new(|_| Ok(Box::new(MemoryPayloads::new())))
 }
 
-/// A ledger restored from another one's transfer snapshot, fed in uneven pieces.
+/// A ledger restored from the transfer snapshot of `ledger`, pushed in uneven pieces.
 pub(crate) fn restored(ledger: &mut Ledger) -> Ledger {
     let bytes = snapshot_bytes(ledger);
     let mut restorer = Restorer::new(in_memory());
     for piece in bytes.chunks(977) {
-        restorer.push(piece).expect("the snapshot is whole");
+        restorer.push(piece).expect("the snapshot is complete");
     }
-    restorer.finish().expect("the snapshot is whole")
+    restorer.finish().expect("the snapshot is complete")
 }
 
 pub(crate) fn snapshot_bytes(ledger: &mut Ledger) -> Vec<u8> {
