--- a/crates/job-store/src/call.rs
+++ b/crates/job-store/src/call.rs
@@ -46,7 +46,7 @@
         tenant: Option<String>,
         /// The first requested position, from 0.
         since: u32,
-        /// Maximum bytes of text in the page, unless the first result alone exceeds them.
+        /// Maximum bytes of text in the page, unless the first result alone is longer.
         most_bytes: u32,
     },
     /// Read the number of results.
@@ -65,7 +65,7 @@
         tenant: Option<String>,
         /// The first requested position, from 0.
         since: u32,
-        /// Maximum bytes of text in the page, unless the first result alone exceeds them.
+        /// Maximum bytes of text in the page, unless the first result alone is longer.
         most_bytes: u32,
         /// Number of results according to the leader.
         listed: u32,
@@ -183,7 +183,7 @@
     Work {
         /// Items to start.
         begin: Vec<ItemWork>,
-        /// Running items to stop: they need not be finished.
+        /// Running items that need not be finished and should be stopped.
         stop: Vec<ItemRef>,
     },
     /// The change is committed, except for these items: all their events must be sent again.
--- a/crates/job-store/src/dispatcher.rs
+++ b/crates/job-store/src/dispatcher.rs
@@ -20,7 +20,7 @@
 /// Time after which a lease ends unless it is renewed, in milliseconds.
 pub const LEASE_MS: u64 = 1_800;
 /// Time that a new leader waits before it leases items, in milliseconds. Gateways report
-/// their running items several times within it.
+/// their running items several times within this time.
 pub const SETTLE_MS: u64 = 600;
 /// Pause before an item whose run ended without a result may be leased again, in
 /// milliseconds.
@@ -28,16 +28,16 @@
 /// Time for which the order of jobs stays valid unless a job is accepted, in milliseconds.
 const PLAN_VALID_MS: u64 = 100;
 
-/// Leases of a gateway, and what it reported last.
+/// Leases of a gateway, with the values of its last call.
 #[derive(Clone, Debug, Default)]
 struct GatewayLeases {
     /// Leased items with the start of each lease.
     items: BTreeMap<ItemRef, u64>,
     /// Time of the last contact.
     last_contact_ms: u64,
-    /// Number of further items that it can run.
+    /// Number of further items that the gateway can run.
     free_slots: u32,
-    /// Items that it must not lease.
+    /// Items that the gateway must not lease.
     excluded: ExcludedWork,
 }
 
@@ -69,7 +69,7 @@
 }
 
 impl Dispatcher {
-    /// The dispatcher of a leader elected now. It leases no items until every gateway has had
+    /// The dispatcher of a leader elected now. No item is leased until every gateway has had
     /// time to report its running items.
     #[must_use]
     pub fn for_new_leader(now_ms: u64) -> Self {
--- a/crates/job-store/src/excluded_work.rs
+++ b/crates/job-store/src/excluded_work.rs
@@ -20,8 +20,8 @@
 /// of their tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ExcludedWork {
-    /// Routes outside whose homes the gateway is, and routes with longer prefixes below them. The
-    /// longest matching prefix of an item's path decides.
+    /// Routes outside whose homes the gateway is, and routes with longer prefixes that override
+    /// these. The longest matching prefix of an item's path decides.
     pub routes: Vec<RouteExclusion>,
     /// Tenants outside whose homes the gateway is.
     pub tenants: Vec<String>,
--- a/crates/job-store/src/progress.rs
+++ b/crates/job-store/src/progress.rs
@@ -27,7 +27,7 @@
     pub item: ItemRef,
     /// Number of events reported before; 0 if this report has all events from the first on.
     pub told_before: u32,
-    /// The events after them.
+    /// The events after those reported before.
     pub made: GeneratedEvents,
 }
 
@@ -74,7 +74,7 @@
 pub struct StoredProgress {
     /// The events.
     pub made: GeneratedEvents,
-    /// The run that reported the last of them.
+    /// The run that reported the last event.
     pub told_by: RunId,
 }
 
