--- a/crates/job-store/src/lib.rs
+++ b/crates/job-store/src/lib.rs
@@ -1,18 +1,19 @@
-//! Batch jobs as a replicated state machine, and who works on which item.
+//! Replicated state machine for batch jobs, and scheduling of their items.
 //!
-//! [`JobStore`] keeps what was accepted: jobs, items, their bodies until they
-//! are listed, and results at fixed positions. [`Dispatcher`] is soft state of
-//! the leader: which gateway holds a lease of which item. An item may run more
-//! than once; the first committed result counts.
+//! [`JobStore`] stores accepted jobs: their items, the request body of each item
+//! until the item is listed, and results at fixed positions. An item is listed
+//! once its final result has a position in the job's results. [`Dispatcher`] is
+//! soft state of the leader: which gateway has the lease of which item. An item
+//! may run more than once; the first committed result counts.
 
 mod age_clock;
 mod call;
 mod command;
 mod dispatcher;
+mod excluded_work;
 mod first_format;
 mod job;
 mod lease_times;
-mod outside;
 mod plan;
 mod progress;
 mod queue;
@@ -24,10 +25,10 @@
 pub use call::{ItemResult, ItemWork, QueueBound, ResultsPage, StoreCall, StoreReply};
 pub use command::{ItemOutcome, ItemRef, StoreAnswer, StoreCommand};
 pub use dispatcher::{Dispatcher, LEASE_MS, SETTLE_MS};
+pub use excluded_work::{ExcludedWork, RouteExclusion};
 pub use first_format::{FirstFormatCall, FirstFormatReply, FirstFormatWork};
 pub use job::{ItemSpec, Job, JobSpec, ListedState, TenantJob};
-pub use outside::{WorkOutside, WorkRoute};
-pub use progress::{HeldProgress, ItemProgress, MadeEvents, RunMark, RunProgress};
+pub use progress::{GeneratedEvents, ItemProgress, RunId, RunProgress, StoredProgress};
 pub use queue::QueueGate;
 pub use snapshot::JobStoreSnapshot;
 pub use store::JobStore;
