--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -12,7 +12,7 @@
 use linnethitch_group::{GroupSettings, bootstrap_disk};
 use linnethitch_protocol::ids::{DiskId, MachineId, MemberId};
 use linnethitch_registry::{
-    Configuration, Declared, DirectoryQuestion, RegistryAnswer, RegistryCommand, ZoneMap,
+    Configuration, Declared, DirectoryQuery, RegistryAnswer, RegistryCommand, ZoneMap,
 };
 use linnethitch_storage::folder::FolderRole;
 use parking_lot::Mutex;
@@ -176,7 +176,7 @@
             return Err(Unavailable);
         }
         match self.propose(command, limit).await? {
-            RegistryAnswer::RoutesHeld(version) => Ok(version),
+            RegistryAnswer::ConfigurationVersion(version) => Ok(version),
             _ => Err(Unavailable),
         }
     }
@@ -226,7 +226,7 @@
 
     /// Addresses of ready gateways near a caller.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuestion<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
         let view = self.view();
         let table = view.registry.table();
         let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
--- a/crates/cluster/src/coordinators.rs
+++ b/crates/cluster/src/coordinators.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethitch_protocol::ids::MachineId;
-use linnethitch_registry::{KnownGateways, READY_FOR_MS};
+use linnethitch_registry::{KnownGateways, READY_TTL_MS};
 
 /// A coordinating gateway that fell silent without its connection ending may be cut off and
 /// go on, for so long, in milliseconds. A cut lasts seconds.
@@ -67,7 +67,7 @@
     pub(crate) fn present(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let heard = self.heard.iter();
         heard
-            .filter(|(_, at_ms)| now_ms.saturating_sub(**at_ms) <= READY_FOR_MS)
+            .filter(|(_, at_ms)| now_ms.saturating_sub(**at_ms) <= READY_TTL_MS)
             .map(|(machine, _)| *machine)
             .collect()
     }
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -81,7 +81,7 @@
                 RegistryCommand::RestoreZone(order)
             };
             let left = until.saturating_duration_since(Instant::now());
-            let RegistryAnswer::ZoneHeld {
+            let RegistryAnswer::ZoneState {
                 evacuated: held,
                 changed_at,
             } = self.propose(command, left).await?
--- a/crates/cluster/src/first_format.rs
+++ b/crates/cluster/src/first_format.rs
@@ -11,7 +11,8 @@
     ids::{CallId, LogIndex, MachineId, MemberId},
 };
 use linnethitch_registry::{
-    DirectoryNode, FirstFormatAnswer, FirstFormatCommand, FirstFormatUpdate, Place, parse_start_key,
+    DirectoryNode, FirstFormatAnswer, FirstFormatCommand, FirstFormatUpdate, Place,
+    parse_incarnation_key,
 };
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -225,7 +226,9 @@
             RegistryCall::Propose(command) => FirstRegistryCall::Propose(command.try_into()?),
             RegistryCall::Document => FirstRegistryCall::Document,
             RegistryCall::Alive(starts) => {
-                let ids = starts.iter().map(|key| parse_start_key(key).0.to_owned());
+                let ids = starts
+                    .iter()
+                    .map(|key| parse_incarnation_key(key).0.to_owned());
                 FirstRegistryCall::Alive(ids.collect())
             }
         })
--- a/crates/cluster/src/gateway/learner.rs
+++ b/crates/cluster/src/gateway/learner.rs
@@ -92,7 +92,7 @@
         }
         if pulse
             .current
-            .is_some_and(|current| current <= self.fleet.upto())
+            .is_some_and(|current| current <= self.fleet.up_to_index())
         {
             self.gateway.current_at_ms.store(now_ms, Ordering::Relaxed);
             self.note_news(link_opened);
@@ -109,8 +109,8 @@
     }
 
     fn take_update(&mut self, from: MachineId, update: FleetUpdate) {
-        if self.fleet.take(update) {
-            let upto = self.fleet.upto();
+        if self.fleet.apply(update) {
+            let upto = self.fleet.up_to_index();
             self.gateway.links.say(|hello| hello.upto = upto);
             let version = self.fleet.table().map(|table| table.version);
             let evacuated: Vec<&str> = self.fleet.evacuations().zones().collect();
@@ -120,7 +120,7 @@
                 "replicas" => self.fleet.live_count());
             self.teller.send_replace(Arc::new(self.fleet.clone()));
         }
-        if self.fleet.needs_whole() {
+        if self.fleet.needs_full_update() {
             self.ask_for_all(from);
         }
     }
@@ -134,7 +134,7 @@
             return;
         }
         self.asked_for_all.insert(from, now);
-        let upto = self.fleet.upto();
+        let upto = self.fleet.up_to_index();
         warn!(self.logger, "fleet not known"; "upto" => upto.0,
             "from" => address_of(from).to_string());
         self.gateway.links.say(|hello| hello.upto = upto);
@@ -152,10 +152,10 @@
         let version = self.fleet.table().map(|table| table.version);
         if is_behind {
             warn!(self.logger, "no member knows what is in force"; "age_ms" => age_ms,
-                "upto" => self.fleet.upto().0, "version" => version);
+                "upto" => self.fleet.up_to_index().0, "version" => version);
         } else {
             info!(self.logger, "what is in force is known again"; "age_ms" => age_ms,
-                "upto" => self.fleet.upto().0, "version" => version);
+                "upto" => self.fleet.up_to_index().0, "version" => version);
         }
     }
 
@@ -168,7 +168,7 @@
         self.control_lost = true;
         let version = self.fleet.table().map(|table| table.version);
         warn!(self.logger, "control lost"; "silent_ms" => silent_ms,
-            "upto" => self.fleet.upto().0, "version" => version);
+            "upto" => self.fleet.up_to_index().0, "version" => version);
     }
 
     fn note_control_heard(&mut self, from: MachineId, now_ms: u64) {
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -17,8 +17,7 @@
 use linnethitch_job_store::{StoreCall, StoreReply};
 use linnethitch_protocol::{format::Format, ids::MachineId, slots::GatewayDatagram};
 use linnethitch_registry::{
-    DirectoryQuestion, EndedRun, FleetView, Place, RegistryCommand, RequestFingerprint, ZoneMap,
-    near,
+    DirectoryQuery, EndedRun, FleetView, Place, RegistryCommand, RequestFingerprint, ZoneMap, near,
 };
 use linnethitch_transport::Datagrams;
 use parking_lot::Mutex;
@@ -221,7 +220,7 @@
     /// Addresses of ready gateways near a caller. While control is away, those
     /// that it told last.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuestion<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
         let fleet = self.fleet();
         let table = fleet.table();
         let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
@@ -277,7 +276,7 @@
     fn note_running(&self) {
         if let Some(still) = self.standstill.note_running() {
             warn!(self.logger, "stood still"; "still_ms" => still.as_millis() as u64,
-                "upto" => self.fleet().upto().0);
+                "upto" => self.fleet().up_to_index().0);
         }
     }
 
@@ -331,7 +330,7 @@
     /// Tells control that another incarnation answers in the place of this start; false when
     /// that was not held within the limit.
     pub async fn tell_not_there(&self, replica: &str, limit: Duration) -> bool {
-        let command = RegistryCommand::NotThere(replica.to_owned());
+        let command = RegistryCommand::NotAtAddress(replica.to_owned());
         self.tell_control(command, limit).await
     }
 
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_clock::{Instant, sleep_until};
 use linnethitch_protocol::ids::{CallId, MachineId};
-use linnethitch_registry::READY_FOR_MS;
+use linnethitch_registry::READY_TTL_MS;
 use linnethitch_transport::{Connection, Listener, MessageReceiver, MessageSender, SendRefused};
 use slog::{Logger, info, warn};
 use tokio::sync::mpsc;
@@ -133,7 +133,7 @@
         "silent_ms" => silent_ms, "told" => peer.told.upto().0);
     let closed = Inbound::Closed {
         hello: peer.hello,
-        fell_silent: silent_ms > READY_FOR_MS,
+        fell_silent: silent_ms > READY_TTL_MS,
     };
     let _ = peer.inbox.send(closed).await;
 }
--- a/crates/cluster/src/presence.rs
+++ b/crates/cluster/src/presence.rs
@@ -6,7 +6,7 @@
     format::Format,
     ids::{MachineId, MemberId},
 };
-use linnethitch_registry::{DirectoryNode, NodeList, Place, READY_FOR_MS};
+use linnethitch_registry::{DirectoryNode, NodeList, Place, READY_TTL_MS};
 
 use crate::{
     coordinators::Coordinators,
@@ -109,7 +109,7 @@
             return;
         }
         if let Some(address) = &hello.callers {
-            self.gateways.lose(address);
+            self.gateways.remove(address);
         }
         if hello.coordinates && !fell_silent {
             self.coordinators.stop(hello.machine, now_ms);
@@ -156,7 +156,7 @@
 
     fn hears_itself(&self, machine: MachineId, now_ms: u64) -> bool {
         let heard = self.itself.get(&machine);
-        heard.is_some_and(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_FOR_MS)
+        heard.is_some_and(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
     }
 
     /// Gateways that stopped lately and kept links to some members only.
@@ -169,7 +169,7 @@
     pub(crate) fn heard_itself(&self, now_ms: u64) -> BTreeSet<HeardGateway> {
         let heard = self.itself.values();
         heard
-            .filter(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_FOR_MS)
+            .filter(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
             .map(|(gateway, _)| gateway)
             .filter(|gateway| !gateway.linked.is_empty())
             .cloned()
--- a/crates/cluster/src/pulse.rs
+++ b/crates/cluster/src/pulse.rs
@@ -8,7 +8,7 @@
     format::Format,
     ids::{LogIndex, MachineId},
 };
-use linnethitch_registry::{FleetUpdate, Place, tell_rank};
+use linnethitch_registry::{FleetUpdate, Place, notification_rank};
 use parking_lot::Mutex;
 use tokio::sync::watch;
 
@@ -157,7 +157,7 @@
             |machine: &MachineId| self.linked.is_empty() || self.linked.contains(machine);
         let tellers = tellers.iter().filter(|(machine, _)| is_linked(machine));
         let tellers = tellers.map(|(machine, place)| (*machine, place));
-        let rank = tell_rank(self.machine, &self.place, source.own, tellers);
+        let rank = notification_rank(self.machine, &self.place, source.own, tellers);
         self.withheld = WITHHELD_FOR * LAST_RANK.min(rank as u32);
         let since = *self.withheld_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.withheld {
@@ -165,7 +165,7 @@
         }
         self.withheld_since = None;
         let update = source.registry.update(self.role, self.format, self.upto)?;
-        self.upto = update.upto;
+        self.upto = update.up_to_index;
         Some(update)
     }
 
--- a/crates/cluster/src/registry_service.rs
+++ b/crates/cluster/src/registry_service.rs
@@ -138,7 +138,7 @@
                 old.push(record.fingerprint);
             }
         }
-        (!old.is_empty()).then_some(RegistryCommand::EaseSuspicions(old))
+        (!old.is_empty()).then_some(RegistryCommand::DecaySuspicions(old))
     }
 
     /// Gateways that came, and that stopped or were silent for long.
@@ -163,7 +163,9 @@
     /// Begins a proposal. Only the leader knows in which format it may write: what a member
     /// knows that has just started, or lags behind, may be older.
     fn begin_proposal(&self, command: &RegistryCommand, now: Now) -> Begin<RegistryReply> {
-        if !now.is_format_settled && command.is_kept_for_long() && !command.is_whole_in(now.format)
+        if !now.is_format_settled
+            && command.requires_lossless_format()
+            && !command.is_lossless_in(now.format)
         {
             info!(self.logger, "command waits for a newer format"; "format" => now.format.number());
             return Begin::Reply(RegistryReply::Refused);
@@ -233,8 +235,9 @@
         now: Now,
     ) -> RegistryReply {
         if let RegistryCall::Propose(RegistryCommand::Replica(change)) = call {
-            let held = change.clone().kept_in(registry.format());
-            self.silence.note_heard(&held.start_key(), now.steady_ms);
+            let held = change.clone().reduced_to(registry.format());
+            self.silence
+                .note_heard(&held.incarnation_key(), now.steady_ms);
         }
         RegistryReply::Answer(answer)
     }
@@ -262,7 +265,7 @@
         let mut commands = self.silence.look(registry, now.steady_ms);
         if !self.all_gateways_read(Format::Second, now.steady_ms) {
             // A gateway that does not would keep what it missed the end of.
-            commands.retain(|command| !matches!(command, RegistryCommand::ForgetGone { .. }));
+            commands.retain(|command| !matches!(command, RegistryCommand::ForgetEnded { .. }));
         }
         commands.extend(self.old_suspicions(registry, now.steady_ms));
         commands.extend(self.other_gateways(registry, now.steady_ms));
--- a/crates/cluster/src/relayed_presence.rs
+++ b/crates/cluster/src/relayed_presence.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethitch_protocol::ids::MachineId;
-use linnethitch_registry::READY_FOR_MS;
+use linnethitch_registry::READY_TTL_MS;
 
 use crate::{message::HeardGateway, told_set::SetChange};
 
@@ -64,7 +64,7 @@
     fn is_heard(&self, machine: MachineId, now_ms: u64) -> bool {
         let mut told = self.by_member.values();
         told.any(|told| {
-            now_ms.saturating_sub(told.at_ms) <= READY_FOR_MS && told.heard.contains_key(&machine)
+            now_ms.saturating_sub(told.at_ms) <= READY_TTL_MS && told.heard.contains_key(&machine)
         })
     }
 }
--- a/crates/cluster/src/replica_silence.rs
+++ b/crates/cluster/src/replica_silence.rs
@@ -56,12 +56,12 @@
 
     fn take_changes(&mut self, registry: &Registry, now_ms: u64) {
         let seen = std::mem::replace(&mut self.seen, registry.clone());
-        let is_held = |record: &&ReplicaRecord| record.told.state != ReplicaState::Gone;
+        let is_held = |record: &&ReplicaRecord| record.reported.state != ReplicaState::Ended;
         for difference in registry.differences(&seen) {
             let before = difference.before.filter(is_held);
             let now = difference.now.filter(is_held);
-            let key = now.map(|now| now.told.start_key());
-            if let Some(before) = before.map(|before| before.told.start_key())
+            let key = now.map(|now| now.reported.incarnation_key());
+            if let Some(before) = before.map(|before| before.reported.incarnation_key())
                 && key.as_ref() != Some(&before)
             {
                 self.heard.remove(&before);
@@ -71,7 +71,7 @@
             };
             // What changed it was said by itself, or by one that tried to reach it.
             self.heard.entry(key.clone()).or_insert(now_ms);
-            if now.told.state.is_live() {
+            if now.reported.state.is_live() {
                 self.due.insert((now_ms + REPLICA_SILENCE_MS, key));
             }
         }
@@ -108,17 +108,17 @@
     fn settle_addresses(&self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
         let mut settled = Vec::new();
         for displaced in registry.displaced_replicas() {
-            let others = registry.at_address(&displaced.told.address);
+            let others = registry.at_address(&displaced.reported.address);
             let mut others = others.iter().filter_map(|id| registry.replica(id));
-            let other = others.find(|record| record.told.state.is_live());
-            let other = other.map(|other| other.told.start_key());
-            let displaced = displaced.told.start_key();
+            let other = others.find(|record| record.reported.state.is_live());
+            let other = other.map(|other| other.reported.incarnation_key());
+            let displaced = displaced.reported.incarnation_key();
             if self.is_silent(&displaced, now_ms) {
                 settled.push(RegistryCommand::RemoveReplica(displaced));
             } else if let Some(other) = other
                 && self.is_silent(&other, now_ms)
             {
-                settled.push(RegistryCommand::NotThere(other));
+                settled.push(RegistryCommand::NotAtAddress(other));
             }
         }
         settled
@@ -142,13 +142,13 @@
             self.marks.pop_front();
         }
         let upto = upto?;
-        let has_gone = registry.first_gone_at().is_some_and(|at| at <= upto);
-        has_gone.then_some(RegistryCommand::ForgetGone { upto })
+        let has_gone = registry.first_ended_at().is_some_and(|at| at <= upto);
+        has_gone.then_some(RegistryCommand::ForgetEnded { up_to_index: upto })
     }
 }
 
 fn is_live(registry: &Registry, start: &str) -> bool {
-    let (id, _) = linnethitch_registry::parse_start_key(start);
+    let (id, _) = linnethitch_registry::parse_incarnation_key(start);
     let held = registry.replica(id);
-    held.is_some_and(|held| held.told.state.is_live() && held.told.is_of_start(start))
+    held.is_some_and(|held| held.reported.state.is_live() && held.reported.is_of_incarnation(start))
 }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -219,10 +219,10 @@
                     self.keep_links();
                 }
                 if let Some(update) = pulse.update {
-                    self.fleet.take(update);
-                    let upto = self.fleet.upto();
+                    self.fleet.apply(update);
+                    let upto = self.fleet.up_to_index();
                     self.base.links.say(|hello| hello.upto = upto);
-                    if self.fleet.needs_whole() {
+                    if self.fleet.needs_full_update() {
                         self.base.links.send(from, &NodeMessage::TellAll);
                     }
                 }
--- a/crates/cluster/tests/all/starts.rs
+++ b/crates/cluster/tests/all/starts.rs
@@ -55,7 +55,7 @@
             slots: 4,
             state,
             sequence,
-            born,
+            incarnation: born,
             cold_ms,
         };
         let beaten = self.control.heartbeat(change, LIMIT).await;
@@ -64,8 +64,8 @@
 
     fn held(&self) -> Option<(u64, ReplicaState)> {
         let fleet = self.gateway.fleet();
-        let told = &fleet.replica(ID)?.told;
-        Some((told.born, told.state))
+        let told = &fleet.replica(ID)?.reported;
+        Some((told.incarnation, told.state))
     }
 
     async fn until_held(&self, born: u64, state: ReplicaState) {
@@ -97,11 +97,11 @@
     assert_eq!(fleet.held(), Some((2, ReplicaState::Ready)));
     let removed = fleet.control.remove_replica(ID, LIMIT).await;
     removed.expect("it is acknowledged");
-    fleet.until_held(2, ReplicaState::Gone).await;
+    fleet.until_held(2, ReplicaState::Ended).await;
     fleet.beat(ID, 1, 99, ReplicaState::Ready).await;
     fleet.beat(ID, 2, 99, ReplicaState::Ready).await;
     fleet.settle("marker-2").await;
-    assert_eq!(fleet.held(), Some((2, ReplicaState::Gone)));
+    assert_eq!(fleet.held(), Some((2, ReplicaState::Ended)));
     fleet.beat(ID, 3, 1, ReplicaState::Ready).await;
     fleet.until_held(3, ReplicaState::Ready).await;
 }
@@ -113,13 +113,13 @@
     let fleet = Fleet::start(50).await;
     fleet.beat(ID, 2, 1, ReplicaState::Ready).await;
     fleet.until_held(2, ReplicaState::Ready).await;
-    let committed = fleet.gateway.fleet().upto();
+    let committed = fleet.gateway.fleet().up_to_index();
     for sequence in 2..30 {
         fleet.beat(ID, 2, sequence, ReplicaState::Ready).await;
         fleet.beat(ID, 1, sequence, ReplicaState::Draining).await;
     }
     fleet.settle("marker").await;
-    assert_eq!(fleet.gateway.fleet().upto().0, committed.0 + 1);
+    assert_eq!(fleet.gateway.fleet().up_to_index().0, committed.0 + 1);
 }
 
 /// The failure this is for: a replica that said for the second time that it is cold for
@@ -132,7 +132,7 @@
         .beat_cold(ID, 0, 1, ReplicaState::Ready, COLD_MS)
         .await;
     fleet.settle("marker-1").await;
-    let committed = fleet.gateway.fleet().upto();
+    let committed = fleet.gateway.fleet().up_to_index();
     // Less is left, as of a replica that only grows warm.
     for sequence in 2..10 {
         fleet
@@ -140,14 +140,17 @@
             .await;
     }
     fleet.settle("marker-2").await;
-    assert_eq!(fleet.gateway.fleet().upto().0, committed.0 + 1);
+    assert_eq!(fleet.gateway.fleet().up_to_index().0, committed.0 + 1);
     sleep(Duration::from_millis(500)).await;
     fleet
         .beat_cold(ID, 0, 10, ReplicaState::Ready, COLD_MS)
         .await;
     fleet.settle("marker-3").await;
-    assert_eq!(fleet.gateway.fleet().upto().0, committed.0 + 3);
+    assert_eq!(fleet.gateway.fleet().up_to_index().0, committed.0 + 3);
     let fleet = fleet.gateway.fleet();
     let held = fleet.replica(ID).expect("it is held");
-    assert_eq!((held.told.sequence, held.told.cold_ms), (10, COLD_MS));
+    assert_eq!(
+        (held.reported.sequence, held.reported.cold_ms),
+        (10, COLD_MS)
+    );
 }
--- a/crates/cluster/tests/all/support.rs
+++ b/crates/cluster/tests/all/support.rs
@@ -7,7 +7,7 @@
 
 use linnethitch_cluster::{ControlNode, ControlSettings, MessageBytes, NodeSettings, Seeds};
 use linnethitch_protocol::format::Format;
-use linnethitch_registry::{CallerLimits, Configuration, DirectoryQuestion, RouteTable, ZoneMap};
+use linnethitch_registry::{CallerLimits, Configuration, DirectoryQuery, RouteTable, ZoneMap};
 use linnethitch_transport::{ClusterIdentity, ClusterKey};
 use slog::{Discard, Logger, o};
 use tempfile::TempDir;
@@ -93,12 +93,12 @@
 }
 
 /// A caller of the only zone.
-pub(crate) fn question() -> DirectoryQuestion<'static> {
-    DirectoryQuestion {
+pub(crate) fn question() -> DirectoryQuery<'static> {
+    DirectoryQuery {
         host: "desk.example",
         region: "region",
         zone: ZONE,
-        most: 64,
+        limit: 64,
     }
 }
 
--- a/crates/registry/src/command.rs
+++ b/crates/registry/src/command.rs
@@ -62,9 +62,9 @@
     /// Copies of these requests came to whole answers.
     ClearSuspicions(Vec<RequestFingerprint>),
     /// Nothing was heard of these requests for long.
-    EaseSuspicions(Vec<RequestFingerprint>),
+    DecaySuspicions(Vec<RequestFingerprint>),
     /// Another incarnation answers at the address of this start, by its key.
-    NotThere(String),
+    NotAtAddress(String),
     /// Nothing more is to be sent to the replicas of a zone.
     EvacuateZone(EvacuationOrder),
     /// The replicas of a zone may be given work again.
@@ -78,9 +78,9 @@
     },
     /// Replicas that are gone since this entry or an earlier one are forgotten: every node in
     /// touch knows of them, and no late word of them is expected any more.
-    ForgetGone {
+    ForgetEnded {
         /// The entry.
-        upto: LogIndex,
+        up_to_index: LogIndex,
     },
 }
 
@@ -100,13 +100,13 @@
     /// Whether what is left out of the command stays lost for as long as that is in force. A
     /// replica says all of itself again within a second or two.
     #[must_use]
-    pub fn is_kept_for_long(&self) -> bool {
+    pub fn requires_lossless_format(&self) -> bool {
         matches!(self, RegistryCommand::PutConfiguration { .. })
     }
 
     /// Whether a format keeps all that the command says.
     #[must_use]
-    pub fn is_whole_in(&self, format: Format) -> bool {
+    pub fn is_lossless_in(&self, format: Format) -> bool {
         match self {
             _ if format == Format::NEWEST => true,
             RegistryCommand::PutConfiguration { table, declared } => {
@@ -126,8 +126,8 @@
     /// # Errors
     /// `Internal` when it cannot be encoded.
     pub fn raise_format() -> Result<Vec<u8>, Report<ErrorKind>> {
-        let upto = LogIndex(0);
-        RegistryCommand::ForgetGone { upto }.to_stored()
+        let up_to_index = LogIndex(0);
+        RegistryCommand::ForgetEnded { up_to_index }.to_stored()
     }
 
     /// The format that a stored command belongs to.
@@ -150,10 +150,10 @@
             | RegistryCommand::RestoreZone(_)
             | RegistryCommand::GatewaysChanged { .. } => FIFTH_LAYOUT,
             RegistryCommand::ReplicaEnded { .. } => SIXTH_LAYOUT,
-            RegistryCommand::ForgetGone { .. } => SEVENTH_LAYOUT,
+            RegistryCommand::ForgetEnded { .. } => SEVENTH_LAYOUT,
             RegistryCommand::ClearSuspicions(_)
-            | RegistryCommand::EaseSuspicions(_)
-            | RegistryCommand::NotThere(_) => THIRD_LAYOUT,
+            | RegistryCommand::DecaySuspicions(_)
+            | RegistryCommand::NotAtAddress(_) => THIRD_LAYOUT,
             _ => FIRST_LAYOUT,
         };
         stored::encode(layout, self)
@@ -190,9 +190,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RegistryAnswer {
     /// A table of this version is held; it may be higher than the one sent.
-    RoutesHeld(u64),
+    ConfigurationVersion(u64),
     /// What operators last asked of the zone of an order.
-    ZoneHeld {
+    ZoneState {
         /// Whether it is evacuated.
         evacuated: bool,
         /// The entry that changed it last; 0 where none did.
@@ -201,5 +201,5 @@
     /// The command is in force, or said nothing new.
     Done,
     /// It concerns another start of the replica than the one held; nothing was done.
-    OtherStart,
+    OtherIncarnation,
 }
--- a/crates/registry/src/first_format.rs
+++ b/crates/registry/src/first_format.rs
@@ -23,8 +23,8 @@
         FourthDeclared, FourthReplicaChange, FourthReplicaRecord, FourthRouteTable,
         FourthSuspicion, FourthTenantsUpdate,
     },
+    incarnation_key::parse_incarnation_key,
     registry::StoreMembers,
-    start::parse_start_key,
     table_update::TableUpdate,
     update::FleetUpdate,
 };
@@ -45,8 +45,8 @@
         runs: Vec<FirstEndedRun>,
     },
     ClearSuspicions(Vec<RequestFingerprint>),
-    EaseSuspicions(Vec<RequestFingerprint>),
-    NotThere(String),
+    DecaySuspicions(Vec<RequestFingerprint>),
+    NotAtAddress(String),
 }
 
 impl FirstFormatCommand {
@@ -59,8 +59,8 @@
             FirstFormatCommand::PutConfiguration { .. } => TENANTS_LAYOUT,
             FirstFormatCommand::ReplicaEnded { .. }
             | FirstFormatCommand::ClearSuspicions(_)
-            | FirstFormatCommand::EaseSuspicions(_)
-            | FirstFormatCommand::NotThere(_) => THIRD_LAYOUT,
+            | FirstFormatCommand::DecaySuspicions(_)
+            | FirstFormatCommand::NotAtAddress(_) => THIRD_LAYOUT,
             _ => FIRST_LAYOUT,
         };
         stored::encode(layout, self)
@@ -70,7 +70,7 @@
 /// What applying a command answers.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FirstFormatAnswer {
-    RoutesHeld(u64),
+    ConfigurationVersion(u64),
     Done,
 }
 
@@ -83,12 +83,12 @@
     store: Option<StoreMembers>,
     store_at: LogIndex,
     suspicions: Vec<FourthSuspicion>,
-    upto: LogIndex,
+    up_to_index: LogIndex,
 }
 
 /// Starts of replicas are not told apart.
 fn id_of_start(key: &str) -> String {
-    parse_start_key(key).0.to_owned()
+    parse_incarnation_key(key).0.to_owned()
 }
 
 impl TryFrom<RegistryCommand> for FirstFormatCommand {
@@ -115,15 +115,17 @@
             RegistryCommand::ClearSuspicions(cleared) => {
                 FirstFormatCommand::ClearSuspicions(cleared)
             }
-            RegistryCommand::EaseSuspicions(eased) => FirstFormatCommand::EaseSuspicions(eased),
-            RegistryCommand::NotThere(key) => FirstFormatCommand::NotThere(id_of_start(&key)),
+            RegistryCommand::DecaySuspicions(eased) => FirstFormatCommand::DecaySuspicions(eased),
+            RegistryCommand::NotAtAddress(key) => {
+                FirstFormatCommand::NotAtAddress(id_of_start(&key))
+            }
             RegistryCommand::EvacuateZone(_) | RegistryCommand::RestoreZone(_) => {
                 return Err(not_in_first_format("evacuations"));
             }
             RegistryCommand::GatewaysChanged { .. } => {
                 return Err(not_in_first_format("record of gateways"));
             }
-            RegistryCommand::ForgetGone { .. } => {
+            RegistryCommand::ForgetEnded { .. } => {
                 return Err(not_in_first_format("forgotten replicas"));
             }
         })
@@ -152,8 +154,8 @@
             FirstFormatCommand::ClearSuspicions(cleared) => {
                 RegistryCommand::ClearSuspicions(cleared)
             }
-            FirstFormatCommand::EaseSuspicions(eased) => RegistryCommand::EaseSuspicions(eased),
-            FirstFormatCommand::NotThere(id) => RegistryCommand::NotThere(id),
+            FirstFormatCommand::DecaySuspicions(eased) => RegistryCommand::DecaySuspicions(eased),
+            FirstFormatCommand::NotAtAddress(id) => RegistryCommand::NotAtAddress(id),
         }
     }
 }
@@ -163,10 +165,12 @@
 
     fn try_from(answer: RegistryAnswer) -> Result<Self, Self::Error> {
         match answer {
-            RegistryAnswer::RoutesHeld(version) => Ok(FirstFormatAnswer::RoutesHeld(version)),
+            RegistryAnswer::ConfigurationVersion(version) => {
+                Ok(FirstFormatAnswer::ConfigurationVersion(version))
+            }
             // Who cannot tell starts apart has nothing else to do.
-            RegistryAnswer::Done | RegistryAnswer::OtherStart => Ok(FirstFormatAnswer::Done),
-            RegistryAnswer::ZoneHeld { .. } => Err(not_in_first_format("evacuations")),
+            RegistryAnswer::Done | RegistryAnswer::OtherIncarnation => Ok(FirstFormatAnswer::Done),
+            RegistryAnswer::ZoneState { .. } => Err(not_in_first_format("evacuations")),
         }
     }
 }
@@ -174,7 +178,9 @@
 impl From<FirstFormatAnswer> for RegistryAnswer {
     fn from(first: FirstFormatAnswer) -> Self {
         match first {
-            FirstFormatAnswer::RoutesHeld(version) => RegistryAnswer::RoutesHeld(version),
+            FirstFormatAnswer::ConfigurationVersion(version) => {
+                RegistryAnswer::ConfigurationVersion(version)
+            }
             FirstFormatAnswer::Done => RegistryAnswer::Done,
         }
     }
@@ -184,7 +190,7 @@
     type Error = Report<ErrorKind>;
 
     fn try_from(update: TableUpdate) -> Result<Self, Self::Error> {
-        if !update.is_whole {
+        if !update.is_complete {
             return Err(not_in_first_format("changes of a table"));
         }
         let TableUpdate {
@@ -212,7 +218,7 @@
             store: update.store,
             store_at: update.store_at,
             suspicions: update.suspicions.into_iter().map(Into::into).collect(),
-            upto: update.upto,
+            up_to_index: update.up_to_index,
         })
     }
 }
@@ -226,13 +232,13 @@
             table: first.table.map(|table| TableUpdate::whole(table.into())),
             tenants: first.tenants.map(Into::into),
             replicas: first.replicas.into_iter().map(Into::into).collect(),
-            replicas_whole: false,
+            replicas_complete: false,
             forgotten: LogIndex(0),
             store: first.store,
             store_at: first.store_at,
             suspicions: first.suspicions.into_iter().map(Into::into).collect(),
             evacuations: Vec::new(),
-            upto: first.upto,
+            up_to_index: first.up_to_index,
         }
     }
 }
--- a/crates/registry/src/fourth_layout/mod.rs
+++ b/crates/registry/src/fourth_layout/mod.rs
@@ -74,7 +74,7 @@
 pub struct FourthTenantsUpdate {
     are_listed: bool,
     listed_at: LogIndex,
-    is_whole: bool,
+    is_complete: bool,
     changed: Vec<FourthTenantChange>,
 }
 
@@ -107,7 +107,7 @@
 
 #[derive(Archive, Serialize, Deserialize)]
 pub struct FourthReplicaRecord {
-    told: FourthReplicaChange,
+    reported: FourthReplicaChange,
     changed_at: LogIndex,
 }
 
@@ -207,7 +207,7 @@
         TenantsUpdate {
             are_listed: fourth.are_listed,
             listed_at: fourth.listed_at,
-            is_whole: fourth.is_whole,
+            is_complete: fourth.is_complete,
             changed: fourth.changed.into_iter().map(Into::into).collect(),
         }
     }
@@ -243,7 +243,7 @@
             slots: fourth.slots,
             state: fourth.state,
             sequence: fourth.sequence,
-            born: 0,
+            incarnation: 0,
             cold_ms: 0,
         }
     }
@@ -252,7 +252,7 @@
 impl From<FourthReplicaRecord> for ReplicaRecord {
     fn from(fourth: FourthReplicaRecord) -> Self {
         ReplicaRecord {
-            told: fourth.told.into(),
+            reported: fourth.reported.into(),
             changed_at: fourth.changed_at,
         }
     }
--- a/crates/registry/src/fourth_layout/written.rs
+++ b/crates/registry/src/fourth_layout/written.rs
@@ -129,7 +129,7 @@
         Ok(FourthTenantsUpdate {
             are_listed: update.are_listed,
             listed_at: update.listed_at,
-            is_whole: update.is_whole,
+            is_complete: update.is_complete,
             changed: changed?,
         })
     }
@@ -167,7 +167,7 @@
 impl From<ReplicaRecord> for FourthReplicaRecord {
     fn from(record: ReplicaRecord) -> Self {
         FourthReplicaRecord {
-            told: record.told.into(),
+            reported: record.reported.into(),
             changed_at: record.changed_at,
         }
     }
--- a/crates/registry/src/start.rs
+++ b/crates/registry/src/incarnation_key.rs
@@ -6,19 +6,19 @@
 /// Between the id and the start in a key.
 const SEPARATOR: char = '#';
 
-/// The key of a start; `born` is 0 where the replica does not tell it.
+/// The key of a start; `incarnation` is 0 where the replica does not tell it.
 #[must_use]
-pub fn start_key(id: &str, born: u64) -> String {
-    match born {
+pub fn incarnation_key(id: &str, incarnation: u64) -> String {
+    match incarnation {
         0 => id.to_owned(),
-        born => format!("{id}{SEPARATOR}{born}"),
+        incarnation => format!("{id}{SEPARATOR}{incarnation}"),
     }
 }
 
 /// The replica's id and which start of it a key names.
 #[must_use]
-pub fn parse_start_key(key: &str) -> (&str, u64) {
+pub fn parse_incarnation_key(key: &str) -> (&str, u64) {
     let parts = key.rsplit_once(SEPARATOR);
-    let parts = parts.and_then(|(id, born)| Some((id, born.parse().ok()?)));
+    let parts = parts.and_then(|(id, incarnation)| Some((id, incarnation.parse().ok()?)));
     parts.unwrap_or((key, 0))
 }
--- a/crates/registry/src/node_list.rs
+++ b/crates/registry/src/node_list.rs
@@ -5,7 +5,7 @@
 use rkyv::{Archive, Deserialize, Serialize};
 
 /// A gateway counts as ready for this long after it said so, in milliseconds.
-pub const READY_FOR_MS: u64 = 1_200;
+pub const READY_TTL_MS: u64 = 1_200;
 
 /// A control member that has just begun to hear gateways, or hears them again after it stood
 /// still, may hear those of a far region first. Others open their connections within this, in
@@ -28,7 +28,7 @@
 
 /// Who asks where to go, and for what.
 #[derive(Clone, Copy, Debug)]
-pub struct DirectoryQuestion<'a> {
+pub struct DirectoryQuery<'a> {
     /// The host of its requests.
     pub host: &'a str,
     /// The caller's region.
@@ -36,7 +36,7 @@
     /// The caller's zone.
     pub zone: &'a str,
     /// Most addresses of an answer.
-    pub most: usize,
+    pub limit: usize,
 }
 
 #[derive(Clone, Debug)]
@@ -48,7 +48,7 @@
 
 impl Heard {
     fn is_recent(&self, now_ms: u64) -> bool {
-        now_ms.saturating_sub(self.at_ms) <= READY_FOR_MS
+        now_ms.saturating_sub(self.at_ms) <= READY_TTL_MS
     }
 }
 
@@ -64,7 +64,7 @@
 impl NodeList {
     /// Notes what a gateway says of itself; true when the directory differs by it.
     pub fn note(&mut self, node: DirectoryNode, ready: bool, now_ms: u64) -> bool {
-        if now_ms.saturating_sub(self.heard_last_ms) > READY_FOR_MS {
+        if now_ms.saturating_sub(self.heard_last_ms) > READY_TTL_MS {
             self.heard_since_ms = None;
         }
         self.heard_since_ms.get_or_insert(now_ms);
@@ -83,7 +83,7 @@
     }
 
     /// Notes that the connection to a gateway broke.
-    pub fn lose(&mut self, address: &str) {
+    pub fn remove(&mut self, address: &str) {
         self.heard.remove(address);
     }
 
@@ -91,7 +91,7 @@
     #[must_use]
     pub fn near(
         &self,
-        question: &DirectoryQuestion<'_>,
+        query: &DirectoryQuery<'_>,
         homes: Option<&BTreeSet<String>>,
         now_ms: u64,
     ) -> Vec<String> {
@@ -99,9 +99,9 @@
         let since_ms = self.heard_since_ms.unwrap_or(now_ms);
         let may_lack_some = now_ms.saturating_sub(since_ms) < ALL_HEARD_AFTER_MS;
         if let (true, Some(homes)) = (may_lack_some, homes) {
-            nodes.retain(|node| node.region == question.region || homes.contains(&node.zone));
+            nodes.retain(|node| node.region == query.region || homes.contains(&node.zone));
         }
-        near(&nodes, question, homes)
+        near(&nodes, query, homes)
     }
 
     /// Gateways that are ready, by address.
@@ -121,12 +121,12 @@
 #[must_use]
 pub fn near(
     nodes: &[DirectoryNode],
-    question: &DirectoryQuestion<'_>,
+    query: &DirectoryQuery<'_>,
     homes: Option<&BTreeSet<String>>,
 ) -> Vec<String> {
-    let mut chosen = addresses(nodes.iter().filter(|node| node.zone == question.zone));
+    let mut chosen = addresses(nodes.iter().filter(|node| node.zone == query.zone));
     if chosen.len() < FEWEST_NEAR {
-        let of_region = nodes.iter().filter(|node| node.region == question.region);
+        let of_region = nodes.iter().filter(|node| node.region == query.region);
         chosen = addresses(of_region);
     }
     if let (true, Some(homes)) = (chosen.is_empty(), homes) {
@@ -135,7 +135,7 @@
     if chosen.is_empty() {
         chosen = addresses(nodes.iter());
     }
-    chosen.truncate(question.most);
+    chosen.truncate(query.limit);
     chosen
 }
 
--- a/crates/registry/src/tell_order.rs
+++ b/crates/registry/src/notification_order.rs
@@ -18,7 +18,7 @@
 /// How many control members tell a node before one of them does: first those in the node's
 /// zone, then those in its region, then others; among equally near ones another order for
 /// each node. Alike for all members that see the same ones.
-pub fn tell_rank<'a>(
+pub fn notification_rank<'a>(
     node: MachineId,
     at: &Place,
     member: MachineId,
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -23,14 +23,14 @@
     first_layout::FirstSnapshot,
     fourth_layout::FourthSnapshot,
     gateways::{GatewayRecord, KnownGateways},
+    incarnation_key::parse_incarnation_key,
     replica::ReplicaRecord,
+    replica_changes::{self, Removal},
     replica_index::ReplicaIndex,
     replica_records::{ReplicaDifference, ReplicaRecords},
     routes::RouteTable,
     second_layout::{SecondSnapshot, ThirdSnapshot},
-    sequence::{self, Removal},
     sixth_layout::SixthSnapshot,
-    start::parse_start_key,
     suspicion::{Suspicion, Suspicions},
     table_history::TableHistory,
     update::FleetUpdate,
@@ -121,10 +121,10 @@
 
     /// Whether a start is the newest one of its replica, by its key.
     #[must_use]
-    pub fn holds_start(&self, key: &str) -> bool {
-        let (id, _) = parse_start_key(key);
+    pub fn is_current_incarnation(&self, key: &str) -> bool {
+        let (id, _) = parse_incarnation_key(key);
         let held = self.replicas.records().get(id);
-        held.is_some_and(|record| record.told.is_of_start(key))
+        held.is_some_and(|record| record.reported.is_of_incarnation(key))
     }
 
     /// Every replica that is not gone.
@@ -148,7 +148,7 @@
 
     /// The gone replica that changed first; `None` where none is held.
     #[must_use]
-    pub fn first_gone_at(&self) -> Option<LogIndex> {
+    pub fn first_ended_at(&self) -> Option<LogIndex> {
         self.records().first_gone().map(|(at, _)| at)
     }
 
@@ -204,8 +204,8 @@
     /// The same as a format can tell it: the first has no changes of a table.
     #[must_use]
     pub fn update_in(&self, format: Format, since: LogIndex) -> FleetUpdate {
-        let is_whole = since < self.forgotten;
-        let replicas_since = if is_whole { LogIndex(0) } else { since };
+        let is_complete = since < self.forgotten;
+        let replicas_since = if is_complete { LogIndex(0) } else { since };
         let history = self.table.as_ref();
         let table = history.and_then(|history| match format {
             Format::First => history.whole_since(since),
@@ -223,12 +223,12 @@
             table,
             tenants,
             replicas: changed.cloned().collect(),
-            replicas_whole: is_whole,
+            replicas_complete: is_complete,
             forgotten: self.forgotten,
             store: (self.store_at > since).then(|| self.store.clone()),
             store_at: self.store_at,
             suspicions: suspected.cloned().collect(),
-            upto: self.changed_at,
+            up_to_index: self.changed_at,
         }
     }
 
@@ -246,13 +246,13 @@
             table: None,
             tenants: None,
             replicas: Vec::new(),
-            replicas_whole: false,
+            replicas_complete: false,
             forgotten: LogIndex(0),
             store: (self.store_at > since).then(|| self.store.clone()),
             store_at: self.store_at,
             suspicions: Vec::new(),
             evacuations: Vec::new(),
-            upto: self.changed_at,
+            up_to_index: self.changed_at,
         }
     }
 
@@ -264,7 +264,7 @@
     ) -> RegistryAnswer {
         let held = self.table().map(|table| table.version);
         if held.is_some_and(|held| held >= table.version) {
-            return RegistryAnswer::RoutesHeld(held.unwrap_or_default());
+            return RegistryAnswer::ConfigurationVersion(held.unwrap_or_default());
         }
         let version = table.version;
         match &mut self.table {
@@ -274,7 +274,7 @@
         self.document = Arc::new(declared.document);
         Arc::make_mut(&mut self.tenants).replace(declared.tenants, index);
         self.changed_at = index;
-        RegistryAnswer::RoutesHeld(version)
+        RegistryAnswer::ConfigurationVersion(version)
     }
 
     fn order_evacuation(
@@ -286,16 +286,16 @@
         let zone = order.zone.clone();
         let changed = self.evacuations.set(index, order, evacuated);
         self.note_change(index, changed);
-        RegistryAnswer::ZoneHeld {
+        RegistryAnswer::ZoneState {
             evacuated: self.evacuations.contains(&zone),
             changed_at: self.evacuations.changed_at(&zone),
         }
     }
 
-    fn forget_gone(&mut self, upto: LogIndex) {
-        let upto = upto.min(self.changed_at);
-        self.forgotten = self.forgotten.max(upto);
-        self.replicas.forget_gone(upto);
+    fn forget_gone(&mut self, up_to_index: LogIndex) {
+        let up_to_index = up_to_index.min(self.changed_at);
+        self.forgotten = self.forgotten.max(up_to_index);
+        self.replicas.forget_gone(up_to_index);
     }
 
     fn note_change(&mut self, index: LogIndex, changed: bool) {
@@ -337,18 +337,18 @@
                 return Ok(self.put_configuration(index, table, *declared));
             }
             RegistryCommand::Replica(change) => {
-                let changed = sequence::apply_change(&mut self.replicas, index, &change);
+                let changed = replica_changes::apply_change(&mut self.replicas, index, &change);
                 self.note_change(index, changed);
             }
             RegistryCommand::RemoveReplica(key) => {
-                let removal = sequence::remove(&mut self.replicas, index, &key);
+                let removal = replica_changes::remove(&mut self.replicas, index, &key);
                 self.note_change(index, removal == Removal::Removed);
-                if removal == Removal::OtherStart {
-                    return Ok(RegistryAnswer::OtherStart);
+                if removal == Removal::OtherIncarnation {
+                    return Ok(RegistryAnswer::OtherIncarnation);
                 }
             }
-            RegistryCommand::NotThere(key) => {
-                let changed = sequence::not_there(&mut self.replicas, index, &key);
+            RegistryCommand::NotAtAddress(key) => {
+                let changed = replica_changes::not_there(&mut self.replicas, index, &key);
                 self.note_change(index, changed);
             }
             RegistryCommand::EvacuateZone(order) => {
@@ -382,8 +382,8 @@
                 let changed = self.suspicions.clear(index, &cleared);
                 self.note_suspicions(index, changed);
             }
-            RegistryCommand::ForgetGone { upto } => self.forget_gone(upto),
-            RegistryCommand::EaseSuspicions(eased) => {
+            RegistryCommand::ForgetEnded { up_to_index } => self.forget_gone(up_to_index),
+            RegistryCommand::DecaySuspicions(eased) => {
                 let changed = self.suspicions.ease(index, &eased);
                 self.note_suspicions(index, changed);
             }
--- a/crates/registry/src/replica.rs
+++ b/crates/registry/src/replica.rs
@@ -3,7 +3,7 @@
 use linnethitch_protocol::{format::Format, ids::LogIndex};
 use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::start::{parse_start_key, start_key};
+use crate::incarnation_key::{incarnation_key, parse_incarnation_key};
 
 /// What a replica may be given.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -13,7 +13,7 @@
     /// Nothing new; it finishes what it has.
     Draining,
     /// Nothing; this incarnation does not come back.
-    Gone,
+    Ended,
     /// Nothing: another incarnation has registered at its address. It comes back if that
     /// one turns out not to be there, since its heartbeat came late.
     Displaced,
@@ -46,7 +46,7 @@
     pub sequence: u64,
     /// Which start of the replica says it: a later start has a higher number. 0 where the
     /// replica does not tell.
-    pub born: u64,
+    pub incarnation: u64,
     /// How much longer it is cold, in milliseconds, when it said so; 0 where it is warm.
     pub cold_ms: u64,
 }
@@ -54,10 +54,10 @@
 impl ReplicaChange {
     /// What a format keeps of it: the first neither starts nor cold times.
     #[must_use]
-    pub fn kept_in(self, format: Format) -> Self {
+    pub fn reduced_to(self, format: Format) -> Self {
         match format {
             Format::First => ReplicaChange {
-                born: 0,
+                incarnation: 0,
                 cold_ms: 0,
                 ..self
             },
@@ -67,14 +67,14 @@
 
     /// The key of the start that speaks.
     #[must_use]
-    pub fn start_key(&self) -> String {
-        start_key(&self.id, self.born)
+    pub fn incarnation_key(&self) -> String {
+        incarnation_key(&self.id, self.incarnation)
     }
 
     /// Whether a key names the start that speaks.
     #[must_use]
-    pub fn is_of_start(&self, key: &str) -> bool {
-        parse_start_key(key) == (self.id.as_str(), self.born)
+    pub fn is_of_incarnation(&self, key: &str) -> bool {
+        parse_incarnation_key(key) == (self.id.as_str(), self.incarnation)
     }
 
     /// Whether it said that it is cold.
@@ -101,7 +101,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaRecord {
     /// What it last said.
-    pub told: ReplicaChange,
+    pub reported: ReplicaChange,
     /// The log entry that changed it last.
     pub changed_at: LogIndex,
 }
--- a/crates/registry/src/sequence.rs
+++ b/crates/registry/src/replica_changes.rs
@@ -5,9 +5,9 @@
 use linnethitch_protocol::ids::LogIndex;
 
 use crate::{
+    incarnation_key::parse_incarnation_key,
     replica::{ReplicaChange, ReplicaRecord, ReplicaState},
     replica_index::ReplicaIndex,
-    start::parse_start_key,
 };
 
 /// Applies what a replica said; false when it is late or says nothing new.
@@ -17,7 +17,7 @@
     change: &ReplicaChange,
 ) -> bool {
     if let Some(held) = replicas.records().get(&change.id) {
-        match change.born.cmp(&held.told.born) {
+        match change.incarnation.cmp(&held.reported.incarnation) {
             Ordering::Less => return false,
             Ordering::Equal => {
                 let mut settled = held.clone();
@@ -32,7 +32,7 @@
     }
     displace_predecessors(replicas, index, change);
     replicas.put(ReplicaRecord {
-        told: change.clone(),
+        reported: change.clone(),
         changed_at: index,
     });
     true
@@ -45,18 +45,18 @@
     index: LogIndex,
     change: &ReplicaChange,
 ) -> Option<bool> {
-    let is_late = change.sequence <= held.told.sequence;
-    if is_late || held.told.state == ReplicaState::Gone {
+    let is_late = change.sequence <= held.reported.sequence;
+    if is_late || held.reported.state == ReplicaState::Ended {
         return Some(false);
     }
-    if held.told.state == ReplicaState::Displaced {
+    if held.reported.state == ReplicaState::Displaced {
         return Some(leave(held, index, change));
     }
     // Gateways count a cold time from the entry that told it: each that was proposed is new.
-    if change.is_cold() || change.differs_from(&held.told) {
+    if change.is_cold() || change.differs_from(&held.reported) {
         return None;
     }
-    held.told.sequence = change.sequence;
+    held.reported.sequence = change.sequence;
     Some(false)
 }
 
@@ -66,7 +66,7 @@
     if change.state != ReplicaState::Draining {
         return false;
     }
-    held.told.state = ReplicaState::Gone;
+    held.reported.state = ReplicaState::Ended;
     held.changed_at = index;
     true
 }
@@ -74,19 +74,19 @@
 /// The start of a replica turned out not to be at its address: it is gone, and the one
 /// whose place it had taken last has it again. False when it did not count as there.
 pub(crate) fn not_there(replicas: &mut ReplicaIndex, index: LogIndex, key: &str) -> bool {
-    let (id, _) = parse_start_key(key);
+    let (id, _) = parse_incarnation_key(key);
     let record = replicas.records().get(id);
-    let record = record.filter(|record| record.told.is_of_start(key));
-    let Some(record) = record.filter(|r| r.told.state.is_live()) else {
+    let record = record.filter(|record| record.reported.is_of_incarnation(key));
+    let Some(record) = record.filter(|r| r.reported.state.is_live()) else {
         return false;
     };
-    let address = record.told.address.clone();
+    let address = record.reported.address.clone();
     remove(replicas, index, key);
     let others = replicas.at_address(&address);
     let others = others.iter().filter_map(|id| replicas.records().get(id));
-    let displaced = others.filter(|held| held.told.state == ReplicaState::Displaced);
+    let displaced = others.filter(|held| held.reported.state == ReplicaState::Displaced);
     let last = displaced.max_by_key(|held| held.changed_at);
-    if let Some(last) = last.map(|held| held.told.id.clone()) {
+    if let Some(last) = last.map(|held| held.reported.id.clone()) {
         set_state(replicas, index, &last, ReplicaState::Ready);
     }
     true
@@ -94,7 +94,7 @@
 
 fn set_state(replicas: &mut ReplicaIndex, index: LogIndex, id: &str, state: ReplicaState) {
     replicas.change(id, |held| {
-        held.told.state = state;
+        held.reported.state = state;
         held.changed_at = index;
     });
 }
@@ -107,26 +107,26 @@
     /// It was gone.
     WasGone,
     /// Another start of the replica is held; nothing was done.
-    OtherStart,
+    OtherIncarnation,
 }
 
 /// Marks the start of a replica as gone. One that was never heard of is noted too, so
 /// that a heartbeat that comes late does not count.
 pub(crate) fn remove(replicas: &mut ReplicaIndex, index: LogIndex, key: &str) -> Removal {
-    let (id, born) = parse_start_key(key);
+    let (id, incarnation) = parse_incarnation_key(key);
     match replicas.records().get(id) {
-        None => replicas.put(never_heard_of(id, born)),
-        Some(held) if !held.told.is_of_start(key) => return Removal::OtherStart,
-        Some(held) if held.told.state == ReplicaState::Gone => return Removal::WasGone,
+        None => replicas.put(never_heard_of(id, incarnation)),
+        Some(held) if !held.reported.is_of_incarnation(key) => return Removal::OtherIncarnation,
+        Some(held) if held.reported.state == ReplicaState::Ended => return Removal::WasGone,
         Some(_) => {}
     }
-    set_state(replicas, index, id, ReplicaState::Gone);
+    set_state(replicas, index, id, ReplicaState::Ended);
     Removal::Removed
 }
 
-fn never_heard_of(id: &str, born: u64) -> ReplicaRecord {
+fn never_heard_of(id: &str, incarnation: u64) -> ReplicaRecord {
     ReplicaRecord {
-        told: ReplicaChange {
+        reported: ReplicaChange {
             id: id.to_owned(),
             service: String::new(),
             address: String::new(),
@@ -134,7 +134,7 @@
             slots: 0,
             state: ReplicaState::Draining,
             sequence: u64::MAX,
-            born,
+            incarnation,
             cold_ms: 0,
         },
         changed_at: LogIndex(0),
@@ -147,13 +147,13 @@
 fn displace_predecessors(replicas: &mut ReplicaIndex, index: LogIndex, change: &ReplicaChange) {
     for id in replicas.at_address(&change.address) {
         let held = replicas.records().get(&id);
-        let Some(held) = held.filter(|held| held.told.id != change.id) else {
+        let Some(held) = held.filter(|held| held.reported.id != change.id) else {
             continue;
         };
-        match held.told.state {
+        match held.reported.state {
             ReplicaState::Ready => set_state(replicas, index, &id, ReplicaState::Displaced),
-            ReplicaState::Draining => set_state(replicas, index, &id, ReplicaState::Gone),
-            ReplicaState::Displaced | ReplicaState::Gone => {}
+            ReplicaState::Draining => set_state(replicas, index, &id, ReplicaState::Ended),
+            ReplicaState::Displaced | ReplicaState::Ended => {}
         }
     }
 }
--- a/crates/registry/src/replica_index.rs
+++ b/crates/registry/src/replica_index.rs
@@ -33,12 +33,12 @@
 
     /// Holds a record in the place of the one of its id.
     pub(crate) fn put(&mut self, record: ReplicaRecord) {
-        self.remove(&record.told.id);
-        let id = Text::from(record.told.id.as_str());
-        if record.told.state != ReplicaState::Gone {
+        self.remove(&record.reported.id);
+        let id = Text::from(record.reported.id.as_str());
+        if record.reported.state != ReplicaState::Ended {
             self.by_address.insert(address_key(&record, &id));
         }
-        if record.told.state == ReplicaState::Displaced {
+        if record.reported.state == ReplicaState::Displaced {
             self.displaced.insert(Arc::clone(&id));
         }
         self.by_change.insert((record.changed_at, id));
@@ -86,9 +86,9 @@
     }
 
     /// Forgets those that are gone since this entry or an earlier one.
-    pub(crate) fn forget_gone(&mut self, upto: LogIndex) {
+    pub(crate) fn forget_gone(&mut self, up_to_index: LogIndex) {
         while let Some((at, id)) = self.records.first_gone()
-            && at <= upto
+            && at <= up_to_index
         {
             let id = id.to_owned();
             self.remove(&id);
@@ -97,7 +97,7 @@
 }
 
 fn address_key(record: &ReplicaRecord, id: &Text) -> (Text, Text) {
-    (Text::from(record.told.address.as_str()), Arc::clone(id))
+    (Text::from(record.reported.address.as_str()), Arc::clone(id))
 }
 
 impl FromIterator<ReplicaRecord> for ReplicaIndex {
--- a/crates/registry/src/replica_records.rs
+++ b/crates/registry/src/replica_records.rs
@@ -43,7 +43,7 @@
 
     /// Replicas that are not gone, by id.
     pub(crate) fn live(&self) -> impl Iterator<Item = &ReplicaRecord> {
-        self.all().filter(|record| record.told.state.is_live())
+        self.all().filter(|record| record.reported.state.is_live())
     }
 
     /// Number of replicas that are not gone.
@@ -53,10 +53,10 @@
 
     /// Holds a record in the place of the one of its id, which is returned.
     pub(crate) fn put(&mut self, record: ReplicaRecord) -> Option<Arc<ReplicaRecord>> {
-        let before = self.remove(&record.told.id);
-        let id = Id::from(record.told.id.as_str());
-        self.live += usize::from(record.told.state.is_live());
-        if record.told.state == ReplicaState::Gone {
+        let before = self.remove(&record.reported.id);
+        let id = Id::from(record.reported.id.as_str());
+        self.live += usize::from(record.reported.state.is_live());
+        if record.reported.state == ReplicaState::Ended {
             self.gone.insert((record.changed_at, Arc::clone(&id)));
         }
         self.by_id.insert(id, Arc::new(record));
@@ -66,8 +66,8 @@
     /// Forgets a record, which is returned.
     pub(crate) fn remove(&mut self, id: &str) -> Option<Arc<ReplicaRecord>> {
         let (id, before) = self.by_id.remove_with_key(id)?;
-        self.live -= usize::from(before.told.state.is_live());
-        if before.told.state == ReplicaState::Gone {
+        self.live -= usize::from(before.reported.state.is_live());
+        if before.reported.state == ReplicaState::Ended {
             self.gone.remove(&(before.changed_at, id));
         }
         Some(before)
--- a/crates/registry/src/suspicion.rs
+++ b/crates/registry/src/suspicion.rs
@@ -93,7 +93,7 @@
 
     /// What another gateway told, as of what is known here of the fleet.
     #[must_use]
-    pub fn told(told: ToldSuspicion, changed_at: LogIndex) -> Self {
+    pub fn from_report(told: ToldSuspicion, changed_at: LogIndex) -> Self {
         Suspicion {
             fingerprint: told.fingerprint,
             row: told.row,
@@ -104,7 +104,7 @@
 
     /// The same as other gateways are told.
     #[must_use]
-    pub fn to_tell(&self) -> ToldSuspicion {
+    pub fn to_report(&self) -> ToldSuspicion {
         ToldSuspicion {
             fingerprint: self.fingerprint,
             replica: self.replica.clone(),
--- a/crates/registry/src/table_history.rs
+++ b/crates/registry/src/table_history.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     routes::RouteTable,
-    table_update::{RoutePlace, TableUpdate, by_name, by_place},
+    table_update::{RouteKey, TableUpdate, by_key, by_name},
 };
 
 /// Removals that are remembered of routes, and as many of services, so that a node is told
@@ -85,7 +85,7 @@
     digest: Option<u64>,
     /// The entry that put it in force.
     changed_at: LogIndex,
-    routes: ChangeTimes<RoutePlace>,
+    routes: ChangeTimes<RouteKey>,
     services: ChangeTimes<String>,
 }
 
@@ -96,7 +96,7 @@
         TableHistory {
             digest: table.digest(),
             changed_at: index,
-            routes: ChangeTimes::from_first(&by_place(&table.routes), index),
+            routes: ChangeTimes::from_first(&by_key(&table.routes), index),
             services: ChangeTimes::from_first(&by_name(&table.services), index),
             table,
         }
@@ -115,8 +115,8 @@
     /// Puts the next table in force, by an entry of the log.
     pub(crate) fn replace(&mut self, table: RouteTable, index: LogIndex) {
         let table = table.in_order();
-        let before = by_place(&self.table.routes);
-        self.routes.note(&before, &by_place(&table.routes), index);
+        let before = by_key(&self.table.routes);
+        self.routes.note(&before, &by_key(&table.routes), index);
         let before = by_name(&self.table.services);
         self.services
             .note(&before, &by_name(&table.services), index);
@@ -136,16 +136,16 @@
         if self.changed_at <= since {
             return None;
         }
-        let is_whole = since < self.routes.forgotten.max(self.services.forgotten);
+        let is_complete = since < self.routes.forgotten.max(self.services.forgotten);
         let routes = self.table.routes.iter();
         let routes =
-            routes.filter(|route| is_whole || self.routes.has_changed(&route.place(), since));
+            routes.filter(|route| is_complete || self.routes.has_changed(&route.key(), since));
         let services = self.table.services.iter();
-        let services =
-            services.filter(|service| is_whole || self.services.has_changed(&service.name, since));
+        let services = services
+            .filter(|service| is_complete || self.services.has_changed(&service.name, since));
         Some(TableUpdate {
             version: self.table.version,
-            is_whole,
+            is_complete,
             routes: routes.cloned().collect(),
             removed_routes: self.routes.removed_since(since),
             services: services.cloned().collect(),
--- a/crates/registry/src/table_update.rs
+++ b/crates/registry/src/table_update.rs
@@ -8,7 +8,7 @@
 use crate::routes::{CallerLimits, Route, RouteTable, ServiceTraits};
 
 /// Host and path prefix of a route: no two routes of a table share them.
-pub type RoutePlace = (String, String);
+pub type RouteKey = (String, String);
 
 /// What changed of a route table. Applied as a whole or not at all.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -16,11 +16,11 @@
     /// The version of the table that results.
     pub version: u64,
     /// These are all routes and services; others are no longer there.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// Routes that are new or other than before.
     pub routes: Vec<Route>,
     /// Routes that are no longer there.
-    pub removed_routes: Vec<RoutePlace>,
+    pub removed_routes: Vec<RouteKey>,
     /// Services that are new or other than before.
     pub services: Vec<ServiceTraits>,
     /// Services that are no longer there, by name.
@@ -38,7 +38,7 @@
         let table = table.in_order();
         TableUpdate {
             version: table.version,
-            is_whole: true,
+            is_complete: true,
             digest: table.digest(),
             routes: table.routes,
             removed_routes: Vec::new(),
@@ -52,11 +52,11 @@
     /// was made for. A whole table stands for itself, whatever was held.
     #[must_use]
     pub fn apply(self, held: Option<&RouteTable>) -> Option<RouteTable> {
-        let before = held.filter(|_| !self.is_whole);
-        if before.is_none() && !self.is_whole {
+        let before = held.filter(|_| !self.is_complete);
+        if before.is_none() && !self.is_complete {
             return None;
         }
-        let mut routes = before.map(|table| by_place(&table.routes));
+        let mut routes = before.map(|table| by_key(&table.routes));
         let mut services = before.map(|table| by_name(&table.services));
         let routes = routes.get_or_insert_default();
         let services = services.get_or_insert_default();
@@ -66,7 +66,7 @@
         self.removed_services.iter().for_each(|name| {
             services.remove(name);
         });
-        routes.extend(by_place(&self.routes));
+        routes.extend(by_key(&self.routes));
         services.extend(by_name(&self.services));
         let table = RouteTable {
             version: self.version,
@@ -77,7 +77,7 @@
                 .collect(),
             limits: self.limits,
         };
-        (self.is_whole || table.digest() == self.digest).then_some(table)
+        (self.is_complete || table.digest() == self.digest).then_some(table)
     }
 }
 
@@ -94,7 +94,7 @@
     #[must_use]
     pub(crate) fn in_order(self) -> Self {
         let routes = self.routes.into_iter();
-        let routes: BTreeMap<_, _> = routes.map(|route| (route.place(), route)).collect();
+        let routes: BTreeMap<_, _> = routes.map(|route| (route.key(), route)).collect();
         let services = self.services.into_iter().rev();
         let services: BTreeMap<_, _> = services
             .map(|service| (service.name.clone(), service))
@@ -110,14 +110,14 @@
 impl Route {
     /// Its host and path prefix.
     #[must_use]
-    pub fn place(&self) -> RoutePlace {
+    pub fn key(&self) -> RouteKey {
         (self.host.clone(), self.path_prefix.clone())
     }
 }
 
 /// Routes by host and path prefix.
-pub(crate) fn by_place(routes: &[Route]) -> BTreeMap<RoutePlace, &Route> {
-    routes.iter().map(|route| (route.place(), route)).collect()
+pub(crate) fn by_key(routes: &[Route]) -> BTreeMap<RouteKey, &Route> {
+    routes.iter().map(|route| (route.key(), route)).collect()
 }
 
 /// Services by name.
--- a/crates/registry/src/third_layout.rs
+++ b/crates/registry/src/third_layout.rs
@@ -34,8 +34,8 @@
         runs: Vec<ThirdEndedRun>,
     },
     ClearSuspicions(Vec<RequestFingerprint>),
-    EaseSuspicions(Vec<RequestFingerprint>),
-    NotThere(String),
+    DecaySuspicions(Vec<RequestFingerprint>),
+    NotAtAddress(String),
 }
 
 impl From<ThirdEndedRun> for EndedRun {
@@ -64,8 +64,8 @@
                 runs: runs.into_iter().map(EndedRun::from).collect(),
             },
             ThirdCommand::ClearSuspicions(cleared) => RegistryCommand::ClearSuspicions(cleared),
-            ThirdCommand::EaseSuspicions(eased) => RegistryCommand::EaseSuspicions(eased),
-            ThirdCommand::NotThere(key) => RegistryCommand::NotThere(key),
+            ThirdCommand::DecaySuspicions(eased) => RegistryCommand::DecaySuspicions(eased),
+            ThirdCommand::NotAtAddress(key) => RegistryCommand::NotAtAddress(key),
         }
     }
 }
--- a/crates/registry/src/update.rs
+++ b/crates/registry/src/update.rs
@@ -23,7 +23,7 @@
     pub replicas: Vec<ReplicaRecord>,
     /// These are all replicas that there are: the node may have missed ends that are
     /// forgotten by now.
-    pub replicas_whole: bool,
+    pub replicas_complete: bool,
     /// Replicas that were gone since this entry or an earlier one are forgotten.
     pub forgotten: LogIndex,
     /// The job store's members, if they changed.
@@ -35,5 +35,5 @@
     /// Zones that were evacuated, or are no longer, as far as that changed.
     pub evacuations: Vec<EvacuationRecord>,
     /// The newest change that this update covers.
-    pub upto: LogIndex,
+    pub up_to_index: LogIndex,
 }
--- a/crates/registry/src/validate.rs
+++ b/crates/registry/src/validate.rs
@@ -15,7 +15,7 @@
         service: String,
     },
     /// Two routes share host and prefix.
-    SamePlace {
+    SameHostAndPrefix {
         /// The second route.
         route: String,
     },
@@ -45,7 +45,7 @@
                     "route {route} names the unknown service {service}"
                 )
             }
-            RouteTableError::SamePlace { route } => {
+            RouteTableError::SameHostAndPrefix { route } => {
                 write!(
                     formatter,
                     "route {route} has the host and prefix of another"
@@ -80,7 +80,7 @@
             self.check_route(route)?;
             let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
             if !places.insert(place) {
-                return Err(RouteTableError::SamePlace {
+                return Err(RouteTableError::SameHostAndPrefix {
                     route: route.name.clone(),
                 });
             }
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -7,12 +7,12 @@
 
 use crate::{
     evacuations::Evacuations,
+    incarnation_key::parse_incarnation_key,
     registry::StoreMembers,
     replica::{ReplicaRecord, ReplicaState},
     replica_records::{ReplicaDifference, ReplicaRecords},
     routes::RouteTable,
     service_zones::ServiceZones,
-    start::parse_start_key,
     suspicion::Suspicions,
     table_update::TableUpdate,
     update::FleetUpdate,
@@ -32,9 +32,9 @@
     store_at: LogIndex,
     suspicions: Suspicions,
     evacuations: Evacuations,
-    upto: LogIndex,
+    up_to_index: LogIndex,
     /// Something that was told could not be taken without what it builds on.
-    needs_whole: bool,
+    needs_full_update: bool,
 }
 
 impl FleetView {
@@ -86,22 +86,22 @@
     /// The state of a start by its key: gone where a later one is known, `None` before it
     /// was heard of.
     #[must_use]
-    pub fn state_of_start(&self, key: &str) -> Option<ReplicaState> {
-        let (id, born) = parse_start_key(key);
-        let told = &self.replicas.get(id)?.told;
-        match told.born.cmp(&born) {
+    pub fn state_of_incarnation(&self, key: &str) -> Option<ReplicaState> {
+        let (id, incarnation) = parse_incarnation_key(key);
+        let told = &self.replicas.get(id)?.reported;
+        match told.incarnation.cmp(&incarnation) {
             Ordering::Less => None,
             Ordering::Equal => Some(told.state),
-            Ordering::Greater => Some(ReplicaState::Gone),
+            Ordering::Greater => Some(ReplicaState::Ended),
         }
     }
 
     /// The zone of a replica by the key of any start of it; `None` before it was heard of.
     #[must_use]
-    pub fn zone_of_start(&self, key: &str) -> Option<&str> {
-        let (id, _) = parse_start_key(key);
+    pub fn zone_of_incarnation(&self, key: &str) -> Option<&str> {
+        let (id, _) = parse_incarnation_key(key);
         let record = self.replicas.get(id);
-        record.map(|record| record.told.zone.as_str())
+        record.map(|record| record.reported.zone.as_str())
     }
 
     /// The job store as control knows it.
@@ -124,26 +124,30 @@
 
     /// The newest change known here.
     #[must_use]
-    pub fn upto(&self) -> LogIndex {
-        self.upto
+    pub fn up_to_index(&self) -> LogIndex {
+        self.up_to_index
     }
 
     /// Whether what was told last builds on something that is not known here: control has
     /// to tell everything once more.
     #[must_use]
-    pub fn needs_whole(&self) -> bool {
-        self.needs_whole
+    pub fn needs_full_update(&self) -> bool {
+        self.needs_full_update
     }
 
     /// Takes an update; true when it brought anything new.
-    pub fn take(&mut self, update: FleetUpdate) -> bool {
-        let knows_base = update.since <= self.upto;
+    pub fn apply(&mut self, update: FleetUpdate) -> bool {
+        let knows_base = update.since <= self.up_to_index;
         let mut changed = false;
-        self.needs_whole = !knows_base;
+        self.needs_full_update = !knows_base;
         if knows_base {
             changed |= self.take_configuration(update.table, update.tenants);
         }
-        changed |= self.take_replicas(update.replicas, update.replicas_whole, update.upto);
+        changed |= self.take_replicas(
+            update.replicas,
+            update.replicas_complete,
+            update.up_to_index,
+        );
         self.forget(update.forgotten);
         if let Some(store) = update.store
             && update.store_at > self.store_at
@@ -158,10 +162,14 @@
         for record in update.evacuations {
             changed |= self.evacuations.take(record);
         }
-        if self.needs_whole {
-            self.upto = if knows_base { LogIndex(0) } else { self.upto };
+        if self.needs_full_update {
+            self.up_to_index = if knows_base {
+                LogIndex(0)
+            } else {
+                self.up_to_index
+            };
         } else {
-            self.upto = self.upto.max(update.upto);
+            self.up_to_index = self.up_to_index.max(update.up_to_index);
         }
         changed
     }
@@ -178,61 +186,68 @@
             return false;
         };
         let Some(table) = table.apply(held) else {
-            self.needs_whole = true;
+            self.needs_full_update = true;
             return false;
         };
         self.table = Some(Arc::new(table));
         if let Some(tenants) = tenants {
-            Arc::make_mut(&mut self.tenants).take(tenants);
+            Arc::make_mut(&mut self.tenants).apply(tenants);
         }
         true
     }
 
-    /// Takes records that tell the replicas as of an entry: all of them where `is_whole`.
-    fn take_replicas(&mut self, told: Vec<ReplicaRecord>, is_whole: bool, upto: LogIndex) -> bool {
+    /// Takes records that tell the replicas as of an entry: all of them where `is_complete`.
+    fn take_replicas(
+        &mut self,
+        told: Vec<ReplicaRecord>,
+        is_complete: bool,
+        up_to_index: LogIndex,
+    ) -> bool {
         let mut changed = false;
-        if is_whole {
-            changed |= self.drop_unnamed(&told, upto);
+        if is_complete {
+            changed |= self.drop_unnamed(&told, up_to_index);
         }
         for record in told {
-            changed |= self.take_replica(record, upto);
+            changed |= self.take_replica(record, up_to_index);
         }
         changed
     }
 
     /// Drops replicas that did not change since an entry and that are not among all those
     /// that there were then.
-    fn drop_unnamed(&mut self, all: &[ReplicaRecord], upto: LogIndex) -> bool {
-        let named: BTreeSet<&str> = all.iter().map(|r| r.told.id.as_str()).collect();
+    fn drop_unnamed(&mut self, all: &[ReplicaRecord], up_to_index: LogIndex) -> bool {
+        let named: BTreeSet<&str> = all.iter().map(|r| r.reported.id.as_str()).collect();
         let held = self.replicas.all();
         let unnamed = held
-            .filter(|record| record.changed_at <= upto)
-            .filter(|record| !named.contains(record.told.id.as_str()));
-        let unnamed: Vec<String> = unnamed.map(|record| record.told.id.clone()).collect();
+            .filter(|record| record.changed_at <= up_to_index)
+            .filter(|record| !named.contains(record.reported.id.as_str()));
+        let unnamed: Vec<String> = unnamed.map(|record| record.reported.id.clone()).collect();
         for id in &unnamed {
             self.replicas.remove(id);
         }
         !unnamed.is_empty()
     }
 
-    fn take_replica(&mut self, record: ReplicaRecord, upto: LogIndex) -> bool {
-        match self.replicas.get(&record.told.id) {
+    fn take_replica(&mut self, record: ReplicaRecord, up_to_index: LogIndex) -> bool {
+        match self.replicas.get(&record.reported.id) {
             Some(held) if held.changed_at >= record.changed_at => return false,
             // It may be one whose end is forgotten here.
-            None if upto < self.forgotten => return false,
+            None if up_to_index < self.forgotten => return false,
             _ => {}
         }
-        self.zones.note(&record.told.service, &record.told.zone);
+        self.zones
+            .note(&record.reported.service, &record.reported.zone);
         if let Some(before) = self.replicas.put(record) {
             // It is elsewhere now. One that is gone keeps its service's zone.
-            self.zones.leave(&before.told.service, &before.told.zone);
+            self.zones
+                .leave(&before.reported.service, &before.reported.zone);
         }
         true
     }
 
     /// Forgets replicas that were gone since an entry or an earlier one.
-    fn forget(&mut self, upto: LogIndex) {
-        self.forgotten = self.forgotten.max(upto);
+    fn forget(&mut self, up_to_index: LogIndex) {
+        self.forgotten = self.forgotten.max(up_to_index);
         while let Some((at, id)) = self.replicas.first_gone()
             && at <= self.forgotten
         {
--- a/crates/registry/tests/all/directory.rs
+++ b/crates/registry/tests/all/directory.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use linnethitch_registry::{DirectoryNode, DirectoryQuestion, NodeList, READY_FOR_MS};
+use linnethitch_registry::{DirectoryNode, DirectoryQuery, NodeList, READY_TTL_MS};
 use rstest::rstest;
 
 fn node(address: &str, zone: &str, region: &str) -> DirectoryNode {
@@ -13,12 +13,12 @@
     }
 }
 
-fn question<'a>(region: &'a str, zone: &'a str, most: usize) -> DirectoryQuestion<'a> {
-    DirectoryQuestion {
+fn query<'a>(region: &'a str, zone: &'a str, limit: usize) -> DirectoryQuery<'a> {
+    DirectoryQuery {
         host: "desk.example",
         region,
         zone,
-        most,
+        limit,
     }
 }
 
@@ -38,28 +38,28 @@
 #[case::only_ready_ones("west", "c", &["c1"])]
 #[case::nobody_in_the_region("south", "d", &["a1", "a2", "b1", "c1"])]
 fn near_ones_come_first(#[case] region: &str, #[case] zone: &str, #[case] given: &[&str]) {
-    assert_eq!(list().near(&question(region, zone, 64), None, 10), given);
+    assert_eq!(list().near(&query(region, zone, 64), None, 10), given);
 }
 
 #[test]
 fn no_more_than_asked_for() {
-    assert_eq!(list().near(&question("east", "a", 1), None, 10).len(), 1);
+    assert_eq!(list().near(&query("east", "a", 1), None, 10).len(), 1);
 }
 
 #[test]
 fn a_silent_gateway_is_not_given() {
     let mut list = list();
-    let later = READY_FOR_MS + 1;
+    let later = READY_TTL_MS + 1;
     list.note(node("a1", "a", "east"), true, later);
-    assert_eq!(list.near(&question("east", "a", 64), None, later), ["a1"]);
+    assert_eq!(list.near(&query("east", "a", 64), None, later), ["a1"]);
 }
 
 #[test]
 fn a_leaving_or_lost_gateway_is_out_at_once() {
     let mut list = list();
     list.note(node("a1", "a", "east"), false, 1);
-    list.lose("b1");
-    assert_eq!(list.near(&question("east", "a", 64), None, 1), ["a2"]);
+    list.remove("b1");
+    assert_eq!(list.near(&query("east", "a", 64), None, 1), ["a2"]);
 }
 
 /// Gateways of the caller's region may be about to say that they are there.
@@ -78,7 +78,7 @@
         list.note(node("c1", "c", "west"), true, heard_ms);
     }
     let homes = home.map(|zone| BTreeSet::from([zone.to_owned()]));
-    let near = list.near(&question("east", "a", 64), homes.as_ref(), now_ms);
+    let near = list.near(&query("east", "a", 64), homes.as_ref(), now_ms);
     assert_eq!(near, given);
 }
 
@@ -88,7 +88,7 @@
     let mut list = list();
     let homes = BTreeSet::from(["a".to_owned()]);
     list.note(node("c1", "c", "west"), true, 60_000);
-    let asked = question("east", "a", 64);
+    let asked = query("east", "a", 64);
     assert!(list.near(&asked, Some(&homes), 60_000).is_empty());
 }
 
@@ -113,6 +113,6 @@
         list.note(node("b1", "b", "east"), true, heard_ms);
         list.note(node("c1", "c", "west"), true, heard_ms);
     }
-    let near = list.near(&question(region, zone, 64), Some(&homes), now_ms);
+    let near = list.near(&query(region, zone, 64), Some(&homes), now_ms);
     assert_eq!(near, given);
 }
--- a/crates/registry/tests/all/evacuations.rs
+++ b/crates/registry/tests/all/evacuations.rs
@@ -31,7 +31,7 @@
 }
 
 fn held(evacuated: bool, changed_at: u64) -> RegistryAnswer {
-    RegistryAnswer::ZoneHeld {
+    RegistryAnswer::ZoneState {
         evacuated,
         changed_at: LogIndex(changed_at),
     }
@@ -61,9 +61,9 @@
     let late = command(ZONE, first, seen);
     order(&mut applied, first);
     order(&mut applied, !first);
-    let upto = applied.registry.changed_at();
+    let up_to_index = applied.registry.changed_at();
     let answer = applied.apply(&late);
-    assert_eq!(answer, held(!first, upto.0));
+    assert_eq!(answer, held(!first, up_to_index.0));
     assert_eq!(applied.registry.evacuations().contains(ZONE), !first);
 }
 
@@ -88,7 +88,7 @@
     order(&mut applied, true);
     applied.put(1, "one");
     let mut view = FleetView::default();
-    view.take(applied.registry.update_since(LogIndex(0)));
+    view.apply(applied.registry.update_since(LogIndex(0)));
     assert!(view.table().is_some());
     assert!(view.evacuations().contains(ZONE));
 }
@@ -101,8 +101,8 @@
     order(&mut applied, false);
     let newer = applied.registry.update_since(LogIndex(0));
     let mut view = FleetView::default();
-    assert!(view.take(newer));
-    assert!(!view.take(older));
+    assert!(view.apply(newer));
+    assert!(!view.apply(older));
     assert!(!view.evacuations().contains(ZONE));
 }
 
@@ -164,7 +164,7 @@
         let answer = self.applied.apply(&command(zone, evacuated, seen));
         let expected = if is_current { evacuated } else { before };
         assert!(
-            matches!(answer, RegistryAnswer::ZoneHeld { evacuated, .. } if evacuated == expected)
+            matches!(answer, RegistryAnswer::ZoneState { evacuated, .. } if evacuated == expected)
         );
         self.past.push(self.applied.registry.clone());
     }
@@ -174,7 +174,7 @@
         let (gateway, update) = self.under_way[message].clone();
         let view = &mut self.views[gateway];
         let before = ZONES.map(|zone| view.evacuations().changed_at(zone));
-        view.take(update);
+        view.apply(update);
         for (zone, before) in ZONES.iter().zip(before) {
             assert!(
                 view.evacuations().changed_at(zone) >= before,
@@ -192,7 +192,7 @@
                 lag,
             } => self.order(ZONES[zone], evacuated, lag),
             Step::Tell { gateway, since } => {
-                let since = LogIndex(since).min(self.views[gateway].upto());
+                let since = LogIndex(since).min(self.views[gateway].up_to_index());
                 let update = self.applied.registry.update_since(since);
                 self.under_way.push((gateway, update));
             }
@@ -228,9 +228,9 @@
             network.step(step);
         }
         for gateway in 0..GATEWAYS {
-            let upto = network.views[gateway].upto();
-            let update = network.applied.registry.update_since(upto);
-            network.views[gateway].take(update);
+            let up_to_index = network.views[gateway].up_to_index();
+            let update = network.applied.registry.update_since(up_to_index);
+            network.views[gateway].apply(update);
             let known: Vec<&str> = network.views[gateway].evacuations().zones().collect();
             let in_force: Vec<&str> = network.applied.registry.evacuations().zones().collect();
             prop_assert_eq!(known, in_force);
--- a/crates/registry/tests/all/formats.rs
+++ b/crates/registry/tests/all/formats.rs
@@ -81,7 +81,7 @@
 #[case::homes(with_homes())]
 #[case::evacuation(evacuation())]
 #[case::gateways(RegistryCommand::GatewaysChanged { joined: vec![MachineId(1)], left: Vec::new() })]
-#[case::forgotten(RegistryCommand::ForgetGone { upto: LogIndex(1) })]
+#[case::forgotten(RegistryCommand::ForgetEnded { up_to_index: LogIndex(1) })]
 fn what_the_build_before_cannot_keep_is_not_stored(#[case] command: RegistryCommand) {
     let refused = command.to_stored_in(Format::First).expect_err("refused");
     assert_eq!(*refused.current_context(), ErrorKind::InvalidState);
--- a/crates/registry/tests/all/fourth_layout.rs
+++ b/crates/registry/tests/all/fourth_layout.rs
@@ -80,7 +80,7 @@
     };
     assert_eq!((change.id.as_str(), change.sequence), ("i-7", 4));
     assert_eq!(change.state, ReplicaState::Draining);
-    assert_eq!((change.born, change.cold_ms), (0, 0));
+    assert_eq!((change.incarnation, change.cold_ms), (0, 0));
 }
 
 #[test]
@@ -89,7 +89,10 @@
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     assert_eq!(restored.table().map(|table| table.version), Some(7));
     let replica = restored.replica("i-7").expect("it is held");
-    assert_eq!((replica.told.slots, replica.told.born), (6, 0));
+    assert_eq!(
+        (replica.reported.slots, replica.reported.incarnation),
+        (6, 0)
+    );
     assert!(restored.tenants().holder(&KeyDigest::of("key")).is_some());
     assert_eq!(restored.evacuations().zones().count(), 0);
 }
--- a/crates/registry/tests/all/main.rs
+++ b/crates/registry/tests/all/main.rs
@@ -14,6 +14,6 @@
 mod store_members;
 mod support;
 mod suspicions;
+mod table_updates;
 mod tenants;
-mod told_tables;
 mod view;
--- a/crates/registry/tests/all/many_replicas.rs
+++ b/crates/registry/tests/all/many_replicas.rs
@@ -59,14 +59,14 @@
 fn a_node_that_missed_a_large_release_learns_of_every_end(#[case] forget: u64) {
     let mut applied = with_replicas(RELEASED + 1);
     let mut view = FleetView::default();
-    view.take(applied.registry.update_since(LogIndex(0)));
+    view.apply(applied.registry.update_since(LogIndex(0)));
     remove(&mut applied, 0..RELEASED);
-    applied.apply(&RegistryCommand::ForgetGone {
-        upto: LogIndex(forget),
+    applied.apply(&RegistryCommand::ForgetEnded {
+        up_to_index: LogIndex(forget),
     });
-    view.take(applied.registry.update_since(view.upto()));
+    view.apply(applied.registry.update_since(view.up_to_index()));
     assert_eq!(live(&view), 1);
-    assert_eq!(view.upto(), applied.registry.changed_at());
+    assert_eq!(view.up_to_index(), applied.registry.changed_at());
 }
 
 /// What an earlier member of control tells of replicas whose ends are forgotten here counts
@@ -77,12 +77,12 @@
     let older = applied.registry.update_since(LogIndex(0));
     remove(&mut applied, 0..9);
     let mut view = FleetView::default();
-    view.take(applied.registry.update_since(LogIndex(0)));
-    let upto = applied.registry.changed_at();
-    applied.apply(&RegistryCommand::ForgetGone { upto });
+    view.apply(applied.registry.update_since(LogIndex(0)));
+    let up_to_index = applied.registry.changed_at();
+    applied.apply(&RegistryCommand::ForgetEnded { up_to_index });
     applied.apply(&beat(50, 1));
-    view.take(applied.registry.update_since(view.upto()));
-    view.take(older);
+    view.apply(applied.registry.update_since(view.up_to_index()));
+    view.apply(older);
     assert_eq!(live(&view), 2);
 }
 
@@ -95,12 +95,14 @@
     let before = applied.registry.changed_at();
     remove(&mut applied, 0..2);
     let removed = applied.registry.changed_at();
-    applied.apply(&RegistryCommand::ForgetGone { upto: removed });
+    applied.apply(&RegistryCommand::ForgetEnded {
+        up_to_index: removed,
+    });
     applied.apply(&beat(50, 1));
     let since = if was_cut_off { before } else { removed };
     let update = applied.registry.update_since(since);
     assert_eq!(
-        (update.replicas_whole, update.replicas.len()),
+        (update.replicas_complete, update.replicas.len()),
         (was_cut_off, told)
     );
 }
@@ -110,8 +112,8 @@
     let mut applied = with_replicas(3);
     let before = applied.registry.changed_at();
     remove(&mut applied, 0..2);
-    let upto = applied.registry.changed_at();
-    applied.apply(&RegistryCommand::ForgetGone { upto });
+    let up_to_index = applied.registry.changed_at();
+    applied.apply(&RegistryCommand::ForgetEnded { up_to_index });
     let snapshot = applied.registry.begin_snapshot().expect("a snapshot");
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     assert_eq!(
@@ -137,13 +139,13 @@
     let [once, twice] = [1_000, 2_000].map(|count| {
         let mut applied = with_replicas(count);
         let mut view = FleetView::default();
-        view.take(applied.registry.update_since(LogIndex(0)));
+        view.apply(applied.registry.update_since(LogIndex(0)));
         let before = view.clone();
         let held = applied.registry.clone();
         applied.apply(&beat(7, 2));
         applied.apply(&RegistryCommand::RemoveReplica(id(8)));
-        let update = applied.registry.update_since(view.upto());
-        view.take(update.clone());
+        let update = applied.registry.update_since(view.up_to_index());
+        view.apply(update.clone());
         let differences = view.differences(&before).count();
         let changes = applied.registry.differences(&held).count();
         let bytes = snapshot_bytes(&applied.registry);
@@ -191,8 +193,8 @@
                     applied.apply(&RegistryCommand::RemoveReplica(id(number)));
                 }
                 Step::Forget => {
-                    let upto = applied.registry.changed_at();
-                    applied.apply(&RegistryCommand::ForgetGone { upto });
+                    let up_to_index = applied.registry.changed_at();
+                    applied.apply(&RegistryCommand::ForgetEnded { up_to_index });
                 }
                 Step::Tell { view, behind } => {
                     let member = &members[members.len().saturating_sub(1 + behind)];
@@ -206,16 +208,21 @@
 }
 
 fn tell(view: &mut FleetView, member: &Registry) {
-    let update: FleetUpdate = member.update_since(view.upto().min(member.changed_at()));
-    view.take(update);
+    let update: FleetUpdate = member.update_since(view.up_to_index().min(member.changed_at()));
+    view.apply(update);
 }
 
 fn check(view: &FleetView, newest: &Registry, knows_newest: bool) {
     for record in view.live_replicas() {
-        let now = newest.replica(&record.told.id);
-        let is_over = now.is_none_or(|now| !now.told.state.is_live());
-        let ended_unheard = now.map_or(newest.changed_at(), |now| now.changed_at) > view.upto();
-        assert!(!is_over || ended_unheard, "{} has ended", record.told.id);
+        let now = newest.replica(&record.reported.id);
+        let is_over = now.is_none_or(|now| !now.reported.state.is_live());
+        let ended_unheard =
+            now.map_or(newest.changed_at(), |now| now.changed_at) > view.up_to_index();
+        assert!(
+            !is_over || ended_unheard,
+            "{} has ended",
+            record.reported.id
+        );
     }
     if knows_newest {
         assert_eq!(live(view), newest.live_replicas().count());
--- a/crates/registry/tests/all/narrow_link.rs
+++ b/crates/registry/tests/all/narrow_link.rs
@@ -4,7 +4,7 @@
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::{LogIndex, MachineId};
 use linnethitch_registry::{
-    Declared, FleetView, Place, Registry, RegistryCommand, Route, tell_rank,
+    Declared, FleetView, Place, Registry, RegistryCommand, Route, notification_rank,
 };
 use rkyv::rancor;
 use rstest::rstest;
@@ -108,7 +108,7 @@
         }
         let (machine, at) = &self.members[member];
         let members = self.members.iter().map(|(machine, at)| (*machine, at));
-        let rank = tell_rank(held.machine, &held.place, *machine, members);
+        let rank = notification_rank(held.machine, &held.place, *machine, members);
         let since = *held.withheld_since[member].get_or_insert(self.now_ms);
         if self.now_ms < since + WITHHELD_MS * rank as u64 {
             return;
@@ -134,20 +134,21 @@
         let held = &mut self.gateways[gateway];
         let due = held.coming.extract_if(.., |(at, _)| *at <= now_ms);
         for (_, update) in due {
-            held.view.take(update);
+            held.view.apply(update);
             for (member, (_, at)) in self.members.iter().enumerate() {
                 let way = if at.region == held.place.region {
                     NEAR_MS
                 } else {
                     FAR_MS
                 };
-                held.signs.push((now_ms + way, member, held.view.upto()));
+                held.signs
+                    .push((now_ms + way, member, held.view.up_to_index()));
             }
         }
         let due = held.signs.extract_if(.., |(at, _, _)| *at <= now_ms);
-        for (_, member, upto) in due {
-            if held.known[member] < upto {
-                held.known[member] = upto;
+        for (_, member, up_to_index) in due {
+            if held.known[member] < up_to_index {
+                held.known[member] = up_to_index;
                 held.withheld_since[member] = None;
             }
         }
--- a/crates/registry/tests/all/registry.rs
+++ b/crates/registry/tests/all/registry.rs
@@ -15,7 +15,10 @@
 fn the_highest_version_is_held(#[case] sent: u64, #[case] held: u64, #[case] document: &str) {
     let mut applied = Applied::default();
     applied.put(7, "old");
-    assert_eq!(applied.put(sent, "new"), RegistryAnswer::RoutesHeld(held));
+    assert_eq!(
+        applied.put(sent, "new"),
+        RegistryAnswer::ConfigurationVersion(held)
+    );
     assert_eq!(applied.registry.document().as_slice(), document.as_bytes());
 }
 
@@ -44,7 +47,7 @@
     applied.apply(&RegistryCommand::RemoveReplica("i-1".to_owned()));
     let late = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, 9);
     applied.apply(&RegistryCommand::Replica(Box::new(late)));
-    assert_eq!(applied.state_of("i-1"), Some(ReplicaState::Gone));
+    assert_eq!(applied.state_of("i-1"), Some(ReplicaState::Ended));
 }
 
 #[test]
@@ -82,8 +85,8 @@
 /// that leaves, or left meanwhile, is given nothing again.
 #[rstest]
 #[case::ready(ReplicaState::Ready, None, ReplicaState::Ready)]
-#[case::draining(ReplicaState::Draining, None, ReplicaState::Gone)]
-#[case::drains_meanwhile(ReplicaState::Ready, Some(ReplicaState::Draining), ReplicaState::Gone)]
+#[case::draining(ReplicaState::Draining, None, ReplicaState::Ended)]
+#[case::drains_meanwhile(ReplicaState::Ready, Some(ReplicaState::Draining), ReplicaState::Ended)]
 #[case::says_it_is_there(ReplicaState::Ready, Some(ReplicaState::Ready), ReplicaState::Ready)]
 fn a_displaced_replica_comes_back_if_the_other_one_is_not_there(
     #[case] first: ReplicaState,
@@ -95,12 +98,12 @@
         let change = replica("i-1", "10.0.0.1:80", state, 2);
         applied.apply(&RegistryCommand::Replica(Box::new(change)));
     }
-    applied.apply(&RegistryCommand::NotThere("i-2".to_owned()));
+    applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
     assert_eq!(applied.state_of("i-1"), Some(after));
-    assert_eq!(applied.state_of("i-2"), Some(ReplicaState::Gone));
+    assert_eq!(applied.state_of("i-2"), Some(ReplicaState::Ended));
     // Told once more, by another gateway, it changes nothing.
     let before = applied.registry.changed_at();
-    applied.apply(&RegistryCommand::NotThere("i-2".to_owned()));
+    applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
     assert_eq!(applied.registry.changed_at(), before);
 }
 
@@ -108,7 +111,7 @@
 fn a_displaced_replica_that_ends_does_not_come_back() {
     let mut applied = displaced(ReplicaState::Ready);
     applied.apply(&RegistryCommand::RemoveReplica("i-1".to_owned()));
-    applied.apply(&RegistryCommand::NotThere("i-2".to_owned()));
+    applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
     assert_eq!(applied.registry.live_replicas().count(), 0);
 }
 
--- a/crates/registry/tests/all/routes.rs
+++ b/crates/registry/tests/all/routes.rs
@@ -42,7 +42,7 @@
     with(|r| r.backends[0].service = "none".to_owned()),
     RouteTableError::UnknownService { route: "bad".to_owned(), service: "none".to_owned() }
 )]
-#[case::same_place(with(|r| r.path_prefix = "/a/".to_owned()), bad(|route| RouteTableError::SamePlace { route }))]
+#[case::same_place(with(|r| r.path_prefix = "/a/".to_owned()), bad(|route| RouteTableError::SameHostAndPrefix { route }))]
 #[case::no_weight(with(|r| r.backends[0].weight = 0), bad(|route| RouteTableError::NoWeight { route }))]
 #[case::no_back_end(with(|r| r.backends.clear()), bad(|route| RouteTableError::NoWeight { route }))]
 #[case::no_timeout(with(|r| r.timeout_ms = 0), bad(|route| RouteTableError::NoTimeout { route }))]
--- a/crates/registry/tests/all/starts.rs
+++ b/crates/registry/tests/all/starts.rs
@@ -4,7 +4,8 @@
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_registry::{
     EndedRun, EndsInRow, FleetUpdate, FleetView, Registry, RegistryAnswer, RegistryCommand,
-    ReplicaChange, ReplicaState, RequestContent, RequestFingerprint, parse_start_key, start_key,
+    ReplicaChange, ReplicaState, RequestContent, RequestFingerprint, incarnation_key,
+    parse_incarnation_key,
 };
 use rstest::rstest;
 
@@ -12,7 +13,7 @@
 
 const READY: ReplicaState = ReplicaState::Ready;
 const DRAINING: ReplicaState = ReplicaState::Draining;
-const GONE: ReplicaState = ReplicaState::Gone;
+const GONE: ReplicaState = ReplicaState::Ended;
 const DISPLACED: ReplicaState = ReplicaState::Displaced;
 
 /// What control is told, in the order of its log.
@@ -23,26 +24,26 @@
     /// The end of a start, by its key.
     End(&'static str),
     /// Another incarnation answered in the place of this start.
-    NotThere(&'static str),
+    NotAtAddress(&'static str),
     /// i-2 has registered at the address of i-1.
     OtherAtItsAddress,
 }
-use Told::{Beat, End, NotThere, OtherAtItsAddress};
+use Told::{Beat, End, NotAtAddress, OtherAtItsAddress};
 
 impl Told {
     fn command(&self) -> RegistryCommand {
         match self {
-            Beat(born, sequence, state) => heartbeat("i-1", *born, *sequence, *state),
+            Beat(incarnation, sequence, state) => heartbeat("i-1", *incarnation, *sequence, *state),
             End(key) => RegistryCommand::RemoveReplica((*key).to_owned()),
-            NotThere(key) => RegistryCommand::NotThere((*key).to_owned()),
+            NotAtAddress(key) => RegistryCommand::NotAtAddress((*key).to_owned()),
             OtherAtItsAddress => heartbeat("i-2", 0, 1, READY),
         }
     }
 }
 
-fn heartbeat(id: &str, born: u64, sequence: u64, state: ReplicaState) -> RegistryCommand {
+fn heartbeat(id: &str, incarnation: u64, sequence: u64, state: ReplicaState) -> RegistryCommand {
     RegistryCommand::Replica(Box::new(ReplicaChange {
-        born,
+        incarnation,
         ..replica(id, "10.0.0.1:80", state, sequence)
     }))
 }
@@ -66,7 +67,7 @@
 #[case::after_its_end(&[Beat(1, 9, READY), End("i-1#1"), Beat(2, 1, READY)], 2, READY)]
 #[case::after_it_left(&[Beat(1, 8, READY), Beat(1, 9, DRAINING), Beat(2, 1, READY)], 2, READY)]
 #[case::after_it_was_displaced(&[Beat(1, 9, READY), OtherAtItsAddress, Beat(2, 1, READY)], 2, READY)]
-#[case::after_it_was_not_there(&[Beat(1, 9, READY), NotThere("i-1#1"), Beat(2, 1, READY)], 2, READY)]
+#[case::after_it_was_not_there(&[Beat(1, 9, READY), NotAtAddress("i-1#1"), Beat(2, 1, READY)], 2, READY)]
 #[case::after_a_start_that_was_not_told(&[Beat(0, 9, READY), End("i-1"), Beat(2, 1, READY)], 2, READY)]
 #[case::after_an_end_before_any_heartbeat(&[End("i-1"), Beat(2, 1, READY)], 2, READY)]
 #[case::of_one_start_the_number_decides(&[Beat(2, 3, DRAINING), Beat(2, 2, READY)], 2, DRAINING)]
@@ -78,11 +79,11 @@
 #[case::late_after_the_later_one_ended(&[Beat(1, 1, READY), Beat(2, 1, READY), End("i-1#2"), Beat(1, 99, READY)], 2, GONE)]
 #[case::late_end_of_an_earlier_start(&[Beat(1, 1, READY), Beat(2, 1, READY), End("i-1#1")], 2, READY)]
 #[case::late_end_without_a_start(&[Beat(2, 1, READY), End("i-1")], 2, READY)]
-#[case::an_earlier_start_was_not_there(&[Beat(1, 1, READY), Beat(2, 1, READY), NotThere("i-1#1")], 2, READY)]
-#[case::a_later_start_was_not_there(&[Beat(1, 1, READY), Beat(2, 1, READY), NotThere("i-1#2")], 2, GONE)]
+#[case::an_earlier_start_was_not_there(&[Beat(1, 1, READY), Beat(2, 1, READY), NotAtAddress("i-1#1")], 2, READY)]
+#[case::a_later_start_was_not_there(&[Beat(1, 1, READY), Beat(2, 1, READY), NotAtAddress("i-1#2")], 2, GONE)]
 fn what_is_held_belongs_to_the_newest_start(
     #[case] told: &[Told],
-    #[case] born: u64,
+    #[case] incarnation: u64,
     #[case] state: ReplicaState,
 ) {
     let mut registry = Registry::default();
@@ -95,15 +96,15 @@
         updates.push(registry.update_since(LogIndex(index - 1)));
     }
     for registry in [&registry, &restarted] {
-        let held = &registry.replica("i-1").expect("it is held").told;
-        assert_eq!((held.born, held.state), (born, state));
+        let held = &registry.replica("i-1").expect("it is held").reported;
+        assert_eq!((held.incarnation, held.state), (incarnation, state));
     }
     let mut view = FleetView::default();
     for update in updates.into_iter().rev() {
-        view.take(update);
+        view.apply(update);
     }
-    let held = &view.replica("i-1").expect("it is known").told;
-    assert_eq!((held.born, held.state), (born, state));
+    let held = &view.replica("i-1").expect("it is known").reported;
+    assert_eq!((held.incarnation, held.state), (incarnation, state));
 }
 
 /// An end of another start than the one held is answered so, and changes nothing.
@@ -113,7 +114,7 @@
     apply(&mut registry, 1, &Beat(1, 1, READY).command());
     apply(&mut registry, 2, &Beat(2, 1, READY).command());
     let answer = apply(&mut registry, 3, &End("i-1#1").command());
-    assert_eq!(answer, RegistryAnswer::OtherStart);
+    assert_eq!(answer, RegistryAnswer::OtherIncarnation);
     assert_eq!(registry.changed_at(), LogIndex(2));
     let answer = apply(&mut registry, 4, &End("i-1#2").command());
     assert_eq!(answer, RegistryAnswer::Done);
@@ -133,8 +134,8 @@
     let mut registry = Registry::default();
     apply(&mut registry, 1, &Beat(2, 1, READY).command());
     let mut view = FleetView::default();
-    view.take(registry.update_since(LogIndex(0)));
-    assert_eq!(view.state_of_start(key), state);
+    view.apply(registry.update_since(LogIndex(0)));
+    assert_eq!(view.state_of_incarnation(key), state);
 }
 
 /// Two starts of one replica that end under a request are two ends, whoever tells them
@@ -172,9 +173,9 @@
 #[case::not_told("i-1", 0, "i-1")]
 #[case::told("i-1", 7, "i-1#7")]
 #[case::longest("i-1", u64::MAX, "i-1#18446744073709551615")]
-fn a_key_names_an_id_and_a_start(#[case] id: &str, #[case] born: u64, #[case] key: &str) {
-    assert_eq!(start_key(id, born), key);
-    assert_eq!(parse_start_key(key), (id, born));
+fn a_key_names_an_id_and_a_start(#[case] id: &str, #[case] incarnation: u64, #[case] key: &str) {
+    assert_eq!(incarnation_key(id, incarnation), key);
+    assert_eq!(parse_incarnation_key(key), (id, incarnation));
 }
 
 /// Cold time that was told before and is told now, and whether that is news.
@@ -231,6 +232,6 @@
     let mut registry = Registry::default();
     apply(&mut registry, 1, &heartbeat("i-1", 2, 1, READY));
     let mut view = FleetView::default();
-    view.take(registry.update_since(LogIndex(0)));
-    assert_eq!(view.zone_of_start(key), zone);
+    view.apply(registry.update_since(LogIndex(0)));
+    assert_eq!(view.zone_of_incarnation(key), zone);
 }
--- a/crates/registry/tests/all/support.rs
+++ b/crates/registry/tests/all/support.rs
@@ -84,7 +84,7 @@
         slots: 6,
         state,
         sequence,
-        born: 0,
+        incarnation: 0,
         cold_ms: 0,
     }
 }
@@ -125,7 +125,9 @@
     }
 
     pub(crate) fn state_of(&self, id: &str) -> Option<ReplicaState> {
-        self.registry.replica(id).map(|record| record.told.state)
+        self.registry
+            .replica(id)
+            .map(|record| record.reported.state)
     }
 }
 
--- a/crates/registry/tests/all/suspicions.rs
+++ b/crates/registry/tests/all/suspicions.rs
@@ -210,8 +210,8 @@
             for third in &rows {
                 let mut held = EndsInRow::default();
                 for row in [first, second, third, &rows[3], first] {
-                    let news = Suspicion::told(told(row), LogIndex(0));
-                    assert_eq!(news.to_tell(), told(row));
+                    let news = Suspicion::from_report(told(row), LogIndex(0));
+                    assert_eq!(news.to_report(), told(row));
                     if news.row.outweighs(&held) {
                         held = news.row;
                     }
@@ -245,7 +245,7 @@
     for number in 0..before {
         applied.apply(&ended(&format!("i-{number}"), &[run("a", number)]));
     }
-    applied.apply(&RegistryCommand::EaseSuspicions(vec![request("a")]));
+    applied.apply(&RegistryCommand::DecaySuspicions(vec![request("a")]));
     assert_eq!(ends(&applied, "a"), after);
 }
 
@@ -282,13 +282,13 @@
     applied.apply(&ended("i-1", &[run("a", 0), run("b", 0)]));
     let early = applied.registry.update_since(LogIndex(0));
     applied.apply(&RegistryCommand::ClearSuspicions(vec![request("a")]));
-    let late = applied.registry.update_since(early.upto);
+    let late = applied.registry.update_since(early.up_to_index);
     assert_eq!(late.suspicions.len(), 1);
     let mut view = FleetView::default();
-    assert!(view.take(early.clone()));
+    assert!(view.apply(early.clone()));
     assert_eq!(view.suspicions().len(), 2);
-    assert!(view.take(late));
-    assert!(!view.take(early));
+    assert!(view.apply(late));
+    assert!(!view.apply(early));
     assert_eq!(view.suspicions().len(), 1);
     let held = view.suspicions().get(&request("b"));
     assert_eq!(held.map(Suspicion::ends), Some(1));
--- a/crates/registry/tests/all/told_tables.rs
+++ b/crates/registry/tests/all/table_updates.rs
@@ -147,20 +147,20 @@
     let mut newest = 0;
     for step in 0..600 {
         let member = &log.members[numbers.below(1 + step / 10)];
-        let known = view.upto().0 + numbers.below(4) as u64 * numbers.below(2) as u64;
+        let known = view.up_to_index().0 + numbers.below(4) as u64 * numbers.below(2) as u64;
         on_the_way.push(member.update_since(LogIndex(known)));
         let update = on_the_way[numbers.below(on_the_way.len())].clone();
-        view.take(update);
+        view.apply(update);
         log.check(&view);
         let version = view.table().map_or(0, |table| table.version);
         assert!(newest <= version, "a version went back");
         newest = version;
     }
     let last = log.members.last().expect("there are members");
-    view.take(last.update_since(view.upto()));
-    assert!(!view.needs_whole());
+    view.apply(last.update_since(view.up_to_index()));
+    assert!(!view.needs_full_update());
     assert_eq!(view.table(), last.table());
-    assert_eq!(view.upto(), last.changed_at());
+    assert_eq!(view.up_to_index(), last.changed_at());
     log.check(&view);
 }
 
@@ -172,13 +172,16 @@
     let (first, other) = (Log::new(9, &mut numbers), Log::new(20, &mut numbers));
     let newest = other.members.last().expect("there are members");
     let mut view = FleetView::default();
-    view.take(first.members[8].update_since(LogIndex(0)));
+    view.apply(first.members[8].update_since(LogIndex(0)));
     let before = view.table().cloned();
-    assert!(!view.take(newest.update_since(view.upto())) || view.table() == newest.table());
-    if view.needs_whole() {
-        assert_eq!((view.table().cloned(), view.upto()), (before, LogIndex(0)));
+    assert!(!view.apply(newest.update_since(view.up_to_index())) || view.table() == newest.table());
+    if view.needs_full_update() {
+        assert_eq!(
+            (view.table().cloned(), view.up_to_index()),
+            (before, LogIndex(0))
+        );
     }
-    view.take(newest.update_since(LogIndex(0)));
+    view.apply(newest.update_since(LogIndex(0)));
     assert_eq!(view.table(), newest.table());
     other.check(&view);
 }
@@ -224,10 +227,10 @@
     let newest = log.members.last().expect("there are members");
     let mut update = newest.update_since(LogIndex(0));
     let table = update.table.as_mut().expect("there is a table");
-    assert!(table.is_whole);
+    assert!(table.is_complete);
     table.digest = table.digest.map(|digest| digest ^ 1);
     let mut view = FleetView::default();
-    assert!(view.take(update));
-    assert!(!view.needs_whole());
+    assert!(view.apply(update));
+    assert!(!view.needs_full_update());
     log.check(&view);
 }
--- a/crates/registry/tests/all/tenants.rs
+++ b/crates/registry/tests/all/tenants.rs
@@ -31,9 +31,9 @@
         Some(vec![tenant("a", "old"), tenant("b", "other")]),
     );
     let mut view = FleetView::default();
-    view.take(applied.registry.update_since(LogIndex(0)));
+    view.apply(applied.registry.update_since(LogIndex(0)));
     assert_eq!(holder(&view, "old").as_deref(), Some("a"));
-    let known = view.upto();
+    let known = view.up_to_index();
     applied.put_tenants(
         2,
         "two",
@@ -42,7 +42,7 @@
     let update = applied.registry.update_since(known);
     let told = update.tenants.as_ref().map(|tenants| tenants.changed.len());
     assert_eq!(told, Some(1));
-    view.take(update);
+    view.apply(update);
     assert_eq!(holder(&view, "old"), None);
     assert_eq!(holder(&view, "new").as_deref(), Some("a"));
     assert_eq!(holder(&view, "other").as_deref(), Some("b"));
@@ -68,7 +68,7 @@
     let snapshot = applied.registry.begin_snapshot().expect("a snapshot");
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     let mut view = FleetView::default();
-    view.take(restored.update_since(LogIndex(0)));
+    view.apply(restored.update_since(LogIndex(0)));
     assert!(view.tenants().are_listed());
     assert_eq!(holder(&view, "key").as_deref(), Some("a"));
 }
--- a/crates/registry/tests/all/view.rs
+++ b/crates/registry/tests/all/view.rs
@@ -30,21 +30,21 @@
     let mut view = FleetView::default();
     let mut versions = Vec::new();
     for index in order {
-        view.take(updates[index].clone());
+        view.apply(updates[index].clone());
         versions.push(view.table().map(|table| table.version));
     }
     assert!(versions.is_sorted(), "a version went back: {versions:?}");
     assert_eq!(view.table().map(|table| table.version), Some(5));
-    let states: Vec<_> = view.live_replicas().map(|r| r.told.state).collect();
+    let states: Vec<_> = view.live_replicas().map(|r| r.reported.state).collect();
     assert_eq!(states, [ReplicaState::Draining]);
-    assert_eq!(view.upto(), LogIndex(4));
+    assert_eq!(view.up_to_index(), LogIndex(4));
 }
 
 #[test]
 fn an_update_that_says_nothing_new_is_no_change() {
     let updates = updates();
     let mut view = FleetView::default();
-    assert!(view.take(updates[2].clone()));
-    assert!(!view.take(updates[2].clone()));
-    assert!(!view.take(updates[0].clone()));
+    assert!(view.apply(updates[2].clone()));
+    assert!(!view.apply(updates[2].clone()));
+    assert!(!view.apply(updates[0].clone()));
 }
--- a/crates/relay/src/cold_replicas.rs
+++ b/crates/relay/src/cold_replicas.rs
@@ -61,7 +61,7 @@
         let mut replicas = self.replicas.lock();
         match cold_replica(fleet, record) {
             Some(replica) => replicas.put(replica, now_ms),
-            None => replicas.remove(&record.told.start_key(), now_ms),
+            None => replicas.remove(&record.reported.incarnation_key(), now_ms),
         }
     }
 
@@ -218,14 +218,14 @@
 /// A replica whose service declares what cold ones bear.
 fn cold_replica(fleet: &FleetView, record: &ReplicaRecord) -> Option<ColdReplica> {
     let table = fleet.table()?;
-    let service = table.service(&record.told.service)?;
+    let service = table.service(&record.reported.service)?;
     let cold = service.cold?;
     Some(ColdReplica {
-        id: record.told.start_key(),
-        service: record.told.service.clone(),
+        id: record.reported.incarnation_key(),
+        service: record.reported.service.clone(),
         start_ms: cold.start_ms,
         rate_milli: cold.rate_milli,
-        cold_ms: record.told.cold_ms,
+        cold_ms: record.reported.cold_ms,
         changed_at: record.changed_at,
     })
 }
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -10,7 +10,7 @@
 use hyper::body::Incoming;
 use linnethitch_clock::{Instant, timeout, timeout_at};
 use linnethitch_protocol::slots::RunOutcome;
-use linnethitch_registry::{EndsInRow, RequestContent, RequestFingerprint, parse_start_key};
+use linnethitch_registry::{EndsInRow, RequestContent, RequestFingerprint, parse_incarnation_key};
 use linnethitch_routing::{
     cold::SendEnd,
     dispatch::{Chosen, FailureKind, PromptPart},
@@ -298,7 +298,7 @@
 fn evacuated(shared: &Shared, outgoing: &Outgoing, chosen: &Chosen) -> Exchange {
     shared.counters.evacuated_sends.inc();
     info!(shared.logger, "request: not sent, zone evacuated"; "request" => outgoing.id(),
-        "replica" => &chosen.id, "upto" => shared.gateway.fleet().upto().0);
+        "replica" => &chosen.id, "upto" => shared.gateway.fleet().up_to_index().0);
     Exchange::Evacuated
 }
 
@@ -355,7 +355,7 @@
     *headers = outgoing.headers.clone();
     headers.insert(
         names.expect_replica.clone(),
-        HeaderValue::from_str(parse_start_key(&chosen.id).0).ok()?,
+        HeaderValue::from_str(parse_incarnation_key(&chosen.id).0).ok()?,
     );
     let left_ms = left.as_millis().max(1) as u64;
     headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
--- a/crates/relay/src/fleet_changes.rs
+++ b/crates/relay/src/fleet_changes.rs
@@ -32,11 +32,14 @@
     }
 
     fn note(&mut self, difference: ReplicaDifference<'a>) {
-        let is_live = |record: &&ReplicaRecord| record.told.state.is_live();
+        let is_live = |record: &&ReplicaRecord| record.reported.state.is_live();
         let before = difference.before.filter(is_live);
         let now = difference.now.filter(is_live);
-        let left = before.filter(|before| now.is_none_or(|now| now.told.born != before.told.born));
-        self.left.extend(left.map(|left| left.told.start_key()));
+        let left = before.filter(|before| {
+            now.is_none_or(|now| now.reported.incarnation != before.reported.incarnation)
+        });
+        self.left
+            .extend(left.map(|left| left.reported.incarnation_key()));
         self.came.extend(now);
     }
 }
@@ -50,15 +53,15 @@
 pub(crate) fn replica_traits(fleet: &FleetView, record: &ReplicaRecord) -> ReplicaTraits {
     let service = fleet
         .table()
-        .and_then(|table| table.service(&record.told.service));
+        .and_then(|table| table.service(&record.reported.service));
     let engine = service.and_then(|service| service.engine.as_ref());
     ReplicaTraits {
-        id: record.told.start_key(),
-        service: record.told.service.clone(),
-        address: record.told.address.clone(),
-        zone: record.told.zone.clone(),
-        slots: record.told.slots,
+        id: record.reported.incarnation_key(),
+        service: record.reported.service.clone(),
+        address: record.reported.address.clone(),
+        zone: record.reported.zone.clone(),
+        slots: record.reported.slots,
         kv_tokens: engine.map_or(0, |engine| engine.kv_tokens),
-        ready: record.told.state == ReplicaState::Ready,
+        ready: record.reported.state == ReplicaState::Ready,
     }
 }
--- a/crates/relay/src/homes.rs
+++ b/crates/relay/src/homes.rs
@@ -145,7 +145,7 @@
             return false;
         };
         let fleet = self.gateway.fleet();
-        let zone = fleet.zone_of_start(replica);
+        let zone = fleet.zone_of_incarnation(replica);
         !zone.is_some_and(|zone| homes.contains(zone))
     }
 
--- a/crates/relay/src/replica_ends.rs
+++ b/crates/relay/src/replica_ends.rs
@@ -202,11 +202,11 @@
         loop {
             let state = {
                 let view = views.borrow_and_update();
-                view.state_of_start(&self.replica)
+                view.state_of_incarnation(&self.replica)
             };
             match state {
                 Some(ReplicaState::Ready) => {}
-                Some(ReplicaState::Gone | ReplicaState::Displaced) => return News::Replaced,
+                Some(ReplicaState::Ended | ReplicaState::Displaced) => return News::Replaced,
                 Some(ReplicaState::Draining) | None => return News::None,
             }
             tokio::select! {
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -186,7 +186,7 @@
     /// Counts bytes to and from a replica, by its zone.
     pub(crate) fn replica_bytes(&self, replica: &str) -> ReplicaBytes {
         let fleet = self.gateway.fleet();
-        let zone = fleet.zone_of_start(replica).unwrap_or_default();
+        let zone = fleet.zone_of_incarnation(replica).unwrap_or_default();
         self.counters.replica_bytes(zone)
     }
 
@@ -383,7 +383,7 @@
     /// knows already.
     pub(crate) fn tell_not_there(&self, replica: &str) {
         let fleet = self.gateway.fleet();
-        let state = fleet.state_of_start(replica);
+        let state = fleet.state_of_incarnation(replica);
         if !state.is_some_and(ReplicaState::is_live) {
             return;
         }
--- a/crates/relay/src/suspected_requests.rs
+++ b/crates/relay/src/suspected_requests.rs
@@ -59,12 +59,12 @@
     /// A replica ended under runs: this gateway acts on it before control tells it, and so
     /// do all others that are told by a datagram.
     pub(crate) fn note_ends<'a>(&self, replica: &str, runs: impl Iterator<Item = &'a EndedRun>) {
-        let upto = self.gateway.fleet().upto();
+        let upto = self.gateway.fleet().up_to_index();
         let mut to_tell = Vec::new();
         for run in runs {
             let held = self.suspicion(&run.fingerprint);
             if let Some(news) = Suspicion::after_end(held.as_ref(), replica, run, upto) {
-                to_tell.push(news.to_tell());
+                to_tell.push(news.to_report());
                 self.news.note(news, self.clock.now_ms());
             }
         }
@@ -82,9 +82,9 @@
             "content" => told.fingerprint.to_string(), "replica" => &told.replica,
             "ends" => told.row.lengths_ms.len(), "clearings" => told.row.clearings,
             "known_ends" => held.lengths_ms.len(), "known_clearings" => held.clearings);
-        let upto = self.gateway.fleet().upto();
+        let upto = self.gateway.fleet().up_to_index();
         self.news
-            .note(Suspicion::told(told, upto), self.clock.now_ms());
+            .note(Suspicion::from_report(told, upto), self.clock.now_ms());
     }
 
     /// Another gateway was heard of.
@@ -150,10 +150,10 @@
         let Some(held) = self.suspicion(&fingerprint).filter(Suspicion::is_open) else {
             return;
         };
-        let cleared = held.cleared(fleet.upto());
+        let cleared = held.cleared(fleet.up_to_index());
         info!(self.logger, "request: cleared of suspicion"; "request" => outgoing.id(),
             "content" => fingerprint.to_string(), "clearings" => cleared.row.clearings);
-        let told = vec![cleared.to_tell()];
+        let told = vec![cleared.to_report()];
         self.news.note(cleared, self.clock.now_ms());
         self.tell_suspicions(&self.gateway.other_gateways(), &told);
         let gateway = self.gateway.clone();
--- a/crates/relay/src/suspicions.rs
+++ b/crates/relay/src/suspicions.rs
@@ -80,7 +80,7 @@
             };
             now_ms.saturating_sub(own.at_ms) < told_for_ms
         });
-        to_tell.map(|own| own.record.to_tell()).collect()
+        to_tell.map(|own| own.record.to_report()).collect()
     }
 }
 
--- a/crates/relay/tests/all/homes.rs
+++ b/crates/relay/tests/all/homes.rs
@@ -248,7 +248,7 @@
 
 #[rstest]
 #[case::leaving(ReplicaState::Draining)]
-#[case::gone(ReplicaState::Gone)]
+#[case::gone(ReplicaState::Ended)]
 #[tokio::test]
 async fn a_home_without_a_replica_for_the_moment_is_worth_coming_back_to(
     #[case] state: ReplicaState,
--- a/crates/relay/tests/all/starts.rs
+++ b/crates/relay/tests/all/starts.rs
@@ -24,7 +24,10 @@
         .register_start(0, address, born, ReplicaState::Ready, 1)
         .await;
     let mut views = fleet.relay.gateway().follow();
-    let known = views.wait_for(|view| view.replica("i-0").is_some_and(|r| r.told.born == born));
+    let known = views.wait_for(|view| {
+        view.replica("i-0")
+            .is_some_and(|r| r.reported.incarnation == born)
+    });
     let known = tokio::time::timeout(LIMIT, known).await;
     drop(known.expect("in time").expect("the gateway runs"));
 }
--- a/crates/relay/tests/all/support/fleet.rs
+++ b/crates/relay/tests/all/support/fleet.rs
@@ -223,9 +223,9 @@
             ..self.node.clone()
         };
         let gateway = start_gateway(&node, number, &self.policy, &self.stopping).await;
-        let upto = self.relay.gateway().fleet().upto();
+        let upto = self.relay.gateway().fleet().up_to_index();
         let mut views = gateway.relay.gateway().follow();
-        let knows = views.wait_for(|view| view.upto() >= upto);
+        let knows = views.wait_for(|view| view.up_to_index() >= upto);
         tokio::time::timeout(LIMIT, knows)
             .await
             .expect("in time")
--- a/crates/relay/tests/all/support/registrations.rs
+++ b/crates/relay/tests/all/support/registrations.rs
@@ -43,7 +43,7 @@
             slots: 4,
             state,
             sequence,
-            born,
+            incarnation: born,
             cold_ms: 0,
         })
         .await;
@@ -96,12 +96,12 @@
         let change = ReplicaChange {
             service: service.to_owned(),
             zone: zone.to_owned(),
-            ..replica_change(number, replica.address, ReplicaState::Gone, 2)
+            ..replica_change(number, replica.address, ReplicaState::Ended, 2)
         };
         self.heartbeat(change).await;
         let id = format!("i-{number}");
         let mut views = self.relay.gateway().follow();
-        let gone = views.wait_for(|view| !view.live_replicas().any(|r| r.told.id == id));
+        let gone = views.wait_for(|view| !view.live_replicas().any(|r| r.reported.id == id));
         tokio::time::timeout(LIMIT, gone)
             .await
             .expect("in time")
@@ -200,7 +200,7 @@
         let known = views.wait_for(|view| {
             let replicas = view.live_replicas();
             replicas
-                .filter(|r| r.told.state == ReplicaState::Ready)
+                .filter(|r| r.reported.state == ReplicaState::Ready)
                 .count()
                 == ready
                 && view.table().is_some()
@@ -226,7 +226,7 @@
         slots: 4,
         state,
         sequence,
-        born: 0,
+        incarnation: 0,
         cold_ms: 0,
     }
 }
--- a/crates/tenants/src/directory.rs
+++ b/crates/tenants/src/directory.rs
@@ -33,7 +33,7 @@
     /// The entry that put the configuration in force; no change below is newer.
     pub listed_at: LogIndex,
     /// These are all tenants; others are no longer listed.
-    pub is_whole: bool,
+    pub is_complete: bool,
     /// The tenants.
     pub changed: Vec<TenantChange>,
 }
@@ -129,8 +129,8 @@
     /// What changed after an entry; everything after entry 0.
     #[must_use]
     pub fn update_since(&self, since: LogIndex) -> TenantsUpdate {
-        let is_whole = since <= self.forgotten;
-        let since = if is_whole { LogIndex(0) } else { since };
+        let is_complete = since <= self.forgotten;
+        let since = if is_complete { LogIndex(0) } else { since };
         let present = self
             .tenants
             .iter()
@@ -147,9 +147,9 @@
         TenantsUpdate {
             are_listed: self.are_listed,
             listed_at: self.listed_at,
-            is_whole,
+            is_complete,
             changed: present
-                .chain(removed.filter(|_| !is_whole))
+                .chain(removed.filter(|_| !is_complete))
                 .filter(|change| change.changed_at > since)
                 .collect(),
         }
@@ -157,13 +157,13 @@
 
     /// Takes what control told. Updates may come in any order: an older one than is known
     /// changes nothing, since it might bring back a key that was taken away.
-    pub fn take(&mut self, update: TenantsUpdate) {
+    pub fn apply(&mut self, update: TenantsUpdate) {
         if update.listed_at < self.listed_at {
             return;
         }
         self.are_listed = update.are_listed;
         self.listed_at = update.listed_at;
-        if update.is_whole {
+        if update.is_complete {
             self.tenants.clear();
             self.holders.clear();
             self.removed.clear();
@@ -193,7 +193,7 @@
             forgotten: update.listed_at,
             ..TenantDirectory::default()
         };
-        directory.take(update);
+        directory.apply(update);
         directory
     }
 
--- a/crates/tenants/tests/all/directory.rs
+++ b/crates/tenants/tests/all/directory.rs
@@ -76,7 +76,7 @@
     let updates = updates();
     let mut node = TenantDirectory::default();
     for index in order {
-        node.take(updates[*index].clone());
+        node.apply(updates[*index].clone());
     }
     is_second(&node);
 }
@@ -88,7 +88,7 @@
     assert!(!control.are_listed() && control.is_empty());
     assert_eq!(holder(&control, "1"), None);
     let mut node = TenantDirectory::new(Some(first()));
-    node.take(control.update_since(LogIndex(1)));
+    node.apply(control.update_since(LogIndex(1)));
     assert!(!node.are_listed() && node.is_empty());
 }
 
@@ -103,11 +103,11 @@
     let mut control = TenantDirectory::default();
     control.replace(Some(all.clone()), LogIndex(1));
     let mut node = TenantDirectory::default();
-    node.take(control.update_since(LogIndex(0)));
+    node.apply(control.update_since(LogIndex(0)));
     control.replace(Some(all[..1].to_vec()), LogIndex(2));
     let update = control.update_since(LogIndex(1));
-    assert!(update.is_whole);
-    node.take(update);
+    assert!(update.is_complete);
+    node.apply(update);
     assert_eq!(node.len(), 1);
     assert_eq!(holder(&node, "key 4000"), None);
 }
@@ -120,5 +120,5 @@
     let restored = TenantDirectory::from_update(control.to_update());
     is_second(&restored);
     // It does not remember removals: whoever knows less is told everything.
-    assert!(restored.update_since(LogIndex(3)).is_whole);
+    assert!(restored.update_since(LogIndex(3)).is_complete);
 }
