--- a/crates/cluster/src/presence.rs
+++ b/crates/cluster/src/presence.rs
@@ -271,7 +271,7 @@
                 zone: gateway.place.zone.clone(),
                 region: gateway.place.region.clone(),
             };
-            let is_news = self.gateways.note(node, gateway.ready, now_ms);
+            let is_news = self.gateways.record(node, gateway.ready, now_ms);
             self.news += u64::from(is_news);
         }
         self.note_coordinator(gateway, now_ms)
--- a/crates/registry/src/command.rs
+++ b/crates/registry/src/command.rs
@@ -16,76 +16,76 @@
     routes::RouteTable, second_layout::SecondCommand, third_layout::ThirdCommand,
 };
 
-/// Layout of commands to forget replicas.
+/// Layout of commands that delete the records of ended replicas.
 const SEVENTH_LAYOUT: u8 = 7;
-/// Layout of ends under runs that tell which ends were known.
+/// Layout of reported replica ends whose runs list the earlier ends that were known.
 const SIXTH_LAYOUT: u8 = 6;
-/// Layout of replicas that tell which start of theirs speaks, of configurations with homes
-/// and cold replicas, of evacuations, and of the gateways that share counts.
+/// Layout of replica reports with an incarnation, of configurations with home regions and
+/// cold replicas, of evacuations, and of the gateways that share quota counts.
 const FIFTH_LAYOUT: u8 = 5;
-/// Layout of configurations that may list tenants: the last of the first format.
+/// Layout of configurations that may list tenants: the last layout of the first format.
 pub(crate) const TENANTS_LAYOUT: u8 = 4;
-/// Layout of route tables whose routes have a bound of queued tokens; read, not written.
+/// Layout of route tables whose routes have a limit on queued tokens; read, not written.
 const ROUTES_LAYOUT: u8 = 2;
-/// Layout of commands about requests that are no longer suspected, and about replicas
-/// that are not where they registered; of ends under runs too, which it no longer writes.
+/// Layout of commands that clear or decay suspicions, and of replicas that are no longer at
+/// their registered address. Reported replica ends of this layout are read, not written.
 pub(crate) const THIRD_LAYOUT: u8 = 3;
 /// Layout of all other commands, and of the first route tables.
 pub(crate) const FIRST_LAYOUT: u8 = 1;
 
-/// A change of the registry.
+/// A command that changes the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RegistryCommand {
-    /// Puts a configuration in force if its version is above the one held.
+    /// Puts a configuration in force if its version is above the current one.
     PutConfiguration {
-        /// The checked table.
+        /// The route table, already validated.
         table: RouteTable,
-        /// What it declares besides. Apart, so that commands keep the size that their
-        /// first layouts gave them.
+        /// The other parts of the configuration. Boxed, so that the stored size of
+        /// commands stays the one of the first layouts.
         declared: Box<Declared>,
     },
-    /// A replica said something new. Apart, like what a configuration declares.
+    /// A replica reported a change. Boxed for the same reason as `declared`.
     Replica(Box<ReplicaChange>),
-    /// The start of a replica ended, by its key.
+    /// An incarnation of a replica ended, by its key.
     RemoveReplica(String),
-    /// The first members of the job store; the first such command counts.
+    /// The first members of the job store; later commands of this kind have no effect.
     FormStore(Vec<MemberId>),
-    /// A store machine is to be emptied.
+    /// A job store machine is to be drained of its data.
     RetireStore(MachineId),
-    /// A replica ended under these runs of one gateway.
+    /// A replica ended while it executed these runs of one gateway.
     ReplicaEnded {
-        /// The key of its start.
+        /// The key of its incarnation.
         replica: String,
-        /// What broke off there.
+        /// The runs that were interrupted.
         runs: Vec<EndedRun>,
     },
-    /// Copies of these requests came to whole answers.
+    /// Copies of these requests got complete answers.
     ClearSuspicions(Vec<RequestFingerprint>),
-    /// Nothing was heard of these requests for long.
+    /// There were no reports about these requests for a long time.
     DecaySuspicions(Vec<RequestFingerprint>),
-    /// Another incarnation answers at the address of this start, by its key.
+    /// Another incarnation answers at the address of this one, given by its key.
     NotAtAddress(String),
-    /// Nothing more is to be sent to the replicas of a zone.
+    /// Stops new work for the replicas of a zone.
     EvacuateZone(EvacuationOrder),
-    /// The replicas of a zone may be given work again.
+    /// Allows new work for the replicas of a zone again.
     RestoreZone(EvacuationOrder),
-    /// Other gateways share the counts of tenants' limits.
+    /// The set of gateways that share the counts of tenants' limits changed.
     GatewaysChanged {
-        /// Those that do now.
+        /// Gateways that joined the set.
         joined: Vec<MachineId>,
-        /// Those that no longer do: they stopped, or were silent for long.
+        /// Gateways that left the set: they stopped, or had no contact for a long time.
         left: Vec<MachineId>,
     },
-    /// Replicas that are gone since this entry or an earlier one are forgotten: every node in
-    /// touch knows of them, and no late word of them is expected any more.
+    /// Deletes the records of replicas that ended at this entry or an earlier one: every
+    /// connected node knows that they ended, and no delayed heartbeat is expected any more.
     ForgetEnded {
-        /// The entry.
+        /// The last log entry that is covered.
         up_to_index: LogIndex,
     },
 }
 
 impl RegistryCommand {
-    /// The command as the log holds it where all members of the group read a format.
+    /// The command as stored in the log of a group whose members all read `format`.
     ///
     /// # Errors
     /// `InvalidState` when the format has no such command, `Internal` when it cannot be
@@ -97,14 +97,14 @@
         }
     }
 
-    /// Whether what is left out of the command stays lost for as long as that is in force. A
-    /// replica says all of itself again within a second or two.
+    /// Whether fields that a format leaves out would stay lost while the command is in force.
+    /// A replica repeats its whole report within a second or two, so its losses are short.
     #[must_use]
     pub fn requires_lossless_format(&self) -> bool {
         matches!(self, RegistryCommand::PutConfiguration { .. })
     }
 
-    /// Whether a format keeps all that the command says.
+    /// Whether a format can store every field of the command.
     #[must_use]
     pub fn is_lossless_in(&self, format: Format) -> bool {
         match self {
@@ -120,8 +120,8 @@
         }
     }
 
-    /// The first command in the newest format: an entry of it says that all members read it,
-    /// and this one does nothing else.
+    /// A command without other effect whose entry marks the switch to the newest format:
+    /// an entry in that format is only proposed when all members read it.
     ///
     /// # Errors
     /// `Internal` when it cannot be encoded.
@@ -138,7 +138,7 @@
         }
     }
 
-    /// The command as the log holds it in the newest format.
+    /// The command as stored in the log in the newest format.
     ///
     /// # Errors
     /// `Internal` when it cannot be encoded.
@@ -159,10 +159,10 @@
         stored::encode(layout, self)
     }
 
-    /// Reads a command of the log.
+    /// Decodes a command from the log.
     ///
     /// # Errors
-    /// `DataFolderRefused` when it is of another layout, `Corrupted`.
+    /// `DataFolderRefused` for an unknown layout, `Corrupted` for damaged bytes.
     pub fn from_stored(bytes: &[u8]) -> Result<Self, Report<ErrorKind>> {
         match stored::layout_of(bytes) {
             Some(FIRST_LAYOUT) => {
@@ -186,20 +186,20 @@
     }
 }
 
-/// What applying a command answers.
+/// The result of applying a command.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RegistryAnswer {
-    /// A table of this version is held; it may be higher than the one sent.
+    /// The version of the configuration in force; it may be higher than the one sent.
     ConfigurationVersion(u64),
-    /// What operators last asked of the zone of an order.
+    /// The state of the zone of an evacuation order, by the last order of an operator.
     ZoneState {
         /// Whether it is evacuated.
         evacuated: bool,
-        /// The entry that changed it last; 0 where none did.
+        /// The entry that changed it last; 0 if there is none.
         changed_at: LogIndex,
     },
-    /// The command is in force, or said nothing new.
+    /// The command was applied, or changed nothing.
     Done,
-    /// It concerns another start of the replica than the one held; nothing was done.
+    /// The command is about another incarnation than the current one; nothing changed.
     OtherIncarnation,
 }
--- a/crates/registry/src/configuration.rs
+++ b/crates/registry/src/configuration.rs
@@ -1,5 +1,5 @@
 //! A configuration as an operator declares it: routes, services and tenants, applied
-//! as a whole.
+//! atomically.
 
 use std::fmt;
 
@@ -8,17 +8,17 @@
 
 use crate::{routes::RouteTable, validate::RouteTableError};
 
-/// What a configuration declares beside its routes.
+/// The parts of a configuration besides its route table.
 #[derive(Clone, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Declared {
-    /// Its tenants; `None` where it lists none and requests need no key.
+    /// Its tenants; `None` if it has no list of tenants and requests need no key.
     pub tenants: Option<Vec<Tenant>>,
-    /// The document that the operator sent, kept as it is. It holds the keys: no node but
-    /// control keeps it.
+    /// The document that the operator sent, stored unchanged. It contains the keys, so only
+    /// control stores it.
     pub document: Vec<u8>,
 }
 
-/// Without the document, which holds keys.
+/// Leaves out the document, which contains keys.
 impl fmt::Debug for Declared {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter
@@ -34,16 +34,16 @@
 pub struct Configuration {
     /// Its routes and services.
     pub table: RouteTable,
-    /// Its tenants; `None` where it lists none and requests need no key.
+    /// Its tenants; `None` if it has no list of tenants and requests need no key.
     pub tenants: Option<Vec<Tenant>>,
 }
 
-/// Why a configuration is refused.
+/// Why a configuration is rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ConfigurationError {
-    /// A fault of its routes.
+    /// An error in its routes.
     Routes(RouteTableError),
-    /// A fault of its tenants.
+    /// An error in its tenants.
     Tenants(TenantsError),
 }
 
@@ -59,10 +59,10 @@
 impl std::error::Error for ConfigurationError {}
 
 impl Configuration {
-    /// Checks what must hold before a configuration may be in force.
+    /// Validates the configuration, which is required before it is put in force.
     ///
     /// # Errors
-    /// The first fault found.
+    /// The first error found.
     pub fn check(&self) -> Result<(), ConfigurationError> {
         self.table.check().map_err(ConfigurationError::Routes)?;
         let tenants = self.tenants.as_deref().unwrap_or_default();
--- a/crates/registry/src/fifth_layout.rs
+++ b/crates/registry/src/fifth_layout.rs
@@ -1,5 +1,5 @@
-//! Snapshots as the fifth layout holds them: of the runs that ended their replicas one
-//! length was held, and clearings were not counted. Read, never written.
+//! Snapshots in the fifth layout: a suspicion has a single run length and no count of
+//! clearings. Read, never written.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_tenants::TenantsUpdate;
@@ -43,7 +43,7 @@
             tenants: fifth.tenants,
             evacuations: fifth.evacuations,
             gateways: fifth.gateways,
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
         }
     }
 }
--- a/crates/registry/src/first_format.rs
+++ b/crates/registry/src/first_format.rs
@@ -1,9 +1,9 @@
-//! What of the registry goes between nodes and into its log in the first format. Frozen: a
-//! build that production runs writes it.
+//! The messages and log entries of the registry in the first format. The layout is frozen,
+//! because a build in production writes it.
 
 #![allow(
     missing_docs,
-    reason = "variants and fields are those of the types of today"
+    reason = "variants and fields are those of the current types"
 )]
 
 use error_stack::Report;
@@ -29,7 +29,7 @@
     update::FleetUpdate,
 };
 
-/// A command.
+/// A command of the registry.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FirstFormatCommand {
     PutConfiguration {
@@ -50,7 +50,7 @@
 }
 
 impl FirstFormatCommand {
-    /// The command as the log holds it.
+    /// The command as stored in the log.
     ///
     /// # Errors
     /// `Internal` when it cannot be encoded.
@@ -67,14 +67,14 @@
     }
 }
 
-/// What applying a command answers.
+/// The result of applying a command.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FirstFormatAnswer {
     ConfigurationVersion(u64),
     Done,
 }
 
-/// What control tells nodes of the registry: always whole tables.
+/// An update of the registry for nodes, with complete tables only.
 #[derive(Archive, Serialize, Deserialize)]
 pub struct FirstFormatUpdate {
     table: Option<FourthRouteTable>,
@@ -86,8 +86,8 @@
     up_to_index: LogIndex,
 }
 
-/// Starts of replicas are not told apart.
-fn id_of_start(key: &str) -> String {
+/// The id of a replica: the first format does not distinguish incarnations.
+fn replica_id(key: &str) -> String {
     parse_incarnation_key(key).0.to_owned()
 }
 
@@ -104,20 +104,22 @@
             }
             RegistryCommand::Replica(change) => FirstFormatCommand::Replica((*change).into()),
             RegistryCommand::RemoveReplica(key) => {
-                FirstFormatCommand::RemoveReplica(id_of_start(&key))
+                FirstFormatCommand::RemoveReplica(replica_id(&key))
             }
             RegistryCommand::FormStore(members) => FirstFormatCommand::FormStore(members),
             RegistryCommand::RetireStore(machine) => FirstFormatCommand::RetireStore(machine),
             RegistryCommand::ReplicaEnded { replica, runs } => FirstFormatCommand::ReplicaEnded {
-                replica: id_of_start(&replica),
+                replica: replica_id(&replica),
                 runs: runs.into_iter().map(FirstEndedRun::from).collect(),
             },
             RegistryCommand::ClearSuspicions(cleared) => {
                 FirstFormatCommand::ClearSuspicions(cleared)
             }
-            RegistryCommand::DecaySuspicions(eased) => FirstFormatCommand::DecaySuspicions(eased),
+            RegistryCommand::DecaySuspicions(decayed) => {
+                FirstFormatCommand::DecaySuspicions(decayed)
+            }
             RegistryCommand::NotAtAddress(key) => {
-                FirstFormatCommand::NotAtAddress(id_of_start(&key))
+                FirstFormatCommand::NotAtAddress(replica_id(&key))
             }
             RegistryCommand::EvacuateZone(_) | RegistryCommand::RestoreZone(_) => {
                 return Err(not_in_first_format("evacuations"));
@@ -154,7 +156,9 @@
             FirstFormatCommand::ClearSuspicions(cleared) => {
                 RegistryCommand::ClearSuspicions(cleared)
             }
-            FirstFormatCommand::DecaySuspicions(eased) => RegistryCommand::DecaySuspicions(eased),
+            FirstFormatCommand::DecaySuspicions(decayed) => {
+                RegistryCommand::DecaySuspicions(decayed)
+            }
             FirstFormatCommand::NotAtAddress(id) => RegistryCommand::NotAtAddress(id),
         }
     }
@@ -168,7 +172,7 @@
             RegistryAnswer::ConfigurationVersion(version) => {
                 Ok(FirstFormatAnswer::ConfigurationVersion(version))
             }
-            // Who cannot tell starts apart has nothing else to do.
+            // A node that does not distinguish incarnations has nothing else to do.
             RegistryAnswer::Done | RegistryAnswer::OtherIncarnation => Ok(FirstFormatAnswer::Done),
             RegistryAnswer::ZoneState { .. } => Err(not_in_first_format("evacuations")),
         }
@@ -200,7 +204,7 @@
             limits,
             ..
         } = update;
-        FourthRouteTable::whole(version, routes, services, limits)
+        FourthRouteTable::complete(version, routes, services, limits)
     }
 }
 
@@ -224,16 +228,16 @@
 }
 
 impl From<FirstFormatUpdate> for FleetUpdate {
-    /// It tells all that changed since what its receiver said that it knows, so that it
-    /// builds on nothing else.
+    /// The update contains all changes since the entry that its receiver reported as known,
+    /// so it needs no other base.
     fn from(first: FirstFormatUpdate) -> Self {
         FleetUpdate {
             since: LogIndex(0),
-            table: first.table.map(|table| TableUpdate::whole(table.into())),
+            table: first.table.map(|table| TableUpdate::complete(table.into())),
             tenants: first.tenants.map(Into::into),
             replicas: first.replicas.into_iter().map(Into::into).collect(),
             replicas_complete: false,
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
             store: first.store,
             store_at: first.store_at,
             suspicions: first.suspicions.into_iter().map(Into::into).collect(),
--- a/crates/registry/src/first_layout.rs
+++ b/crates/registry/src/first_layout.rs
@@ -1,5 +1,5 @@
-//! Stored values as the first layout holds them: routes had no bound of queued
-//! tokens. Read, never written.
+//! Stored values in the first layout: routes have no limit on queued tokens. Read, never
+//! written.
 
 use linnethitch_protocol::ids::{LogIndex, MachineId, MemberId};
 use linnethitch_tenants::TenantsUpdate;
@@ -132,7 +132,7 @@
             tenants: TenantsUpdate::default(),
             evacuations: Vec::new(),
             gateways: Vec::new(),
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
         }
     }
 }
--- a/crates/registry/src/fourth_layout/mod.rs
+++ b/crates/registry/src/fourth_layout/mod.rs
@@ -1,6 +1,6 @@
-//! Stored values as the layouts up to the fourth hold them: replicas told neither which
-//! start of theirs speaks nor that they are cold, routes and tenants had no homes, and no
-//! zone was evacuated. Written as long as a member of the group reads no other.
+//! Stored values in the layouts up to the fourth: replicas report neither an incarnation nor
+//! a cold time, routes and tenants have no home regions, and no zone is evacuated. Written
+//! while a member of the group reads no newer layout.
 
 mod written;
 
@@ -84,7 +84,7 @@
     document: Vec<u8>,
 }
 
-/// The only command that the fourth layout stored.
+/// The only command that is stored in the fourth layout.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FourthCommand {
     PutConfiguration {
@@ -93,7 +93,7 @@
     },
 }
 
-/// What a replica said of itself, as commands of the first layout hold it too.
+/// The report of a replica; commands of the first layout contain it too.
 #[derive(Archive, Serialize, Deserialize)]
 pub struct FourthReplicaChange {
     id: String,
@@ -111,7 +111,7 @@
     changed_at: LogIndex,
 }
 
-/// As the fifth layout holds it too: of the runs that ended their replicas one length.
+/// A suspicion with a single run length; the fifth layout contains it too.
 #[derive(Archive, Serialize, Deserialize)]
 pub struct FourthSuspicion {
     fingerprint: RequestFingerprint,
@@ -283,7 +283,7 @@
             tenants: fourth.tenants.into(),
             evacuations: Vec::new(),
             gateways: Vec::new(),
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
         }
     }
 }
--- a/crates/registry/src/fourth_layout/written.rs
+++ b/crates/registry/src/fourth_layout/written.rs
@@ -1,4 +1,4 @@
-//! Values of today as the fourth layout holds them.
+//! Conversion of current values to the fourth layout.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -18,8 +18,9 @@
     suspicion::Suspicion,
 };
 
-/// Homes bind where requests are served: what cannot keep them is not told.
-fn without_homes(homes: &[String]) -> Result<(), Report<ErrorKind>> {
+/// Rejects home regions, which restrict where requests are served: a format that cannot
+/// store them must not transfer the value.
+fn reject_homes(homes: &[String]) -> Result<(), Report<ErrorKind>> {
     if homes.is_empty() {
         Ok(())
     } else {
@@ -28,7 +29,7 @@
 }
 
 impl From<ServiceTraits> for FourthService {
-    /// That its replicas are cold at first is a hint, and is left out.
+    /// The cold times of its replicas are left out, because they are only a hint.
     fn from(service: ServiceTraits) -> Self {
         FourthService {
             name: service.name,
@@ -43,7 +44,7 @@
     type Error = Report<ErrorKind>;
 
     fn try_from(route: Route) -> Result<Self, Self::Error> {
-        without_homes(&route.homes)?;
+        reject_homes(&route.homes)?;
         Ok(FourthRoute {
             name: route.name,
             host: route.host,
@@ -65,11 +66,11 @@
 }
 
 impl FourthRouteTable {
-    /// A whole table.
+    /// A complete table.
     ///
     /// # Errors
-    /// `InvalidState` for routes with homes.
-    pub(crate) fn whole(
+    /// `InvalidState` for routes with home regions.
+    pub(crate) fn complete(
         version: u64,
         routes: Vec<Route>,
         services: Vec<ServiceTraits>,
@@ -90,7 +91,7 @@
     type Error = Report<ErrorKind>;
 
     fn try_from(table: RouteTable) -> Result<Self, Self::Error> {
-        FourthRouteTable::whole(table.version, table.routes, table.services, table.limits)
+        FourthRouteTable::complete(table.version, table.routes, table.services, table.limits)
     }
 }
 
@@ -98,7 +99,7 @@
     type Error = Report<ErrorKind>;
 
     fn try_from(tenant: Tenant) -> Result<Self, Self::Error> {
-        without_homes(&tenant.homes)?;
+        reject_homes(&tenant.homes)?;
         Ok(FourthTenant {
             name: tenant.name,
             keys: tenant.keys,
--- a/crates/registry/src/gateways.rs
+++ b/crates/registry/src/gateways.rs
@@ -1,24 +1,25 @@
-//! Gateways that share the counts of tenants' limits, as far as control has heard of them.
+//! Gateways known to control that share the counts of tenants' limits.
 //!
-//! Control hears of a gateway by its connection, and forgets that with a restart. A gateway
-//! that is cut off then goes on by its part of each limit though nobody names it; this record
-//! outlasts the restart, so that the others leave it that part.
+//! Control learns of a gateway by its connection, and loses that knowledge in a restart. An
+//! isolated gateway continues to use its share of each limit although no member lists it.
+//! This record survives the restart, so that the other gateways don't use that share.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 use linnethitch_protocol::ids::{LogIndex, MachineId};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A gateway that shares the counts.
+/// A gateway that shares the quota counts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GatewayRecord {
     /// The gateway.
     pub machine: MachineId,
-    /// The log entry that noted it.
+    /// The log entry that recorded it.
     pub since: LogIndex,
 }
 
-/// The gateways that share the counts, by machine. Clones share them until they change.
+/// The gateways that share the quota counts, by machine. Clones share the records until one
+/// changes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct KnownGateways {
     records: Arc<BTreeMap<MachineId, GatewayRecord>>,
@@ -41,7 +42,7 @@
         self.records.values()
     }
 
-    /// Notes those that joined and those that left.
+    /// Adds the gateways that joined and removes those that left.
     pub(crate) fn change(&mut self, index: LogIndex, joined: Vec<MachineId>, left: &[MachineId]) {
         let records = Arc::make_mut(&mut self.records);
         records.retain(|machine, _| !left.contains(machine));
--- a/crates/registry/src/incarnation_key.rs
+++ b/crates/registry/src/incarnation_key.rs
@@ -1,12 +1,12 @@
-//! Keys of starts: what is kept of a replica belongs to one start of it.
+//! Keys of incarnations: the recorded state of a replica belongs to one incarnation.
 //!
-//! A replica that does not tell its start has its id as its key; else the key is
-//! `ID#BORN`. An id holds no `#`.
+//! The key is `ID#INCARNATION`, or the id alone if the replica does not report an
+//! incarnation. An id contains no `#`.
 
-/// Between the id and the start in a key.
+/// Separates the id and the incarnation in a key.
 const SEPARATOR: char = '#';
 
-/// The key of a start; `incarnation` is 0 where the replica does not tell it.
+/// The key of an incarnation; `incarnation` is 0 if the replica does not report one.
 #[must_use]
 pub fn incarnation_key(id: &str, incarnation: u64) -> String {
     match incarnation {
@@ -15,7 +15,7 @@
     }
 }
 
-/// The replica's id and which start of it a key names.
+/// The replica's id and the incarnation that a key names.
 #[must_use]
 pub fn parse_incarnation_key(key: &str) -> (&str, u64) {
     let parts = key.rsplit_once(SEPARATOR);
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,10 @@
-//! What control replicates for a fleet whose replicas register themselves: the
-//! route table and the tenants in force, the replicas and their states, and the
+//! The state that control replicates for a fleet whose replicas register themselves:
+//! the route table and the tenants in force, the replicas and their states, and the
 //! members of the job store.
 //!
-//! [`Registry`] is a deterministic state machine. [`FleetView`] is what a node
-//! without a disk keeps of it: it takes updates from any control member, in
-//! any order, and never steps back.
+//! [`Registry`] is a deterministic state machine. [`FleetView`] is the copy that a
+//! node without a disk holds in memory: it applies updates from any control member,
+//! in any order, and never returns to an older state.
 
 mod command;
 mod configuration;
--- a/crates/registry/src/node_list.rs
+++ b/crates/registry/src/node_list.rs
@@ -1,24 +1,25 @@
-//! The directory: which gateways callers may go to.
+//! The directory of gateways that callers may use.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// A gateway counts as ready for this long after it said so, in milliseconds.
+/// Time for which a gateway counts as ready after it reported so, in milliseconds.
 pub const READY_TTL_MS: u64 = 1_200;
 
-/// A control member that has just begun to hear gateways, or hears them again after it stood
-/// still, may hear those of a far region first. Others open their connections within this, in
-/// milliseconds; until then it names none outside a caller's region and the homes.
-const ALL_HEARD_AFTER_MS: u64 = 2_500;
+/// Time within which all gateways connect to a control member, in milliseconds. A member
+/// that has just started, or resumes after a process pause, may receive reports from a
+/// distant region first. Until this time is over, it names no gateway outside the caller's
+/// region and the home regions.
+const DISCOVERY_MS: u64 = 2_500;
 
-/// With fewer gateways than this in its zone, a caller is given its region's.
-const FEWEST_NEAR: usize = 2;
+/// A caller gets the gateways of its region if its zone has fewer than this.
+const MIN_IN_ZONE: usize = 2;
 
-/// A gateway as callers reach it.
+/// A gateway as an entry of the directory.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct DirectoryNode {
-    /// Its address for callers, as IP:PORT.
+    /// The address for callers, as IP:PORT.
     pub address: String,
     /// Its zone.
     pub zone: String,
@@ -26,68 +27,68 @@
     pub region: String,
 }
 
-/// Who asks where to go, and for what.
+/// A caller's query for gateways.
 #[derive(Clone, Copy, Debug)]
 pub struct DirectoryQuery<'a> {
-    /// The host of its requests.
+    /// The host of the caller's requests.
     pub host: &'a str,
     /// The caller's region.
     pub region: &'a str,
     /// The caller's zone.
     pub zone: &'a str,
-    /// Most addresses of an answer.
+    /// Maximum number of addresses in the answer.
     pub limit: usize,
 }
 
 #[derive(Clone, Debug)]
-struct Heard {
+struct Report {
     node: DirectoryNode,
     ready: bool,
     at_ms: u64,
 }
 
-impl Heard {
+impl Report {
     fn is_recent(&self, now_ms: u64) -> bool {
         now_ms.saturating_sub(self.at_ms) <= READY_TTL_MS
     }
 }
 
-/// Gateways and what they last said of themselves.
+/// Gateways and their last reports.
 #[derive(Clone, Debug, Default)]
 pub struct NodeList {
-    heard: BTreeMap<String, Heard>,
-    /// Since when gateways are heard without a pause, and when one was heard last.
-    heard_since_ms: Option<u64>,
-    heard_last_ms: u64,
+    reports: BTreeMap<String, Report>,
+    /// Since when reports arrive without a gap, and when the last one arrived.
+    reported_since_ms: Option<u64>,
+    last_report_ms: u64,
 }
 
 impl NodeList {
-    /// Notes what a gateway says of itself; true when the directory differs by it.
-    pub fn note(&mut self, node: DirectoryNode, ready: bool, now_ms: u64) -> bool {
-        if now_ms.saturating_sub(self.heard_last_ms) > READY_TTL_MS {
-            self.heard_since_ms = None;
+    /// Records the report of a gateway; true if it changes the directory.
+    pub fn record(&mut self, node: DirectoryNode, ready: bool, now_ms: u64) -> bool {
+        if now_ms.saturating_sub(self.last_report_ms) > READY_TTL_MS {
+            self.reported_since_ms = None;
         }
-        self.heard_since_ms.get_or_insert(now_ms);
-        self.heard_last_ms = now_ms;
-        let heard = Heard {
+        self.reported_since_ms.get_or_insert(now_ms);
+        self.last_report_ms = now_ms;
+        let report = Report {
             ready,
             at_ms: now_ms,
             node,
         };
-        let before = self.heard.get(&heard.node.address);
-        let is_news = before.is_none_or(|before| {
-            before.ready != heard.ready || before.node != heard.node || !before.is_recent(now_ms)
+        let before = self.reports.get(&report.node.address);
+        let is_change = before.is_none_or(|before| {
+            before.ready != report.ready || before.node != report.node || !before.is_recent(now_ms)
         });
-        self.heard.insert(heard.node.address.clone(), heard);
-        is_news
+        self.reports.insert(report.node.address.clone(), report);
+        is_change
     }
 
-    /// Notes that the connection to a gateway broke.
+    /// Removes a gateway whose connection broke.
     pub fn remove(&mut self, address: &str) {
-        self.heard.remove(address);
+        self.reports.remove(address);
     }
 
-    /// Addresses of ready gateways near a caller; see [`near`].
+    /// Addresses of the ready gateways for a caller; see [`near`].
     #[must_use]
     pub fn near(
         &self,
@@ -96,28 +97,29 @@
         now_ms: u64,
     ) -> Vec<String> {
         let mut nodes = self.ready(now_ms);
-        let since_ms = self.heard_since_ms.unwrap_or(now_ms);
-        let may_lack_some = now_ms.saturating_sub(since_ms) < ALL_HEARD_AFTER_MS;
-        if let (true, Some(homes)) = (may_lack_some, homes) {
+        let since_ms = self.reported_since_ms.unwrap_or(now_ms);
+        let may_be_incomplete = now_ms.saturating_sub(since_ms) < DISCOVERY_MS;
+        if let (true, Some(homes)) = (may_be_incomplete, homes) {
             nodes.retain(|node| node.region == query.region || homes.contains(&node.zone));
         }
         near(&nodes, query, homes)
     }
 
-    /// Gateways that are ready, by address.
+    /// Ready gateways, by address.
     #[must_use]
     pub fn ready(&self, now_ms: u64) -> Vec<DirectoryNode> {
-        let heard = self.heard.values();
-        heard
-            .filter(|heard| heard.ready && heard.is_recent(now_ms))
-            .map(|heard| heard.node.clone())
+        let reports = self.reports.values();
+        reports
+            .filter(|report| report.ready && report.is_recent(now_ms))
+            .map(|report| report.node.clone())
             .collect()
     }
 }
 
-/// Addresses of the gateways near a caller: those of its zone. Where these are
-/// fewer than [`FEWEST_NEAR`], those of its region; without any, those of the zones that
-/// are homes of what it asks for, where there are such; else all.
+/// Addresses of the gateways for a caller: the gateways of its zone, or those of its region
+/// if the zone has fewer than [`MIN_IN_ZONE`]. If the region has none, the gateways of the
+/// zones in the home regions of the requested host, if it is restricted to such; if there is
+/// none either, all gateways.
 #[must_use]
 pub fn near(
     nodes: &[DirectoryNode],
@@ -125,7 +127,7 @@
     homes: Option<&BTreeSet<String>>,
 ) -> Vec<String> {
     let mut chosen = addresses(nodes.iter().filter(|node| node.zone == query.zone));
-    if chosen.len() < FEWEST_NEAR {
+    if chosen.len() < MIN_IN_ZONE {
         let of_region = nodes.iter().filter(|node| node.region == query.region);
         chosen = addresses(of_region);
     }
--- a/crates/registry/src/notification_order.rs
+++ b/crates/registry/src/notification_order.rs
@@ -1,10 +1,10 @@
-//! In which order control members tell a node of a change, so that it crosses narrow links
-//! between regions once for each member there and not once for each node.
+//! The order in which control members send a change to a node, so that the change crosses
+//! narrow links between regions once per member and not once per node.
 
 use linnethitch_protocol::{hash::fnv1a, ids::MachineId};
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// Where a node is.
+/// The location of a node.
 #[derive(
     Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize,
 )]
@@ -15,9 +15,10 @@
     pub region: String,
 }
 
-/// How many control members tell a node before one of them does: first those in the node's
-/// zone, then those in its region, then others; among equally near ones another order for
-/// each node. Alike for all members that see the same ones.
+/// The rank of a control member in the order in which members send updates to a node:
+/// members in the node's zone come first, then members in its region, then others. Members at
+/// the same distance are ordered by a hash, differently for each node. All members that know
+/// the same members compute the same order.
 pub fn notification_rank<'a>(
     node: MachineId,
     at: &Place,
--- a/crates/registry/src/registry.rs
+++ b/crates/registry/src/registry.rs
@@ -36,12 +36,12 @@
     update::FleetUpdate,
 };
 
-/// The job store as control knows it.
+/// The members of the job store as recorded by control.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StoreMembers {
-    /// The members that it was formed from; empty before.
+    /// The members that formed the store; empty until it is formed.
     pub first: Vec<MemberId>,
-    /// Machines that are to be emptied, in the order of the requests.
+    /// Machines to be drained of their data, in the order of the requests.
     pub retiring: Vec<MachineId>,
 }
 
@@ -52,32 +52,32 @@
     document: Arc<Vec<u8>>,
     tenants: Arc<TenantDirectory>,
     replicas: ReplicaIndex,
-    /// Replicas that were gone since this entry or an earlier one are forgotten.
-    forgotten: LogIndex,
+    /// Records of replicas that ended at this entry or an earlier one are deleted.
+    forgotten_up_to: LogIndex,
     store: StoreMembers,
     store_at: LogIndex,
     suspicions: Suspicions,
     evacuations: Evacuations,
     gateways: KnownGateways,
     changed_at: LogIndex,
-    /// The newest format among its entries: all members read it.
+    /// The newest format among the applied entries, which all members therefore read.
     format: Format,
 }
 
-/// Layout of snapshots that this build writes; those before are still read.
+/// Layout of snapshots that this build writes; earlier layouts are still read.
 const SNAPSHOT_LAYOUT: u8 = 7;
-/// Layout of snapshots that do not say which gone replicas are forgotten.
+/// Layout of snapshots that do not record which ended replicas were deleted.
 const SIXTH_LAYOUT: u8 = 6;
-/// Layout of snapshots with one length of the runs that ended replicas.
+/// Layout of snapshots with a single run length per suspicion.
 const FIFTH_LAYOUT: u8 = 5;
-/// Layout of snapshots without evacuations, homes, starts of replicas and known gateways.
+/// Layout of snapshots without evacuations, home regions, incarnations and known gateways.
 const FOURTH_LAYOUT: u8 = 4;
 /// Layout of snapshots without tenants.
 const THIRD_LAYOUT: u8 = 3;
-/// Layout of snapshots without requests that are suspected.
+/// Layout of snapshots without suspicions.
 const SECOND_LAYOUT: u8 = 2;
 
-/// What a snapshot holds.
+/// The content of a snapshot.
 #[derive(Archive, Serialize, Deserialize)]
 pub(crate) struct RegistrySnapshot {
     pub(crate) table: Option<RouteTable>,
@@ -91,7 +91,7 @@
     pub(crate) tenants: TenantsUpdate,
     pub(crate) evacuations: Vec<EvacuationRecord>,
     pub(crate) gateways: Vec<GatewayRecord>,
-    pub(crate) forgotten: LogIndex,
+    pub(crate) forgotten_up_to: LogIndex,
 }
 
 impl Registry {
@@ -101,7 +101,7 @@
         self.table.as_ref().map(|history| history.table())
     }
 
-    /// The document of the table in force, as the operator sent it.
+    /// The document of the configuration in force, as the operator sent it.
     #[must_use]
     pub fn document(&self) -> &Arc<Vec<u8>> {
         &self.document
@@ -113,32 +113,32 @@
         &self.tenants
     }
 
-    /// The newest start of a replica, by its id.
+    /// The newest incarnation of a replica, by its id.
     #[must_use]
     pub fn replica(&self, id: &str) -> Option<&ReplicaRecord> {
         self.replicas.records().get(id)
     }
 
-    /// Whether a start is the newest one of its replica, by its key.
+    /// Whether a key names the newest incarnation of its replica.
     #[must_use]
     pub fn is_current_incarnation(&self, key: &str) -> bool {
         let (id, _) = parse_incarnation_key(key);
-        let held = self.replicas.records().get(id);
-        held.is_some_and(|record| record.reported.is_of_incarnation(key))
+        let current = self.replicas.records().get(id);
+        current.is_some_and(|record| record.reported.is_of_incarnation(key))
     }
 
-    /// Every replica that is not gone.
+    /// Every replica that takes work or finishes its work.
     pub fn live_replicas(&self) -> impl Iterator<Item = &ReplicaRecord> {
         self.replicas.records().live()
     }
 
-    /// Every replica by id, gone ones too that are not forgotten.
+    /// Every replica by id, including ended ones whose record is not deleted yet.
     #[must_use]
     pub(crate) fn records(&self) -> &ReplicaRecords {
         self.replicas.records()
     }
 
-    /// What differs in the replicas between an earlier state and this one.
+    /// The replicas that differ between an earlier state and this one.
     pub fn differences<'a>(
         &'a self,
         before: &'a Registry,
@@ -146,24 +146,25 @@
         self.records().since(before.records())
     }
 
-    /// The gone replica that changed first; `None` where none is held.
+    /// The oldest entry that ended a replica whose record still exists; `None` if there is
+    /// no such record.
     #[must_use]
     pub fn first_ended_at(&self) -> Option<LogIndex> {
-        self.records().first_gone().map(|(at, _)| at)
+        self.records().first_ended().map(|(at, _)| at)
     }
 
-    /// Ids of the replicas at an address that are not gone.
+    /// Ids of the replicas at an address that have not ended.
     #[must_use]
     pub fn at_address(&self, address: &str) -> Vec<String> {
         self.replicas.at_address(address)
     }
 
-    /// Every replica whose place another incarnation has taken.
+    /// Every replica whose address another incarnation has registered.
     pub fn displaced_replicas(&self) -> impl Iterator<Item = &ReplicaRecord> {
         self.replicas.displaced()
     }
 
-    /// The job store as control knows it.
+    /// The members of the job store.
     #[must_use]
     pub fn store(&self) -> &StoreMembers {
         &self.store
@@ -175,40 +176,41 @@
         &self.suspicions
     }
 
-    /// Zones to whose replicas nothing more is sent.
+    /// Evacuated zones, whose replicas get no new work.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// Gateways that share the counts of tenants' limits. Nodes are not told of them by
-    /// updates: control says who is silent.
+    /// Gateways that share the counts of tenants' limits. Updates to nodes don't contain
+    /// them: control reports separately which of them are unreachable.
     #[must_use]
     pub fn gateways(&self) -> &KnownGateways {
         &self.gateways
     }
 
-    /// The newest entry that changed anything that updates tell.
+    /// The newest entry that changed any content of updates.
     #[must_use]
     pub fn changed_at(&self) -> LogIndex {
         self.changed_at
     }
 
-    /// What changed after an entry; everything after entry 0. A node that missed ends which
-    /// are forgotten by now is told all replicas that there are.
+    /// The changes after an entry; the complete state for entry 0. A node that missed ends
+    /// whose records are deleted gets all existing replicas.
     #[must_use]
     pub fn update_since(&self, since: LogIndex) -> FleetUpdate {
         self.update_in(Format::NEWEST, since)
     }
 
-    /// The same as a format can tell it: the first has no changes of a table.
+    /// Like [`Registry::update_since`], but limited to what a format can encode: the first
+    /// format has complete route tables only.
     #[must_use]
     pub fn update_in(&self, format: Format, since: LogIndex) -> FleetUpdate {
-        let is_complete = since < self.forgotten;
+        let is_complete = since < self.forgotten_up_to;
         let replicas_since = if is_complete { LogIndex(0) } else { since };
         let history = self.table.as_ref();
         let table = history.and_then(|history| match format {
-            Format::First => history.whole_since(since),
+            Format::First => history.complete_since(since),
             Format::Second => history.update_since(since),
         });
         let tenants = table.as_ref().map(|_| self.tenants.update_since(since));
@@ -224,7 +226,7 @@
             tenants,
             replicas: changed.cloned().collect(),
             replicas_complete: is_complete,
-            forgotten: self.forgotten,
+            forgotten_up_to: self.forgotten_up_to,
             store: (self.store_at > since).then(|| self.store.clone()),
             store_at: self.store_at,
             suspicions: suspected.cloned().collect(),
@@ -238,7 +240,7 @@
         self.store_at
     }
 
-    /// What changed after an entry of what members of the job store need to know.
+    /// The changes after an entry that members of the job store need.
     #[must_use]
     pub fn store_update_since(&self, since: LogIndex) -> FleetUpdate {
         FleetUpdate {
@@ -247,7 +249,7 @@
             tenants: None,
             replicas: Vec::new(),
             replicas_complete: false,
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
             store: (self.store_at > since).then(|| self.store.clone()),
             store_at: self.store_at,
             suspicions: Vec::new(),
@@ -262,9 +264,9 @@
         table: RouteTable,
         declared: Declared,
     ) -> RegistryAnswer {
-        let held = self.table().map(|table| table.version);
-        if held.is_some_and(|held| held >= table.version) {
-            return RegistryAnswer::ConfigurationVersion(held.unwrap_or_default());
+        let current = self.table().map(|table| table.version);
+        if current.is_some_and(|current| current >= table.version) {
+            return RegistryAnswer::ConfigurationVersion(current.unwrap_or_default());
         }
         let version = table.version;
         match &mut self.table {
@@ -292,10 +294,10 @@
         }
     }
 
-    fn forget_gone(&mut self, up_to_index: LogIndex) {
+    fn forget_ended(&mut self, up_to_index: LogIndex) {
         let up_to_index = up_to_index.min(self.changed_at);
-        self.forgotten = self.forgotten.max(up_to_index);
-        self.replicas.forget_gone(up_to_index);
+        self.forgotten_up_to = self.forgotten_up_to.max(up_to_index);
+        self.replicas.forget_ended(up_to_index);
     }
 
     fn note_change(&mut self, index: LogIndex, changed: bool) {
@@ -304,8 +306,8 @@
         }
     }
 
-    /// A member that starts again from a snapshot must hold what the others hold, so nothing is
-    /// held that a snapshot of the group's format leaves out.
+    /// Drops what a snapshot of the group's format cannot store, so that a member that
+    /// restarts from a snapshot has the same state as the others.
     fn note_suspicions(&mut self, index: LogIndex, changed: bool) {
         if changed && self.format == Format::First {
             self.suspicions.reduce_to_first_format(index);
@@ -348,7 +350,7 @@
                 }
             }
             RegistryCommand::NotAtAddress(key) => {
-                let changed = replica_changes::not_there(&mut self.replicas, index, &key);
+                let changed = replica_changes::not_at_address(&mut self.replicas, index, &key);
                 self.note_change(index, changed);
             }
             RegistryCommand::EvacuateZone(order) => {
@@ -375,16 +377,16 @@
                 self.note_store(index, changed);
             }
             RegistryCommand::ReplicaEnded { replica, runs } => {
-                let changed = self.suspicions.note_end(index, &replica, &runs);
+                let changed = self.suspicions.record_end(index, &replica, &runs);
                 self.note_suspicions(index, changed);
             }
             RegistryCommand::ClearSuspicions(cleared) => {
                 let changed = self.suspicions.clear(index, &cleared);
                 self.note_suspicions(index, changed);
             }
-            RegistryCommand::ForgetEnded { up_to_index } => self.forget_gone(up_to_index),
-            RegistryCommand::DecaySuspicions(eased) => {
-                let changed = self.suspicions.ease(index, &eased);
+            RegistryCommand::ForgetEnded { up_to_index } => self.forget_ended(up_to_index),
+            RegistryCommand::DecaySuspicions(decayed) => {
+                let changed = self.suspicions.decay(index, &decayed);
                 self.note_suspicions(index, changed);
             }
         }
@@ -400,7 +402,7 @@
                 .as_ref()
                 .map_or(LogIndex(0), |history| history.changed_at()),
             replicas: self.records().all().cloned().collect(),
-            forgotten: self.forgotten,
+            forgotten_up_to: self.forgotten_up_to,
             store: self.store.clone(),
             store_at: self.store_at,
             changed_at: self.changed_at,
@@ -425,13 +427,14 @@
         };
         Ok(Registry {
             table: snapshot.table.map(|table| {
-                // Which route changed when is not kept: nodes that know less are told all.
+                // Snapshots don't store when each route changed, so nodes with an older
+                // table get the complete one.
                 Arc::new(TableHistory::new(table, snapshot.table_at))
             }),
             tenants: Arc::new(TenantDirectory::from_update(snapshot.tenants)),
             document: Arc::new(snapshot.document),
             replicas: snapshot.replicas.into_iter().collect(),
-            forgotten: snapshot.forgotten,
+            forgotten_up_to: snapshot.forgotten_up_to,
             store: snapshot.store,
             store_at: snapshot.store_at,
             suspicions: snapshot.suspicions.into_iter().collect(),
--- a/crates/registry/src/replica.rs
+++ b/crates/registry/src/replica.rs
@@ -5,54 +5,57 @@
 
 use crate::incarnation_key::{incarnation_key, parse_incarnation_key};
 
-/// What a replica may be given.
+/// The state of a replica, which decides about its work.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ReplicaState {
-    /// New work.
+    /// It takes new work.
     Ready,
-    /// Nothing new; it finishes what it has.
+    /// It takes no new work and finishes its running work.
     Draining,
-    /// Nothing; this incarnation does not come back.
+    /// It gets no work; this incarnation does not return.
     Ended,
-    /// Nothing: another incarnation has registered at its address. It comes back if that
-    /// one turns out not to be there, since its heartbeat came late.
+    /// It gets no work: another incarnation has registered at its address. It becomes ready
+    /// again if the other one is not at the address, that is, its heartbeat was delayed.
     Displaced,
 }
 
 impl ReplicaState {
-    /// Whether the replica is taken to be there.
+    /// Whether the replica counts as running.
     #[must_use]
     pub fn is_live(self) -> bool {
         matches!(self, ReplicaState::Ready | ReplicaState::Draining)
     }
 }
 
-/// What a replica says of itself. Its id and its start make one incarnation.
+/// The report of a replica about itself. Its id and its incarnation number identify one
+/// incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaChange {
-    /// The replica. It may start again under its id.
+    /// The replica's id, which it keeps when it restarts.
     pub id: String,
     /// The service that it belongs to.
     pub service: String,
-    /// Where it listens, as IP:PORT.
+    /// The address where it listens, as IP:PORT.
     pub address: String,
     /// Its zone.
     pub zone: String,
-    /// Requests that it works on at once.
+    /// Requests that it executes at the same time.
     pub slots: u32,
-    /// What it may be given.
+    /// Whether it takes work.
     pub state: ReplicaState,
-    /// Rises with each heartbeat of one start, so that a late one can be known.
+    /// Rises with each heartbeat of one incarnation, so that a delayed heartbeat is detected.
     pub sequence: u64,
-    /// Which start of the replica says it: a later start has a higher number. 0 where the
-    /// replica does not tell.
+    /// The number of the reporting incarnation: each restart has a higher one. 0 if the
+    /// replica does not report it.
     pub incarnation: u64,
-    /// How much longer it is cold, in milliseconds, when it said so; 0 where it is warm.
+    /// The remaining time for which it is cold, at the time of the report, in milliseconds;
+    /// 0 if it is warm.
     pub cold_ms: u64,
 }
 
 impl ReplicaChange {
-    /// What a format keeps of it: the first neither starts nor cold times.
+    /// The report with only the fields that a format stores: the first format has neither
+    /// incarnations nor cold times.
     #[must_use]
     pub fn reduced_to(self, format: Format) -> Self {
         match format {
@@ -65,42 +68,42 @@
         }
     }
 
-    /// The key of the start that speaks.
+    /// The key of the reporting incarnation.
     #[must_use]
     pub fn incarnation_key(&self) -> String {
         incarnation_key(&self.id, self.incarnation)
     }
 
-    /// Whether a key names the start that speaks.
+    /// Whether a key names the reporting incarnation.
     #[must_use]
     pub fn is_of_incarnation(&self, key: &str) -> bool {
         parse_incarnation_key(key) == (self.id.as_str(), self.incarnation)
     }
 
-    /// Whether it said that it is cold.
+    /// Whether it reported that it is cold.
     pub(crate) fn is_cold(&self) -> bool {
         self.cold_ms > 0
     }
 
-    /// Whether a heartbeat of the same start says something new beside its number. That
-    /// less of the cold time is left says nothing new; that more is left does. Whether it
-    /// became cold again since then only who knows when that was said can tell.
+    /// Whether a heartbeat of the same incarnation changes more than its sequence number. A
+    /// shorter remaining cold time is no change, a longer one is. Whether the replica became
+    /// cold again in the meantime needs the time of the earlier report, which the caller has.
     #[must_use]
-    pub fn differs_from(&self, held: &ReplicaChange) -> bool {
-        self.state != held.state
-            || self.address != held.address
-            || self.service != held.service
-            || self.slots != held.slots
-            || self.zone != held.zone
-            || self.cold_ms > held.cold_ms
-            || self.is_cold() != held.is_cold()
+    pub fn differs_from(&self, current: &ReplicaChange) -> bool {
+        self.state != current.state
+            || self.address != current.address
+            || self.service != current.service
+            || self.slots != current.slots
+            || self.zone != current.zone
+            || self.cold_ms > current.cold_ms
+            || self.is_cold() != current.is_cold()
     }
 }
 
-/// A replica as it is held.
+/// The record of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaRecord {
-    /// What it last said.
+    /// Its last report.
     pub reported: ReplicaChange,
     /// The log entry that changed it last.
     pub changed_at: LogIndex,
--- a/crates/registry/src/replica_changes.rs
+++ b/crates/registry/src/replica_changes.rs
@@ -1,4 +1,4 @@
-//! Records that change over time, and which of them changed since when.
+//! Applies heartbeats and ends of replicas to their records.
 
 use std::cmp::Ordering;
 
@@ -10,23 +10,23 @@
     replica_index::ReplicaIndex,
 };
 
-/// Applies what a replica said; false when it is late or says nothing new.
+/// Applies the report of a replica; false if it is out of order or changes nothing.
 pub(crate) fn apply_change(
     replicas: &mut ReplicaIndex,
     index: LogIndex,
     change: &ReplicaChange,
 ) -> bool {
-    if let Some(held) = replicas.records().get(&change.id) {
-        match change.incarnation.cmp(&held.reported.incarnation) {
+    if let Some(current) = replicas.records().get(&change.id) {
+        match change.incarnation.cmp(&current.reported.incarnation) {
             Ordering::Less => return false,
             Ordering::Equal => {
-                let mut settled = held.clone();
-                if let Some(changed) = settle_in_place(&mut settled, index, change) {
-                    replicas.put(settled);
+                let mut updated = current.clone();
+                if let Some(changed) = apply_in_place(&mut updated, index, change) {
+                    replicas.put(updated);
                     return changed;
                 }
             }
-            // A new start, whatever became of the earlier one.
+            // A new incarnation replaces the earlier one in any state.
             Ordering::Greater => {}
         }
     }
@@ -38,42 +38,43 @@
     true
 }
 
-/// What a heartbeat of the start that is held does without taking its place; `None` where
-/// it says something new.
-fn settle_in_place(
-    held: &mut ReplicaRecord,
+/// Applies a heartbeat of the current incarnation that needs no new record; true if it
+/// changed the state. `None` if the heartbeat has a change that needs one.
+fn apply_in_place(
+    current: &mut ReplicaRecord,
     index: LogIndex,
     change: &ReplicaChange,
 ) -> Option<bool> {
-    let is_late = change.sequence <= held.reported.sequence;
-    if is_late || held.reported.state == ReplicaState::Ended {
+    let is_out_of_order = change.sequence <= current.reported.sequence;
+    if is_out_of_order || current.reported.state == ReplicaState::Ended {
         return Some(false);
     }
-    if held.reported.state == ReplicaState::Displaced {
-        return Some(leave(held, index, change));
+    if current.reported.state == ReplicaState::Displaced {
+        return Some(drain_displaced(current, index, change));
     }
-    // Gateways count a cold time from the entry that told it: each that was proposed is new.
-    if change.is_cold() || change.differs_from(&held.reported) {
+    // Gateways count a cold time from the entry that reported it, so each proposed cold time
+    // is a change.
+    if change.is_cold() || change.differs_from(&current.reported) {
         return None;
     }
-    held.reported.sequence = change.sequence;
+    current.reported.sequence = change.sequence;
     Some(false)
 }
 
-/// A displaced replica is given nothing while it is. One that says that it leaves is not
-/// to come back.
-fn leave(held: &mut ReplicaRecord, index: LogIndex, change: &ReplicaChange) -> bool {
+/// A displaced replica gets no work. If it reports that it drains, it has ended and cannot
+/// become ready again.
+fn drain_displaced(current: &mut ReplicaRecord, index: LogIndex, change: &ReplicaChange) -> bool {
     if change.state != ReplicaState::Draining {
         return false;
     }
-    held.reported.state = ReplicaState::Ended;
-    held.changed_at = index;
+    current.reported.state = ReplicaState::Ended;
+    current.changed_at = index;
     true
 }
 
-/// The start of a replica turned out not to be at its address: it is gone, and the one
-/// whose place it had taken last has it again. False when it did not count as there.
-pub(crate) fn not_there(replicas: &mut ReplicaIndex, index: LogIndex, key: &str) -> bool {
+/// Ends an incarnation that is not at its address, and makes the replica ready again that was
+/// displaced last at that address. False if the incarnation does not count as live.
+pub(crate) fn not_at_address(replicas: &mut ReplicaIndex, index: LogIndex, key: &str) -> bool {
     let (id, _) = parse_incarnation_key(key);
     let record = replicas.records().get(id);
     let record = record.filter(|record| record.reported.is_of_incarnation(key));
@@ -84,47 +85,51 @@
     remove(replicas, index, key);
     let others = replicas.at_address(&address);
     let others = others.iter().filter_map(|id| replicas.records().get(id));
-    let displaced = others.filter(|held| held.reported.state == ReplicaState::Displaced);
-    let last = displaced.max_by_key(|held| held.changed_at);
-    if let Some(last) = last.map(|held| held.reported.id.clone()) {
+    let displaced = others.filter(|record| record.reported.state == ReplicaState::Displaced);
+    let last = displaced.max_by_key(|record| record.changed_at);
+    if let Some(last) = last.map(|record| record.reported.id.clone()) {
         set_state(replicas, index, &last, ReplicaState::Ready);
     }
     true
 }
 
 fn set_state(replicas: &mut ReplicaIndex, index: LogIndex, id: &str, state: ReplicaState) {
-    replicas.change(id, |held| {
-        held.reported.state = state;
-        held.changed_at = index;
+    replicas.change(id, |record| {
+        record.reported.state = state;
+        record.changed_at = index;
     });
 }
 
-/// How the end of a start was taken.
+/// The effect of the reported end of an incarnation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Removal {
-    /// It is gone from now on.
+    /// It is marked as ended.
     Removed,
-    /// It was gone.
-    WasGone,
-    /// Another start of the replica is held; nothing was done.
+    /// It had ended before.
+    AlreadyEnded,
+    /// The record is of another incarnation; nothing changed.
     OtherIncarnation,
 }
 
-/// Marks the start of a replica as gone. One that was never heard of is noted too, so
-/// that a heartbeat that comes late does not count.
+/// Marks an incarnation as ended. An unknown replica is recorded too, so that a delayed
+/// heartbeat has no effect.
 pub(crate) fn remove(replicas: &mut ReplicaIndex, index: LogIndex, key: &str) -> Removal {
     let (id, incarnation) = parse_incarnation_key(key);
     match replicas.records().get(id) {
-        None => replicas.put(never_heard_of(id, incarnation)),
-        Some(held) if !held.reported.is_of_incarnation(key) => return Removal::OtherIncarnation,
-        Some(held) if held.reported.state == ReplicaState::Ended => return Removal::WasGone,
+        None => replicas.put(unknown_replica(id, incarnation)),
+        Some(current) if !current.reported.is_of_incarnation(key) => {
+            return Removal::OtherIncarnation;
+        }
+        Some(current) if current.reported.state == ReplicaState::Ended => {
+            return Removal::AlreadyEnded;
+        }
         Some(_) => {}
     }
     set_state(replicas, index, id, ReplicaState::Ended);
     Removal::Removed
 }
 
-fn never_heard_of(id: &str, incarnation: u64) -> ReplicaRecord {
+fn unknown_replica(id: &str, incarnation: u64) -> ReplicaRecord {
     ReplicaRecord {
         reported: ReplicaChange {
             id: id.to_owned(),
@@ -141,16 +146,16 @@
     }
 }
 
-/// Another incarnation at the same address means that the earlier one ended, unless
-/// the heartbeat of the other one came late. Which of them is there shows by itself:
-/// requests name the incarnation that they are for.
+/// Another incarnation at the same address means that the earlier one ended, unless the
+/// heartbeat of the other one was delayed. Requests show which of the two is at the address,
+/// because they name the incarnation that they are for.
 fn displace_predecessors(replicas: &mut ReplicaIndex, index: LogIndex, change: &ReplicaChange) {
     for id in replicas.at_address(&change.address) {
-        let held = replicas.records().get(&id);
-        let Some(held) = held.filter(|held| held.reported.id != change.id) else {
+        let current = replicas.records().get(&id);
+        let Some(current) = current.filter(|current| current.reported.id != change.id) else {
             continue;
         };
-        match held.reported.state {
+        match current.reported.state {
             ReplicaState::Ready => set_state(replicas, index, &id, ReplicaState::Displaced),
             ReplicaState::Draining => set_state(replicas, index, &id, ReplicaState::Ended),
             ReplicaState::Displaced | ReplicaState::Ended => {}
--- a/crates/registry/src/replica_index.rs
+++ b/crates/registry/src/replica_index.rs
@@ -1,5 +1,5 @@
-//! The replicas as control's state machine looks them up: by id, by address, by the entry
-//! that changed them last. Clones share all of it.
+//! Indexes of the replicas for control's state machine: by id, by address, and by the entry
+//! that changed them last. Clones share their content.
 
 use std::sync::Arc;
 
@@ -13,15 +13,15 @@
 
 type Text = Arc<str>;
 
-/// Records of replicas and where to find them.
+/// Records of replicas with their indexes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaIndex {
     records: ReplicaRecords,
-    /// Address and id of those that are not gone.
+    /// Address and id of replicas that have not ended.
     by_address: OrdSet<(Text, Text)>,
-    /// The entry that changed each last, and its id.
+    /// The entry that last changed each replica, and the replica's id.
     by_change: OrdSet<(LogIndex, Text)>,
-    /// Ids of those whose place another incarnation has taken.
+    /// Ids of replicas whose address another incarnation has registered.
     displaced: OrdSet<Text>,
 }
 
@@ -31,7 +31,7 @@
         &self.records
     }
 
-    /// Holds a record in the place of the one of its id.
+    /// Inserts a record, or replaces the one with the same id.
     pub(crate) fn put(&mut self, record: ReplicaRecord) {
         self.remove(&record.reported.id);
         let id = Text::from(record.reported.id.as_str());
@@ -45,7 +45,7 @@
         self.records.put(record);
     }
 
-    /// Changes a record that is held.
+    /// Changes an existing record.
     pub(crate) fn change(&mut self, id: &str, change: impl FnOnce(&mut ReplicaRecord)) {
         if let Some(mut record) = self.records.get(id).cloned() {
             change(&mut record);
@@ -63,7 +63,7 @@
         self.by_change.remove(&(before.changed_at, id));
     }
 
-    /// Ids of those at an address that are not gone.
+    /// Ids of the replicas at an address that have not ended.
     pub(crate) fn at_address(&self, address: &str) -> Vec<String> {
         let first: (Text, Text) = (Text::from(address), Text::from(""));
         let found = self.by_address.range(first..);
@@ -73,21 +73,21 @@
             .collect()
     }
 
-    /// Records that an entry after this one changed last, in the order of their changes.
+    /// Records whose last change is after an entry, in the order of their changes.
     pub(crate) fn changed_after(&self, index: LogIndex) -> impl Iterator<Item = &ReplicaRecord> {
         let first = (LogIndex(index.0.saturating_add(1)), Text::from(""));
         let changed = self.by_change.range(first..);
         changed.filter_map(|(_, id)| self.records.get(id))
     }
 
-    /// Replicas whose place another incarnation has taken, by id.
+    /// Replicas whose address another incarnation has registered, by id.
     pub(crate) fn displaced(&self) -> impl Iterator<Item = &ReplicaRecord> {
         self.displaced.iter().filter_map(|id| self.records.get(id))
     }
 
-    /// Forgets those that are gone since this entry or an earlier one.
-    pub(crate) fn forget_gone(&mut self, up_to_index: LogIndex) {
-        while let Some((at, id)) = self.records.first_gone()
+    /// Deletes records of replicas that ended at this entry or an earlier one.
+    pub(crate) fn forget_ended(&mut self, up_to_index: LogIndex) {
+        while let Some((at, id)) = self.records.first_ended()
             && at <= up_to_index
         {
             let id = id.to_owned();
--- a/crates/registry/src/replica_records.rs
+++ b/crates/registry/src/replica_records.rs
@@ -1,8 +1,9 @@
-//! Records of replicas that clones share.
+//! Records of replicas in a persistent tree whose clones share structure.
 //!
-//! A clone costs nothing and shares all records; a change copies a path of the tree. So each
-//! commit's view, and each view of a gateway, costs what changed and not what there is, and
-//! what differs between two views is found without looking at what they share.
+//! A clone has constant cost and shares all records; a change copies one path of the tree.
+//! So the cost of each commit's view, and of each view of a gateway, is proportional to the
+//! changes and not to the number of replicas, and two views are compared without visiting
+//! the subtrees that they share.
 
 use std::sync::Arc;
 
@@ -17,17 +18,17 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReplicaRecords {
     by_id: OrdMap<Id, Arc<ReplicaRecord>>,
-    /// Gone ones, by the entry that changed them last.
-    gone: OrdSet<(LogIndex, Id)>,
+    /// Ended replicas, by the entry that changed them last.
+    ended: OrdSet<(LogIndex, Id)>,
     live: usize,
 }
 
-/// What happened to a replica between two views.
+/// The difference of a replica between two views.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaDifference<'a> {
-    /// The record before; `None` where there was none.
+    /// The earlier record; `None` if there was none.
     pub before: Option<&'a ReplicaRecord>,
-    /// The record now; `None` where it is forgotten.
+    /// The current record; `None` if it is deleted.
     pub now: Option<&'a ReplicaRecord>,
 }
 
@@ -41,44 +42,44 @@
         self.by_id.values().map(Arc::as_ref)
     }
 
-    /// Replicas that are not gone, by id.
+    /// Live replicas, by id.
     pub(crate) fn live(&self) -> impl Iterator<Item = &ReplicaRecord> {
         self.all().filter(|record| record.reported.state.is_live())
     }
 
-    /// Number of replicas that are not gone.
+    /// Number of live replicas.
     pub(crate) fn live_count(&self) -> usize {
         self.live
     }
 
-    /// Holds a record in the place of the one of its id, which is returned.
+    /// Inserts a record and returns the one that it replaces.
     pub(crate) fn put(&mut self, record: ReplicaRecord) -> Option<Arc<ReplicaRecord>> {
         let before = self.remove(&record.reported.id);
         let id = Id::from(record.reported.id.as_str());
         self.live += usize::from(record.reported.state.is_live());
         if record.reported.state == ReplicaState::Ended {
-            self.gone.insert((record.changed_at, Arc::clone(&id)));
+            self.ended.insert((record.changed_at, Arc::clone(&id)));
         }
         self.by_id.insert(id, Arc::new(record));
         before
     }
 
-    /// Forgets a record, which is returned.
+    /// Deletes a record and returns it.
     pub(crate) fn remove(&mut self, id: &str) -> Option<Arc<ReplicaRecord>> {
         let (id, before) = self.by_id.remove_with_key(id)?;
         self.live -= usize::from(before.reported.state.is_live());
         if before.reported.state == ReplicaState::Ended {
-            self.gone.remove(&(before.changed_at, id));
+            self.ended.remove(&(before.changed_at, id));
         }
         Some(before)
     }
 
-    /// The gone replica that changed first, and the entry that changed it.
-    pub(crate) fn first_gone(&self) -> Option<(LogIndex, &str)> {
-        self.gone.get_min().map(|(at, id)| (*at, id.as_ref()))
+    /// The ended replica that changed first, and the entry that changed it.
+    pub(crate) fn first_ended(&self) -> Option<(LogIndex, &str)> {
+        self.ended.get_min().map(|(at, id)| (*at, id.as_ref()))
     }
 
-    /// What differs between an earlier state and this one.
+    /// The replicas that differ between an earlier state and this one.
     pub(crate) fn since<'a>(
         &'a self,
         before: &'a ReplicaRecords,
--- a/crates/registry/src/routes.rs
+++ b/crates/registry/src/routes.rs
@@ -6,25 +6,25 @@
 
 use crate::zone_map::ZoneMap;
 
-/// What may be done with the requests of a route.
+/// How requests of a route may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RouteKind {
     /// May run more than once.
     Safe,
     /// Runs at most once.
     AtMostOnce,
-    /// Answers with a stream of events; runs at most once unless it is resumable.
+    /// Answers with a stream of events; runs at most once unless the route is resumable.
     Streaming,
     /// Takes batch jobs.
     Batch,
 }
 
-/// A share of a route's requests.
+/// A service that receives a share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Backend {
     /// The service.
     pub service: String,
-    /// Its share, relative to the other back ends' weights.
+    /// Its share of the requests, relative to the weights of the other back ends.
     pub weight: u32,
 }
 
@@ -33,36 +33,36 @@
 pub struct Route {
     /// Its name.
     pub name: String,
-    /// The host that it belongs to, in lower case.
+    /// The host of its requests, in lower case.
     pub host: String,
-    /// Paths that begin with this belong to it; begins and ends with a slash.
+    /// Prefix of the paths of its requests; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be done with its requests.
+    /// How its requests may be executed.
     pub kind: RouteKind,
-    /// Longest time that a request may be held, in milliseconds.
+    /// Maximum time for a request, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer, or its first event, is on time, in milliseconds.
+    /// Target time for an answer, or for its first event, in milliseconds.
     pub target_ms: u64,
-    /// Rank of its requests where their tenant has none; 0 is the highest.
+    /// Priority of requests whose tenant has none; 0 is the highest.
     pub priority: u8,
-    /// Whether its requests need no key.
+    /// Whether its requests are accepted without a key.
     pub public: bool,
-    /// Where its requests go.
+    /// The services that its requests are sent to.
     pub backends: Vec<Backend>,
-    /// Most replicas that one request may be sent to.
+    /// Maximum number of replicas that one request may be sent to.
     pub max_attempts: u32,
-    /// Whether a broken stream may go on at another replica.
+    /// Whether a broken stream may be resumed at another replica.
     pub resumable: bool,
-    /// Longest pause between events that is on time, in milliseconds; 0 where there is none.
+    /// Target for the longest pause between events, in milliseconds; 0 if there is none.
     pub gap_target_ms: u64,
-    /// Time after which every result of a job is due, in milliseconds; 0 for other kinds.
+    /// Target time for all results of a job, in milliseconds; 0 for other kinds.
     pub completion_ms: u64,
-    /// Time after which an item of a job may be given up, in milliseconds; 0 for other kinds.
+    /// Time after which an item of a job may be abandoned, in milliseconds; 0 for other kinds.
     pub give_up_ms: u64,
-    /// Tokens of a tenant's accepted items that may wait on the route, or of all callers
-    /// where no tenants are listed; 0 where there is no bound.
+    /// Maximum number of tokens of a tenant's accepted items that may be queued on the route,
+    /// or of all callers if no tenants are listed; 0 if there is no limit.
     pub max_queued_tokens: u64,
-    /// Regions in which its requests may be served, cached and stored; empty where any may.
+    /// Regions in which its requests may be served, cached and stored; empty if all may.
     pub homes: Vec<String>,
 }
 
@@ -78,21 +78,21 @@
     }
 }
 
-/// What is known of a model engine.
+/// Properties of a model engine.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineTraits {
-    /// Requests that run at once.
+    /// Requests that run at the same time.
     pub slots: u32,
     /// Tokens that fit into the KV cache.
     pub kv_tokens: u64,
 }
 
-/// How much a replica bears for some time after it began to run.
+/// The reduced capacity of a replica for some time after its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ColdTraits {
     /// How long a replica stays cold after a start, in milliseconds.
     pub start_ms: u64,
-    /// Requests that a cold replica bears, in thousandths of a request a second.
+    /// Requests that a cold replica can serve, in thousandths of a request per second.
     pub rate_milli: u64,
 }
 
@@ -103,24 +103,24 @@
     pub name: String,
     /// Path of its health check.
     pub health_path: String,
-    /// Connections that one replica accepts from all callers together.
+    /// Maximum number of connections that one replica accepts, from all callers together.
     pub max_connections: u32,
-    /// Set where its replicas are model engines.
+    /// Set if its replicas are model engines.
     pub engine: Option<EngineTraits>,
-    /// Set where a replica that has just started bears less.
+    /// Set if a replica has less capacity after its start.
     pub cold: Option<ColdTraits>,
 }
 
-/// Bounds of what callers may send.
+/// Limits on the requests and connections of callers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CallerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head, in bytes.
     pub header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// Time to send the head, in milliseconds.
+    /// Maximum time to send the head, in milliseconds.
     pub header_ms: u64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: u64,
 }
 
@@ -133,13 +133,13 @@
     pub routes: Vec<Route>,
     /// Services.
     pub services: Vec<ServiceTraits>,
-    /// Bounds of what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
 }
 
 impl RouteTable {
-    /// The route of a request: of the host's routes the one with the longest
-    /// prefix of the path. The host may carry a port.
+    /// The route of a request: the one of the host's routes with the longest matching
+    /// path prefix. The host may include a port.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host);
@@ -150,7 +150,7 @@
             .max_by_key(|route| route.path_prefix.len())
     }
 
-    /// Whether jobs of a host may be nobody's: it has a public route for them.
+    /// Whether jobs of a host may have no tenant, because it has a public batch route.
     #[must_use]
     pub fn has_public_jobs(&self, host: &str) -> bool {
         let host = host.split(':').next().unwrap_or(host);
@@ -160,7 +160,8 @@
         })
     }
 
-    /// Zones that are homes of every route of a host that has any; `None` where none binds.
+    /// Zones that are in the home regions of every restricted route of a host; `None` if no
+    /// route of the host is restricted.
     #[must_use]
     pub fn host_homes(&self, host: &str, zones: &ZoneMap) -> Option<BTreeSet<String>> {
         let host = host.split(':').next().unwrap_or(host);
--- a/crates/registry/src/second_layout.rs
+++ b/crates/registry/src/second_layout.rs
@@ -1,6 +1,5 @@
-//! Stored values as the second and third layouts hold them: routes were never public
-//! and no tenants were listed; in the second no requests were suspected. Read, never
-//! written.
+//! Stored values in the second and third layouts: routes are never public and no tenants
+//! are listed; the second layout has no suspicions. Read, never written.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_tenants::TenantsUpdate;
@@ -41,7 +40,7 @@
     limits: CallerLimits,
 }
 
-/// The only command that the second layout stored.
+/// The only command that is stored in the second layout.
 #[derive(Archive, Serialize, Deserialize)]
 pub(crate) enum SecondCommand {
     PutRoutes {
@@ -154,7 +153,7 @@
             tenants: TenantsUpdate::default(),
             evacuations: Vec::new(),
             gateways: Vec::new(),
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
         }
     }
 }
--- a/crates/registry/src/service_zones.rs
+++ b/crates/registry/src/service_zones.rs
@@ -1,11 +1,11 @@
-//! In which zones a service has or had replicas.
+//! The zones in which each service has or had replicas.
 
 use std::{collections::BTreeMap, sync::Arc};
 
 type Zones = BTreeMap<String, usize>;
 
-/// Numbers of replicas by service and zone. There are few of both; clones share them until
-/// one changes.
+/// Numbers of replicas by service and zone. Services and zones are few, so clones share one
+/// map and copy it on a change.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ServiceZones {
     by_service: Arc<BTreeMap<String, Zones>>,
@@ -18,15 +18,15 @@
         zones.map(|(zone, _)| zone.as_str())
     }
 
-    /// A service has a further replica in a zone.
-    pub(crate) fn note(&mut self, service: &str, zone: &str) {
+    /// Adds a replica of a service in a zone.
+    pub(crate) fn add(&mut self, service: &str, zone: &str) {
         let services = Arc::make_mut(&mut self.by_service);
         let zones = services.entry(service.to_owned()).or_default();
         *zones.entry(zone.to_owned()).or_default() += 1;
     }
 
-    /// A replica of a service has left a zone.
-    pub(crate) fn leave(&mut self, service: &str, zone: &str) {
+    /// Removes a replica of a service from a zone.
+    pub(crate) fn remove(&mut self, service: &str, zone: &str) {
         let services = Arc::make_mut(&mut self.by_service);
         let Some(zones) = services.get_mut(service) else {
             return;
--- a/crates/registry/src/sixth_layout.rs
+++ b/crates/registry/src/sixth_layout.rs
@@ -1,5 +1,5 @@
-//! Snapshots as the sixth layout holds them: which gone replicas are forgotten was not held.
-//! Read, never written.
+//! Snapshots in the sixth layout, without the entry up to which records of ended replicas
+//! are deleted. Read, never written.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_tenants::TenantsUpdate;
@@ -43,7 +43,7 @@
             tenants: sixth.tenants,
             evacuations: sixth.evacuations,
             gateways: sixth.gateways,
-            forgotten: LogIndex(0),
+            forgotten_up_to: LogIndex(0),
         }
     }
 }
--- a/crates/registry/src/suspicion.rs
+++ b/crates/registry/src/suspicion.rs
@@ -1,26 +1,26 @@
-//! Requests under which replicas ended, counted for the whole fleet.
+//! Requests under which replicas ended, counted for the complete fleet.
 //!
-//! A request may be such that each replica which runs it ends: a query of death.
-//! Copies of it come again at any gateway, so that only the fleet can count. What
-//! ends a replica is not told by anybody; all requests that broke off there are
-//! suspected, and the innocent ones must lose the suspicion:
+//! A request may end each replica that runs it: a query of death. Its copies can arrive at
+//! any gateway, so ends have to be counted for the fleet. The cause of a replica's end is not
+//! reported. Therefore all requests that were interrupted by the end are suspected, and
+//! harmless requests have to be cleared:
 //!
-//! * An end counts for a request only if its run began after the ends before were known
-//!   where the run began: it is one more than what was known there, whatever came between.
-//!   So a popular request that has many copies under way counts one end, however many
-//!   replicas are lost at that moment.
-//! * A copy that comes to a whole answer ends the suspicion: of what ends every
-//!   replica none does. Clearings are counted, and ends under runs that began before the
-//!   last one do not add up.
-//! * What ends replicas does so after about the same time. Ends that came after runs
-//!   of different lengths had other causes; a long run is likely to be hit by one, and
-//!   would be refused for it otherwise. A stall makes a run look longer.
+//! * An end counts for a request only if the earlier ends were known where its run began, at
+//!   that time: the count becomes one more than the count known there, independent of reports
+//!   in between. So a popular request with many copies in progress counts one end, however
+//!   many replicas are lost at that moment.
+//! * A copy that gets a complete answer clears the request, because a request that ends every
+//!   replica never gets one. Clearings are counted, and ends under runs that began before the
+//!   last clearing do not add up.
+//! * A request that ends replicas does so after about the same run time. Ends after runs of
+//!   different lengths had other causes. A long run is likely to be hit by such an end, and
+//!   its request would be refused otherwise. A stall makes a run appear longer.
 //!
-//! What is known at two places is put together by taking what is known later, in whatever
-//! order and however often it is told.
+//! Two records of a request are merged by choosing the later one. The result does not depend
+//! on the order of reports or on repeated reports.
 //!
-//! After three ends in a row a request is refused; one that runs for seconds, and is hit
-//! by unrelated ends the more, after one more for each second.
+//! A request is refused after three consecutive ends. A request that runs for seconds is hit
+//! by unrelated ends more often, so one more end is required for each second.
 
 use std::collections::{BTreeMap, btree_map::Entry};
 
@@ -32,57 +32,57 @@
 
 use crate::{
     fourth_layout::FourthSuspicion,
-    run_lengths::{self, AlikeRuns},
+    run_lengths::{self, SimilarRuns},
 };
 
-/// Requests that are remembered: some 100 bytes each, and four for each end of a row, so
-/// 350 KB at most, and what a gateway is told at its start. A flood of different requests
-/// under which one replica ended each displaces its own kind before it displaces what more
-/// ended under.
-const MOST_SUSPICIONS: usize = 1_024;
+/// Maximum number of recorded requests. A record has about 100 bytes plus four per
+/// consecutive end, so all have at most 350 KB, which each gateway receives when it starts.
+/// Records with fewer ends are dropped first, so a flood of different requests with one end
+/// each does not displace a request with more ends.
+const MAX_SUSPICIONS: usize = 1_024;
 
-/// Whether copies of a request are refused after one more end like those of a row.
+/// Whether copies of a request are refused after one more end similar to the recorded ones.
 #[must_use]
 pub fn is_almost_refused(row: &EndsInRow) -> bool {
-    AlikeRuns::among(&row.lengths_ms).is_some_and(AlikeRuns::is_almost_refused)
+    SimilarRuns::among(&row.lengths_ms).is_some_and(SimilarRuns::is_almost_refused)
 }
 
-/// What the fleet knows of one request.
+/// The record of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Suspicion {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// Replicas that ended under it in a row; empty where it is no longer suspected.
+    /// Consecutive ends of replicas under the request; empty if it is no longer suspected.
     pub row: EndsInRow,
     /// The replica that ended last.
     pub replica: String,
-    /// The log entry that changed this last.
+    /// The log entry that changed the record last.
     pub changed_at: LogIndex,
 }
 
 impl Suspicion {
-    /// What is known after a replica ended under a run; `None` where that end does not
-    /// count, since it was told before or the run began before the last one was known.
+    /// The record after a replica ended under a run; `None` if the end does not count, because
+    /// it was reported before or the run began before the last end was known.
     #[must_use]
     pub fn after_end(
-        held: Option<&Suspicion>,
+        current: Option<&Suspicion>,
         replica: &str,
         run: &EndedRun,
         changed_at: LogIndex,
     ) -> Option<Suspicion> {
         let mut row = run.known.clone();
-        if let Some(held) = held {
-            let began_before_clearing = row.clearings < held.row.clearings;
-            if began_before_clearing && (held.is_open() || held.replica == replica) {
+        if let Some(current) = current {
+            let began_before_clearing = row.clearings < current.row.clearings;
+            if began_before_clearing && (current.is_open() || current.replica == replica) {
                 return None;
             }
             if began_before_clearing {
-                row = held.row.clone();
-            } else if held.row.outweighs(&row) {
+                row = current.row.clone();
+            } else if current.row.outweighs(&row) {
                 return None;
             }
         }
-        run_lengths::note(&mut row.lengths_ms, run.ran_ms);
+        run_lengths::push(&mut row.lengths_ms, run.ran_ms);
         Some(Suspicion {
             fingerprint: run.fingerprint,
             row,
@@ -91,18 +91,18 @@
         })
     }
 
-    /// What another gateway told, as of what is known here of the fleet.
+    /// The record from a report of another gateway, as of an entry known here.
     #[must_use]
-    pub fn from_report(told: ToldSuspicion, changed_at: LogIndex) -> Self {
+    pub fn from_report(report: ToldSuspicion, changed_at: LogIndex) -> Self {
         Suspicion {
-            fingerprint: told.fingerprint,
-            row: told.row,
-            replica: told.replica,
+            fingerprint: report.fingerprint,
+            row: report.row,
+            replica: report.replica,
             changed_at,
         }
     }
 
-    /// The same as other gateways are told.
+    /// The report of this record for other gateways.
     #[must_use]
     pub fn to_report(&self) -> ToldSuspicion {
         ToldSuspicion {
@@ -118,43 +118,43 @@
         !self.row.is_empty()
     }
 
-    /// Replicas that ended in a row after about the same time.
+    /// Number of consecutive ends after about the same run time.
     #[must_use]
     pub fn ends(&self) -> u32 {
-        self.alike().map_or(0, |alike| alike.ends)
+        self.similar().map_or(0, |similar| similar.ends)
     }
 
-    /// The shortest run of those, in milliseconds; 0 where there is none.
+    /// The shortest run of the counted ends, in milliseconds; 0 if there is none.
     #[must_use]
     pub(crate) fn shortest_ms(&self) -> u32 {
-        self.alike().map_or(0, |alike| alike.shortest_ms)
+        self.similar().map_or(0, |similar| similar.shortest_ms)
     }
 
     /// Whether copies of the request are refused.
     #[must_use]
     pub fn is_refused(&self) -> bool {
-        self.alike().is_some_and(AlikeRuns::is_refused)
+        self.similar().is_some_and(SimilarRuns::is_refused)
     }
 
-    fn alike(&self) -> Option<AlikeRuns> {
-        AlikeRuns::among(&self.row.lengths_ms)
+    fn similar(&self) -> Option<SimilarRuns> {
+        SimilarRuns::among(&self.row.lengths_ms)
     }
 
-    /// What is known after a copy came to a whole answer.
+    /// The record after a copy got a complete answer.
     #[must_use]
     pub fn cleared(&self, changed_at: LogIndex) -> Suspicion {
-        self.begun_anew(Vec::new(), changed_at)
+        self.restarted(Vec::new(), changed_at)
     }
 
-    /// What is known after nothing was heard of it for long: if it is refused, it may be
-    /// tried again, and is refused anew at the first end; else it is no longer suspected.
-    fn eased(&self, changed_at: LogIndex) -> Suspicion {
-        let refused = self.alike().filter(|alike| alike.is_refused());
-        let lengths_ms = refused.map_or(Vec::new(), AlikeRuns::one_before_refusal);
-        self.begun_anew(lengths_ms, changed_at)
+    /// The record after a long time without reports: a refused request may be tried again, and
+    /// is refused again after one more end; any other request is no longer suspected.
+    fn decayed(&self, changed_at: LogIndex) -> Suspicion {
+        let refused = self.similar().filter(|similar| similar.is_refused());
+        let lengths_ms = refused.map_or(Vec::new(), SimilarRuns::one_before_refusal);
+        self.restarted(lengths_ms, changed_at)
     }
 
-    fn begun_anew(&self, lengths_ms: Vec<u32>, changed_at: LogIndex) -> Suspicion {
+    fn restarted(&self, lengths_ms: Vec<u32>, changed_at: LogIndex) -> Suspicion {
         Suspicion {
             row: EndsInRow {
                 clearings: self.row.clearings.saturating_add(1),
@@ -166,11 +166,11 @@
     }
 }
 
-/// Every request that is suspected, or was lately.
+/// All requests that are suspected, or were recently.
 #[derive(Clone, Debug, Default)]
 pub struct Suspicions {
     records: BTreeMap<RequestFingerprint, Suspicion>,
-    /// Records of requests that are suspected.
+    /// Number of records of suspected requests.
     open: usize,
 }
 
@@ -181,34 +181,34 @@
         self.open == 0
     }
 
-    /// Requests that are suspected.
+    /// Number of suspected requests.
     #[must_use]
     pub fn len(&self) -> usize {
         self.open
     }
 
-    /// What is known of a request.
+    /// The record of a request.
     #[must_use]
     pub fn get(&self, fingerprint: &RequestFingerprint) -> Option<&Suspicion> {
         self.records.get(fingerprint)
     }
 
-    /// Every record, those of cleared requests too.
+    /// All records, including those of cleared requests.
     pub fn records(&self) -> impl Iterator<Item = &Suspicion> {
         self.records.values()
     }
 
-    /// Requests that are suspected.
+    /// Records of suspected requests.
     pub fn open(&self) -> impl Iterator<Item = &Suspicion> {
         self.records.values().filter(|record| record.is_open())
     }
 
-    /// A replica ended under these runs; true when that changed anything.
-    pub(crate) fn note_end(&mut self, index: LogIndex, replica: &str, runs: &[EndedRun]) -> bool {
+    /// Records that a replica ended under these runs; true if that changed anything.
+    pub(crate) fn record_end(&mut self, index: LogIndex, replica: &str, runs: &[EndedRun]) -> bool {
         let mut changed = false;
         for run in runs {
-            let held = self.records.get(&run.fingerprint);
-            if let Some(record) = Suspicion::after_end(held, replica, run, index) {
+            let current = self.records.get(&run.fingerprint);
+            if let Some(record) = Suspicion::after_end(current, replica, run, index) {
                 self.put(record);
                 changed = true;
             }
@@ -216,14 +216,14 @@
         changed
     }
 
-    /// Copies of these requests came to whole answers; true when that changed anything.
+    /// Clears requests whose copies got complete answers; true if that changed anything.
     pub(crate) fn clear(&mut self, index: LogIndex, cleared: &[RequestFingerprint]) -> bool {
-        self.change_open(cleared, |held| held.cleared(index))
+        self.change_open(cleared, |current| current.cleared(index))
     }
 
-    /// Nothing was heard of these requests for long.
-    pub(crate) fn ease(&mut self, index: LogIndex, eased: &[RequestFingerprint]) -> bool {
-        self.change_open(eased, |held| held.eased(index))
+    /// Decays suspicions without reports for a long time; true if that changed anything.
+    pub(crate) fn decay(&mut self, index: LogIndex, decayed: &[RequestFingerprint]) -> bool {
+        self.change_open(decayed, |current| current.decayed(index))
     }
 
     fn change_open(
@@ -233,18 +233,18 @@
     ) -> bool {
         let mut changed = false;
         for fingerprint in fingerprints {
-            let held = self.records.get(fingerprint);
-            let Some(held) = held.filter(|held| held.is_open()) else {
+            let current = self.records.get(fingerprint);
+            let Some(current) = current.filter(|current| current.is_open()) else {
                 continue;
             };
-            let record = change(held);
+            let record = change(current);
             self.put(record);
             changed = true;
         }
         changed
     }
 
-    /// Keeps of records that were changed by an entry what the first format holds: the number
+    /// Reduces the records changed by an entry to the content of the first format: the number
     /// of ends and the shortest run.
     pub(crate) fn reduce_to_first_format(&mut self, changed_at: LogIndex) {
         let records = self.records.values_mut();
@@ -253,10 +253,10 @@
         }
     }
 
-    /// Takes a newer record; false when it is not newer.
-    pub(crate) fn take(&mut self, record: Suspicion) -> bool {
-        let held = self.records.get(&record.fingerprint);
-        if held.is_some_and(|held| held.changed_at >= record.changed_at) {
+    /// Applies a record; false if it is not newer than the current one.
+    pub(crate) fn apply(&mut self, record: Suspicion) -> bool {
+        let current = self.records.get(&record.fingerprint);
+        if current.is_some_and(|current| current.changed_at >= record.changed_at) {
             return false;
         }
         self.put(record);
@@ -266,9 +266,9 @@
     fn put(&mut self, record: Suspicion) {
         self.open += usize::from(record.is_open());
         match self.records.entry(record.fingerprint) {
-            Entry::Occupied(mut held) => {
-                self.open -= usize::from(held.get().is_open());
-                held.insert(record);
+            Entry::Occupied(mut current) => {
+                self.open -= usize::from(current.get().is_open());
+                current.insert(record);
             }
             Entry::Vacant(free) => {
                 free.insert(record);
@@ -277,9 +277,9 @@
         self.drop_least();
     }
 
-    /// Drops the record that matters least: of few ends, then of long ago.
+    /// Drops the least important record: the one with the fewest ends, and the oldest of such.
     fn drop_least(&mut self) {
-        if self.records.len() <= MOST_SUSPICIONS {
+        if self.records.len() <= MAX_SUSPICIONS {
             return;
         }
         let least = self
@@ -299,7 +299,7 @@
     fn from_iter<I: IntoIterator<Item = Suspicion>>(records: I) -> Self {
         let mut suspicions = Suspicions::default();
         records.into_iter().for_each(|record| {
-            suspicions.take(record);
+            suspicions.apply(record);
         });
         suspicions
     }
--- a/crates/registry/src/table_history.rs
+++ b/crates/registry/src/table_history.rs
@@ -1,4 +1,4 @@
-//! The route table in force, and which entry changed each of its parts last.
+//! The route table in force, and the entry that last changed each of its parts.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -9,31 +9,31 @@
     table_update::{RouteKey, TableUpdate, by_key, by_name},
 };
 
-/// Removals that are remembered of routes, and as many of services, so that a node is told
-/// of them as changes; one that knows less is told the whole table.
-const KEPT_REMOVALS: usize = 4_096;
+/// Maximum number of removals that are recorded for routes, and the same for services, so
+/// that a node gets them as changes; a node with an older table gets the complete one.
+const MAX_REMOVALS: usize = 4_096;
 
-/// When the records of one kind changed.
+/// The entries that last changed the records of one kind.
 #[derive(Clone, Debug)]
 struct ChangeTimes<Key> {
     changed: BTreeMap<Key, LogIndex>,
-    /// Records that are no longer there.
+    /// Removed records.
     removed: BTreeMap<Key, LogIndex>,
-    /// The newest removal that is no longer remembered.
-    forgotten: LogIndex,
+    /// The newest removal that is no longer recorded.
+    dropped_up_to: LogIndex,
 }
 
 impl<Key: Clone + Ord> ChangeTimes<Key> {
-    /// Records as an entry found them; what went before it is not remembered.
+    /// The records as of an entry; earlier changes are unknown.
     fn from_first<Record>(records: &BTreeMap<Key, &Record>, index: LogIndex) -> Self {
         ChangeTimes {
             changed: records.keys().map(|key| (key.clone(), index)).collect(),
             removed: BTreeMap::new(),
-            forgotten: index,
+            dropped_up_to: index,
         }
     }
 
-    fn note<Record: PartialEq>(
+    fn record<Record: PartialEq>(
         &mut self,
         before: &BTreeMap<Key, &Record>,
         after: &BTreeMap<Key, &Record>,
@@ -49,11 +49,11 @@
                 self.changed.insert(key.clone(), index);
             }
         }
-        self.forget_oldest_removals();
+        self.drop_oldest_removals();
     }
 
-    fn forget_oldest_removals(&mut self) {
-        let Some(excess) = self.removed.len().checked_sub(KEPT_REMOVALS) else {
+    fn drop_oldest_removals(&mut self) {
+        let Some(excess) = self.removed.len().checked_sub(MAX_REMOVALS) else {
             return;
         };
         let mut oldest: Vec<(LogIndex, Key)> = self
@@ -64,7 +64,7 @@
         oldest.sort();
         for (at, key) in oldest.into_iter().take(excess) {
             self.removed.remove(&key);
-            self.forgotten = self.forgotten.max(at);
+            self.dropped_up_to = self.dropped_up_to.max(at);
         }
     }
 
@@ -78,7 +78,7 @@
     }
 }
 
-/// The route table in force, its routes by place and its services by name.
+/// The route table in force, with its routes ordered by key and its services by name.
 #[derive(Clone, Debug)]
 pub(crate) struct TableHistory {
     table: Arc<RouteTable>,
@@ -90,9 +90,9 @@
 }
 
 impl TableHistory {
-    /// The first table that is known, by the entry that put it in force.
+    /// Begins with a table and the entry that put it in force.
     pub(crate) fn new(table: RouteTable, index: LogIndex) -> Self {
-        let table = Arc::new(table.in_order());
+        let table = Arc::new(table.sorted());
         TableHistory {
             digest: table.digest(),
             changed_at: index,
@@ -112,31 +112,31 @@
         self.changed_at
     }
 
-    /// Puts the next table in force, by an entry of the log.
+    /// Puts the next table in force by a log entry.
     pub(crate) fn replace(&mut self, table: RouteTable, index: LogIndex) {
-        let table = table.in_order();
+        let table = table.sorted();
         let before = by_key(&self.table.routes);
-        self.routes.note(&before, &by_key(&table.routes), index);
+        self.routes.record(&before, &by_key(&table.routes), index);
         let before = by_name(&self.table.services);
         self.services
-            .note(&before, &by_name(&table.services), index);
+            .record(&before, &by_name(&table.services), index);
         self.digest = table.digest();
         self.changed_at = index;
         self.table = Arc::new(table);
     }
 
-    /// The whole table where it changed after an entry.
-    pub(crate) fn whole_since(&self, since: LogIndex) -> Option<TableUpdate> {
-        (self.changed_at > since).then(|| TableUpdate::whole(self.table.as_ref().clone()))
+    /// The complete table if it changed after an entry.
+    pub(crate) fn complete_since(&self, since: LogIndex) -> Option<TableUpdate> {
+        (self.changed_at > since).then(|| TableUpdate::complete(self.table.as_ref().clone()))
     }
 
-    /// What changed after an entry; the whole table where removals after it are no longer
-    /// remembered. `None` where nothing changed.
+    /// The changes after an entry; the complete table if removals after the entry are no
+    /// longer recorded. `None` if nothing changed.
     pub(crate) fn update_since(&self, since: LogIndex) -> Option<TableUpdate> {
         if self.changed_at <= since {
             return None;
         }
-        let is_complete = since < self.routes.forgotten.max(self.services.forgotten);
+        let is_complete = since < self.routes.dropped_up_to.max(self.services.dropped_up_to);
         let routes = self.table.routes.iter();
         let routes =
             routes.filter(|route| is_complete || self.routes.has_changed(&route.key(), since));
--- a/crates/registry/src/table_update.rs
+++ b/crates/registry/src/table_update.rs
@@ -1,4 +1,4 @@
-//! What a node is told of a route table: what changed after an entry, or all of it.
+//! Updates of a route table for nodes: the changes after an entry, or the complete table.
 
 use std::collections::BTreeMap;
 
@@ -10,32 +10,32 @@
 /// Host and path prefix of a route: no two routes of a table share them.
 pub type RouteKey = (String, String);
 
-/// What changed of a route table. Applied as a whole or not at all.
+/// Changes of a route table, applied atomically.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TableUpdate {
     /// The version of the table that results.
     pub version: u64,
-    /// These are all routes and services; others are no longer there.
+    /// Whether these are all routes and services, so that others are removed.
     pub is_complete: bool,
-    /// Routes that are new or other than before.
+    /// New and changed routes.
     pub routes: Vec<Route>,
-    /// Routes that are no longer there.
+    /// Removed routes.
     pub removed_routes: Vec<RouteKey>,
-    /// Services that are new or other than before.
+    /// New and changed services.
     pub services: Vec<ServiceTraits>,
-    /// Services that are no longer there, by name.
+    /// Removed services, by name.
     pub removed_services: Vec<String>,
-    /// Bounds of what callers may send.
+    /// Limits on the requests and connections of callers.
     pub limits: CallerLimits,
     /// [`RouteTable::digest`] of the table that results.
     pub digest: Option<u64>,
 }
 
 impl TableUpdate {
-    /// All of a table, whatever was held.
+    /// An update with the complete table, independent of the receiver's table.
     #[must_use]
-    pub(crate) fn whole(table: RouteTable) -> Self {
-        let table = table.in_order();
+    pub(crate) fn complete(table: RouteTable) -> Self {
+        let table = table.sorted();
         TableUpdate {
             version: table.version,
             is_complete: true,
@@ -48,11 +48,11 @@
         }
     }
 
-    /// The table that results; `None` where the held one is not the one that the change
-    /// was made for. A whole table stands for itself, whatever was held.
+    /// The resulting table; `None` if the current one is not the base of the changes. A
+    /// complete update needs no base.
     #[must_use]
-    pub fn apply(self, held: Option<&RouteTable>) -> Option<RouteTable> {
-        let before = held.filter(|_| !self.is_complete);
+    pub fn apply(self, current: Option<&RouteTable>) -> Option<RouteTable> {
+        let before = current.filter(|_| !self.is_complete);
         if before.is_none() && !self.is_complete {
             return None;
         }
@@ -60,8 +60,8 @@
         let mut services = before.map(|table| by_name(&table.services));
         let routes = routes.get_or_insert_default();
         let services = services.get_or_insert_default();
-        self.removed_routes.iter().for_each(|place| {
-            routes.remove(place);
+        self.removed_routes.iter().for_each(|key| {
+            routes.remove(key);
         });
         self.removed_services.iter().for_each(|name| {
             services.remove(name);
@@ -82,17 +82,18 @@
 }
 
 impl RouteTable {
-    /// A number that tells tables apart; `None` where the table cannot be encoded.
+    /// A hash of the table's content; `None` if the table cannot be encoded.
     #[must_use]
     pub fn digest(&self) -> Option<u64> {
         let bytes = rkyv::to_bytes::<rancor::Error>(self).ok()?;
         Some(fnv1a(bytes.iter().copied()))
     }
 
-    /// The table with its routes by place and its services by name, each there once: the
-    /// route that was listed last and the service that was listed first, as they are found.
+    /// The table with its routes sorted by key and its services by name, without duplicates.
+    /// Of duplicates the last route and the first service remain, which are the ones that
+    /// lookups find.
     #[must_use]
-    pub(crate) fn in_order(self) -> Self {
+    pub(crate) fn sorted(self) -> Self {
         let routes = self.routes.into_iter();
         let routes: BTreeMap<_, _> = routes.map(|route| (route.key(), route)).collect();
         let services = self.services.into_iter().rev();
@@ -115,7 +116,7 @@
     }
 }
 
-/// Routes by host and path prefix.
+/// Routes by their key.
 pub(crate) fn by_key(routes: &[Route]) -> BTreeMap<RouteKey, &Route> {
     routes.iter().map(|route| (route.key(), route)).collect()
 }
--- a/crates/registry/src/third_layout.rs
+++ b/crates/registry/src/third_layout.rs
@@ -1,5 +1,5 @@
-//! Commands about suspected requests as the third layout holds them: runs told how many
-//! ends were known, not which. Read, never written.
+//! Commands about suspected requests in the third layout: runs have the number of known
+//! ends, not the ends themselves. Read, never written.
 
 use linnethitch_protocol::{
     ids::{MachineId, MemberId},
@@ -18,7 +18,7 @@
     ran_ms: u32,
 }
 
-/// The last four were stored; those before them keep their places.
+/// Only the last four variants are stored; the others keep the discriminants in place.
 #[derive(Archive, Serialize, Deserialize)]
 pub(crate) enum ThirdCommand {
     PutConfiguration {
@@ -39,7 +39,7 @@
 }
 
 impl From<ThirdEndedRun> for EndedRun {
-    /// The runs before are taken to have lasted as long as this one.
+    /// The earlier runs are assumed to have lasted as long as this one.
     fn from(third: ThirdEndedRun) -> Self {
         EndedRun {
             fingerprint: third.fingerprint,
--- a/crates/registry/src/update.rs
+++ b/crates/registry/src/update.rs
@@ -1,4 +1,4 @@
-//! What control tells nodes of the registry.
+//! Updates of the registry that control sends to nodes.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_tenants::TenantsUpdate;
@@ -12,28 +12,28 @@
 /// The parts of the registry that changed after an entry.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FleetUpdate {
-    /// It says what changed after this entry: a node that does not know what was in force
-    /// then lacks more than it says.
+    /// The base of the update, which contains the changes after this entry. A node that does
+    /// not know the state as of this entry needs more than the update contains.
     pub since: LogIndex,
-    /// What changed of the route table.
+    /// The changes of the route table.
     pub table: Option<TableUpdate>,
-    /// What changed among the tenants, told with the table of the same configuration.
+    /// The changes of the tenants, sent with the table of the same configuration.
     pub tenants: Option<TenantsUpdate>,
-    /// Replicas that changed, gone ones too.
+    /// Changed replicas, including ended ones.
     pub replicas: Vec<ReplicaRecord>,
-    /// These are all replicas that there are: the node may have missed ends that are
-    /// forgotten by now.
+    /// Whether these are all replicas. Required if the node may have missed ends whose records
+    /// are deleted.
     pub replicas_complete: bool,
-    /// Replicas that were gone since this entry or an earlier one are forgotten.
-    pub forgotten: LogIndex,
-    /// The job store's members, if they changed.
+    /// Records of replicas that ended at this entry or an earlier one are deleted.
+    pub forgotten_up_to: LogIndex,
+    /// The members of the job store, if they changed.
     pub store: Option<StoreMembers>,
-    /// The entry that changed them.
+    /// The entry that changed the members of the job store.
     pub store_at: LogIndex,
-    /// Requests under which replicas ended, as far as that changed.
+    /// Changed suspicions of requests.
     pub suspicions: Vec<Suspicion>,
-    /// Zones that were evacuated, or are no longer, as far as that changed.
+    /// Changed orders to evacuate or restore zones.
     pub evacuations: Vec<EvacuationRecord>,
-    /// The newest change that this update covers.
+    /// The newest change that the update contains.
     pub up_to_index: LogIndex,
 }
--- a/crates/registry/src/validate.rs
+++ b/crates/registry/src/validate.rs
@@ -1,10 +1,10 @@
-//! What makes a route table invalid.
+//! Validation of route tables.
 
 use std::{collections::BTreeSet, fmt};
 
 use crate::routes::{Route, RouteTable};
 
-/// Why a route table is refused; it names the route where there is one.
+/// Why a route table is rejected, with the name of the route.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RouteTableError {
     /// A route sends requests to a service that the table does not list.
@@ -19,12 +19,12 @@
         /// The second route.
         route: String,
     },
-    /// The weights of a route's back ends add up to 0.
+    /// The sum of the weights of a route's back ends is 0.
     NoWeight {
         /// The route.
         route: String,
     },
-    /// The route's longest time is 0.
+    /// The route's timeout is 0.
     NoTimeout {
         /// The route.
         route: String,
@@ -70,16 +70,16 @@
 impl std::error::Error for RouteTableError {}
 
 impl RouteTable {
-    /// Checks what must hold before a table may be in force.
+    /// Validates the table, which is required before it is put in force.
     ///
     /// # Errors
-    /// The first fault found.
+    /// The first error found.
     pub fn check(&self) -> Result<(), RouteTableError> {
-        let mut places = BTreeSet::new();
+        let mut keys = BTreeSet::new();
         for route in &self.routes {
             self.check_route(route)?;
-            let place = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
-            if !places.insert(place) {
+            let key = (route.host.to_ascii_lowercase(), route.path_prefix.as_str());
+            if !keys.insert(key) {
                 return Err(RouteTableError::SameHostAndPrefix {
                     route: route.name.clone(),
                 });
--- a/crates/registry/src/view.rs
+++ b/crates/registry/src/view.rs
@@ -1,4 +1,4 @@
-//! What a node without a disk keeps of the registry.
+//! The registry as seen by a node without a disk.
 
 use std::{cmp::Ordering, collections::BTreeSet, sync::Arc};
 
@@ -18,27 +18,28 @@
     update::FleetUpdate,
 };
 
-/// The newest of everything that any control member told. It never steps back. A clone shares
-/// what it holds, and costs the same however many replicas there are.
+/// The newest state received from any control member. It never returns to an older state. A
+/// clone shares its content and has the same cost for any number of replicas.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     table: Option<Arc<RouteTable>>,
     tenants: Arc<TenantDirectory>,
     replicas: ReplicaRecords,
     zones: ServiceZones,
-    /// Ends up to this entry are forgotten: nothing that is older brings a replica here.
-    forgotten: LogIndex,
+    /// Records of replicas that ended up to this entry are deleted: an older update does not
+    /// add an unknown replica.
+    forgotten_up_to: LogIndex,
     store: StoreMembers,
     store_at: LogIndex,
     suspicions: Suspicions,
     evacuations: Evacuations,
     up_to_index: LogIndex,
-    /// Something that was told could not be taken without what it builds on.
+    /// The last update could not be applied completely, because its base is missing here.
     needs_full_update: bool,
 }
 
 impl FleetView {
-    /// The route table in force; `None` before the first was learned.
+    /// The route table in force; `None` before the first one is received.
     #[must_use]
     pub fn table(&self) -> Option<&Arc<RouteTable>> {
         self.table.as_ref()
@@ -50,19 +51,19 @@
         &self.tenants
     }
 
-    /// Replicas that are not gone.
+    /// Replicas that take work or finish their work.
     pub fn live_replicas(&self) -> impl Iterator<Item = &ReplicaRecord> {
         self.replicas.live()
     }
 
-    /// Number of replicas that are not gone.
+    /// Number of live replicas.
     #[must_use]
     pub fn live_count(&self) -> usize {
         self.replicas.live_count()
     }
 
-    /// What differs in the replicas between an earlier view and this one. It costs what
-    /// differs.
+    /// The replicas that differ between an earlier view and this one. The cost is proportional
+    /// to the number of differences.
     pub fn differences<'a>(
         &'a self,
         before: &'a FleetView,
@@ -70,33 +71,34 @@
         self.replicas.since(&before.replicas)
     }
 
-    /// Zones of the replicas of a service that were ever heard of, also where they are
-    /// forgotten.
+    /// Zones of all known replicas of a service, including ended replicas whose record is
+    /// deleted.
     pub fn service_zones(&self, service: &str) -> impl Iterator<Item = &str> {
         self.zones.of(service)
     }
 
-    /// The newest start of a replica by its id, whatever its state; `None` before it was
-    /// heard of.
+    /// The newest incarnation of a replica by its id, in any state; `None` if the replica is
+    /// unknown.
     #[must_use]
     pub fn replica(&self, id: &str) -> Option<&ReplicaRecord> {
         self.replicas.get(id)
     }
 
-    /// The state of a start by its key: gone where a later one is known, `None` before it
-    /// was heard of.
+    /// The state of an incarnation by its key: ended if a later one is known, `None` if the
+    /// incarnation is unknown.
     #[must_use]
     pub fn state_of_incarnation(&self, key: &str) -> Option<ReplicaState> {
         let (id, incarnation) = parse_incarnation_key(key);
-        let told = &self.replicas.get(id)?.reported;
-        match told.incarnation.cmp(&incarnation) {
+        let reported = &self.replicas.get(id)?.reported;
+        match reported.incarnation.cmp(&incarnation) {
             Ordering::Less => None,
-            Ordering::Equal => Some(told.state),
+            Ordering::Equal => Some(reported.state),
             Ordering::Greater => Some(ReplicaState::Ended),
         }
     }
 
-    /// The zone of a replica by the key of any start of it; `None` before it was heard of.
+    /// The zone of a replica by the key of any of its incarnations; `None` if the replica is
+    /// unknown.
     #[must_use]
     pub fn zone_of_incarnation(&self, key: &str) -> Option<&str> {
         let (id, _) = parse_incarnation_key(key);
@@ -104,7 +106,7 @@
         record.map(|record| record.reported.zone.as_str())
     }
 
-    /// The job store as control knows it.
+    /// The members of the job store.
     #[must_use]
     pub fn store(&self) -> &StoreMembers {
         &self.store
@@ -116,39 +118,39 @@
         &self.suspicions
     }
 
-    /// Zones to whose replicas nothing more is sent.
+    /// Evacuated zones, whose replicas get no new work.
     #[must_use]
     pub fn evacuations(&self) -> &Evacuations {
         &self.evacuations
     }
 
-    /// The newest change known here.
+    /// The newest log entry whose change is known here.
     #[must_use]
     pub fn up_to_index(&self) -> LogIndex {
         self.up_to_index
     }
 
-    /// Whether what was told last builds on something that is not known here: control has
-    /// to tell everything once more.
+    /// Whether the last update has a base that is not known here, so that control has to
+    /// send the complete state again.
     #[must_use]
     pub fn needs_full_update(&self) -> bool {
         self.needs_full_update
     }
 
-    /// Takes an update; true when it brought anything new.
+    /// Applies an update; true if it changed anything.
     pub fn apply(&mut self, update: FleetUpdate) -> bool {
         let knows_base = update.since <= self.up_to_index;
         let mut changed = false;
         self.needs_full_update = !knows_base;
         if knows_base {
-            changed |= self.take_configuration(update.table, update.tenants);
+            changed |= self.apply_configuration(update.table, update.tenants);
         }
-        changed |= self.take_replicas(
+        changed |= self.apply_replicas(
             update.replicas,
             update.replicas_complete,
             update.up_to_index,
         );
-        self.forget(update.forgotten);
+        self.forget(update.forgotten_up_to);
         if let Some(store) = update.store
             && update.store_at > self.store_at
         {
@@ -157,10 +159,10 @@
             changed = true;
         }
         for suspicion in update.suspicions {
-            changed |= self.suspicions.take(suspicion);
+            changed |= self.suspicions.apply(suspicion);
         }
         for record in update.evacuations {
-            changed |= self.evacuations.take(record);
+            changed |= self.evacuations.apply(record);
         }
         if self.needs_full_update {
             self.up_to_index = if knows_base {
@@ -174,18 +176,19 @@
         changed
     }
 
-    /// Takes table and tenants of a newer configuration, both or neither.
-    fn take_configuration(
+    /// Applies table and tenants of a newer configuration, both or neither.
+    fn apply_configuration(
         &mut self,
         table: Option<TableUpdate>,
         tenants: Option<TenantsUpdate>,
     ) -> bool {
-        let held = self.table.as_deref();
-        let is_newer = |table: &TableUpdate| held.is_none_or(|held| held.version < table.version);
+        let current = self.table.as_deref();
+        let is_newer =
+            |table: &TableUpdate| current.is_none_or(|current| current.version < table.version);
         let Some(table) = table.filter(is_newer) else {
             return false;
         };
-        let Some(table) = table.apply(held) else {
+        let Some(table) = table.apply(current) else {
             self.needs_full_update = true;
             return false;
         };
@@ -196,60 +199,61 @@
         true
     }
 
-    /// Takes records that tell the replicas as of an entry: all of them where `is_complete`.
-    fn take_replicas(
+    /// Applies records of replicas as of an entry; they are all replicas if `is_complete`.
+    fn apply_replicas(
         &mut self,
-        told: Vec<ReplicaRecord>,
+        reported: Vec<ReplicaRecord>,
         is_complete: bool,
         up_to_index: LogIndex,
     ) -> bool {
         let mut changed = false;
         if is_complete {
-            changed |= self.drop_unnamed(&told, up_to_index);
+            changed |= self.remove_unlisted(&reported, up_to_index);
         }
-        for record in told {
-            changed |= self.take_replica(record, up_to_index);
+        for record in reported {
+            changed |= self.apply_replica(record, up_to_index);
         }
         changed
     }
 
-    /// Drops replicas that did not change since an entry and that are not among all those
-    /// that there were then.
-    fn drop_unnamed(&mut self, all: &[ReplicaRecord], up_to_index: LogIndex) -> bool {
-        let named: BTreeSet<&str> = all.iter().map(|r| r.reported.id.as_str()).collect();
-        let held = self.replicas.all();
-        let unnamed = held
+    /// Removes replicas that did not change after an entry and are not in the complete list
+    /// of that entry.
+    fn remove_unlisted(&mut self, all: &[ReplicaRecord], up_to_index: LogIndex) -> bool {
+        let listed: BTreeSet<&str> = all.iter().map(|r| r.reported.id.as_str()).collect();
+        let current = self.replicas.all();
+        let unlisted = current
             .filter(|record| record.changed_at <= up_to_index)
-            .filter(|record| !named.contains(record.reported.id.as_str()));
-        let unnamed: Vec<String> = unnamed.map(|record| record.reported.id.clone()).collect();
-        for id in &unnamed {
+            .filter(|record| !listed.contains(record.reported.id.as_str()));
+        let unlisted: Vec<String> = unlisted.map(|record| record.reported.id.clone()).collect();
+        for id in &unlisted {
             self.replicas.remove(id);
         }
-        !unnamed.is_empty()
+        !unlisted.is_empty()
     }
 
-    fn take_replica(&mut self, record: ReplicaRecord, up_to_index: LogIndex) -> bool {
+    fn apply_replica(&mut self, record: ReplicaRecord, up_to_index: LogIndex) -> bool {
         match self.replicas.get(&record.reported.id) {
-            Some(held) if held.changed_at >= record.changed_at => return false,
-            // It may be one whose end is forgotten here.
-            None if up_to_index < self.forgotten => return false,
+            Some(current) if current.changed_at >= record.changed_at => return false,
+            // The replica may have ended, with its record already deleted here.
+            None if up_to_index < self.forgotten_up_to => return false,
             _ => {}
         }
         self.zones
-            .note(&record.reported.service, &record.reported.zone);
+            .add(&record.reported.service, &record.reported.zone);
         if let Some(before) = self.replicas.put(record) {
-            // It is elsewhere now. One that is gone keeps its service's zone.
+            // The replica may have another service or zone now. Deleting an ended one does
+            // not come here, so that its zone stays listed for its service.
             self.zones
-                .leave(&before.reported.service, &before.reported.zone);
+                .remove(&before.reported.service, &before.reported.zone);
         }
         true
     }
 
-    /// Forgets replicas that were gone since an entry or an earlier one.
+    /// Deletes records of replicas that ended at an entry or an earlier one.
     fn forget(&mut self, up_to_index: LogIndex) {
-        self.forgotten = self.forgotten.max(up_to_index);
-        while let Some((at, id)) = self.replicas.first_gone()
-            && at <= self.forgotten
+        self.forgotten_up_to = self.forgotten_up_to.max(up_to_index);
+        while let Some((at, id)) = self.replicas.first_ended()
+            && at <= self.forgotten_up_to
         {
             let id = id.to_owned();
             self.replicas.remove(&id);
--- a/crates/registry/src/zone_map.rs
+++ b/crates/registry/src/zone_map.rs
@@ -2,20 +2,20 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Which region a zone belongs to, as the settings of every process list it.
+/// The region of each zone, from the settings that all processes share.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneMap {
     regions: BTreeMap<String, String>,
 }
 
 impl ZoneMap {
-    /// Whether there is such a zone.
+    /// Whether a zone exists.
     #[must_use]
     pub fn has_zone(&self, zone: &str) -> bool {
         self.regions.contains_key(zone)
     }
 
-    /// Whether there is such a region.
+    /// Whether a region exists.
     #[must_use]
     pub fn has_region(&self, region: &str) -> bool {
         self.regions.values().any(|listed| listed == region)
@@ -27,26 +27,26 @@
         self.regions.get(zone).map(String::as_str)
     }
 
-    /// Zones in a region of every list; `None` where no list binds: an empty one, and one
-    /// that holds every region.
+    /// Zones whose region is in every list; `None` if no list is a restriction. An empty list
+    /// and a list of all regions are no restriction.
     #[must_use]
     pub fn home_zones(&self, lists: &[&[String]]) -> Option<BTreeSet<String>> {
-        let binding = lists.iter().filter(|homes| self.binds(homes));
-        let binding: Vec<&[String]> = binding.copied().collect();
-        if binding.is_empty() {
+        let restrictions = lists.iter().filter(|homes| self.is_restriction(homes));
+        let restrictions: Vec<&[String]> = restrictions.copied().collect();
+        if restrictions.is_empty() {
             return None;
         }
-        let is_home = |region: &String| binding.iter().all(|homes| homes.contains(region));
+        let is_home = |region: &String| restrictions.iter().all(|homes| homes.contains(region));
         let zones = self.regions.iter();
         let zones = zones.filter(|(_, region)| is_home(region));
         Some(zones.map(|(zone, _)| zone.clone()).collect())
     }
 
-    /// Where no zone is known, any list does.
-    fn binds(&self, homes: &[String]) -> bool {
+    /// Whether a list is a restriction. If no zone is known, every list with an entry is one.
+    fn is_restriction(&self, homes: &[String]) -> bool {
         let mut regions = self.regions.values();
-        let leaves_any_out = regions.any(|region| !homes.contains(region));
-        !homes.is_empty() && (leaves_any_out || self.regions.is_empty())
+        let excludes_any = regions.any(|region| !homes.contains(region));
+        !homes.is_empty() && (excludes_any || self.regions.is_empty())
     }
 }
 
--- a/crates/registry/tests/all/evacuations.rs
+++ b/crates/registry/tests/all/evacuations.rs
@@ -1,4 +1,5 @@
-//! Orders to evacuate a zone: one is in force everywhere, and none steps back.
+//! Orders to evacuate a zone: the same order takes effect everywhere, and no node returns to
+//! an older one.
 
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::LogIndex;
@@ -24,13 +25,13 @@
     }
 }
 
-/// Gives an order upon what is in force.
+/// Applies an order that is based on the current state.
 fn order(applied: &mut Applied, evacuated: bool) -> RegistryAnswer {
     let seen = applied.registry.evacuations().changed_at(ZONE);
     applied.apply(&command(ZONE, evacuated, seen))
 }
 
-fn held(evacuated: bool, changed_at: u64) -> RegistryAnswer {
+fn state(evacuated: bool, changed_at: u64) -> RegistryAnswer {
     RegistryAnswer::ZoneState {
         evacuated,
         changed_at: LogIndex(changed_at),
@@ -38,21 +39,21 @@
 }
 
 #[test]
-fn a_repeat_is_told_what_is_held_and_changes_nothing() {
+fn a_repeated_order_changes_nothing_and_returns_the_current_state() {
     let mut applied = Applied::default();
-    assert_eq!(order(&mut applied, false), held(false, 0));
-    assert_eq!(order(&mut applied, true), held(true, 2));
-    assert_eq!(order(&mut applied, true), held(true, 2));
+    assert_eq!(order(&mut applied, false), state(false, 0));
+    assert_eq!(order(&mut applied, true), state(true, 2));
+    assert_eq!(order(&mut applied, true), state(true, 2));
     assert_eq!(applied.registry.changed_at(), LogIndex(2));
-    assert_eq!(order(&mut applied, false), held(false, 4));
+    assert_eq!(order(&mut applied, false), state(false, 4));
     assert!(!applied.registry.evacuations().contains(ZONE));
 }
 
-/// A copy of an order that was on its way while the opposite one was acknowledged.
+/// A copy of an order that arrives after the opposite order was acknowledged.
 #[rstest]
 #[case::evacuation(true)]
-#[case::taken_back(false)]
-fn a_late_copy_of_an_order_is_of_no_effect(#[case] first: bool) {
+#[case::restored_zone(false)]
+fn a_late_copy_of_an_order_has_no_effect(#[case] first: bool) {
     let mut applied = Applied::default();
     if !first {
         order(&mut applied, true);
@@ -63,14 +64,14 @@
     order(&mut applied, !first);
     let up_to_index = applied.registry.changed_at();
     let answer = applied.apply(&late);
-    assert_eq!(answer, held(!first, up_to_index.0));
+    assert_eq!(answer, state(!first, up_to_index.0));
     assert_eq!(applied.registry.evacuations().contains(ZONE), !first);
 }
 
 #[rstest]
 #[case::evacuated(&[true])]
-#[case::taken_back(&[true, false])]
-fn a_snapshot_holds_the_orders(#[case] orders: &[bool]) {
+#[case::restored_zone(&[true, false])]
+fn a_snapshot_contains_the_orders(#[case] orders: &[bool]) {
     let mut applied = Applied::default();
     for evacuated in orders {
         order(&mut applied, *evacuated);
@@ -81,7 +82,7 @@
     assert_eq!(restored.evacuations().contains(ZONE), orders.len() == 1);
 }
 
-/// A gateway that starts never has a table without the evacuations in force.
+/// A gateway that starts never has a table without the current evacuations.
 #[test]
 fn the_first_table_comes_with_the_evacuations() {
     let mut applied = Applied::default();
@@ -94,7 +95,7 @@
 }
 
 #[test]
-fn an_older_update_does_not_bring_an_evacuation_back() {
+fn an_older_update_does_not_reinstate_an_evacuation() {
     let mut applied = Applied::default();
     order(&mut applied, true);
     let older = applied.registry.update_since(LogIndex(0));
@@ -109,24 +110,24 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 const GATEWAYS: usize = 4;
 
-/// What happens next on the way of orders to gateways.
+/// An event in the delivery of orders to gateways.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An operator orders upon what a member knows that lags by so many entries.
+    /// An operator gives an order through a member that lags by this number of orders.
     Order {
         zone: usize,
         evacuated: bool,
         lag: usize,
     },
-    /// Control sends a gateway what changed since an entry that it knows or knew.
-    Tell { gateway: usize, since: u64 },
-    /// One of the messages under way arrives; it may arrive again.
+    /// Control sends a gateway the changes since an entry that the gateway knows.
+    Send { gateway: usize, since: u64 },
+    /// A message in transit arrives; it may arrive again.
     Arrive { message: usize },
-    /// One of them is lost.
+    /// A message in transit is lost.
     Lose { message: usize },
-    /// The gateway starts anew: what is under way to it is lost with its links.
+    /// A gateway restarts, and messages in transit to it are lost with its links.
     Restart { gateway: usize },
-    /// All control members start from a snapshot.
+    /// All control members restart from a snapshot.
     Restore,
 }
 
@@ -134,7 +135,7 @@
     prop_oneof![
         3 => (0..ZONES.len(), any::<bool>(), 0..3_usize)
             .prop_map(|(zone, evacuated, lag)| Step::Order { zone, evacuated, lag }),
-        6 => (0..GATEWAYS, 0..60_u64).prop_map(|(gateway, since)| Step::Tell { gateway, since }),
+        6 => (0..GATEWAYS, 0..60_u64).prop_map(|(gateway, since)| Step::Send { gateway, since }),
         6 => any::<usize>().prop_map(|message| Step::Arrive { message }),
         2 => any::<usize>().prop_map(|message| Step::Lose { message }),
         1 => (0..GATEWAYS).prop_map(|gateway| Step::Restart { gateway }),
@@ -142,15 +143,15 @@
     ]
 }
 
-/// Control's log, gateways, and what is under way between them. A message that arrives
-/// late stands for delay, a cut and a suspension alike.
+/// Control's log, gateways, and messages in transit between them. A late message models
+/// delay, a network partition and a process pause alike.
 #[derive(Default)]
 struct Network {
     applied: Applied,
-    /// The registry after each order, as lagging members know it.
+    /// The registry after each order, for lagging members.
     past: Vec<Registry>,
     views: [FleetView; GATEWAYS],
-    under_way: Vec<(usize, FleetUpdate)>,
+    in_transit: Vec<(usize, FleetUpdate)>,
 }
 
 impl Network {
@@ -169,43 +170,43 @@
         self.past.push(self.applied.registry.clone());
     }
 
-    /// Takes a message; no record of the view may become older by it.
+    /// Delivers a message; no record of the view may become older.
     fn arrive(&mut self, message: usize) {
-        let (gateway, update) = self.under_way[message].clone();
+        let (gateway, update) = self.in_transit[message].clone();
         let view = &mut self.views[gateway];
         let before = ZONES.map(|zone| view.evacuations().changed_at(zone));
         view.apply(update);
         for (zone, before) in ZONES.iter().zip(before) {
             assert!(
                 view.evacuations().changed_at(zone) >= before,
-                "{zone} stepped back"
+                "{zone} returned to an older order"
             );
         }
     }
 
     fn step(&mut self, step: Step) {
-        let under_way = self.under_way.len().max(1);
+        let in_transit = self.in_transit.len().max(1);
         match step {
             Step::Order {
                 zone,
                 evacuated,
                 lag,
             } => self.order(ZONES[zone], evacuated, lag),
-            Step::Tell { gateway, since } => {
+            Step::Send { gateway, since } => {
                 let since = LogIndex(since).min(self.views[gateway].up_to_index());
                 let update = self.applied.registry.update_since(since);
-                self.under_way.push((gateway, update));
+                self.in_transit.push((gateway, update));
             }
-            Step::Arrive { message } if !self.under_way.is_empty() => {
-                self.arrive(message % under_way);
+            Step::Arrive { message } if !self.in_transit.is_empty() => {
+                self.arrive(message % in_transit);
             }
-            Step::Lose { message } if !self.under_way.is_empty() => {
-                self.under_way.swap_remove(message % under_way);
+            Step::Lose { message } if !self.in_transit.is_empty() => {
+                self.in_transit.swap_remove(message % in_transit);
             }
             Step::Arrive { .. } | Step::Lose { .. } => {}
             Step::Restart { gateway } => {
                 self.views[gateway] = FleetView::default();
-                self.under_way.retain(|(to, _)| *to != gateway);
+                self.in_transit.retain(|(to, _)| *to != gateway);
             }
             Step::Restore => {
                 let snapshot = self.applied.registry.begin_snapshot().expect("it begins");
@@ -219,10 +220,11 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 128, failure_persistence: None, ..ProptestConfig::default() })]
 
-    /// Whatever is lost, late, told twice or started anew: a gateway never steps back, and
-    /// once control's last word arrives everywhere it is in force everywhere.
+    /// With messages lost, late or duplicated and with restarts, a gateway never returns to an
+    /// older state, and after control's last update arrives everywhere, all gateways have the
+    /// orders that control has.
     #[test]
-    fn one_order_is_in_force_everywhere(steps in prop::collection::vec(step(), 1..120)) {
+    fn the_same_orders_are_in_force_everywhere(steps in prop::collection::vec(step(), 1..120)) {
         let mut network = Network::default();
         for step in steps {
             network.step(step);
--- a/crates/registry/tests/all/formats.rs
+++ b/crates/registry/tests/all/formats.rs
@@ -1,4 +1,4 @@
-//! A registry is stored as every member of its group reads it.
+//! A registry is stored in a format that every member of its group reads.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_group::{SnapshotSource, StateMachine, WholeSnapshot};
@@ -14,7 +14,7 @@
 
 use crate::support::{hex_bytes, route, store_snapshot, table};
 
-/// Snapshots and commands that the build of commit 4f0dab2 wrote, by name.
+/// Snapshots and commands written by the build of commit 4f0dab2, by name.
 const RECORDED: &str = include_str!("../../../cluster/tests/recorded/format-1.txt");
 
 fn recorded(name: &str) -> Vec<u8> {
@@ -30,11 +30,11 @@
 fn snapshot_of(registry: &Registry) -> Vec<u8> {
     let mut snapshot = registry.begin_snapshot().expect("a snapshot");
     let piece = snapshot.next_piece().expect("a piece");
-    piece.expect("it is whole")
+    piece.expect("a complete snapshot")
 }
 
 #[test]
-fn a_snapshot_is_written_for_members_of_the_build_before_as_they_wrote_it() {
+fn a_snapshot_for_members_of_the_previous_build_has_their_bytes() {
     let bytes = recorded("stored-registry-snapshot");
     let registry = restored(bytes.clone());
     assert_eq!(registry.format(), Format::First);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn one_entry_of_the_newest_format_raises_it_for_good() {
+fn one_entry_of_the_newest_format_raises_it_permanently() {
     let mut registry = restored(recorded("stored-registry-snapshot"));
     let before = registry.changed_at();
     let raise = RegistryCommand::raise_format().expect("it is encoded");
@@ -76,22 +76,22 @@
     })
 }
 
-/// What the build before cannot keep is refused as a whole.
+/// A command that the previous build cannot store is rejected completely.
 #[rstest]
 #[case::homes(with_homes())]
 #[case::evacuation(evacuation())]
 #[case::gateways(RegistryCommand::GatewaysChanged { joined: vec![MachineId(1)], left: Vec::new() })]
 #[case::forgotten(RegistryCommand::ForgetEnded { up_to_index: LogIndex(1) })]
-fn what_the_build_before_cannot_keep_is_not_stored(#[case] command: RegistryCommand) {
+fn what_the_previous_build_cannot_store_is_rejected(#[case] command: RegistryCommand) {
     let refused = command.to_stored_in(Format::First).expect_err("refused");
     assert_eq!(*refused.current_context(), ErrorKind::InvalidState);
     assert!(command.to_stored_in(Format::Second).is_ok());
 }
 
-/// Guards against members that hold different ends of a request: lengths of runs and clearings
-/// stayed with a member that ran on, and were lost to one that started again.
+/// Guards against members with different suspicions: run lengths and clearings remained in a
+/// running member, and were lost by a member that restarted from a first-format snapshot.
 #[test]
-fn a_member_that_starts_again_holds_the_same_ends() {
+fn a_restarted_member_has_the_same_suspicions() {
     let end = |replica: &str, known: EndsInRow, ran_ms| RegistryCommand::ReplicaEnded {
         replica: replica.to_owned(),
         runs: vec![EndedRun {
@@ -113,17 +113,21 @@
     let after = end("i-5", EndsInRow::alike(40, 1), 60).to_stored();
     let commands = stored.into_iter().chain([raise, after]);
     let mut running = Registry::default();
-    let mut started_again = Registry::default();
+    let mut restarted = Registry::default();
     for (index, command) in (1..).zip(commands) {
         let command = command.expect("it is encoded");
-        for registry in [&mut running, &mut started_again] {
+        for registry in [&mut running, &mut restarted] {
             let applied = registry.apply(LogIndex(index), &command);
             applied.expect("it is applied");
         }
-        started_again = restored(snapshot_of(&started_again));
-        let held = |registry: &Registry| -> Vec<Suspicion> {
+        restarted = restored(snapshot_of(&restarted));
+        let records = |registry: &Registry| -> Vec<Suspicion> {
             registry.suspicions().records().cloned().collect()
         };
-        assert_eq!(held(&running), held(&started_again), "after entry {index}");
+        assert_eq!(
+            records(&running),
+            records(&restarted),
+            "after entry {index}"
+        );
     }
 }
--- a/crates/registry/tests/all/fourth_layout.rs
+++ b/crates/registry/tests/all/fourth_layout.rs
@@ -1,4 +1,4 @@
-//! Values as the first and the third to fifth layouts store them stay readable.
+//! Values in the first layout and in the third to fifth layouts stay readable.
 
 use linnethitch_group::{StateMachine, WholeSnapshot};
 use linnethitch_registry::{Registry, RegistryCommand, ReplicaState};
@@ -7,7 +7,7 @@
 
 use crate::support::{hex_bytes, store_snapshot};
 
-/// A configuration: its route, service and tenant have no homes, and no replica is cold.
+/// A configuration without home regions and cold times.
 const CONFIGURATION: &str = "046465736b2e6578616d706c657261746573ffffff0100000061ffffffffffffff8c000000e0ffffff2f612f\
     ffffffffff0000000000000000a00f0000000000002c0100000000000000010000c0ffffff01000000010000\
     0000000000000000000000000000000000000000000000000000000000000000000900000000000000726174\
@@ -16,11 +16,11 @@
     000000000010270000000000008813000000000000646f630001000000c8ffffff01000000f0ffffff030000\
     000000000000000000070000000000000000ffffff0100000060ffffff010000000040000000004000b80b00\
     0000000000983a000000000000b4ffffff00000000";
-/// A replica that tells neither which start of its speaks nor that it is cold.
+/// A replica that reports neither an incarnation nor a cold time.
 const REPLICA: &str = "0131302e302e302e313a3830776f72636573746572000000000100000000000000692d37ffffffffff726174\
     6573ffffff8b000000d0ffffff89000000d3ffffff0600000001000000040000000000000000000000000000\
     00";
-/// A registry that holds both.
+/// A registry with both.
 const SNAPSHOT: &str = "046465736b2e6578616d706c657261746573ffffff0100000061ffffffffffffff8c000000e0ffffff2f612f\
     ffffffffff0000000000000000a00f0000000000002c0100000000000000010000c0ffffff01000000010000\
     0000000000000000000000000000000000000000000000000000000000000000000900000000000000726174\
@@ -41,14 +41,14 @@
     000000000078ffffff00000000000000000000000068ffffff0000000060ffffff0000000058ffffff000000\
     000000000000000000040000000000000040ffffff0200000000000000000000000000000000000000010000\
     0074ffffff0000000000000000";
-/// A replica ended under a run of 100 ms that began knowing of one end.
+/// A replica ended under a run of 100 ms that began when one end was known.
 const REPLICA_ENDED: &str = "0304eff384cb64b2af99ebd5d54eddacc7010000006400000005000000692d32ffffffffffdcffffff01000\
     0000000000000000000000000000000000000000000000000000000000000000000000000000000000000000\
     000";
-/// The same request is no longer suspected.
+/// The same request is cleared.
 const CLEARED: &str = "0304eff384cb64b2af99ebd5d54eddacc706000000ecffffff0100000000000000000000000000000000000\
     000000000000000000000000000000000000000000000000000000000000000000000000000";
-/// The same requests, and an evacuated zone, as the fifth layout stored them.
+/// The same requests and an evacuated zone in the fifth layout.
 const LATER_SUSPICIONS: &str = "0504eff384cb64b2af99ebd5d54eddacc703000000692d32ffffffffff64000000030000000000000099f25a\
     3acaddd695562a567d75a8df5f01000000692d33ffffffffff6810000004000000000000007affffffffffff\
     ff01000000000000000500000000000000000000000000000000000000000000000000000000000000000000\
@@ -58,7 +58,7 @@
     0060ffffff00000000";
 
 #[test]
-fn a_configuration_without_homes_is_read() {
+fn a_configuration_without_home_regions_is_read() {
     let read = RegistryCommand::from_stored(&hex_bytes(CONFIGURATION)).expect("it is read");
     let RegistryCommand::PutConfiguration { table, declared } = read else {
         panic!("it is a configuration: {read:?}");
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_replica_without_starts_is_read() {
+fn a_replica_without_an_incarnation_is_read() {
     let read = RegistryCommand::from_stored(&hex_bytes(REPLICA)).expect("it is read");
     let RegistryCommand::Replica(change) = read else {
         panic!("it is a replica: {read:?}");
@@ -88,7 +88,7 @@
     let snapshot = WholeSnapshot::new(hex_bytes(SNAPSHOT));
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     assert_eq!(restored.table().map(|table| table.version), Some(7));
-    let replica = restored.replica("i-7").expect("it is held");
+    let replica = restored.replica("i-7").expect("it is recorded");
     assert_eq!(
         (replica.reported.slots, replica.reported.incarnation),
         (6, 0)
@@ -100,21 +100,21 @@
 #[rstest]
 #[case::fourth(SUSPICIONS, 0)]
 #[case::fifth(LATER_SUSPICIONS, 1)]
-fn what_is_suspected_stays_so(#[case] stored: &str, #[case] evacuated: usize) {
+fn suspicions_are_read(#[case] stored: &str, #[case] evacuated: usize) {
     let snapshot = WholeSnapshot::new(hex_bytes(stored));
     let restored = Registry::from_snapshot(store_snapshot(snapshot)).expect("it is read");
     let suspicions = restored.suspicions();
-    let mut held: Vec<_> = suspicions
+    let mut open: Vec<_> = suspicions
         .open()
-        .map(|held| (held.ends(), held.is_refused()))
+        .map(|record| (record.ends(), record.is_refused()))
         .collect();
-    held.sort_unstable();
-    assert_eq!(held, [(1, false), (3, true)]);
+    open.sort_unstable();
+    assert_eq!(open, [(1, false), (3, true)]);
     assert_eq!(restored.evacuations().zones().count(), evacuated);
 }
 
 #[test]
-fn ends_of_replicas_under_requests_are_read() {
+fn reported_ends_of_replicas_are_read() {
     let read = RegistryCommand::from_stored(&hex_bytes(REPLICA_ENDED)).expect("it is read");
     let RegistryCommand::ReplicaEnded { replica, runs } = read else {
         panic!("a replica ended: {read:?}");
--- a/crates/registry/tests/all/gateways.rs
+++ b/crates/registry/tests/all/gateways.rs
@@ -1,4 +1,4 @@
-//! Which gateways exist is kept with the registry, and is no news for nodes.
+//! The registry stores the known gateways, and updates to nodes don't contain them.
 
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::{LogIndex, MachineId};
@@ -7,7 +7,7 @@
 
 use crate::support::{Applied, store_snapshot};
 
-/// Who joins, and who leaves.
+/// The gateways that join, and those that leave.
 type Change = (Vec<u32>, Vec<u32>);
 
 fn machines(numbers: &[u32]) -> Vec<MachineId> {
@@ -21,14 +21,17 @@
     }
 }
 
-/// Who joined and left, in order, and who is known at the end.
+/// Changes in order, and the gateways that are known after them.
 #[rstest]
 #[case::they_join(vec![(vec![2, 1], vec![])], &[1, 2])]
 #[case::one_leaves(vec![(vec![1, 2, 3], vec![]), (vec![], vec![2])], &[1, 3])]
-#[case::one_that_is_not_known_leaves(vec![(vec![1], vec![]), (vec![], vec![7])], &[1])]
+#[case::an_unknown_one_leaves(vec![(vec![1], vec![]), (vec![], vec![7])], &[1])]
 #[case::one_comes_back(vec![(vec![1], vec![]), (vec![], vec![1]), (vec![1], vec![])], &[1])]
 #[case::one_in_place_of_another(vec![(vec![1], vec![]), (vec![2], vec![1])], &[2])]
-fn the_set_follows_those_that_join_and_leave(#[case] changes: Vec<Change>, #[case] known: &[u32]) {
+fn gateways_that_join_and_leave_change_the_set(
+    #[case] changes: Vec<Change>,
+    #[case] known: &[u32],
+) {
     let mut applied = Applied::default();
     for (joined, left) in changes {
         applied.apply(&changed(&joined, &left));
@@ -38,7 +41,7 @@
 }
 
 #[test]
-fn one_that_is_known_keeps_the_entry_that_noted_it() {
+fn a_known_gateway_keeps_the_entry_that_recorded_it() {
     let mut applied = Applied::default();
     applied.apply(&changed(&[1], &[]));
     applied.apply(&changed(&[1, 2], &[]));
@@ -48,7 +51,7 @@
 }
 
 #[test]
-fn a_snapshot_keeps_them() {
+fn a_snapshot_contains_the_gateways() {
     let mut applied = Applied::default();
     applied.apply(&changed(&[5, 6], &[]));
     let snapshot = applied.registry.begin_snapshot().expect("it begins");
@@ -57,7 +60,7 @@
 }
 
 #[test]
-fn nodes_are_not_told_of_them_by_updates() {
+fn updates_do_not_contain_the_gateways() {
     let mut applied = Applied::default();
     applied.put(7, "routes");
     let before = applied.registry.changed_at();
--- a/crates/registry/tests/all/homes.rs
+++ b/crates/registry/tests/all/homes.rs
@@ -1,4 +1,4 @@
-//! Which zones are homes of a route and a tenant.
+//! The zones in the home regions of a route and a tenant.
 
 use linnethitch_registry::ZoneMap;
 use rstest::rstest;
@@ -24,7 +24,7 @@
 #[case::unknown_region(&["north"], &[], Some(&[][..]))]
 #[case::every_region(&["east", "west", "south"], &[], None)]
 #[case::every_region_and_one(&["east", "west", "south"], &["west"], Some(&["c"][..]))]
-fn both_lists_bind(
+fn both_lists_restrict_the_zones(
     #[case] route: &[&str],
     #[case] tenant: &[&str],
     #[case] expected: Option<&[&str]>,
@@ -35,18 +35,18 @@
 }
 
 #[test]
-fn a_list_binds_where_no_zone_is_known() {
+fn a_list_is_a_restriction_if_no_zone_is_known() {
     let homes = ZoneMap::default().home_zones(&[&owned(&["east"])]);
     assert_eq!(homes, Some(std::collections::BTreeSet::new()));
 }
 
-/// Homes of two routes of a host, of which the second may be of another one.
+/// Home regions of two routes; the second route may be of another host.
 #[rstest]
 #[case::of_neither(&[], &[], true, None)]
 #[case::of_one(&["west"], &[], true, Some(&["c"][..]))]
 #[case::of_both(&["west", "east"], &["east"], true, Some(&["a", "b"][..]))]
 #[case::of_another_host(&[], &["east"], false, None)]
-fn homes_of_a_host_are_those_of_its_routes(
+fn home_zones_of_a_host_are_common_to_its_routes(
     #[case] first: &[&str],
     #[case] second: &[&str],
     #[case] is_same_host: bool,
--- a/crates/registry/tests/all/many_replicas.rs
+++ b/crates/registry/tests/all/many_replicas.rs
@@ -1,4 +1,4 @@
-//! What a change costs, and what becomes of replicas that are gone, however many there are.
+//! The cost of a change, and the deletion of ended replicas, with many replicas.
 
 use linnethitch_group::{SnapshotSource, StateMachine};
 use linnethitch_protocol::ids::LogIndex;
@@ -8,14 +8,14 @@
 
 use crate::support::{Applied, replica, store_snapshot};
 
-/// More than any number of gone replicas that is held by number.
+/// Replicas of a large release: more than any fixed limit on records of ended replicas.
 const RELEASED: usize = 5_000;
 
 fn id(number: usize) -> String {
     format!("i-{number}")
 }
 
-fn beat(number: usize, sequence: u64) -> RegistryCommand {
+fn heartbeat(number: usize, sequence: u64) -> RegistryCommand {
     let address = format!("10.{}.{}.1:80", number / 250, number % 250);
     let change = replica(&id(number), &address, ReplicaState::Ready, sequence);
     RegistryCommand::Replica(Box::new(change))
@@ -25,7 +25,7 @@
     let mut applied = Applied::default();
     applied.put(1, "document");
     (0..count).for_each(|number| {
-        applied.apply(&beat(number, 1));
+        applied.apply(&heartbeat(number, 1));
     });
     applied
 }
@@ -40,23 +40,24 @@
     view.live_replicas().count()
 }
 
-/// A late heartbeat of any replica of a release is known as such.
+/// A delayed heartbeat of any replica of a release has no effect.
 #[test]
-fn no_replica_of_a_large_release_comes_back() {
+fn no_replica_of_a_large_release_returns() {
     let mut applied = with_replicas(RELEASED);
     remove(&mut applied, 0..RELEASED);
     for number in 0..RELEASED {
-        applied.apply(&beat(number, 9));
+        applied.apply(&heartbeat(number, 9));
     }
     assert_eq!(applied.registry.live_replicas().count(), 0);
 }
 
-/// A node that was cut off meanwhile learns of each end, whether it is forgotten or not.
+/// A node that was isolated in the meantime learns of each end, whether its record is deleted
+/// or not.
 #[rstest]
-#[case::none_forgotten(0)]
-#[case::some_forgotten(RELEASED as u64 + 2_000)]
-#[case::all_forgotten(u64::MAX)]
-fn a_node_that_missed_a_large_release_learns_of_every_end(#[case] forget: u64) {
+#[case::none_deleted(0)]
+#[case::some_deleted(RELEASED as u64 + 2_000)]
+#[case::all_deleted(u64::MAX)]
+fn a_node_that_missed_a_large_release_learns_of_each_end(#[case] forget: u64) {
     let mut applied = with_replicas(RELEASED + 1);
     let mut view = FleetView::default();
     view.apply(applied.registry.update_since(LogIndex(0)));
@@ -69,10 +70,10 @@
     assert_eq!(view.up_to_index(), applied.registry.changed_at());
 }
 
-/// What an earlier member of control tells of replicas whose ends are forgotten here counts
-/// for nothing.
+/// An update of a lagging control member does not add replicas whose records are deleted
+/// here.
 #[test]
-fn an_older_update_brings_no_forgotten_replica_back() {
+fn an_older_update_does_not_add_a_replica_with_a_deleted_record() {
     let mut applied = with_replicas(10);
     let older = applied.registry.update_since(LogIndex(0));
     remove(&mut applied, 0..9);
@@ -80,17 +81,17 @@
     view.apply(applied.registry.update_since(LogIndex(0)));
     let up_to_index = applied.registry.changed_at();
     applied.apply(&RegistryCommand::ForgetEnded { up_to_index });
-    applied.apply(&beat(50, 1));
+    applied.apply(&heartbeat(50, 1));
     view.apply(applied.registry.update_since(view.up_to_index()));
     view.apply(older);
     assert_eq!(live(&view), 2);
 }
 
-/// Only nodes that lack forgotten ends are told everything.
+/// Only nodes that missed ends with deleted records get all replicas.
 #[rstest]
-#[case::in_touch(false, 1)]
-#[case::cut_off(true, 2)]
-fn few_are_told_everything(#[case] was_cut_off: bool, #[case] told: usize) {
+#[case::connected(false, 1)]
+#[case::isolated(true, 2)]
+fn only_nodes_that_missed_ends_get_all_replicas(#[case] was_isolated: bool, #[case] sent: usize) {
     let mut applied = with_replicas(3);
     let before = applied.registry.changed_at();
     remove(&mut applied, 0..2);
@@ -98,17 +99,17 @@
     applied.apply(&RegistryCommand::ForgetEnded {
         up_to_index: removed,
     });
-    applied.apply(&beat(50, 1));
-    let since = if was_cut_off { before } else { removed };
+    applied.apply(&heartbeat(50, 1));
+    let since = if was_isolated { before } else { removed };
     let update = applied.registry.update_since(since);
     assert_eq!(
         (update.replicas_complete, update.replicas.len()),
-        (was_cut_off, told)
+        (was_isolated, sent)
     );
 }
 
 #[test]
-fn a_snapshot_holds_what_is_forgotten() {
+fn a_snapshot_contains_the_index_of_deleted_records() {
     let mut applied = with_replicas(3);
     let before = applied.registry.changed_at();
     remove(&mut applied, 0..2);
@@ -122,7 +123,7 @@
     );
 }
 
-/// Bytes of a snapshot's pieces, so that a fake does not stand in for the real one.
+/// Size of a snapshot in bytes, measured on its pieces.
 fn snapshot_bytes(registry: &Registry) -> usize {
     let mut snapshot = registry.begin_snapshot().expect("a snapshot");
     let mut bytes = 0;
@@ -132,8 +133,8 @@
     bytes
 }
 
-/// What one change costs to tell and to take does not depend on how many replicas there are;
-/// what is held does, and no more than that.
+/// The cost to send and to apply one change does not depend on the number of replicas. The
+/// size of a snapshot is proportional to it.
 #[test]
 fn a_change_costs_the_same_among_twice_as_many_replicas() {
     let [once, twice] = [1_000, 2_000].map(|count| {
@@ -141,13 +142,13 @@
         let mut view = FleetView::default();
         view.apply(applied.registry.update_since(LogIndex(0)));
         let before = view.clone();
-        let held = applied.registry.clone();
-        applied.apply(&beat(7, 2));
+        let earlier = applied.registry.clone();
+        applied.apply(&heartbeat(7, 2));
         applied.apply(&RegistryCommand::RemoveReplica(id(8)));
         let update = applied.registry.update_since(view.up_to_index());
         view.apply(update.clone());
         let differences = view.differences(&before).count();
-        let changes = applied.registry.differences(&held).count();
+        let changes = applied.registry.differences(&earlier).count();
         let bytes = snapshot_bytes(&applied.registry);
         ((update.replicas.len(), differences, changes), bytes)
     });
@@ -157,11 +158,11 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    Beat(usize),
+    Heartbeat(usize),
     Remove(usize),
     Forget,
-    /// A view takes what a member tells that has applied this share of the log.
-    Tell {
+    /// A view applies an update from a member that is this number of steps behind.
+    Update {
         view: usize,
         behind: usize,
     },
@@ -169,26 +170,26 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        3 => (0..12_usize).prop_map(Step::Beat),
+        3 => (0..12_usize).prop_map(Step::Heartbeat),
         3 => (0..12_usize).prop_map(Step::Remove),
         1 => Just(Step::Forget),
-        4 => (0..3_usize, 0..8_usize).prop_map(|(view, behind)| Step::Tell { view, behind }),
+        4 => (0..3_usize, 0..8_usize).prop_map(|(view, behind)| Step::Update { view, behind }),
     ]
 }
 
 proptest! {
-    /// Members at any progress tell views in any order: no view holds a replica that had
-    /// ended by what the view knows, and one that was told last by the newest member holds
-    /// exactly those that there are.
+    /// Members at any progress send updates to views in any order: no view has a live replica
+    /// whose end is covered by the view's index, and a view that was updated last by the newest
+    /// member has exactly the live replicas.
     #[test]
-    fn no_dead_replica_returns(steps in proptest::collection::vec(step(), 1..120)) {
+    fn no_ended_replica_returns(steps in proptest::collection::vec(step(), 1..120)) {
         let mut applied = Applied::default();
         applied.put(1, "document");
         let mut members = vec![applied.registry.clone()];
         let mut views = vec![FleetView::default(); 3];
         for (at, step) in steps.into_iter().enumerate() {
             match step {
-                Step::Beat(number) => { applied.apply(&beat(number, at as u64 + 1)); }
+                Step::Heartbeat(number) => { applied.apply(&heartbeat(number, at as u64 + 1)); }
                 Step::Remove(number) => {
                     applied.apply(&RegistryCommand::RemoveReplica(id(number)));
                 }
@@ -196,9 +197,9 @@
                     let up_to_index = applied.registry.changed_at();
                     applied.apply(&RegistryCommand::ForgetEnded { up_to_index });
                 }
-                Step::Tell { view, behind } => {
+                Step::Update { view, behind } => {
                     let member = &members[members.len().saturating_sub(1 + behind)];
-                    tell(&mut views[view], member);
+                    update(&mut views[view], member);
                     check(&views[view], &applied.registry, behind == 0);
                 }
             }
@@ -207,7 +208,7 @@
     }
 }
 
-fn tell(view: &mut FleetView, member: &Registry) {
+fn update(view: &mut FleetView, member: &Registry) {
     let update: FleetUpdate = member.update_since(view.up_to_index().min(member.changed_at()));
     view.apply(update);
 }
@@ -215,14 +216,10 @@
 fn check(view: &FleetView, newest: &Registry, knows_newest: bool) {
     for record in view.live_replicas() {
         let now = newest.replica(&record.reported.id);
-        let is_over = now.is_none_or(|now| !now.reported.state.is_live());
-        let ended_unheard =
+        let is_ended = now.is_none_or(|now| !now.reported.state.is_live());
+        let ended_later =
             now.map_or(newest.changed_at(), |now| now.changed_at) > view.up_to_index();
-        assert!(
-            !is_over || ended_unheard,
-            "{} has ended",
-            record.reported.id
-        );
+        assert!(!is_ended || ended_later, "{} has ended", record.reported.id);
     }
     if knows_newest {
         assert_eq!(live(view), newest.live_replicas().count());
--- a/crates/registry/tests/all/narrow_link.rs
+++ b/crates/registry/tests/all/narrow_link.rs
@@ -1,5 +1,5 @@
-//! Changes of the configuration on their way to gateways of another region, through one
-//! narrow link that all of them share. Virtual time: bytes that wait for the link.
+//! Configuration changes that are sent to gateways of another region over one narrow link,
+//! which all of them share. Time is virtual, and bytes queue for the link.
 
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::{LogIndex, MachineId};
@@ -11,17 +11,18 @@
 
 use crate::support::{route, table};
 
-/// Bytes a millisecond between the regions each way: 60 Mbit/s.
+/// Bandwidth between the regions in each direction, in bytes per millisecond: 60 Mbit/s.
 const LINK_BYTES_PER_MS: usize = 7_500;
-/// One way between the regions, in milliseconds.
+/// One-way latency between the regions, in milliseconds.
 const FAR_MS: u64 = 12;
-/// Within a region, in milliseconds.
+/// One-way latency within a region, in milliseconds.
 const NEAR_MS: u64 = 1;
-/// How long each further member waits for a sign that the node knows, in milliseconds.
-const WITHHELD_MS: u64 = 300;
-/// A version must be obeyed so long after it was put in force, in milliseconds.
+/// Delay per rank before a member sends a change itself, in milliseconds, unless the node
+/// acknowledges the change earlier.
+const DELAY_PER_RANK_MS: u64 = 300;
+/// Maximum time until a version is applied everywhere, in milliseconds.
 const APPLIED_MS: u64 = 3_000;
-/// Share of the link that requests take, in hundredths.
+/// Percentage of the link's bandwidth that requests use.
 const TRAFFIC_SHARE: usize = 50;
 
 fn place(far: bool, zone: usize) -> Place {
@@ -36,26 +37,26 @@
     machine: MachineId,
     place: Place,
     view: FleetView,
-    /// What each member knows that it knows.
+    /// The index of the gateway that each member knows.
     known: Vec<LogIndex>,
-    /// What is on its way: when it arrives, from which member, told up to.
-    coming: Vec<(u64, linnethitch_registry::FleetUpdate)>,
-    /// Signs on their way back: when they arrive, at which member, up to.
-    signs: Vec<(u64, usize, LogIndex)>,
-    /// Since when a member withholds a change.
-    withheld_since: Vec<Option<u64>>,
+    /// Updates in transit, with their times of arrival.
+    updates: Vec<(u64, linnethitch_registry::FleetUpdate)>,
+    /// Acknowledgements in transit: time of arrival, member, index.
+    acknowledgements: Vec<(u64, usize, LogIndex)>,
+    /// Since when each member delays a change.
+    delayed_since: Vec<Option<u64>>,
 }
 
 struct Model {
     now_ms: u64,
     members: Vec<(MachineId, Place)>,
-    /// Members that say nothing.
+    /// Members that send nothing.
     silent: Vec<usize>,
     gateways: Vec<Gateway>,
     registry: Registry,
-    /// Bytes that wait for the link to the far region, and those that went.
-    waiting: usize,
-    crossed: usize,
+    /// Bytes queued for the link to the far region, and bytes sent to it in total.
+    queued_bytes: usize,
+    sent_bytes: usize,
 }
 
 impl Model {
@@ -68,9 +69,9 @@
             place: place(number % 2 == 1, number as usize / 2 % 3),
             view: FleetView::default(),
             known: vec![LogIndex(0); members.len()],
-            coming: Vec::new(),
-            signs: Vec::new(),
-            withheld_since: vec![None; members.len()],
+            updates: Vec::new(),
+            acknowledgements: Vec::new(),
+            delayed_since: vec![None; members.len()],
         });
         Model {
             now_ms: 0,
@@ -78,8 +79,8 @@
             members: (1..).map(MachineId).zip(members).collect(),
             silent: Vec::new(),
             registry: Registry::default(),
-            waiting: 0,
-            crossed: 0,
+            queued_bytes: 0,
+            sent_bytes: 0,
         }
     }
 
@@ -96,60 +97,63 @@
         self.registry.apply(index, &stored).expect("it applies");
         // The log crosses the link to the far members as well.
         let far = self.members.iter().filter(|(_, at)| at.region == "far");
-        self.waiting += far.count() * stored.len();
+        self.queued_bytes += far.count() * stored.len();
     }
 
-    fn tell(&mut self, gateway: usize, member: usize) {
-        let held = &mut self.gateways[gateway];
+    fn send(&mut self, gateway: usize, member: usize) {
+        let target = &mut self.gateways[gateway];
         let newest = self.registry.changed_at();
-        if held.known[member] >= newest || self.silent.contains(&member) {
-            held.withheld_since[member] = None;
+        if target.known[member] >= newest || self.silent.contains(&member) {
+            target.delayed_since[member] = None;
             return;
         }
         let (machine, at) = &self.members[member];
         let members = self.members.iter().map(|(machine, at)| (*machine, at));
-        let rank = notification_rank(held.machine, &held.place, *machine, members);
-        let since = *held.withheld_since[member].get_or_insert(self.now_ms);
-        if self.now_ms < since + WITHHELD_MS * rank as u64 {
+        let rank = notification_rank(target.machine, &target.place, *machine, members);
+        let since = *target.delayed_since[member].get_or_insert(self.now_ms);
+        if self.now_ms < since + DELAY_PER_RANK_MS * rank as u64 {
             return;
         }
-        let update = self.registry.update_since(held.known[member]);
+        let update = self.registry.update_since(target.known[member]);
         let bytes = rkyv::to_bytes::<rancor::Error>(&update).expect("it encodes");
-        held.known[member] = newest;
-        let crosses = at.region != held.place.region;
+        target.known[member] = newest;
+        let crosses = at.region != target.place.region;
         let mut arrives = self.now_ms + NEAR_MS;
-        if crosses && held.place.region == "far" {
-            self.waiting += bytes.len();
-            self.crossed += bytes.len();
+        if crosses && target.place.region == "far" {
+            self.queued_bytes += bytes.len();
+            self.sent_bytes += bytes.len();
             let free = LINK_BYTES_PER_MS * (100 - TRAFFIC_SHARE) / 100;
-            arrives += FAR_MS + (self.waiting / free) as u64;
+            arrives += FAR_MS + (self.queued_bytes / free) as u64;
         } else if crosses {
             arrives += FAR_MS;
         }
-        held.coming.push((arrives, update));
+        target.updates.push((arrives, update));
     }
 
-    fn arrive(&mut self, gateway: usize) {
+    fn deliver(&mut self, gateway: usize) {
         let now_ms = self.now_ms;
-        let held = &mut self.gateways[gateway];
-        let due = held.coming.extract_if(.., |(at, _)| *at <= now_ms);
+        let target = &mut self.gateways[gateway];
+        let due = target.updates.extract_if(.., |(at, _)| *at <= now_ms);
         for (_, update) in due {
-            held.view.apply(update);
+            target.view.apply(update);
             for (member, (_, at)) in self.members.iter().enumerate() {
-                let way = if at.region == held.place.region {
+                let way = if at.region == target.place.region {
                     NEAR_MS
                 } else {
                     FAR_MS
                 };
-                held.signs
-                    .push((now_ms + way, member, held.view.up_to_index()));
+                target
+                    .acknowledgements
+                    .push((now_ms + way, member, target.view.up_to_index()));
             }
         }
-        let due = held.signs.extract_if(.., |(at, _, _)| *at <= now_ms);
+        let due = target
+            .acknowledgements
+            .extract_if(.., |(at, _, _)| *at <= now_ms);
         for (_, member, up_to_index) in due {
-            if held.known[member] < up_to_index {
-                held.known[member] = up_to_index;
-                held.withheld_since[member] = None;
+            if target.known[member] < up_to_index {
+                target.known[member] = up_to_index;
+                target.delayed_since[member] = None;
             }
         }
     }
@@ -157,11 +161,11 @@
     fn step(&mut self) {
         self.now_ms += 1;
         let free = LINK_BYTES_PER_MS * (100 - TRAFFIC_SHARE) / 100;
-        self.waiting = self.waiting.saturating_sub(free);
+        self.queued_bytes = self.queued_bytes.saturating_sub(free);
         for gateway in 0..self.gateways.len() {
-            self.arrive(gateway);
+            self.deliver(gateway);
             for member in 0..self.members.len() {
-                self.tell(gateway, member);
+                self.send(gateway, member);
             }
         }
     }
@@ -172,8 +176,8 @@
         versions.min().unwrap_or(0)
     }
 
-    /// Steps until every gateway obeys a version; how long that took, in milliseconds.
-    fn until_obeyed(&mut self, version: u64) -> u64 {
+    /// Steps until every gateway applies a version; returns the time in milliseconds.
+    fn until_applied(&mut self, version: u64) -> u64 {
         let began = self.now_ms;
         while self.oldest_version() < version && self.now_ms < began + 20_000 {
             self.step();
@@ -195,26 +199,26 @@
         .collect()
 }
 
-/// 1,164 routes are added to 36, then five changes follow in a row, one each second.
+/// 1,164 routes are added to 36, then five changes follow, one per second.
 #[rstest]
-#[case::all_members_tell(&[], 0)]
+#[case::all_members_send(&[], 0)]
 #[case::a_far_member_is_frozen(&[3], 0)]
 #[case::the_far_members_are_cut_off_from_the_leader(&[3, 4], 20_000_000)]
-fn every_gateway_obeys_a_version_in_time_through_a_narrow_link(
+fn every_gateway_applies_a_version_in_time_over_a_narrow_link(
     #[case] silent: &[usize],
-    #[case] most_crossed_bytes: usize,
+    #[case] max_sent_bytes: usize,
 ) {
     let mut model = Model::new(3, 2);
     model.put(1, routes(36));
-    model.until_obeyed(1);
+    model.until_applied(1);
     model.silent = silent.to_vec();
     model.put(2, routes(1_200));
-    let mut taken = vec![model.until_obeyed(2)];
+    let mut taken = vec![model.until_applied(2)];
     for version in 3..=7 {
         let mut changed = routes(1_200);
         changed[version as usize].target_ms += version;
         model.put(version, changed);
-        taken.push(model.until_obeyed(version));
+        taken.push(model.until_applied(version));
         let next = model.now_ms + 1_000_u64.saturating_sub(*taken.last().expect("one"));
         while model.now_ms < next {
             model.step();
@@ -222,17 +226,17 @@
     }
     assert!(taken.iter().all(|taken| *taken <= APPLIED_MS), "{taken:?}");
     assert!(
-        model.crossed <= most_crossed_bytes,
+        model.sent_bytes <= max_sent_bytes,
         "{} bytes",
-        model.crossed
+        model.sent_bytes
     );
 }
 
-/// While a member of its region tells it, a gateway is told by no other one.
+/// A gateway gets updates from no other member while a member of its region sends them.
 #[test]
-fn a_change_crosses_the_link_for_no_gateway() {
+fn no_update_for_a_gateway_crosses_the_link() {
     let mut model = Model::new(3, 2);
     model.put(1, routes(36));
-    model.until_obeyed(1);
-    assert_eq!(model.crossed, 0);
+    model.until_applied(1);
+    assert_eq!(model.sent_bytes, 0);
 }
--- a/crates/registry/tests/all/registry.rs
+++ b/crates/registry/tests/all/registry.rs
@@ -12,7 +12,7 @@
 #[case::higher(8, 8, "new")]
 #[case::equal_with_other_content(7, 7, "old")]
 #[case::lower(3, 7, "old")]
-fn the_highest_version_is_held(#[case] sent: u64, #[case] held: u64, #[case] document: &str) {
+fn the_highest_version_is_in_force(#[case] sent: u64, #[case] held: u64, #[case] document: &str) {
     let mut applied = Applied::default();
     applied.put(7, "old");
     assert_eq!(
@@ -22,17 +22,17 @@
     assert_eq!(applied.registry.document().as_slice(), document.as_bytes());
 }
 
-/// What a replica says, in the order of arrival, and what is held at the end.
+/// Reports of a replica in order of arrival, and its state after them.
 #[rstest]
 #[case::drains(&[(ReplicaState::Ready, 1), (ReplicaState::Draining, 2)], ReplicaState::Draining)]
 #[case::late_heartbeat(&[(ReplicaState::Ready, 1), (ReplicaState::Draining, 3), (ReplicaState::Ready, 2)], ReplicaState::Draining)]
 #[case::resent(&[(ReplicaState::Ready, 1), (ReplicaState::Ready, 1)], ReplicaState::Ready)]
 fn a_late_heartbeat_changes_nothing(
-    #[case] said: &[(ReplicaState, u64)],
+    #[case] reported: &[(ReplicaState, u64)],
     #[case] held: ReplicaState,
 ) {
     let mut applied = Applied::default();
-    for (state, sequence) in said {
+    for (state, sequence) in reported {
         let change = replica("i-1", "10.0.0.1:80", *state, *sequence);
         applied.apply(&RegistryCommand::Replica(Box::new(change)));
     }
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_replica_that_ended_does_not_come_back() {
+fn an_ended_replica_does_not_return() {
     let mut applied = Applied::default();
     let change = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, 1);
     applied.apply(&RegistryCommand::Replica(Box::new(change)));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_end_that_comes_before_the_first_heartbeat_counts() {
+fn an_end_before_the_first_heartbeat_counts() {
     let mut applied = Applied::default();
     applied.apply(&RegistryCommand::RemoveReplica("i-1".to_owned()));
     let late = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, 1);
@@ -60,18 +60,18 @@
 }
 
 #[test]
-fn another_incarnation_at_the_address_takes_the_place_of_the_earlier_one() {
+fn another_incarnation_at_the_address_displaces_the_earlier_one() {
     let mut applied = displaced(ReplicaState::Ready);
     assert_eq!(applied.state_of("i-1"), Some(ReplicaState::Displaced));
     assert_eq!(applied.state_of("i-2"), Some(ReplicaState::Ready));
     assert_eq!(applied.registry.live_replicas().count(), 1);
-    // A heartbeat of the earlier one that was delayed changes nothing.
+    // A delayed heartbeat of the earlier incarnation changes nothing.
     let late = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, 9);
     applied.apply(&RegistryCommand::Replica(Box::new(late)));
     assert_eq!(applied.state_of("i-1"), Some(ReplicaState::Displaced));
 }
 
-/// i-1 in a state, and i-2 that has registered at its address after it.
+/// i-1 in a state, and i-2, which registers at the address of i-1 after it.
 fn displaced(first: ReplicaState) -> Applied {
     let mut applied = Applied::default();
     for (id, state) in [("i-1", first), ("i-2", ReplicaState::Ready)] {
@@ -81,34 +81,34 @@
     applied
 }
 
-/// The heartbeat of the other one had come late: it is not at the address. A replica
-/// that leaves, or left meanwhile, is given nothing again.
+/// The heartbeat of the other replica was delayed, and it is not at the address. A replica
+/// that drains, or drained in the meantime, gets no work again.
 #[rstest]
 #[case::ready(ReplicaState::Ready, None, ReplicaState::Ready)]
 #[case::draining(ReplicaState::Draining, None, ReplicaState::Ended)]
 #[case::drains_meanwhile(ReplicaState::Ready, Some(ReplicaState::Draining), ReplicaState::Ended)]
-#[case::says_it_is_there(ReplicaState::Ready, Some(ReplicaState::Ready), ReplicaState::Ready)]
-fn a_displaced_replica_comes_back_if_the_other_one_is_not_there(
+#[case::reports_ready(ReplicaState::Ready, Some(ReplicaState::Ready), ReplicaState::Ready)]
+fn a_displaced_replica_returns_if_the_other_one_is_not_at_the_address(
     #[case] first: ReplicaState,
-    #[case] says: Option<ReplicaState>,
+    #[case] reports: Option<ReplicaState>,
     #[case] after: ReplicaState,
 ) {
     let mut applied = displaced(first);
-    if let Some(state) = says {
+    if let Some(state) = reports {
         let change = replica("i-1", "10.0.0.1:80", state, 2);
         applied.apply(&RegistryCommand::Replica(Box::new(change)));
     }
     applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
     assert_eq!(applied.state_of("i-1"), Some(after));
     assert_eq!(applied.state_of("i-2"), Some(ReplicaState::Ended));
-    // Told once more, by another gateway, it changes nothing.
+    // The same report from another gateway changes nothing.
     let before = applied.registry.changed_at();
     applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
     assert_eq!(applied.registry.changed_at(), before);
 }
 
 #[test]
-fn a_displaced_replica_that_ends_does_not_come_back() {
+fn a_displaced_replica_that_ends_does_not_return() {
     let mut applied = displaced(ReplicaState::Ready);
     applied.apply(&RegistryCommand::RemoveReplica("i-1".to_owned()));
     applied.apply(&RegistryCommand::NotAtAddress("i-2".to_owned()));
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_everything() {
+fn a_snapshot_contains_the_complete_state() {
     let mut applied = Applied::default();
     applied.put(7, "document");
     let change = replica("i-1", "10.0.0.1:80", ReplicaState::Draining, 4);
@@ -139,7 +139,7 @@
     assert!(registry.apply(Default::default(), bytes).is_err());
 }
 
-/// Commands as the first layout stores them. A change of these bytes needs a new layout.
+/// Commands in the first layout. A change of these bytes requires a new layout.
 #[rstest]
 #[case::remove(RegistryCommand::RemoveReplica("i-7".to_owned()), "0102000000692d37ffffffffff00000000000000000000000000000000000000000000000000000000000000\
      000000000000000000000000000000000000000000")]
@@ -155,8 +155,7 @@
     assert_eq!(read, command);
 }
 
-/// A route table as the first layout stores it: its routes have no bound of
-/// queued tokens.
+/// A route table in the first layout: its routes have no limit on queued tokens.
 #[test]
 fn the_first_route_tables_stay_readable() {
     let stored = "0173ffffffffffffff040000000000000072ffffffffffffff68ffffffffffffff2f612fffffffffff030000\
@@ -182,7 +181,7 @@
     assert_eq!(read, written);
 }
 
-/// A route table as the second layout stores it: no route is public, no tenants are listed.
+/// A route table in the second layout: no route is public, no tenants are listed.
 #[test]
 fn the_second_route_tables_stay_readable() {
     let stored = "026465736b2e6578616d706c657261746573ffffff0100000061ffffffffffffff8c000000e0ffffff2f612f\
@@ -205,7 +204,7 @@
     assert!(!route.public);
 }
 
-/// A snapshot as the third layout stores it, without tenants.
+/// A snapshot in the third layout, without tenants.
 #[test]
 fn the_third_snapshots_stay_readable() {
     let stored = "036465736b2e6578616d706c657261746573ffffff0100000061ffffffffffffff8c000000e0ffffff2f612f\
@@ -224,7 +223,7 @@
 }
 
 #[test]
-fn a_command_of_another_layout_is_refused_not_taken_for_damage() {
+fn a_command_of_another_layout_is_refused_and_not_reported_as_damaged() {
     let command = RegistryCommand::RemoveReplica("i-7".to_owned());
     let mut bytes = command.to_stored().expect("it is encoded");
     bytes[0] = 8;
--- a/crates/registry/tests/all/routes.rs
+++ b/crates/registry/tests/all/routes.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes, and which tables are refused.
+//! The route of a request, and the validation of route tables.
 
 use linnethitch_registry::{Backend, Route, RouteTableError};
 use rstest::rstest;
@@ -13,7 +13,7 @@
 #[case::without_the_slash("desk.example", "/a", None)]
 #[case::another_host("other.example", "/a/x", None)]
 #[case::another_path("desk.example", "/c/", None)]
-fn the_longest_prefix_of_the_host_is_taken(
+fn the_longest_matching_prefix_of_the_host_is_chosen(
     #[case] host: &str,
     #[case] path: &str,
     #[case] name: Option<&str>,
@@ -42,7 +42,7 @@
     with(|r| r.backends[0].service = "none".to_owned()),
     RouteTableError::UnknownService { route: "bad".to_owned(), service: "none".to_owned() }
 )]
-#[case::same_place(with(|r| r.path_prefix = "/a/".to_owned()), bad(|route| RouteTableError::SameHostAndPrefix { route }))]
+#[case::same_host_and_prefix(with(|r| r.path_prefix = "/a/".to_owned()), bad(|route| RouteTableError::SameHostAndPrefix { route }))]
 #[case::no_weight(with(|r| r.backends[0].weight = 0), bad(|route| RouteTableError::NoWeight { route }))]
 #[case::no_back_end(with(|r| r.backends.clear()), bad(|route| RouteTableError::NoWeight { route }))]
 #[case::no_timeout(with(|r| r.timeout_ms = 0), bad(|route| RouteTableError::NoTimeout { route }))]
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_split_table_is_valid() {
+fn a_route_with_two_back_ends_is_valid() {
     let mut split = route("split", "/s/", "rates");
     split.backends.push(Backend {
         service: "rates".to_owned(),
--- a/crates/registry/tests/all/store_members.rs
+++ b/crates/registry/tests/all/store_members.rs
@@ -1,4 +1,4 @@
-//! Where the first members of the job store are.
+//! The choice of the first members of the job store.
 
 use std::collections::BTreeMap;
 
@@ -6,10 +6,10 @@
 use linnethitch_registry::{Place, first_store_members};
 use rstest::rstest;
 
-/// Voters of a store that outlives two machines.
-const MOST: usize = 5;
+/// Voters of a store that survives the loss of two machines.
+const VOTERS: usize = 5;
 
-/// Disks by zone, the machines of each in a row.
+/// Disks by zone, with consecutive machine numbers in each zone.
 fn forming(zones: &[(&str, &str, u32)]) -> Vec<(MemberId, Place)> {
     let mut disks = Vec::new();
     for (region, zone, count) in zones {
@@ -29,11 +29,11 @@
     disks
 }
 
-/// Members of each zone, the largest number first.
+/// Number of members in each zone, in descending order.
 fn members(zones: &[(&str, &str, u32)]) -> Vec<(String, usize)> {
     let disks = forming(zones);
     let mut counts: BTreeMap<String, usize> = BTreeMap::new();
-    for member in first_store_members(&disks, MOST) {
+    for member in first_store_members(&disks, VOTERS) {
         let (_, place) = &disks[member.machine.0 as usize];
         *counts.entry(place.zone.clone()).or_default() += 1;
     }
--- a/crates/registry/tests/all/support.rs
+++ b/crates/registry/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Tables, replicas and commands for tests.
+//! Route tables, replicas and commands for the tests.
 
 use std::sync::Arc;
 
@@ -89,7 +89,7 @@
     }
 }
 
-/// A registry that counts its log.
+/// A registry with the index of its last log entry.
 #[derive(Default)]
 pub(crate) struct Applied {
     pub(crate) registry: Registry,
@@ -131,7 +131,7 @@
     }
 }
 
-/// The bytes that hexadecimal digits name.
+/// The bytes of a hexadecimal text.
 pub(crate) fn hex_bytes(text: &str) -> Vec<u8> {
     let pairs = text.as_bytes().chunks(2);
     let digits = pairs.map(|pair| std::str::from_utf8(pair).expect("ASCII"));
--- a/crates/registry/tests/all/table_updates.rs
+++ b/crates/registry/tests/all/table_updates.rs
@@ -1,5 +1,5 @@
-//! Tables told as changes: a node's configuration is one that control put in force, as a
-//! whole, whatever members tell it and in whatever order.
+//! Incremental table updates: a node's configuration is always a complete one that control
+//! put in force, for any updates in any order.
 
 use std::collections::BTreeMap;
 
@@ -14,7 +14,7 @@
 
 use crate::support::{replica, route, store_snapshot, table};
 
-/// Numbers that look random, the same for each seed.
+/// Pseudo-random numbers, reproducible by seed.
 struct Numbers(u64);
 
 impl Numbers {
@@ -52,20 +52,20 @@
         route.target_ms += numbers.below(2) as u64;
         routes.push(route);
     }
-    let mut made = table(version, routes);
-    made.services.push(made.services[0].clone());
-    made.services[1].name = format!("s-{}", numbers.below(3));
-    made.limits.idle_ms += numbers.below(2) as u64;
-    // Operators list them in any order.
-    let turned = numbers.below(3).min(made.routes.len());
-    made.routes.rotate_left(turned);
-    made
+    let mut generated = table(version, routes);
+    generated.services.push(generated.services[0].clone());
+    generated.services[1].name = format!("s-{}", numbers.below(3));
+    generated.limits.idle_ms += numbers.below(2) as u64;
+    // Operators list routes in any order.
+    let turned = numbers.below(3).min(generated.routes.len());
+    generated.routes.rotate_left(turned);
+    generated
 }
 
 fn some_command(version: u64, numbers: &mut Numbers) -> RegistryCommand {
     if numbers.is(3) {
-        let told = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, version);
-        return RegistryCommand::Replica(Box::new(told));
+        let change = replica("i-1", "10.0.0.1:80", ReplicaState::Ready, version);
+        return RegistryCommand::Replica(Box::new(change));
     }
     let mut tenants = Vec::new();
     for number in 0..4 {
@@ -88,10 +88,10 @@
     held.map(|tenant| tenant.as_ref().clone()).collect()
 }
 
-/// Control members that applied more and more of one log.
+/// Control members at increasing progress in one log.
 struct Log {
     members: Vec<Registry>,
-    /// What each version is.
+    /// The configuration of each version.
     in_force: BTreeMap<u64, (RouteTable, Vec<Tenant>)>,
 }
 
@@ -134,22 +134,22 @@
     }
 }
 
-/// Members at any progress tell a node what changed since entries that it may or may not
-/// know; what they tell arrives late, twice, in any order or not at all.
+/// Members at any progress send a node the changes since entries that it may or may not
+/// know. Updates arrive late, twice, in any order or not at all.
 #[rstest]
-fn a_node_has_one_of_controls_configurations_whatever_it_is_told(
+fn a_node_always_has_one_of_controls_configurations(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
     let mut numbers = Numbers(seed);
     let log = Log::new(60, &mut numbers);
     let mut view = FleetView::default();
-    let mut on_the_way: Vec<FleetUpdate> = Vec::new();
+    let mut in_transit: Vec<FleetUpdate> = Vec::new();
     let mut newest = 0;
     for step in 0..600 {
         let member = &log.members[numbers.below(1 + step / 10)];
         let known = view.up_to_index().0 + numbers.below(4) as u64 * numbers.below(2) as u64;
-        on_the_way.push(member.update_since(LogIndex(known)));
-        let update = on_the_way[numbers.below(on_the_way.len())].clone();
+        in_transit.push(member.update_since(LogIndex(known)));
+        let update = in_transit[numbers.below(in_transit.len())].clone();
         view.apply(update);
         log.check(&view);
         let version = view.table().map_or(0, |table| table.version);
@@ -164,10 +164,10 @@
     log.check(&view);
 }
 
-/// Another group took the place of the one that told before, and its log has other
-/// configurations at the same entries.
+/// Another control group replaces the earlier one, and its log has other configurations at
+/// the same indexes.
 #[test]
-fn a_change_of_another_log_is_not_taken_until_all_is_told() {
+fn a_change_of_another_log_is_not_applied_until_a_complete_update() {
     let mut numbers = Numbers(7);
     let (first, other) = (Log::new(9, &mut numbers), Log::new(20, &mut numbers));
     let newest = other.members.last().expect("there are members");
@@ -200,9 +200,9 @@
     }
 }
 
-/// One route among 1,200 costs a node one route's bytes.
+/// The update for a change of one route among 1,200 has the size of one route.
 #[test]
-fn a_change_of_one_route_tells_that_route_only() {
+fn a_change_of_one_route_sends_only_that_route() {
     const ONE_ROUTE_BYTES: usize = 1_000;
     let mut registry = Registry::default();
     for version in 1..=2 {
@@ -218,10 +218,10 @@
     assert!(bytes.len() < ONE_ROUTE_BYTES, "{} bytes", bytes.len());
 }
 
-/// A whole table needs nothing that was held; its digest may be of a build that encodes
-/// tables differently.
+/// A complete table needs no base, and its digest may be from a build that encodes tables
+/// differently.
 #[test]
-fn a_whole_table_is_taken_whatever_its_digest() {
+fn a_complete_table_is_applied_with_any_digest() {
     let mut numbers = Numbers(3);
     let log = Log::new(4, &mut numbers);
     let newest = log.members.last().expect("there are members");
--- a/crates/registry/tests/all/tenants.rs
+++ b/crates/registry/tests/all/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants of the configuration in force, as control keeps and tells them.
+//! Tenants of the configuration in force, as control stores them and sends them to nodes.
 
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::LogIndex;
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_key_goes_with_the_version_that_drops_it() {
+fn a_key_is_removed_with_the_version_that_drops_it() {
     let mut applied = Applied::default();
     applied.put_tenants(
         1,
@@ -40,8 +40,8 @@
         Some(vec![tenant("a", "new"), tenant("b", "other")]),
     );
     let update = applied.registry.update_since(known);
-    let told = update.tenants.as_ref().map(|tenants| tenants.changed.len());
-    assert_eq!(told, Some(1));
+    let sent = update.tenants.as_ref().map(|tenants| tenants.changed.len());
+    assert_eq!(sent, Some(1));
     view.apply(update);
     assert_eq!(holder(&view, "old"), None);
     assert_eq!(holder(&view, "new").as_deref(), Some("a"));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_the_tenants() {
+fn a_snapshot_contains_the_tenants() {
     let mut applied = Applied::default();
     applied.put_tenants(1, "one", Some(vec![tenant("a", "key")]));
     let snapshot = applied.registry.begin_snapshot().expect("a snapshot");
@@ -74,7 +74,7 @@
 }
 
 #[test]
-fn a_shared_key_is_told_by_the_tenants_names() {
+fn a_shared_key_is_reported_by_the_tenants_names() {
     let configuration = Configuration {
         table: table(1, Vec::new()),
         tenants: Some(vec![tenant("a", "one key"), tenant("b", "one key")]),
--- a/crates/registry/tests/all/view.rs
+++ b/crates/registry/tests/all/view.rs
@@ -1,4 +1,5 @@
-//! A node's view takes updates of any member in any order and never steps back.
+//! A node's view applies updates from any member in any order and never returns to an older
+//! state.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_registry::{FleetUpdate, FleetView, RegistryCommand, ReplicaState};
@@ -6,7 +7,7 @@
 
 use crate::support::{Applied, replica};
 
-/// Updates as members at different progress would send them.
+/// Updates from members at different progress.
 fn updates() -> Vec<FleetUpdate> {
     let mut applied = Applied::default();
     let mut updates = Vec::new();
@@ -23,7 +24,7 @@
 }
 
 #[rstest]
-fn every_order_ends_the_same(
+fn the_final_state_does_not_depend_on_the_order(
     #[values([0, 1, 2], [0, 2, 1], [1, 0, 2], [1, 2, 0], [2, 0, 1], [2, 1, 0])] order: [usize; 3],
 ) {
     let updates = updates();
@@ -41,7 +42,7 @@
 }
 
 #[test]
-fn an_update_that_says_nothing_new_is_no_change() {
+fn an_update_without_changes_is_reported_as_such() {
     let updates = updates();
     let mut view = FleetView::default();
     assert!(view.apply(updates[2].clone()));
