--- a/crates/tenants/src/directory.rs
+++ b/crates/tenants/src/directory.rs
@@ -1,4 +1,4 @@
-//! Whose a key is.
+//! The directory of tenants by key and by name.
 
 use std::{
     collections::{BTreeMap, HashMap},
@@ -10,51 +10,51 @@
 
 use crate::{key::KeyDigest, tenant::Tenant};
 
-/// Removals that are remembered, so that a node is told of them as changes; one that
-/// knows less is told the whole list.
-const KEPT_REMOVALS: usize = 4_096;
+/// Maximum number of recorded removals, which nodes get as changes; a node with an older list
+/// gets the complete one.
+const MAX_REMOVALS: usize = 4_096;
 
 /// A tenant that changed.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TenantChange {
     /// Its name.
     pub name: String,
-    /// What it is now; `None` where it is no longer listed.
+    /// The changed tenant; `None` if it is no longer listed.
     pub tenant: Option<Tenant>,
     /// The entry of control's log that changed it.
     pub changed_at: LogIndex,
 }
 
-/// What changed among the tenants after an entry.
+/// The changes of the tenants after an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TenantsUpdate {
-    /// Whether the configuration lists tenants at all: then requests need a key.
+    /// Whether the configuration has a list of tenants, so that requests need a key.
     pub are_listed: bool,
-    /// The entry that put the configuration in force; no change below is newer.
+    /// The entry that put the configuration in force; no change in `changed` is newer.
     pub listed_at: LogIndex,
-    /// These are all tenants; others are no longer listed.
+    /// Whether these are all tenants, so that others are removed.
     pub is_complete: bool,
-    /// The tenants.
+    /// The changed tenants.
     pub changed: Vec<TenantChange>,
 }
 
-/// The tenants of a configuration. Keeping it costs what changes: one key of one tenant
-/// among 45,000 is one record to send and two entries to change.
+/// The tenants of a configuration. The cost of an update is proportional to the change: for
+/// one key of one tenant among 45,000, one record is sent and two entries change.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDirectory {
     are_listed: bool,
-    /// The entry of the configuration.
+    /// The entry that put the configuration in force.
     listed_at: LogIndex,
     tenants: BTreeMap<String, (Arc<Tenant>, LogIndex)>,
     holders: HashMap<KeyDigest, Arc<Tenant>>,
-    /// Tenants that are no longer listed.
+    /// Removed tenants, with the entry that removed them.
     removed: BTreeMap<String, LogIndex>,
-    /// The newest removal that is no longer remembered.
-    forgotten: LogIndex,
+    /// The newest removal that is no longer recorded.
+    dropped_up_to: LogIndex,
 }
 
 impl TenantDirectory {
-    /// The directory of a configuration that lists these tenants, or none.
+    /// The directory of a configuration with these tenants, or without a list of tenants.
     #[must_use]
     pub fn new(tenants: Option<Vec<Tenant>>) -> Self {
         let mut directory = TenantDirectory::default();
@@ -62,13 +62,13 @@
         directory
     }
 
-    /// Whether the configuration lists tenants at all: then requests need a key.
+    /// Whether the configuration has a list of tenants, so that requests need a key.
     #[must_use]
     pub fn are_listed(&self) -> bool {
         self.are_listed
     }
 
-    /// The tenant that holds a key.
+    /// The tenant of a key.
     #[must_use]
     pub fn holder(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         self.holders.get(key)
@@ -97,7 +97,7 @@
         self.tenants.is_empty()
     }
 
-    /// Takes the list of a newer configuration, by an entry of the log.
+    /// Replaces the list by the one of a newer configuration, put in force by a log entry.
     pub fn replace(&mut self, list: Option<Vec<Tenant>>, index: LogIndex) {
         self.are_listed = list.is_some();
         self.listed_at = index;
@@ -105,17 +105,21 @@
         let listed: std::collections::BTreeSet<&str> =
             list.iter().map(|tenant| tenant.name.as_str()).collect();
         let names = self.tenants.keys();
-        let gone: Vec<String> = names
+        let unlisted: Vec<String> = names
             .filter(|name| !listed.contains(name.as_str()))
             .cloned()
             .collect();
-        for name in gone {
+        for name in unlisted {
             self.remove(&name, index);
         }
-        // A key may go from one tenant to another: first no changed one holds any.
+        // A key may move from one tenant to another, so all changed tenants lose their keys
+        // first.
         let changed: Vec<Tenant> = list
             .into_iter()
-            .filter(|tenant| self.get(&tenant.name).is_none_or(|held| **held != *tenant))
+            .filter(|tenant| {
+                self.get(&tenant.name)
+                    .is_none_or(|current| **current != *tenant)
+            })
             .collect();
         for tenant in &changed {
             self.drop_keys(&tenant.name);
@@ -123,13 +127,13 @@
         for tenant in changed {
             self.insert(tenant, index);
         }
-        self.forget_oldest_removals();
+        self.drop_oldest_removals();
     }
 
-    /// What changed after an entry; everything after entry 0.
+    /// The changes after an entry; the complete list for entry 0.
     #[must_use]
     pub fn update_since(&self, since: LogIndex) -> TenantsUpdate {
-        let is_complete = since <= self.forgotten;
+        let is_complete = since <= self.dropped_up_to;
         let since = if is_complete { LogIndex(0) } else { since };
         let present = self
             .tenants
@@ -155,8 +159,8 @@
         }
     }
 
-    /// Takes what control told. Updates may come in any order: an older one than is known
-    /// changes nothing, since it might bring back a key that was taken away.
+    /// Applies an update from control. Updates may arrive in any order: one that is older than
+    /// the current state changes nothing, because it could add a removed key again.
     pub fn apply(&mut self, update: TenantsUpdate) {
         if update.listed_at < self.listed_at {
             return;
@@ -168,7 +172,8 @@
             self.holders.clear();
             self.removed.clear();
         }
-        // A key may go from one tenant to another: first no changed one holds any.
+        // A key may move from one tenant to another, so all changed tenants lose their keys
+        // first.
         for change in &update.changed {
             self.drop_keys(&change.name);
             self.tenants.remove(&change.name);
@@ -180,17 +185,17 @@
         }
     }
 
-    /// The content for a snapshot.
+    /// The complete content, for a snapshot.
     #[must_use]
     pub fn to_update(&self) -> TenantsUpdate {
         self.update_since(LogIndex(0))
     }
 
-    /// The directory that a snapshot held. Removals before it are not remembered.
+    /// The directory from the content of a snapshot. Earlier removals are not recorded.
     #[must_use]
     pub fn from_update(update: TenantsUpdate) -> Self {
         let mut directory = TenantDirectory {
-            forgotten: update.listed_at,
+            dropped_up_to: update.listed_at,
             ..TenantDirectory::default()
         };
         directory.apply(update);
@@ -227,14 +232,14 @@
         }
     }
 
-    fn forget_oldest_removals(&mut self) {
-        while self.removed.len() > KEPT_REMOVALS {
+    fn drop_oldest_removals(&mut self) {
+        while self.removed.len() > MAX_REMOVALS {
             let oldest = self.removed.iter().min_by_key(|(_, at)| **at);
             let Some((name, at)) = oldest.map(|(name, at)| (name.clone(), *at)) else {
                 return;
             };
             self.removed.remove(&name);
-            self.forgotten = self.forgotten.max(at);
+            self.dropped_up_to = self.dropped_up_to.max(at);
         }
     }
 }
--- a/crates/tenants/src/lib.rs
+++ b/crates/tenants/src/lib.rs
@@ -1,8 +1,8 @@
-//! Tenants of a fleet: whose a key is, and what a tenant may use.
+//! Tenants of a fleet: the tenant of each key, and the limits of each tenant.
 //!
-//! Both callers' interfaces use this. Keys are kept as digests only, so that no
-//! process but control, which holds the operator's document, knows one. Nothing
-//! here reads a clock or a socket.
+//! The interfaces for callers use this crate. Keys are stored as digests only, so
+//! that no process except control, which stores the operator's document, has a key.
+//! The crate uses no clock and no socket.
 
 #![allow(
     missing_docs,
--- a/crates/tenants/src/tenant.rs
+++ b/crates/tenants/src/tenant.rs
@@ -1,4 +1,4 @@
-//! A tenant and what it may use.
+//! A tenant and its limits.
 
 use std::fmt;
 
@@ -6,64 +6,64 @@
 
 use crate::key::KeyDigest;
 
-/// Parts into which a request is divided in limits, since rates may be fractions.
-const PARTS: f64 = 1_000.0;
-/// Highest rate and burst: beyond any fleet, and far from where sums overflow.
-const HIGHEST: f64 = 1e9;
+/// Units per request in limits, which allow fractional rates.
+const UNITS_PER_REQUEST: f64 = 1_000.0;
+/// Maximum rate and burst: over the capacity of any fleet, and far below an overflow of sums.
+const MAX_LIMIT: f64 = 1e9;
 
-/// Requests that a tenant may make, counted over the whole fleet.
+/// The request rate of a tenant, counted over the complete fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct QuotaLimit {
-    /// Thousandths of a request a second.
+    /// The rate, in thousandths of a request per second.
     rate: u64,
-    /// Thousandths of a request on top of the rate.
+    /// The burst in addition to the rate, in thousandths of a request.
     burst: u64,
 }
 
-/// Why a limit is refused.
+/// Why a limit is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QuotaLimitError {
-    /// The rate is below 0, no number, or beyond 10^9 a second.
+    /// The rate is below 0, not a number, or over 10^9 per second.
     BadRate,
-    /// The burst is below 0, no number, or beyond 10^9.
+    /// The burst is below 0, not a number, or over 10^9.
     BadBurst,
-    /// There is a burst on top of no rate.
+    /// There is a burst without a rate.
     BurstWithoutRate,
 }
 
 impl QuotaLimit {
-    /// A limit of `rate` requests a second and `burst` on top; `None` where the rate is
-    /// 0, which is no limit.
+    /// A limit of `rate` requests per second with a burst of `burst` requests; `None` if the
+    /// rate is 0, which means no limit.
     ///
     /// # Errors
-    /// [`QuotaLimitError`] when the numbers are no limit.
+    /// [`QuotaLimitError`] for invalid numbers.
     pub fn new(rate: f64, burst: f64) -> Result<Option<Self>, QuotaLimitError> {
-        if !(0.0..=HIGHEST).contains(&rate) {
+        if !(0.0..=MAX_LIMIT).contains(&rate) {
             return Err(QuotaLimitError::BadRate);
         }
-        if !(0.0..=HIGHEST).contains(&burst) {
+        if !(0.0..=MAX_LIMIT).contains(&burst) {
             return Err(QuotaLimitError::BadBurst);
         }
         if rate == 0.0 && burst > 0.0 {
             return Err(QuotaLimitError::BurstWithoutRate);
         }
         let limit = QuotaLimit {
-            rate: (rate * PARTS).round() as u64,
-            burst: (burst * PARTS).round() as u64,
+            rate: (rate * UNITS_PER_REQUEST).round() as u64,
+            burst: (burst * UNITS_PER_REQUEST).round() as u64,
         };
         Ok((limit.rate > 0).then_some(limit))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     #[must_use]
     pub fn rate(&self) -> f64 {
-        self.rate as f64 / PARTS
+        self.rate as f64 / UNITS_PER_REQUEST
     }
 
-    /// Requests on top of the rate.
+    /// Requests in addition to the rate.
     #[must_use]
     pub fn burst(&self) -> f64 {
-        self.burst as f64 / PARTS
+        self.burst as f64 / UNITS_PER_REQUEST
     }
 }
 
@@ -86,10 +86,10 @@
     pub name: String,
     /// Digests of its keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, before that of the route; 0 is the highest.
+    /// Priority of its requests, which overrides the one of the route; 0 is the highest.
     pub rank: Option<u8>,
-    /// What it may use; `None` where there is no limit.
+    /// Its request rate; `None` if there is no limit.
     pub quota: Option<QuotaLimit>,
-    /// Regions in which its requests may be served, cached and stored; empty where any may.
+    /// Regions in which its requests may be served, cached and stored; empty if all may.
     pub homes: Vec<String>,
 }
--- a/crates/tenants/src/validate.rs
+++ b/crates/tenants/src/validate.rs
@@ -1,4 +1,4 @@
-//! What makes a list of tenants invalid.
+//! Validation of a list of tenants.
 
 use std::{
     collections::{BTreeSet, HashMap},
@@ -7,18 +7,19 @@
 
 use crate::tenant::Tenant;
 
-/// Why a list of tenants is refused; it names tenants and never a key.
+/// Why a list of tenants is rejected; errors contain names of tenants and never a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum TenantsError {
     /// A tenant has no name.
     NoName,
-    /// A tenant's name holds a character that no header can.
+    /// A tenant's name has a control character, or white space around it, and so cannot be
+    /// sent in a header.
     BadName(String),
-    /// Two tenants have one name.
-    SameName(String),
+    /// Two tenants have the same name.
+    DuplicateName(String),
     /// A tenant lists a key twice.
-    KeyTwice(String),
-    /// Two tenants have one key.
+    DuplicateKey(String),
+    /// Two tenants have the same key.
     SharedKey {
         /// The first tenant.
         first: String,
@@ -37,8 +38,10 @@
                     "tenant {name:?} has a control character in its name"
                 )
             }
-            TenantsError::SameName(name) => write!(formatter, "tenant {name} is listed twice"),
-            TenantsError::KeyTwice(name) => write!(formatter, "tenant {name} lists a key twice"),
+            TenantsError::DuplicateName(name) => write!(formatter, "tenant {name} is listed twice"),
+            TenantsError::DuplicateKey(name) => {
+                write!(formatter, "tenant {name} lists a key twice")
+            }
             TenantsError::SharedKey { first, second } => {
                 write!(formatter, "tenants {first} and {second} share a key")
             }
@@ -48,10 +51,10 @@
 
 impl std::error::Error for TenantsError {}
 
-/// Checks what must hold before a list of tenants may be in force.
+/// Validates a list of tenants, which is required before it is put in force.
 ///
 /// # Errors
-/// The first fault found.
+/// The first error found.
 pub fn check_tenants(tenants: &[Tenant]) -> Result<(), TenantsError> {
     let mut names = BTreeSet::new();
     let mut holders = HashMap::new();
@@ -64,13 +67,13 @@
             return Err(TenantsError::BadName(name.to_owned()));
         }
         if !names.insert(name) {
-            return Err(TenantsError::SameName(name.to_owned()));
+            return Err(TenantsError::DuplicateName(name.to_owned()));
         }
         for key in &tenant.keys {
             match holders.insert(*key, name) {
                 None => {}
                 Some(holder) if holder == name => {
-                    return Err(TenantsError::KeyTwice(name.to_owned()));
+                    return Err(TenantsError::DuplicateKey(name.to_owned()));
                 }
                 Some(holder) => {
                     return Err(TenantsError::SharedKey {
--- a/crates/tenants/tests/all/directory.rs
+++ b/crates/tenants/tests/all/directory.rs
@@ -1,4 +1,4 @@
-//! Whose a key is, as configurations come and go and updates arrive in any order.
+//! The tenant of a key, with changing configurations and updates in any order.
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_tenants::{KeyDigest, Tenant, TenantDirectory, TenantsUpdate};
@@ -7,8 +7,8 @@
 use super::tenant;
 
 fn holder<'a>(directory: &'a TenantDirectory, key: &str) -> Option<&'a str> {
-    let held = directory.holder(&KeyDigest::of(key));
-    held.map(|tenant| tenant.name.as_str())
+    let found = directory.holder(&KeyDigest::of(key));
+    found.map(|tenant| tenant.name.as_str())
 }
 
 fn first() -> Vec<Tenant> {
@@ -19,7 +19,7 @@
     ]
 }
 
-/// Key 2 goes from a to b, key 3 is taken away, c is no longer listed, d is new.
+/// Key 2 moves from a to b, key 3 is removed, c is no longer listed, d is new.
 fn second() -> Vec<Tenant> {
     vec![
         tenant("a", &["1"]),
@@ -28,7 +28,7 @@
     ]
 }
 
-fn is_second(directory: &TenantDirectory) {
+fn check_second(directory: &TenantDirectory) {
     let keys = ["1", "2", "3", "4", "5"];
     let holders = keys.map(|key| holder(directory, key));
     assert_eq!(holders, [Some("a"), Some("b"), None, None, Some("d")]);
@@ -39,14 +39,14 @@
 fn updates() -> [TenantsUpdate; 3] {
     let mut control = TenantDirectory::default();
     control.replace(Some(first()), LogIndex(3));
-    let whole_first = control.update_since(LogIndex(0));
+    let complete_first = control.update_since(LogIndex(0));
     control.replace(Some(second()), LogIndex(8));
     let change = control.update_since(LogIndex(3));
-    [whole_first, change, control.update_since(LogIndex(0))]
+    [complete_first, change, control.update_since(LogIndex(0))]
 }
 
 #[test]
-fn a_change_tells_what_changed_only() {
+fn an_update_contains_only_changes() {
     let [_, change, _] = updates();
     let names: Vec<_> = change
         .changed
@@ -63,22 +63,22 @@
     assert!(control.update_since(LogIndex(9)).changed.is_empty());
 }
 
-/// Whichever of the updates a node is told, and in which order, once it knows enough.
+/// Updates that a node receives, in several orders that contain the newest state.
 #[rstest]
 #[case::in_order(&[0, 1])]
 #[case::at_once(&[2])]
-#[case::whole_last(&[0, 2])]
+#[case::complete_last(&[0, 2])]
 #[case::old_one_late(&[0, 1, 0])]
-#[case::old_one_after_the_whole(&[2, 0])]
+#[case::old_one_after_the_complete_one(&[2, 0])]
 #[case::change_twice(&[0, 1, 1])]
-#[case::change_after_the_whole(&[2, 1])]
-fn a_node_ends_with_the_newest(#[case] order: &[usize]) {
+#[case::change_after_the_complete_one(&[2, 1])]
+fn a_node_ends_with_the_newest_list(#[case] order: &[usize]) {
     let updates = updates();
     let mut node = TenantDirectory::default();
     for index in order {
         node.apply(updates[*index].clone());
     }
-    is_second(&node);
+    check_second(&node);
 }
 
 #[test]
@@ -92,10 +92,10 @@
     assert!(!node.are_listed() && node.is_empty());
 }
 
-/// Tenants that are listed, then removed one by one until the oldest removals are
-/// forgotten: a node that knows less is told the whole list.
+/// More tenants are removed at once than removals are recorded: a node with the earlier list
+/// gets the complete one.
 #[test]
-fn a_node_that_knows_too_little_is_told_everything() {
+fn a_node_with_too_old_a_list_gets_the_complete_one() {
     const MANY: u64 = 5_000;
     let all: Vec<Tenant> = (0..=MANY)
         .map(|number| tenant(&format!("t{number}"), &[&format!("key {number}")]))
@@ -113,12 +113,12 @@
 }
 
 #[test]
-fn a_snapshot_holds_the_directory() {
+fn a_snapshot_contains_the_directory() {
     let mut control = TenantDirectory::default();
     control.replace(Some(first()), LogIndex(3));
     control.replace(Some(second()), LogIndex(8));
     let restored = TenantDirectory::from_update(control.to_update());
-    is_second(&restored);
-    // It does not remember removals: whoever knows less is told everything.
+    check_second(&restored);
+    // Removals are not recorded in a snapshot, so a node with an older list gets all tenants.
     assert!(restored.update_since(LogIndex(3)).is_complete);
 }
--- a/crates/tenants/tests/all/keys.rs
+++ b/crates/tenants/tests/all/keys.rs
@@ -1,4 +1,4 @@
-//! Keys as callers send them, and what is kept of them.
+//! Keys as callers send them, and their digests.
 
 use linnethitch_tenants::{KeyDigest, bearer_key};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 #[case::no_key("Bearer ", None)]
 #[case::no_scheme("abc", None)]
 #[case::empty("", None)]
-fn the_key_of_a_header(#[case] value: &str, #[case] key: Option<&str>) {
+fn a_header_is_parsed(#[case] value: &str, #[case] key: Option<&str>) {
     assert_eq!(bearer_key(value), key);
 }
 
--- a/crates/tenants/tests/all/main.rs
+++ b/crates/tenants/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of tenants.
+//! Tests of the tenants crate.
 
 mod directory;
 mod keys;
--- a/crates/tenants/tests/all/validate.rs
+++ b/crates/tenants/tests/all/validate.rs
@@ -1,18 +1,18 @@
-//! Which lists of tenants and which limits are refused.
+//! Validation of lists of tenants and of limits.
 
 use linnethitch_tenants::{QuotaLimit, QuotaLimitError, TenantsError, check_tenants};
 use rstest::rstest;
 
 use super::tenant;
 
-/// Tenants as (name, keys with blanks between), and what is wrong with them.
+/// Tenants as (name, keys separated by blanks), and the error in the list.
 #[rstest]
 #[case::no_key(&[("a", "")], None)]
 #[case::several_keys(&[("a", "1 2"), ("b", "3")], None)]
 #[case::no_name(&[("", "1")], Some(TenantsError::NoName))]
 #[case::name_of_two_lines(&[("a\nb", "1")], Some(TenantsError::BadName("a\nb".to_owned())))]
-#[case::same_name(&[("a", "1"), ("a", "2")], Some(TenantsError::SameName("a".to_owned())))]
-#[case::key_twice(&[("a", "1 1")], Some(TenantsError::KeyTwice("a".to_owned())))]
+#[case::same_name(&[("a", "1"), ("a", "2")], Some(TenantsError::DuplicateName("a".to_owned())))]
+#[case::key_twice(&[("a", "1 1")], Some(TenantsError::DuplicateKey("a".to_owned())))]
 #[case::shared_key(
     &[("a", "1 2"), ("b", "3 2")],
     Some(TenantsError::SharedKey { first: "a".to_owned(), second: "b".to_owned() })
@@ -41,6 +41,6 @@
     #[case] expected: Result<Option<(f64, f64)>, QuotaLimitError>,
 ) {
     let limit = QuotaLimit::new(rate, burst);
-    let told = limit.map(|limit| limit.map(|limit| (limit.rate(), limit.burst())));
-    assert_eq!(told, expected);
+    let numbers = limit.map(|limit| limit.map(|limit| (limit.rate(), limit.burst())));
+    assert_eq!(numbers, expected);
 }
