--- a/crates/registry/src/first_format.rs
+++ b/crates/registry/src/first_format.rs
@@ -1,9 +1,9 @@
-//! What of the registry goes between nodes and into its log in the first format. Frozen: a
-//! build that production runs writes it.
+//! The messages and log entries of the registry in the first format. The layout is frozen,
+//! because a build in production writes it.
 
 #![allow(
     missing_docs,
-    reason = "variants and fields are those of the types of today"
+    reason = "variants and fields are those of the current types"
 )]
 
 use error_stack::Report;
@@ -23,13 +23,13 @@
         FourthDeclared, FourthReplicaChange, FourthReplicaRecord, FourthRouteTable,
         FourthSuspicion, FourthTenantsUpdate,
     },
+    incarnation_key::parse_incarnation_key,
     registry::StoreMembers,
-    start::parse_start_key,
     table_update::TableUpdate,
     update::FleetUpdate,
 };
 
-/// A command.
+/// A command of the registry.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FirstFormatCommand {
     PutConfiguration {
@@ -45,12 +45,12 @@
         runs: Vec<FirstEndedRun>,
     },
     ClearSuspicions(Vec<RequestFingerprint>),
-    EaseSuspicions(Vec<RequestFingerprint>),
-    NotThere(String),
+    DecaySuspicions(Vec<RequestFingerprint>),
+    NotAtAddress(String),
 }
 
 impl FirstFormatCommand {
-    /// The command as the log holds it.
+    /// The command as stored in the log.
     ///
     /// # Errors
     /// `Internal` when it cannot be encoded.
@@ -59,22 +59,22 @@
             FirstFormatCommand::PutConfiguration { .. } => TENANTS_LAYOUT,
             FirstFormatCommand::ReplicaEnded { .. }
             | FirstFormatCommand::ClearSuspicions(_)
-            | FirstFormatCommand::EaseSuspicions(_)
-            | FirstFormatCommand::NotThere(_) => THIRD_LAYOUT,
+            | FirstFormatCommand::DecaySuspicions(_)
+            | FirstFormatCommand::NotAtAddress(_) => THIRD_LAYOUT,
             _ => FIRST_LAYOUT,
         };
         stored::encode(layout, self)
     }
 }
 
-/// What applying a command answers.
+/// The result of applying a command.
 #[derive(Archive, Serialize, Deserialize)]
 pub enum FirstFormatAnswer {
-    RoutesHeld(u64),
+    ConfigurationVersion(u64),
     Done,
 }
 
-/// What control tells nodes of the registry: always whole tables.
+/// An update of the registry for nodes, with complete tables only.
 #[derive(Archive, Serialize, Deserialize)]
 pub struct FirstFormatUpdate {
     table: Option<FourthRouteTable>,
@@ -83,12 +83,12 @@
     store: Option<StoreMembers>,
     store_at: LogIndex,
     suspicions: Vec<FourthSuspicion>,
-    upto: LogIndex,
+    up_to_index: LogIndex,
 }
 
-/// Starts of replicas are not told apart.
-fn id_of_start(key: &str) -> String {
-    parse_start_key(key).0.to_owned()
+/// The id of a replica: the first format does not distinguish incarnations.
+fn replica_id(key: &str) -> String {
+    parse_incarnation_key(key).0.to_owned()
 }
 
 impl TryFrom<RegistryCommand> for FirstFormatCommand {
@@ -104,26 +104,30 @@
             }
             RegistryCommand::Replica(change) => FirstFormatCommand::Replica((*change).into()),
             RegistryCommand::RemoveReplica(key) => {
-                FirstFormatCommand::RemoveReplica(id_of_start(&key))
+                FirstFormatCommand::RemoveReplica(replica_id(&key))
             }
             RegistryCommand::FormStore(members) => FirstFormatCommand::FormStore(members),
             RegistryCommand::RetireStore(machine) => FirstFormatCommand::RetireStore(machine),
             RegistryCommand::ReplicaEnded { replica, runs } => FirstFormatCommand::ReplicaEnded {
-                replica: id_of_start(&replica),
+                replica: replica_id(&replica),
                 runs: runs.into_iter().map(FirstEndedRun::from).collect(),
             },
             RegistryCommand::ClearSuspicions(cleared) => {
                 FirstFormatCommand::ClearSuspicions(cleared)
             }
-            RegistryCommand::EaseSuspicions(eased) => FirstFormatCommand::EaseSuspicions(eased),
-            RegistryCommand::NotThere(key) => FirstFormatCommand::NotThere(id_of_start(&key)),
+            RegistryCommand::DecaySuspicions(decayed) => {
+                FirstFormatCommand::DecaySuspicions(decayed)
+            }
+            RegistryCommand::NotAtAddress(key) => {
+                FirstFormatCommand::NotAtAddress(replica_id(&key))
+            }
             RegistryCommand::EvacuateZone(_) | RegistryCommand::RestoreZone(_) => {
                 return Err(not_in_first_format("evacuations"));
             }
             RegistryCommand::GatewaysChanged { .. } => {
                 return Err(not_in_first_format("record of gateways"));
             }
-            RegistryCommand::ForgetGone { .. } => {
+            RegistryCommand::ForgetEnded { .. } => {
                 return Err(not_in_first_format("forgotten replicas"));
             }
         })
@@ -152,8 +156,10 @@
             FirstFormatCommand::ClearSuspicions(cleared) => {
                 RegistryCommand::ClearSuspicions(cleared)
             }
-            FirstFormatCommand::EaseSuspicions(eased) => RegistryCommand::EaseSuspicions(eased),
-            FirstFormatCommand::NotThere(id) => RegistryCommand::NotThere(id),
+            FirstFormatCommand::DecaySuspicions(decayed) => {
+                RegistryCommand::DecaySuspicions(decayed)
+            }
+            FirstFormatCommand::NotAtAddress(id) => RegistryCommand::NotAtAddress(id),
         }
     }
 }
@@ -163,10 +169,12 @@
 
     fn try_from(answer: RegistryAnswer) -> Result<Self, Self::Error> {
         match answer {
-            RegistryAnswer::RoutesHeld(version) => Ok(FirstFormatAnswer::RoutesHeld(version)),
-            // Who cannot tell starts apart has nothing else to do.
-            RegistryAnswer::Done | RegistryAnswer::OtherStart => Ok(FirstFormatAnswer::Done),
-            RegistryAnswer::ZoneHeld { .. } => Err(not_in_first_format("evacuations")),
+            RegistryAnswer::ConfigurationVersion(version) => {
+                Ok(FirstFormatAnswer::ConfigurationVersion(version))
+            }
+            // A node that does not distinguish incarnations has nothing else to do.
+            RegistryAnswer::Done | RegistryAnswer::OtherIncarnation => Ok(FirstFormatAnswer::Done),
+            RegistryAnswer::ZoneState { .. } => Err(not_in_first_format("evacuations")),
         }
     }
 }
@@ -174,7 +182,9 @@
 impl From<FirstFormatAnswer> for RegistryAnswer {
     fn from(first: FirstFormatAnswer) -> Self {
         match first {
-            FirstFormatAnswer::RoutesHeld(version) => RegistryAnswer::RoutesHeld(version),
+            FirstFormatAnswer::ConfigurationVersion(version) => {
+                RegistryAnswer::ConfigurationVersion(version)
+            }
             FirstFormatAnswer::Done => RegistryAnswer::Done,
         }
     }
@@ -184,7 +194,7 @@
     type Error = Report<ErrorKind>;
 
     fn try_from(update: TableUpdate) -> Result<Self, Self::Error> {
-        if !update.is_whole {
+        if !update.is_complete {
             return Err(not_in_first_format("changes of a table"));
         }
         let TableUpdate {
@@ -194,7 +204,7 @@
             limits,
             ..
         } = update;
-        FourthRouteTable::whole(version, routes, services, limits)
+        FourthRouteTable::complete(version, routes, services, limits)
     }
 }
 
@@ -212,27 +222,27 @@
             store: update.store,
             store_at: update.store_at,
             suspicions: update.suspicions.into_iter().map(Into::into).collect(),
-            upto: update.upto,
+            up_to_index: update.up_to_index,
         })
     }
 }
 
 impl From<FirstFormatUpdate> for FleetUpdate {
-    /// It tells all that changed since what its receiver said that it knows, so that it
-    /// builds on nothing else.
+    /// The update contains all changes since the entry that its receiver reported as known,
+    /// so it needs no other base.
     fn from(first: FirstFormatUpdate) -> Self {
         FleetUpdate {
             since: LogIndex(0),
-            table: first.table.map(|table| TableUpdate::whole(table.into())),
+            table: first.table.map(|table| TableUpdate::complete(table.into())),
             tenants: first.tenants.map(Into::into),
             replicas: first.replicas.into_iter().map(Into::into).collect(),
-            replicas_whole: false,
-            forgotten: LogIndex(0),
+            replicas_complete: false,
+            forgotten_up_to: LogIndex(0),
             store: first.store,
             store_at: first.store_at,
             suspicions: first.suspicions.into_iter().map(Into::into).collect(),
             evacuations: Vec::new(),
-            upto: first.upto,
+            up_to_index: first.up_to_index,
         }
     }
 }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -1,10 +1,10 @@
-//! What control replicates for a fleet whose replicas register themselves: the
-//! route table and the tenants in force, the replicas and their states, and the
+//! The state that control replicates for a fleet whose replicas register themselves:
+//! the route table and the tenants in force, the replicas and their states, and the
 //! members of the job store.
 //!
-//! [`Registry`] is a deterministic state machine. [`FleetView`] is what a node
-//! without a disk keeps of it: it takes updates from any control member, in
-//! any order, and never steps back.
+//! [`Registry`] is a deterministic state machine. [`FleetView`] is the copy that a
+//! node without a disk holds in memory: it applies updates from any control member,
+//! in any order, and never returns to an older state.
 
 mod command;
 mod configuration;
@@ -14,23 +14,23 @@
 mod first_layout;
 mod fourth_layout;
 mod gateways;
+mod incarnation_key;
 mod node_list;
+mod notification_order;
 mod registry;
 mod replica;
+mod replica_changes;
 mod replica_index;
 mod replica_records;
 mod routes;
 mod run_lengths;
 mod second_layout;
-mod sequence;
 mod service_zones;
 mod sixth_layout;
-mod start;
 mod store_members;
 mod suspicion;
 mod table_history;
 mod table_update;
-mod tell_order;
 mod third_layout;
 mod update;
 mod validate;
@@ -42,21 +42,21 @@
 pub use evacuations::{EvacuationOrder, EvacuationRecord, Evacuations};
 pub use first_format::{FirstFormatAnswer, FirstFormatCommand, FirstFormatUpdate};
 pub use gateways::{GatewayRecord, KnownGateways};
+pub use incarnation_key::{incarnation_key, parse_incarnation_key};
 pub use linnethitch_protocol::suspicion::{
     EndedRun, EndsInRow, RequestContent, RequestFingerprint, ToldSuspicion,
 };
-pub use node_list::{DirectoryNode, DirectoryQuestion, NodeList, READY_FOR_MS, near};
+pub use node_list::{DirectoryNode, DirectoryQuery, NodeList, READY_TTL_MS, near};
+pub use notification_order::{Place, notification_rank};
 pub use registry::{Registry, StoreMembers};
 pub use replica::{ReplicaChange, ReplicaRecord, ReplicaState};
 pub use replica_records::ReplicaDifference;
 pub use routes::{
     Backend, CallerLimits, ColdTraits, EngineTraits, Route, RouteKind, RouteTable, ServiceTraits,
 };
-pub use start::{parse_start_key, start_key};
 pub use store_members::first_store_members;
 pub use suspicion::{Suspicion, Suspicions, is_almost_refused};
-pub use table_update::{RoutePlace, TableUpdate};
-pub use tell_order::{Place, tell_rank};
+pub use table_update::{RouteKey, TableUpdate};
 pub use update::FleetUpdate;
 pub use validate::RouteTableError;
 pub use view::FleetView;
--- a/crates/registry/tests/all/support.rs
+++ b/crates/registry/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Tables, replicas and commands for tests.
+//! Route tables, replicas and commands for the tests.
 
 use std::sync::Arc;
 
@@ -84,12 +84,12 @@
         slots: 6,
         state,
         sequence,
-        born: 0,
+        incarnation: 0,
         cold_ms: 0,
     }
 }
 
-/// A registry that counts its log.
+/// A registry with the index of its last log entry.
 #[derive(Default)]
 pub(crate) struct Applied {
     pub(crate) registry: Registry,
@@ -125,11 +125,13 @@
     }
 
     pub(crate) fn state_of(&self, id: &str) -> Option<ReplicaState> {
-        self.registry.replica(id).map(|record| record.told.state)
+        self.registry
+            .replica(id)
+            .map(|record| record.reported.state)
     }
 }
 
-/// The bytes that hexadecimal digits name.
+/// The bytes of a hexadecimal text.
 pub(crate) fn hex_bytes(text: &str) -> Vec<u8> {
     let pairs = text.as_bytes().chunks(2);
     let digits = pairs.map(|pair| std::str::from_utf8(pair).expect("ASCII"));
