--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -83,7 +83,7 @@
     let mut settings = GroupSettings::new("test", FolderRole::Store, own, disk_id);
     settings.snapshot_log_bytes = SNAPSHOT_LOG_BYTES;
     settings.log_limits.segment_bytes = SNAPSHOT_LOG_BYTES / 2;
-    settings.kept_snapshots = 1;
+    settings.retained_snapshots = 1;
     settings.first_members = first.then(|| {
         vec![MemberId {
             machine: own,
