--- a/crates/routing/src/grants.rs
+++ b/crates/routing/src/grants.rs
@@ -167,7 +167,7 @@
         }
     }
 
-    /// Puts other rules in force; grants given so far stay as they are.
+    /// Applies new settings; existing grants are unchanged.
     pub fn set_settings(&mut self, settings: GrantSettings) {
         self.settings = settings;
     }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -6,8 +6,8 @@
 
 use crate::reason::ReasonCode;
 
-/// The balance refills over time up to this many retries, so that a gateway with few requests
-/// can retry.
+/// Initial balance in retries. The balance also refills over time up to this number, so that a
+/// gateway with few requests can retry.
 const RESERVE_RETRIES: u32 = 10;
 
 /// Maximum number of retries that can accumulate.
