--- a/crates/tenants/src/directory.rs
+++ b/crates/tenants/src/directory.rs
@@ -38,8 +38,8 @@
     pub changed: Vec<TenantChange>,
 }
 
-/// The tenants of a configuration. The cost of an update is proportional to the change: for
-/// one key of one tenant among 45,000, one record is sent and two entries change.
+/// The tenants of a configuration. The cost of an update is proportional to the change: if
+/// one of 45,000 tenants changes one key, one record is sent and two entries change.
 #[derive(Clone, Debug, Default)]
 pub struct TenantDirectory {
     are_listed: bool,
