--- a/crates/placement/src/client.rs
+++ b/crates/placement/src/client.rs
@@ -1,4 +1,4 @@
-//! Questions and orders to engines, applications and the platform over HTTP/1.1.
+//! HTTP/1.1 client for engines, applications and the platform.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,20 +20,20 @@
     wire::{LoadBody, MachineBody, OrderBody, ReservationBody, ReservationRequest, StatusBody},
 };
 
-/// Longest time to connect.
+/// Maximum time to connect.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time for a whole answer.
+/// Maximum time for a complete answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
-/// Largest answer that is read, in bytes.
+/// Maximum size of an answer, in bytes.
 const MAX_ANSWER_BYTES: usize = 4 * 1024 * 1024;
 /// Header with an engine's load report.
 const ENGINE_LOAD_HEADER: &str = "x-engine-load";
-/// Wait after a `429` without `Retry-After`, in seconds.
+/// Delay after a `429` without `Retry-After`, in seconds.
 const DEFAULT_RETRY_SECONDS: u64 = 1;
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// A whole answer.
+/// A complete answer.
 struct Answer {
     status: StatusCode,
     headers: HeaderMap,
@@ -41,7 +41,7 @@
 }
 
 impl Answer {
-    /// The body of a successful answer, if it is what was expected.
+    /// The decoded body of a successful answer; `None` for other answers.
     fn into_json<T: DeserializeOwned>(self) -> Option<T> {
         if !self.status.is_success() {
             return None;
@@ -50,7 +50,7 @@
     }
 }
 
-/// The client. Clones share its connections.
+/// The client; clones share its connections.
 #[derive(Clone)]
 pub(crate) struct BackEndClient {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -68,7 +68,7 @@
         }
     }
 
-    /// The platform's list; `None` when it did not answer.
+    /// The platform's machine list; `None` without a valid answer.
     pub(crate) async fn machines(&self) -> Option<Vec<Machine>> {
         let uri = format!("http://{}/machines", self.platform);
         let answer = self.get(uri).await?;
@@ -76,7 +76,7 @@
         Some(bodies.into_iter().map(Machine::from).collect())
     }
 
-    /// State and load of a replica; `None` when it did not answer.
+    /// State and load of a replica; `None` without a valid answer.
     pub(crate) async fn observe(&self, poll: &Poll) -> Option<Observation> {
         match poll.kind {
             BackEndKind::Engine => self.observe_engine(&poll.address).await,
@@ -106,7 +106,7 @@
         answer.into_json::<LoadBody>().map(LoadReport::from)
     }
 
-    /// Asks the weight store to bring a model to a machine.
+    /// Reserves the transfer of a model's weights to a machine.
     pub(crate) async fn reserve(
         &self,
         replica: &ReplicaId,
@@ -162,7 +162,7 @@
     }
 
     async fn send(&self, request: Request<Full<Bytes>>) -> Option<Answer> {
-        let whole = async {
+        let exchange = async {
             let response = self.client.request(request).await.ok()?;
             let (head, body) = response.into_parts();
             let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await.ok()?;
@@ -172,7 +172,7 @@
                 body: body.to_bytes(),
             })
         };
-        tokio::time::timeout(ANSWER_TIMEOUT, whole).await.ok()?
+        tokio::time::timeout(ANSWER_TIMEOUT, exchange).await.ok()?
     }
 }
 
--- a/crates/placement/src/driver.rs
+++ b/crates/placement/src/driver.rs
@@ -1,4 +1,4 @@
-//! Runs the reconciler in a control process: real time, real sockets.
+//! Runs the reconciler in a control process, with real time and sockets.
 
 use std::{
     net::SocketAddr,
@@ -26,24 +26,24 @@
     settings::PlacementLimits,
 };
 
-/// Time between two steps.
-const STEP: Duration = Duration::from_millis(250);
-/// Time between two reads of the platform's list, in milliseconds.
+/// Time between two steps of the reconciler.
+const STEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Time between two reads of the platform's machine list, in milliseconds.
 const LIST_INTERVAL_MS: u64 = 1_000;
-/// Requests to replicas and the platform at once, at most.
-const MAX_REQUESTS: usize = 256;
+/// Maximum number of concurrent polls of replicas.
+const MAX_CONCURRENT_POLLS: usize = 256;
 
-/// A clock that never jumps: the time of day at the start plus what has passed.
+/// A monotonic clock: the time of day at its start plus the time elapsed since.
 #[derive(Clone, Copy)]
-struct SteadyClock {
+struct MonotonicClock {
     started: Instant,
     started_wall_ms: u64,
 }
 
-impl SteadyClock {
+impl MonotonicClock {
     fn start() -> Self {
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
-        SteadyClock {
+        MonotonicClock {
             started: Instant::now(),
             started_wall_ms: since_epoch.unwrap_or_default().as_millis() as u64,
         }
@@ -54,7 +54,7 @@
     }
 }
 
-/// What came of something that was asked for.
+/// The result of a task.
 enum Event {
     Listed(Option<Vec<Machine>>),
     Polled {
@@ -81,7 +81,7 @@
     },
 }
 
-/// Waits for something under way to end, or for the next step (`None`).
+/// Waits for the end of a task, or for the next step (`None`).
 async fn next_event(
     steps: &mut Interval,
     leadership: Option<&mut Leadership>,
@@ -97,51 +97,53 @@
     }
 }
 
-/// Places models while its control member leads.
+/// Runs placement while its control member leads.
 pub struct PlacementDriver<H> {
     host: Arc<H>,
     client: BackEndClient,
     limits: PlacementLimits,
-    clock: SteadyClock,
-    requests: Arc<Semaphore>,
+    clock: MonotonicClock,
+    poll_permits: Arc<Semaphore>,
 }
 
 /// One term of leadership.
 struct Leadership {
     reconciler: Reconciler,
-    /// Everything under way; dropping it ends it.
+    /// Running tasks; dropping the set cancels them.
     tasks: JoinSet<Event>,
     listing: bool,
-    list_at: Timestamp,
+    next_list_at: Timestamp,
 }
 
 impl<H: PlacementHost> PlacementDriver<H> {
-    /// A driver that reads the list and reserves weights at the platform's address.
+    /// A driver that reads the machine list and reserves weights at the platform's
+    /// address.
     #[must_use]
     pub fn new(host: Arc<H>, platform: SocketAddr, limits: PlacementLimits) -> Self {
         PlacementDriver {
             host,
             client: BackEndClient::new(platform),
             limits,
-            clock: SteadyClock::start(),
-            requests: Arc::new(Semaphore::new(MAX_REQUESTS)),
+            clock: MonotonicClock::start(),
+            poll_permits: Arc::new(Semaphore::new(MAX_CONCURRENT_POLLS)),
         }
     }
 
-    /// Runs until it is dropped.
+    /// Runs until the future is dropped.
     pub async fn run(self) {
-        let mut steps = interval(STEP);
+        let mut steps = interval(STEP_INTERVAL);
         steps.set_missed_tick_behavior(MissedTickBehavior::Delay);
         let mut leadership: Option<Leadership> = None;
         loop {
             let event = next_event(&mut steps, leadership.as_mut()).await;
             let term = self.host.leading_term();
-            // The tasks of an earlier term end with it, and what they ended with is not heard.
+            // Tasks of an earlier term are cancelled with it, and their results are dropped.
             leadership = leadership.filter(|leading| Some(leading.reconciler.term()) == term);
             match (&mut leadership, event, term) {
-                (Some(leading), Some(Ok(event)), _) => self.take(leading, event),
+                (Some(leading), Some(Ok(event)), _) => self.handle(leading, event),
                 (Some(leading), None, _) => self.step(leading).await,
-                // What it was for would never be answered: begin with what the ledger holds.
+                // The step of the panicked task would never finish, so begin again from the
+                // state of the ledger.
                 (Some(_), Some(Err(_panicked)), _) => leadership = None,
                 (None, _, Some(term)) => leadership = Some(self.begin(term)),
                 (None, _, None) => {}
@@ -154,7 +156,7 @@
             reconciler: Reconciler::new(self.limits, term, self.host.known_replicas()),
             tasks: JoinSet::new(),
             listing: false,
-            list_at: Timestamp(0),
+            next_list_at: Timestamp(0),
         }
     }
 
@@ -171,8 +173,8 @@
         if let Some(fleet) = view.fleet {
             let actions = leading.reconciler.step(now, &fleet, &view.open_orders);
             for action in actions {
-                let carried_out = carry_out(self.client.clone(), Arc::clone(&self.host), action);
-                leading.tasks.spawn(carried_out);
+                let execution = execute(self.client.clone(), Arc::clone(&self.host), action);
+                leading.tasks.spawn(execution);
             }
         }
         self.publish(leading, now);
@@ -188,11 +190,11 @@
     }
 
     fn read_list_if_due(&self, leading: &mut Leadership, now: Timestamp) {
-        if leading.listing || now < leading.list_at {
+        if leading.listing || now < leading.next_list_at {
             return;
         }
         leading.listing = true;
-        leading.list_at = Timestamp(now.0 + LIST_INTERVAL_MS);
+        leading.next_list_at = Timestamp(now.0 + LIST_INTERVAL_MS);
         let client = self.client.clone();
         leading
             .tasks
@@ -201,16 +203,16 @@
 
     fn poll(&self, leading: &mut Leadership, poll: Poll) {
         let client = self.client.clone();
-        let requests = Arc::clone(&self.requests);
+        let poll_permits = Arc::clone(&self.poll_permits);
         leading.tasks.spawn(async move {
             // The semaphore is never closed.
-            let _permit = requests.acquire().await;
+            let _permit = poll_permits.acquire().await;
             let answer = client.observe(&poll).await;
             Event::Polled { poll, answer }
         });
     }
 
-    fn take(&self, leading: &mut Leadership, event: Event) {
+    fn handle(&self, leading: &mut Leadership, event: Event) {
         let now = self.clock.now();
         let reconciler = &mut leading.reconciler;
         match event {
@@ -241,8 +243,8 @@
     }
 }
 
-/// Does what the reconciler wants; what came of it.
-async fn carry_out<H: PlacementHost>(client: BackEndClient, host: Arc<H>, action: Action) -> Event {
+/// Executes an action of the reconciler and returns the result.
+async fn execute<H: PlacementHost>(client: BackEndClient, host: Arc<H>, action: Action) -> Event {
     match action {
         Action::Reserve {
             replica,
@@ -285,8 +287,8 @@
     }
 }
 
-/// The token under which an order was committed; `None` when it was not, or
-/// that is not known.
+/// The token under which an order was committed; `None` if it was not
+/// committed, or if that is unknown.
 fn token_of(answer: ControlAnswer) -> Option<FencingToken> {
     match answer {
         ControlAnswer::Outcome(Outcome::Order(token)) => Some(token),
--- a/crates/placement/src/host.rs
+++ b/crates/placement/src/host.rs
@@ -1,4 +1,4 @@
-//! What the driver needs of the control member that it runs in.
+//! The interface of the driver to the control member that it runs in.
 
 use std::{future::Future, sync::Arc};
 
@@ -13,39 +13,40 @@
 
 use crate::reconciler::IssuedOrder;
 
-/// What placement reads of the replicated state.
+/// The part of the replicated state that placement reads.
 #[derive(Clone, Debug, Default)]
 pub struct PlacementView {
-    /// The configuration in force, if there is one.
+    /// The fleet file in force, if there is one.
     pub fleet: Option<Arc<Fleet>>,
-    /// Orders that are not settled.
+    /// Orders that are committed and not settled.
     pub open_orders: Vec<IssuedOrder>,
 }
 
-/// The control member as placement sees it.
+/// The control member that runs placement.
 pub trait PlacementHost: Send + Sync + 'static {
-    /// The member's term while it leads and has everything of earlier terms
-    /// applied; `None` otherwise.
+    /// The member's term while it leads and has applied all entries of earlier
+    /// terms; `None` otherwise.
     fn leading_term(&self) -> Option<Term>;
 
-    /// The replicated state as applied here.
+    /// The replicated state as applied by this member.
     fn view(&self) -> impl Future<Output = PlacementView> + Send;
 
     /// Commits a command.
     fn propose(&self, command: CommandBody) -> impl Future<Output = ControlAnswer> + Send;
 
-    /// Replicas as an earlier leader told of them, to begin with.
+    /// The replicas that an earlier leader published, as the initial state.
     fn known_replicas(&self) -> Vec<ReplicaInfo>;
 
-    /// All replicas as they are now; gateways are told of what changed.
+    /// Publishes the current state of all replicas; gateways get the changes.
     fn publish_replicas(&self, replicas: Vec<ReplicaInfo>);
 
-    /// A load that a replica reported.
+    /// Publishes a load that a replica reported.
     fn publish_load(&self, load: ReplicaLoad);
 
-    /// Replicas that a gateway's data path found dead or leaving since the last call.
+    /// Replicas that the data path of a gateway found dead or leaving since the
+    /// last call.
     fn take_suspects(&self) -> Vec<ReplicaId>;
 
-    /// Writes a decision to the journal; never waits.
+    /// Writes a decision to the journal without blocking.
     fn record(&self, record: JournalRecord);
 }
--- a/crates/placement/src/lib.rs
+++ b/crates/placement/src/lib.rs
@@ -1,10 +1,11 @@
-//! Placement: brings what engines run to what the fleet file wants.
+//! Placement: makes engines run the models that the fleet file declares.
 //!
-//! The leading control member runs a [`PlacementDriver`]. It watches the
-//! platform's list, the engines and the weight store, and issues orders that
-//! are committed to the ledger first and carry its fencing tokens. All
-//! decisions are made by the [`Reconciler`], which has no clock and no
-//! sockets; which orders are next comes from `linnethitch_routing::placement`.
+//! The control member that leads runs a [`PlacementDriver`]. The driver watches
+//! the platform's machine list, the engines and the weight store, and issues
+//! orders. Orders are committed to the ledger before they are sent, and carry
+//! the fencing tokens of their commits. All decisions are made by the
+//! [`Reconciler`], which has no clock and no sockets; the next orders are
+//! planned by `linnethitch_routing::placement`.
 
 pub mod reconciler;
 
--- a/crates/placement/src/reconciler/mod.rs
+++ b/crates/placement/src/reconciler/mod.rs
@@ -1,8 +1,8 @@
 //! The decisions of placement, without clock and sockets.
 //!
-//! The driver tells the [`Reconciler`] what it has seen and carries out the
-//! [`Action`]s of each [`Reconciler::step`]. A reconciler serves one term of
-//! one leader; the next leader begins with the ledger's open orders.
+//! The driver passes its observations to the [`Reconciler`] and executes the
+//! [`Action`]s of each [`Reconciler::step`]. A reconciler is used for one term
+//! of one leader; the next leader begins with the ledger's open orders.
 
 mod observed;
 mod orders;
@@ -33,39 +33,41 @@
 
 use crate::settings::PlacementLimits;
 
-/// What the driver has to do.
+/// An action that the driver executes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Ask the weight store for a transfer, and tell [`Reconciler::reserved`].
+    /// Reserve a transfer at the weight store; the result goes to
+    /// [`Reconciler::reserved`].
     Reserve {
-        /// To which engine's machine.
+        /// The engine on the target machine.
         replica: ReplicaId,
         /// The model.
         model: String,
         /// Its version.
         version: String,
     },
-    /// Commit the order to the ledger, and tell [`Reconciler::issued`].
+    /// Commit the order to the ledger; the result goes to [`Reconciler::issued`].
     Issue {
-        /// To which engine.
+        /// The engine.
         replica: ReplicaId,
-        /// What it shall do.
+        /// The order.
         order: EngineOrder,
         /// The leader's term.
         term: Term,
     },
-    /// Send the order to the engine, and tell [`Reconciler::sent`].
+    /// Send the order to the engine; the result goes to [`Reconciler::sent`].
     Send {
         /// The order.
         order: IssuedOrder,
         /// `IP:port` of the engine.
         address: String,
     },
-    /// Tell the ledger that the order is over, and tell [`Reconciler::settled`].
+    /// Commit the end of the order to the ledger; the result goes to
+    /// [`Reconciler::settled`].
     Settle {
-        /// Which engine.
+        /// The engine.
         replica: ReplicaId,
-        /// Which order.
+        /// The token of the order.
         token: FencingToken,
     },
 }
@@ -77,19 +79,19 @@
     term: Term,
     observed: ObservedFleet,
     store: WeightStore,
-    /// What is under way, one thing an engine.
+    /// The unfinished work, at most one per engine.
     work: BTreeMap<ReplicaId, Work>,
-    /// The newest token of each engine's orders that are over.
-    over: BTreeMap<ReplicaId, FencingToken>,
-    /// Whether the last list was empty and not believed.
+    /// The token of each engine's newest settled order.
+    settled_tokens: BTreeMap<ReplicaId, FencingToken>,
+    /// Whether the last list was empty and ignored.
     list_was_empty: bool,
-    /// What had to wait at the last step, to be told once.
+    /// Placements that were postponed at the last step, so that each is journaled once.
     postponed: Vec<Postponed>,
     records: Vec<JournalRecord>,
 }
 
 impl Reconciler {
-    /// Begins a term with the replicas that an earlier leader told of.
+    /// Begins a term with the replicas that an earlier leader published.
     #[must_use]
     pub fn new(limits: PlacementLimits, term: Term, known: Vec<ReplicaInfo>) -> Self {
         Reconciler {
@@ -98,7 +100,7 @@
             observed: ObservedFleet::new(limits, known),
             store: WeightStore::default(),
             work: BTreeMap::new(),
-            over: BTreeMap::new(),
+            settled_tokens: BTreeMap::new(),
             list_was_empty: false,
             postponed: Vec::new(),
             records: Vec::new(),
@@ -111,25 +113,25 @@
         self.term
     }
 
-    /// Takes the platform's list. An empty one is not believed while replicas
-    /// answer: it would take every back end from every gateway.
+    /// Handles the platform's machine list. An empty list is ignored while
+    /// replicas answer, because it would remove every back end from every gateway.
     pub fn listed(&mut self, now: Timestamp, machines: Vec<Machine>) {
         if machines.is_empty() && self.observed.any_answers(now) {
             return self.note_empty_list(now);
         }
         self.list_was_empty = false;
-        self.observed.list(now, machines);
-        self.over
-            .retain(|replica, _| !self.observed.is_gone(replica));
+        self.observed.update_list(now, machines);
+        self.settled_tokens
+            .retain(|replica, _| !self.observed.is_unlisted(replica));
     }
 
-    /// Replicas whose state is to be asked for now; each has to be answered
-    /// for by [`Reconciler::polled`].
+    /// Replicas to be polled now; the result of each poll goes to
+    /// [`Reconciler::polled`].
     pub fn due_polls(&mut self, now: Timestamp) -> Vec<Poll> {
         self.observed.due_polls(now)
     }
 
-    /// Takes a replica's answer; `None` when there was none.
+    /// Handles a replica's answer to a poll; `None` if there was none.
     pub fn polled(&mut self, now: Timestamp, poll: &Poll, answer: Option<Observation>) {
         let answered = answer.is_some();
         self.observed.polled(now, poll, answer);
@@ -138,16 +140,17 @@
         }
     }
 
-    /// A gateway's data path finds a replica dead or leaving: it is asked at once.
+    /// Schedules an immediate poll of a replica that the data path of a gateway
+    /// found dead or leaving.
     pub fn suspect(&mut self, replica: &ReplicaId) {
         self.observed.poll_soon(replica);
     }
 
-    /// The replicas, when anything changed since the last call. Nothing is
-    /// told before each replica has had the time to answer, so that a new
-    /// leader does not withdraw what it has not looked at yet.
+    /// The replicas, if anything changed since the last call. Nothing is returned
+    /// before each replica has had time to answer, so that a new leader does not
+    /// withdraw replicas that it has not polled yet.
     pub fn take_changed_replicas(&mut self, now: Timestamp) -> Option<Vec<ReplicaInfo>> {
-        if !self.observed.may_be_told(now) {
+        if !self.observed.may_publish(now) {
             return None;
         }
         self.observed.take_changed()
@@ -158,8 +161,8 @@
         std::mem::take(&mut self.records)
     }
 
-    /// Works out what is to be done now, given the fleet file and the orders
-    /// that the ledger holds open.
+    /// Determines the next actions from the fleet file and the ledger's open
+    /// orders.
     pub fn step(&mut self, now: Timestamp, fleet: &Fleet, open: &[IssuedOrder]) -> Vec<Action> {
         self.adopt(now, open);
         let mut actions = self.advance_work(now, fleet);
@@ -170,7 +173,7 @@
     }
 
     fn plan(&mut self, now: Timestamp, fleet: &Fleet, actions: &mut Vec<Action>) {
-        let under_way: Vec<placement::OpenOrder> = self
+        let in_progress: Vec<placement::OpenOrder> = self
             .work
             .iter()
             .map(|(replica, work)| placement::OpenOrder {
@@ -179,16 +182,23 @@
                 issued_at: now,
             })
             .collect();
-        let transfers = self.work.values().filter(|work| work.awaits_weights());
-        let room = self
-            .store
-            .room(now, transfers.count(), self.limits.max_transfers);
+        let transfers = self.work.values().filter(|work| work.uses_transfer());
+        let free_transfers =
+            self.store
+                .free_transfers(now, transfers.count(), self.limits.max_transfers);
         let settings = PlacementSettings {
             max_changing_percent: self.limits.max_changing_percent,
             ..PlacementSettings::default()
         };
         let replicas = self.observed.placed(now);
-        let plan = placement::plan(now, fleet, &replicas, &under_way, room, settings);
+        let plan = placement::plan(
+            now,
+            fleet,
+            &replicas,
+            &in_progress,
+            free_transfers,
+            settings,
+        );
         for planned in plan.orders {
             self.begin(now, planned, actions);
         }
@@ -222,7 +232,7 @@
         self.work.insert(replica, work);
     }
 
-    /// Journals the first of the empty lists that follow each other.
+    /// Journals the first of consecutive empty lists.
     fn note_empty_list(&mut self, now: Timestamp) {
         if self.list_was_empty {
             return;
@@ -234,18 +244,21 @@
         self.records.push(record);
     }
 
-    /// Journals what waits, when that differs from the last step.
+    /// Journals postponed placements that were not postponed at the last step.
     fn note_postponed(&mut self, now: Timestamp, postponed: Vec<Postponed>) {
-        for waits in &postponed {
-            if self.postponed.contains(waits) {
+        for waiting in &postponed {
+            if self.postponed.contains(waiting) {
                 continue;
             }
-            let outcome = format!("model {} in zone {} waits", waits.model, waits.zone);
+            let outcome = format!(
+                "model {} in zone {} is postponed",
+                waiting.model, waiting.zone
+            );
             let record = JournalRecord::new(
                 now.0,
                 DecisionKind::Placement,
                 Subject::default(),
-                waits.reason.as_str(),
+                waiting.reason.as_str(),
             );
             self.records.push(record.with_outcome(outcome));
         }
--- a/crates/placement/src/reconciler/observed.rs
+++ b/crates/placement/src/reconciler/observed.rs
@@ -1,4 +1,4 @@
-//! What is known of the platform's machines and of what they run.
+//! The observed state of the platform's machines and their replicas.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +10,43 @@
 
 use crate::settings::PlacementLimits;
 
-/// A replica to be asked for its state.
+/// A poll of a replica's state.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Poll {
-    /// Which.
+    /// The replica.
     pub replica: ReplicaId,
-    /// What it runs.
+    /// The kind of the replica.
     pub kind: BackEndKind,
     /// `IP:port` of its HTTP interface.
     pub address: String,
 }
 
-/// What a replica answered.
+/// The answer of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
-    /// What its engine has loaded; default for applications.
+    /// The state of its engine; the default for applications.
     pub engine: EngineState,
-    /// Its load, when it told it.
+    /// Its load, if it reported one.
     pub load: Option<LoadReport>,
 }
 
-/// One replica.
+/// The observed state of one replica.
 #[derive(Debug)]
 struct Observed {
     machine: Machine,
     engine: EngineState,
     load: LoadReport,
-    /// Its last answer; at first, when it was listed.
-    heard_at: Timestamp,
-    /// Whether it has answered this leader.
+    /// Time of its last answer, or of its first listing before any answer.
+    last_contact_at: Timestamp,
+    /// Whether it has answered to this leader.
     answered: bool,
     polling: bool,
-    poll_at: Timestamp,
+    next_poll_at: Timestamp,
 }
 
 impl Observed {
     fn health(&self, now: Timestamp, limits: &PlacementLimits) -> ReplicaHealth {
-        let silent_ms = now.0.saturating_sub(self.heard_at.0);
+        let silent_ms = now.0.saturating_sub(self.last_contact_at.0);
         if silent_ms >= limits.dead_after_ms {
             ReplicaHealth::Dead
         } else if silent_ms >= limits.silent_after_ms || !self.answered {
@@ -69,9 +69,9 @@
 pub(super) struct ObservedFleet {
     limits: PlacementLimits,
     replicas: BTreeMap<ReplicaId, Observed>,
-    /// States that an earlier leader knew, until the list is there.
+    /// States that an earlier leader published, used until the first list is read.
     inherited: BTreeMap<ReplicaId, EngineState>,
-    /// Whether the list was read at all.
+    /// Whether the list was read at least once.
     listed: bool,
     /// Whether anything changed since the last [`ObservedFleet::take_changed`].
     changed: bool,
@@ -91,18 +91,18 @@
         }
     }
 
-    /// Takes the platform's list.
-    pub(super) fn list(&mut self, now: Timestamp, machines: Vec<Machine>) {
+    /// Replaces the replicas by the platform's list.
+    pub(super) fn update_list(&mut self, now: Timestamp, machines: Vec<Machine>) {
         let mut before = std::mem::take(&mut self.replicas);
         for machine in machines {
             let id = machine.replica.clone();
             if self.replicas.contains_key(&id) {
-                // Named twice: the first line counts.
+                // Of duplicates the first one counts.
                 continue;
             }
             let observed = match before.remove(&id) {
                 Some(known) if known.machine == machine => known,
-                // Another address is another process, of which nothing is known.
+                // Another address means another process, whose state is unknown.
                 Some(known) if known.machine.address != machine.address => {
                     self.first_seen(now, machine)
                 }
@@ -119,7 +119,7 @@
         self.inherited.clear();
     }
 
-    /// Whether some replica of the list answers.
+    /// Whether any replica of the list answers.
     pub(super) fn any_answers(&self, now: Timestamp) -> bool {
         let mut replicas = self.replicas.values();
         replicas.any(|observed| observed.health(now, &self.limits) == ReplicaHealth::Answering)
@@ -132,23 +132,23 @@
             machine,
             engine: engine.unwrap_or_default(),
             load: LoadReport::default(),
-            heard_at: now,
+            last_contact_at: now,
             answered: false,
             polling: false,
-            poll_at: now,
+            next_poll_at: now,
         }
     }
 
-    /// Replicas whose state is to be asked for now.
+    /// Replicas to be polled now.
     pub(super) fn due_polls(&mut self, now: Timestamp) -> Vec<Poll> {
         let interval_ms = self.limits.poll_interval_ms;
         let due = self
             .replicas
             .iter_mut()
-            .filter(|(_, observed)| !observed.polling && observed.poll_at <= now);
+            .filter(|(_, observed)| !observed.polling && observed.next_poll_at <= now);
         due.map(|(replica, observed)| {
             observed.polling = true;
-            observed.poll_at = Timestamp(now.0 + interval_ms);
+            observed.next_poll_at = Timestamp(now.0 + interval_ms);
             Poll {
                 replica: replica.clone(),
                 kind: observed.machine.kind.clone(),
@@ -158,7 +158,7 @@
         .collect()
     }
 
-    /// Takes a replica's answer, or that there was none.
+    /// Records a replica's answer, or its absence.
     pub(super) fn polled(&mut self, now: Timestamp, poll: &Poll, answer: Option<Observation>) {
         let Some(observed) = self.replicas.get_mut(&poll.replica) else {
             return;
@@ -170,34 +170,35 @@
         let Some(answer) = answer else {
             return;
         };
-        observed.heard_at = now;
+        observed.last_contact_at = now;
         observed.answered = true;
         observed.load = answer.load.unwrap_or(observed.load);
         self.changed |= observed.engine != answer.engine;
         observed.engine = answer.engine;
     }
 
-    /// Asks a replica at the next occasion.
+    /// Schedules a poll of a replica for the next step.
     pub(super) fn poll_soon(&mut self, replica: &ReplicaId) {
         if let Some(observed) = self.replicas.get_mut(replica) {
-            observed.poll_at = Timestamp(0);
+            observed.next_poll_at = Timestamp(0);
         }
     }
 
-    /// Whether each replica has answered this leader or is dead.
+    /// Whether each replica has answered to this leader or is dead.
     pub(super) fn is_complete(&self, now: Timestamp) -> bool {
         self.all_answered_within(now, self.limits.dead_after_ms)
     }
 
-    /// Whether each replica has answered this leader or is silent.
-    pub(super) fn may_be_told(&self, now: Timestamp) -> bool {
+    /// Whether each replica has answered to this leader or is silent.
+    pub(super) fn may_publish(&self, now: Timestamp) -> bool {
         self.all_answered_within(now, self.limits.silent_after_ms)
     }
 
     fn all_answered_within(&self, now: Timestamp, limit_ms: u64) -> bool {
-        let had_time = |observed: &Observed| now.0.saturating_sub(observed.heard_at.0) >= limit_ms;
+        let timed_out =
+            |observed: &Observed| now.0.saturating_sub(observed.last_contact_at.0) >= limit_ms;
         let mut replicas = self.replicas.values();
-        self.listed && replicas.all(|observed| observed.answered || had_time(observed))
+        self.listed && replicas.all(|observed| observed.answered || timed_out(observed))
     }
 
     pub(super) fn health(&self, now: Timestamp, replica: &ReplicaId) -> Option<ReplicaHealth> {
@@ -205,12 +206,12 @@
         Some(observed.health(now, &self.limits))
     }
 
-    /// Whether the list, once read, does not name the replica.
-    pub(super) fn is_gone(&self, replica: &ReplicaId) -> bool {
+    /// Whether the list was read and does not contain the replica.
+    pub(super) fn is_unlisted(&self, replica: &ReplicaId) -> bool {
         self.listed && !self.replicas.contains_key(replica)
     }
 
-    /// What the engine said last to this leader.
+    /// The last state that the engine reported to this leader.
     pub(super) fn engine(&self, replica: &ReplicaId) -> Option<&EngineState> {
         let observed = self.replicas.get(replica)?;
         observed.answered.then_some(&observed.engine)
@@ -221,7 +222,7 @@
         Some(&observed.machine.address)
     }
 
-    /// The replicas for the planner, in the order of their names.
+    /// The replicas for the planner, ordered by name.
     pub(super) fn placed(&self, now: Timestamp) -> Vec<PlacedReplica> {
         let replicas = self.replicas.values();
         replicas
--- a/crates/placement/src/reconciler/orders.rs
+++ b/crates/placement/src/reconciler/orders.rs
@@ -1,4 +1,4 @@
-//! How orders move on: reserved, issued, sent, accepted, in effect, settled.
+//! The life cycle of orders: reserved, issued, sent, accepted, in effect, settled.
 
 use linnethitch_config::fleet::Fleet;
 use linnethitch_observability::journal::DecisionKind;
@@ -11,11 +11,11 @@
 use super::{
     Action, Reconciler,
     weight_store::{ReservationAnswer, ready_at},
-    work::{IssuedOrder, OpenOrder, OrderAnswer, Phase, Work, describe, is_still_wanted},
+    work::{IssuedOrder, OpenOrder, OrderAnswer, Phase, Work, describe, is_still_requested},
 };
 
 impl Reconciler {
-    /// Takes the weight store's answer to [`Action::Reserve`].
+    /// Handles the weight store's answer to [`Action::Reserve`].
     pub fn reserved(&mut self, now: Timestamp, replica: &ReplicaId, answer: ReservationAnswer) {
         let Some(Work::Reserving(planned)) = self.work.remove(replica) else {
             return;
@@ -23,7 +23,7 @@
         let (wait_ms, reason) = match answer {
             ReservationAnswer::ReadyAfter(ready_after_ms) => {
                 let at = ready_at(now, ready_after_ms);
-                let outcome = format!("weights are there after {ready_after_ms} ms");
+                let outcome = format!("weights available after {ready_after_ms} ms");
                 self.record_order(now, replica, ReasonCode::WeightsReserved, outcome);
                 let work = Work::ToIssue { planned, at };
                 self.work.insert(replica.clone(), work);
@@ -36,12 +36,12 @@
         };
         let wait_ms = wait_ms.max(self.limits.retry_ms);
         self.store.wait_until(ready_at(now, wait_ms));
-        let outcome = format!("asked again after {wait_ms} ms");
+        let outcome = format!("retry after {wait_ms} ms");
         self.record_order(now, replica, reason, outcome);
     }
 
-    /// Takes the ledger's answer to [`Action::Issue`]: the order's token, or
-    /// `None` when it was not committed or that is not known.
+    /// Handles the ledger's answer to [`Action::Issue`]: the order's token, or
+    /// `None` if the order was not committed or that is unknown.
     pub fn issued(&mut self, now: Timestamp, replica: &ReplicaId, token: Option<FencingToken>) {
         let Some(Work::Issuing(planned)) = self.work.remove(replica) else {
             return;
@@ -61,7 +61,7 @@
         self.work.insert(replica.clone(), work);
     }
 
-    /// Takes the engine's answer to [`Action::Send`].
+    /// Handles the engine's answer to [`Action::Send`].
     pub fn sent(
         &mut self,
         now: Timestamp,
@@ -83,7 +83,7 @@
                 ReasonCode::OrderAccepted
             }
             OrderAnswer::Fenced => {
-                open.phase = Phase::Over { at: now };
+                open.phase = Phase::Ended { at: now };
                 ReasonCode::OrderFenced
             }
             OrderAnswer::Refused => {
@@ -99,7 +99,7 @@
         self.observed.poll_soon(replica);
     }
 
-    /// Takes the ledger's answer to [`Action::Settle`].
+    /// Handles the ledger's answer to [`Action::Settle`].
     pub fn settled(&mut self, now: Timestamp, replica: &ReplicaId, token: FencingToken, ok: bool) {
         let retry_at = Timestamp(now.0 + self.limits.retry_ms);
         let Some(open) = self.open_mut(replica, token) else {
@@ -107,17 +107,17 @@
         };
         if ok {
             self.work.remove(replica);
-            self.over.insert(replica.clone(), token);
+            self.settled_tokens.insert(replica.clone(), token);
         } else {
-            open.phase = Phase::Over { at: retry_at };
+            open.phase = Phase::Ended { at: retry_at };
         }
     }
 
-    /// Takes up open orders of the ledger that are not known yet: those of
-    /// earlier leaders, and own ones whose commit was not answered.
+    /// Adopts open orders of the ledger that are not known yet: orders of earlier
+    /// leaders, and own orders whose commit was not answered.
     pub(super) fn adopt(&mut self, now: Timestamp, open: &[IssuedOrder]) {
         for issued in open {
-            if !self.is_news(issued) {
+            if !self.is_unknown(issued) {
                 continue;
             }
             let phase = if issued.token.term < self.term {
@@ -136,10 +136,11 @@
         }
     }
 
-    /// The view of the ledger may be older than the answers to own proposals.
-    fn is_news(&self, issued: &IssuedOrder) -> bool {
-        let over = self.over.get(&issued.replica);
-        if over.is_some_and(|over| issued.token <= *over) {
+    /// Whether an open order of the ledger is not known yet. The view of the ledger
+    /// may be older than the answers to own proposals.
+    fn is_unknown(&self, issued: &IssuedOrder) -> bool {
+        let settled = self.settled_tokens.get(&issued.replica);
+        if settled.is_some_and(|settled| issued.token <= *settled) {
             return false;
         }
         match self.work.get(&issued.replica) {
@@ -149,8 +150,8 @@
         }
     }
 
-    /// Looks at what an engine says after a poll: whether its order is in
-    /// effect, or did not get there or was lost by a restart.
+    /// Compares the state of a polled engine with its order: the order may be in
+    /// effect, may not have arrived, or may be lost by a restart.
     pub(super) fn compare_order(&mut self, now: Timestamp, replica: &ReplicaId) {
         let Some(engine) = self.observed.engine(replica) else {
             return;
@@ -158,11 +159,11 @@
         let Some(Work::Open(open)) = self.work.get_mut(replica) else {
             return;
         };
-        if matches!(open.phase, Phase::Over { .. } | Phase::Settling) {
+        if matches!(open.phase, Phase::Ended { .. } | Phase::Settling) {
             return;
         }
         if let Some(reason) = open.outcome(engine) {
-            open.phase = Phase::Over { at: now };
+            open.phase = Phase::Ended { at: now };
             let outcome = describe(&open.order);
             return self.record_order(now, replica, reason, outcome);
         }
@@ -174,7 +175,7 @@
         }
     }
 
-    /// Moves on everything that is under way.
+    /// Advances all unfinished work.
     pub(super) fn advance_work(&mut self, now: Timestamp, fleet: &Fleet) -> Vec<Action> {
         let mut actions = Vec::new();
         let replicas: Vec<ReplicaId> = self.work.keys().cloned().collect();
@@ -196,7 +197,7 @@
         actions
     }
 
-    /// Issues an order, unless it is out of date by now.
+    /// Issues an order, unless it is outdated.
     fn issue(
         &mut self,
         now: Timestamp,
@@ -209,7 +210,7 @@
             return Some(Work::ToIssue { planned, at: now });
         }
         let answers = health == Some(ReplicaHealth::Answering);
-        if !answers || !is_still_wanted(&planned.order, fleet) {
+        if !answers || !is_still_requested(&planned.order, fleet) {
             let reason = if answers {
                 ReasonCode::OrderOutdated
             } else {
@@ -238,13 +239,13 @@
         fleet: &Fleet,
         actions: &mut Vec<Action>,
     ) -> Option<Work> {
-        self.give_up_if_due(now, replica, &mut open);
+        self.abandon_if_due(now, replica, &mut open);
         match open.phase {
             Phase::Inherited if self.observed.engine(replica).is_some() => {
                 return self.take_over(now, replica, open, fleet, actions);
             }
             Phase::ToSend { at } if at <= now => self.send(replica, &mut open, actions),
-            Phase::Over { at } if at <= now => {
+            Phase::Ended { at } if at <= now => {
                 open.phase = Phase::Settling;
                 actions.push(Action::Settle {
                     replica: replica.clone(),
@@ -271,9 +272,9 @@
         });
     }
 
-    /// An earlier leader's order that the engine does not have: what that
-    /// leader may still send must be fenced off, so the order is issued again
-    /// in this term, or is over if it is out of date.
+    /// Takes over an earlier leader's order that the engine does not have. That
+    /// leader may still send the order and has to be fenced off, so the order is
+    /// issued again in this term, or ends if it is outdated.
     fn take_over(
         &mut self,
         now: Timestamp,
@@ -283,8 +284,8 @@
         actions: &mut Vec<Action>,
     ) -> Option<Work> {
         let outcome = describe(&open.order);
-        if !is_still_wanted(&open.order, fleet) {
-            open.phase = Phase::Over { at: now };
+        if !is_still_requested(&open.order, fleet) {
+            open.phase = Phase::Ended { at: now };
             self.record_order(now, replica, ReasonCode::OrderOutdated, outcome);
             return Some(Work::Open(open));
         }
@@ -298,26 +299,26 @@
         Some(Work::Issuing(planned))
     }
 
-    /// Ends an order whose engine is gone, or that came to nothing for too long.
-    fn give_up_if_due(&mut self, now: Timestamp, replica: &ReplicaId, open: &mut OpenOrder) {
+    /// Ends an order whose engine is dead or removed, or that timed out.
+    fn abandon_if_due(&mut self, now: Timestamp, replica: &ReplicaId, open: &mut OpenOrder) {
         let limits = &self.limits;
         let age_ms = |since: Timestamp| now.0.saturating_sub(since.0);
         let timed_out = match open.phase {
-            Phase::Over { .. } | Phase::Settling => return,
+            Phase::Ended { .. } | Phase::Settling => return,
             Phase::Accepted { at } => age_ms(at) >= limits.effect_timeout_ms,
             Phase::Inherited | Phase::ToSend { .. } | Phase::Sending | Phase::Refused => {
                 age_ms(open.seen_at) >= limits.accept_timeout_ms
             }
         };
         let dead = self.observed.health(now, replica) == Some(ReplicaHealth::Dead);
-        let reason = if dead || self.observed.is_gone(replica) {
+        let reason = if dead || self.observed.is_unlisted(replica) {
             ReasonCode::ReplicaGone
         } else if timed_out {
             ReasonCode::OrderTimedOut
         } else {
             return;
         };
-        open.phase = Phase::Over { at: now };
+        open.phase = Phase::Ended { at: now };
         self.record_order(now, replica, reason, describe(&open.order));
     }
 
--- a/crates/placement/src/reconciler/weight_store.rs
+++ b/crates/placement/src/reconciler/weight_store.rs
@@ -1,43 +1,44 @@
-//! How much may be asked of the weight store.
+//! Rate limiting of reservations at the weight store.
 
 use linnethitch_protocol::ids::Timestamp;
 
-/// Longest wait for weights that is believed, in milliseconds.
+/// Maximum wait that is accepted from the weight store, in milliseconds; longer ones are
+/// cut to it.
 const MAX_READY_MS: u64 = 3_600_000;
 
-/// What the weight store answered to a reservation.
+/// The weight store's answer to a reservation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReservationAnswer {
-    /// The weights are on the machine after this many milliseconds.
+    /// The weights are on the machine after this time, in milliseconds.
     ReadyAfter(u64),
-    /// The store's rate is used up for this many milliseconds.
+    /// The store accepts no reservation for this time, in milliseconds.
     Busy(u64),
     /// The store did not answer.
     NoAnswer,
 }
 
-/// The store as its answers show it.
+/// The state of the weight store, derived from its answers.
 #[derive(Debug, Default)]
 pub(super) struct WeightStore {
     busy_until: Timestamp,
 }
 
 impl WeightStore {
-    /// Transfers that may be asked for now, when some are under way.
-    pub(super) fn room(&self, now: Timestamp, under_way: usize, most: usize) -> usize {
+    /// Number of transfers that may be reserved now, besides those in progress.
+    pub(super) fn free_transfers(&self, now: Timestamp, in_progress: usize, max: usize) -> usize {
         if now < self.busy_until {
             return 0;
         }
-        most.saturating_sub(under_way)
+        max.saturating_sub(in_progress)
     }
 
-    /// Nothing more is asked for until then.
+    /// Suspends reservations until a time.
     pub(super) fn wait_until(&mut self, until: Timestamp) {
         self.busy_until = self.busy_until.max(until);
     }
 }
 
-/// When weights are on their machine.
+/// The time at which weights are on their machine.
 pub(super) fn ready_at(now: Timestamp, ready_after_ms: u64) -> Timestamp {
     Timestamp(now.0 + ready_after_ms.min(MAX_READY_MS))
 }
--- a/crates/placement/src/reconciler/work.rs
+++ b/crates/placement/src/reconciler/work.rs
@@ -1,4 +1,4 @@
-//! What is under way for one engine, from the reservation of weights to the
+//! The unfinished work for one engine, from the reservation of weights to the
 //! end of the order.
 
 use linnethitch_config::fleet::Fleet;
@@ -12,44 +12,44 @@
 /// An order that is committed to the ledger and not settled.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IssuedOrder {
-    /// To which engine.
+    /// The engine.
     pub replica: ReplicaId,
-    /// Its token.
+    /// The fencing token of its commit.
     pub token: FencingToken,
-    /// What the engine shall do.
+    /// The order.
     pub order: EngineOrder,
 }
 
-/// What an engine answered to an order.
+/// The answer of an engine to an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum OrderAnswer {
-    /// It carries the order out.
+    /// The engine executes the order.
     Accepted,
-    /// It has seen a higher token.
+    /// The engine has seen a higher token.
     Fenced,
-    /// It will not carry the order out.
+    /// The engine rejects the order.
     Refused,
-    /// Whether it got the order is not known.
+    /// It is unknown whether the engine received the order.
     NoAnswer,
 }
 
-/// How far an order has come.
+/// The phase of an open order.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// An earlier leader issued it; whether the engine has it will show.
+    /// An earlier leader issued it; whether the engine has it is not known yet.
     Inherited,
-    /// To be sent to the engine at that time.
+    /// To be sent to the engine at this time.
     ToSend { at: Timestamp },
-    /// Under way to the engine.
+    /// Being sent to the engine.
     Sending,
     /// The engine has it; its effect is awaited.
     Accepted { at: Timestamp },
-    /// The engine refused it. It is not sent again, and nothing else is tried
-    /// until it is given up.
+    /// The engine refused it. It is not sent again, and the engine gets no other
+    /// order until this one times out.
     Refused,
-    /// It is over, and the ledger is to be told at that time.
-    Over { at: Timestamp },
-    /// The ledger is being told.
+    /// It has ended, and its end is to be committed to the ledger at this time.
+    Ended { at: Timestamp },
+    /// Its end is being committed to the ledger.
     Settling,
 }
 
@@ -58,17 +58,17 @@
 pub(super) struct OpenOrder {
     pub(super) token: FencingToken,
     pub(super) order: EngineOrder,
-    /// When this leader first saw it.
+    /// Time at which this leader first saw it.
     pub(super) seen_at: Timestamp,
     pub(super) phase: Phase,
 }
 
-/// What is under way for one engine.
+/// The unfinished work for one engine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum Work {
-    /// The weight store is asked for a transfer.
+    /// A transfer is being reserved at the weight store.
     Reserving(PlannedOrder),
-    /// The order is to be issued at that time, when its weights are there.
+    /// The order is to be issued at this time, when its weights are on the machine.
     ToIssue {
         planned: PlannedOrder,
         at: Timestamp,
@@ -80,7 +80,7 @@
 }
 
 impl Work {
-    /// What the engine is to do.
+    /// The order of the work.
     pub(super) fn order(&self) -> &EngineOrder {
         match self {
             Work::Reserving(planned) | Work::Issuing(planned) => &planned.order,
@@ -89,15 +89,16 @@
         }
     }
 
-    /// Whether it holds one of the weight transfers that may be under way.
-    pub(super) fn awaits_weights(&self) -> bool {
+    /// Whether the work counts against the limit on weight transfers.
+    pub(super) fn uses_transfer(&self) -> bool {
         let loads = matches!(self.order(), EngineOrder::LoadModel { .. });
         loads && !matches!(self, Work::Open(_))
     }
 }
 
 impl OpenOrder {
-    /// Whether the order is over by what the engine says of itself, and how.
+    /// The reason why the order has ended, by the state of the engine; `None` if it
+    /// has not ended.
     pub(super) fn outcome(&self, engine: &EngineState) -> Option<ReasonCode> {
         if engine.fence > self.token {
             return Some(ReasonCode::OrderFenced);
@@ -107,7 +108,7 @@
     }
 }
 
-/// Whether an engine is as the order wants it.
+/// Whether the state of an engine is the one that the order requests.
 fn is_in_effect(order: &EngineOrder, engine: &EngineState) -> bool {
     match order {
         EngineOrder::LoadModel { model, version } => {
@@ -118,9 +119,10 @@
     }
 }
 
-/// Whether the fleet file still names what an order loads. Roles are planned
-/// anew from what engines say, so a change of role is never out of date.
-pub(super) fn is_still_wanted(order: &EngineOrder, fleet: &Fleet) -> bool {
+/// Whether the fleet file still requests what an order loads. Roles are planned
+/// again from the reported states of engines, so a change of role is never
+/// outdated.
+pub(super) fn is_still_requested(order: &EngineOrder, fleet: &Fleet) -> bool {
     let mut pools = fleet.models.iter();
     match order {
         EngineOrder::LoadModel { model, version } => {
@@ -133,7 +135,7 @@
     }
 }
 
-/// An order in words, for the journal.
+/// A description of an order for the journal.
 pub(super) fn describe(order: &EngineOrder) -> String {
     match order {
         EngineOrder::LoadModel { model, version } => format!("load model {model} {version}"),
--- a/crates/placement/src/settings.rs
+++ b/crates/placement/src/settings.rs
@@ -1,23 +1,23 @@
-//! Times and bounds of placement.
+//! Timeouts and limits of placement.
 
-/// Times and bounds of placement; all times in milliseconds.
+/// Timeouts and limits of placement; all times in milliseconds.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PlacementLimits {
-    /// Time between two questions to a replica.
+    /// Time between two polls of a replica.
     pub poll_interval_ms: u64,
-    /// A replica without an answer for this long gets no orders.
+    /// A replica without an answer for this time gets no orders.
     pub silent_after_ms: u64,
-    /// A replica without an answer for this long is replaced.
+    /// A replica without an answer for this time is replaced.
     pub dead_after_ms: u64,
-    /// An order that the engine has not accepted for this long is given up.
+    /// An order that the engine does not accept within this time is abandoned.
     pub accept_timeout_ms: u64,
-    /// An accepted order without effect for this long is given up.
+    /// An accepted order without effect within this time is abandoned.
     pub effect_timeout_ms: u64,
-    /// Wait before anything that failed is tried again.
+    /// Delay before a failed step is retried.
     pub retry_ms: u64,
-    /// Weight transfers that are asked for and not yet on their machines, at most.
+    /// Maximum number of weight transfers that are reserved and not completed.
     pub max_transfers: usize,
-    /// Of a model's serving replicas, percent that may be away at once.
+    /// Maximum percentage of a model's serving replicas that may be unavailable at a time.
     pub max_changing_percent: usize,
 }
 
--- a/crates/placement/src/wire.rs
+++ b/crates/placement/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the protocols of engines, applications and the platform.
+//! JSON bodies in the protocols of engines, applications and the platform.
 
 use linnethitch_protocol::{
     command::EngineOrder,
@@ -7,7 +7,7 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A line of `GET /machines`.
+/// An element of the answer to `GET /machines`.
 #[derive(Deserialize)]
 pub(crate) struct MachineBody {
     name: String,
@@ -53,7 +53,7 @@
     }
 }
 
-/// `GET /engine/status`.
+/// The answer to `GET /engine/status`.
 #[derive(Deserialize)]
 pub(crate) struct StatusBody {
     model: Option<String>,
@@ -114,7 +114,7 @@
     sequence: u64,
 }
 
-/// `POST /engine/orders`.
+/// The request of `POST /engine/orders`.
 #[derive(Serialize)]
 pub(crate) struct OrderBody<'a> {
     token: TokenBody,
@@ -159,7 +159,7 @@
     measured_at_ms: u64,
     running_online: u32,
     running_batch: u32,
-    /// Of an application.
+    /// Running requests of an application.
     running: u32,
     waiting: u32,
     queued_prefill_tokens: u32,
@@ -187,7 +187,7 @@
     }
 }
 
-/// `POST /weights/reservations`.
+/// The request of `POST /weights/reservations`.
 #[derive(Serialize)]
 pub(crate) struct ReservationRequest<'a> {
     pub(crate) model: &'a str,
@@ -195,7 +195,7 @@
     pub(crate) machine: &'a str,
 }
 
-/// Its answer.
+/// The answer to `POST /weights/reservations`.
 #[derive(Deserialize)]
 pub(crate) struct ReservationBody {
     pub(crate) ready_after_ms: u64,
--- a/crates/placement/tests/all/engines_http.rs
+++ b/crates/placement/tests/all/engines_http.rs
@@ -1,4 +1,4 @@
-//! The driver against the emulator's servers over loopback, with real fencing.
+//! The driver with the emulator's servers over loopback, with real fencing.
 
 use std::{net::SocketAddr, sync::Arc, time::Duration};
 
@@ -24,10 +24,10 @@
     world::{MODEL, fleet_file},
 };
 
-/// How many times as fast as real time the back ends run.
+/// Factor by which the back ends run faster than real time.
 const COMPRESSION: u32 = 20;
 
-/// A control member with a ledger that it shares with the others.
+/// A control member whose ledger is shared with the other members.
 struct Host {
     ledger: Arc<Mutex<OrderLedger>>,
     term: Mutex<Option<Term>>,
@@ -57,7 +57,7 @@
         engines.any(|engine| engine.model.is_some() && engine.version == version)
     }
 
-    fn decided(&self, reason: &str) -> bool {
+    fn has_record_of(&self, reason: &str) -> bool {
         self.records.lock().iter().any(|one| one.reason == reason)
     }
 
@@ -122,7 +122,7 @@
         }
         tokio::time::sleep(Duration::from_millis(25)).await;
     }
-    panic!("never: {what}");
+    panic!("timed out: {what}");
 }
 
 async fn engine(name: &str) -> EngineServer {
@@ -143,7 +143,7 @@
     }
 }
 
-/// Sends an order as a leader does that was cut off for a while; its status.
+/// Sends an order late, as a leader does after it was isolated; returns the status.
 async fn send_late(engine: &EngineServer, order: &IssuedOrder) -> u16 {
     let EngineOrder::LoadModel { model, version } = &order.order else {
         panic!("a load is expected");
@@ -182,9 +182,9 @@
     assert_eq!(engines[0].state().fence.term, Term(1));
     assert!(!first.loads.lock().is_empty());
 
-    // An order is committed in term 1 and held up; the next leader moves on.
+    // An order is committed in term 1 and delayed, and the next leader continues.
     first.lead(None);
-    let held_up = IssuedOrder {
+    let delayed_order = IssuedOrder {
         replica: ReplicaId::from("e1"),
         token: ledger.lock().state().last_token(),
         order: EngineOrder::LoadModel {
@@ -195,10 +195,10 @@
     ledger.lock().apply_fleet(&fleet_file("v2", 1, 0, ""));
     second.lead(Some(2));
     until("the new version is loaded", || second.serves("v2")).await;
-    assert_eq!(send_late(&engines[0], &held_up).await, 409);
+    assert_eq!(send_late(&engines[0], &delayed_order).await, 409);
     assert_eq!(engines[0].state().version, "v2");
 
-    // The engine dies; the list still names it. The other one takes its place.
+    // The engine dies and is still listed. The other engine replaces it.
     engines[0].inject(linnethitch_emulator::engine::Fault::Die);
     until("the model is placed again", || {
         engines[1].state().version == "v2"
@@ -206,7 +206,7 @@
     .await;
     until("all orders are settled", || !second.has_open_orders()).await;
     for reason in ["placement_missing", "weights_reserved", "order_in_effect"] {
-        assert!(second.decided(reason), "no record of {reason}");
+        assert!(second.has_record_of(reason), "no record of {reason}");
     }
     drivers.iter().for_each(JoinHandle::abort);
 }
--- a/crates/placement/tests/all/ledger.rs
+++ b/crates/placement/tests/all/ledger.rs
@@ -1,4 +1,4 @@
-//! The real ledger in memory, as the leader's member holds it.
+//! The real ledger in memory, in place of the ledger of a control member.
 
 use linnethitch_ledger::Ledger;
 use linnethitch_placement::reconciler::IssuedOrder;
--- a/crates/placement/tests/all/world.rs
+++ b/crates/placement/tests/all/world.rs
@@ -1,5 +1,5 @@
-//! A fleet in virtual time: the emulator's engines and platform, the real
-//! ledger, and reconcilers of one or more leaders.
+//! A simulated fleet in virtual time: the emulator's engines and platform, the
+//! real ledger, and the reconcilers of one or more leaders.
 
 use std::collections::BTreeMap;
 
@@ -28,53 +28,53 @@
 
 pub(crate) const MODEL: &str = "quote";
 
-/// An engine and what is wrong with it.
+/// An emulated engine with its faults and load.
 pub(crate) struct Engine {
     pub(crate) core: EngineCore,
     pub(crate) zone: &'static str,
-    /// Whether it answers anything.
+    /// Whether it answers requests.
     pub(crate) answers: bool,
     /// Online requests that it reports.
     pub(crate) online: u32,
-    /// Loads of a model that it accepted.
+    /// Number of model loads that it accepted.
     pub(crate) loads: u32,
 }
 
-/// The fleet.
+/// The simulated fleet.
 pub(crate) struct World {
     pub(crate) now_ms: u64,
     pub(crate) engines: BTreeMap<ReplicaId, Engine>,
     pub(crate) platform: PlatformCore,
     pub(crate) ledger: OrderLedger,
     pub(crate) leader: Reconciler,
-    /// The open orders of the ledger as the leader sees them, a step late.
+    /// The open orders of the ledger as the leader sees them, one step late.
     view: Vec<IssuedOrder>,
-    /// Actions of this kind are not carried out but kept.
-    pub(crate) hold: Option<Held>,
-    pub(crate) held: Vec<Action>,
-    /// Reasons of the decisions, in order.
+    /// Actions of this kind are stored instead of executed.
+    pub(crate) hold_at: Option<HoldAt>,
+    pub(crate) held_actions: Vec<Action>,
+    /// Reasons of the journaled decisions, in order.
     pub(crate) reasons: Vec<String>,
     pub(crate) store_refusals: u32,
     pub(crate) store_grants: u32,
 }
 
-/// At which point the leader is stopped.
+/// The action at which the leader is stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Held {
+pub(crate) enum HoldAt {
     Reserve,
     Issue,
     Send,
     Settle,
 }
 
-impl Held {
-    fn is(self, action: &Action) -> bool {
+impl HoldAt {
+    fn matches(self, action: &Action) -> bool {
         matches!(
             (self, action),
-            (Held::Reserve, Action::Reserve { .. })
-                | (Held::Issue, Action::Issue { .. })
-                | (Held::Send, Action::Send { .. })
-                | (Held::Settle, Action::Settle { .. })
+            (HoldAt::Reserve, Action::Reserve { .. })
+                | (HoldAt::Issue, Action::Issue { .. })
+                | (HoldAt::Send, Action::Send { .. })
+                | (HoldAt::Settle, Action::Settle { .. })
         )
     }
 }
@@ -108,15 +108,15 @@
             ledger: OrderLedger::new(fleet_file),
             leader: Reconciler::new(PlacementLimits::default(), Term(1), Vec::new()),
             view: Vec::new(),
-            hold: None,
-            held: Vec::new(),
+            hold_at: None,
+            held_actions: Vec::new(),
             reasons: Vec::new(),
             store_refusals: 0,
             store_grants: 0,
         }
     }
 
-    /// Adds engines `{zone}1` and so on; `version` is `None` for empty ones.
+    /// Adds engines `{zone}01` and so on; `version` is `None` for engines without a model.
     pub(crate) fn with(mut self, zone: &'static str, count: u32, version: Option<&str>) -> Self {
         let first = self.engines.values().filter(|one| one.zone == zone).count() as u32 + 1;
         for number in first..first + count {
@@ -151,7 +151,7 @@
         self.engines.get_mut(&replica).expect("a known engine")
     }
 
-    /// Another member takes the lead.
+    /// Another member becomes leader.
     pub(crate) fn change_leader(&mut self) {
         let term = Term(self.leader.term().0 + 1);
         let next = Reconciler::new(PlacementLimits::default(), term, Vec::new());
@@ -159,7 +159,7 @@
         self.view = self.ledger.open_orders();
     }
 
-    /// A process starts again with nothing loaded.
+    /// Restarts an engine process with nothing loaded.
     pub(crate) fn restart_empty(&mut self, name: &str) {
         let engine = self.engine(name);
         engine.core = EngineCore::new(EngineModel::default(), 1);
@@ -170,7 +170,7 @@
         self.run_checked(milliseconds, |_| {});
     }
 
-    /// Lets time pass and looks at the fleet after each step.
+    /// Runs for a time and checks the fleet after each step.
     pub(crate) fn run_checked(&mut self, milliseconds: u64, check: impl Fn(&World)) {
         for _ in 0..milliseconds / STEP_MS {
             self.step();
@@ -203,10 +203,10 @@
             .expect("a fleet file is in force");
         let open = std::mem::replace(&mut self.view, self.ledger.open_orders());
         for action in self.leader.step(now, &fleet, &open) {
-            if self.hold.is_some_and(|held| held.is(&action)) {
-                self.held.push(action);
+            if self.hold_at.is_some_and(|hold| hold.matches(&action)) {
+                self.held_actions.push(action);
             } else {
-                self.carry_out(action);
+                self.execute(action);
             }
         }
         let records = self.leader.take_records().into_iter();
@@ -226,7 +226,7 @@
         })
     }
 
-    pub(crate) fn carry_out(&mut self, action: Action) {
+    pub(crate) fn execute(&mut self, action: Action) {
         let now = Timestamp(self.now_ms);
         match action {
             Action::Reserve { replica, .. } => {
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Hands an order to its engine, which checks the token.
+    /// Delivers an order to its engine, which checks the token.
     pub(crate) fn deliver(&mut self, order: &IssuedOrder) -> OrderAnswer {
         let time = self.time();
         let engine = self.engine(order.replica.as_str());
@@ -312,7 +312,7 @@
         self.engines.values().map(|engine| engine.loads).sum()
     }
 
-    pub(crate) fn decided(&self, reason: &str) -> bool {
+    pub(crate) fn has_record_of(&self, reason: &str) -> bool {
         self.reasons.iter().any(|known| known == reason)
     }
 }
