--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -18,13 +18,13 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    answer::{AnswerBody, BodyFailure, own_answer, whole},
     callers::KeyRefusal,
     counters::RequestEnd,
     dialect::Prompt,
     exchange::{Exchange, Limits, Opened, Outgoing, Target, exchange, strip_connection_headers},
     homes::HomeZones,
     pump::{Pump, PumpSettings},
+    response::{BodyFailure, ResponseBody, error_response, whole},
     search::{Placed, Search},
     shared::Shared,
 };
@@ -90,7 +90,7 @@
 }
 
 impl Attempt<'_> {
-    pub(crate) async fn run(mut self) -> Response<AnswerBody> {
+    pub(crate) async fn run(mut self) -> Response<ResponseBody> {
         loop {
             let Some(known_ends) = self.shared.known_ends(&self.outgoing).await else {
                 return self.refuse_as_ending();
@@ -326,7 +326,7 @@
 
     /// The final answer of a request under which replicas end, at once. Where this
     /// attempt has not run it is one that clients do not repeat by themselves.
-    fn refuse_as_ending(&self) -> Response<AnswerBody> {
+    fn refuse_as_ending(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
             return self.give_up("replicas end under it");
         }
@@ -334,11 +334,11 @@
             "request" => self.outgoing.id(),
             "content" => self.outgoing.fingerprint().to_string());
         self.ended(RequestEnd::EndsReplicas);
-        own_answer(ErrorKind::EndsReplicas, None)
+        error_response(ErrorKind::EndsReplicas, None)
     }
 
     /// The final answer of a request under which replicas ended, at a gateway that is cut off.
-    fn refuse_while_cut_off(&self) -> Response<AnswerBody> {
+    fn refuse_while_cut_off(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
             return self.give_up("replicas end under it, and this gateway is cut off");
         }
@@ -347,22 +347,22 @@
             "",
         );
         self.ended(RequestEnd::EndsReplicas);
-        own_answer(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_CUT_OFF))
+        error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_CUT_OFF))
     }
 
     /// The final answer of a request whose replicas are all in evacuated zones, at once:
     /// waiting a little does not help.
-    fn refuse_as_evacuated(&self) -> Response<AnswerBody> {
+    fn refuse_as_evacuated(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
             return self.give_up("every replica is evacuated");
         }
         self.log("refused, every replica is evacuated", "");
         self.ended(RequestEnd::Evacuated);
-        own_answer(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_EVACUATION))
+        error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_EVACUATION))
     }
 
     /// The final answer of a request that has no home at its service, at once.
-    fn refuse_outside_homes(&self) -> Response<AnswerBody> {
+    fn refuse_outside_homes(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
             return self.give_up("no replica is in its homes");
         }
@@ -375,7 +375,7 @@
     }
 
     /// The final answer of a request whose key was taken away before it was sent.
-    fn refuse_key(&self, refusal: KeyRefusal) -> Response<AnswerBody> {
+    fn refuse_key(&self, refusal: KeyRefusal) -> Response<ResponseBody> {
         if self.runs > 0 {
             return self.give_up("the key is no longer known");
         }
@@ -384,7 +384,7 @@
     }
 
     /// The final answer of a request that no replica may be given, at once.
-    fn give_up_unplaced(&self) -> Response<AnswerBody> {
+    fn give_up_unplaced(&self) -> Response<ResponseBody> {
         match self.state_of_open() {
             ColdState::Warm => self.give_up("no replica"),
             ColdState::Cold => self.give_up("replicas are cold"),
@@ -399,11 +399,11 @@
     }
 
     /// The final answer of a request that no replica answered, at once.
-    fn give_up(&self, why: &str) -> Response<AnswerBody> {
+    fn give_up(&self, why: &str) -> Response<ResponseBody> {
         self.log(why, "");
         if self.runs == 0 {
             self.ended(RequestEnd::Refused);
-            return own_answer(ErrorKind::NoBackEnd, Some(self.come_back_after()));
+            return error_response(ErrorKind::NoBackEnd, Some(self.come_back_after()));
         }
         self.ended(RequestEnd::Failed);
         let kind = if Instant::now() >= self.until {
@@ -411,12 +411,12 @@
         } else {
             ErrorKind::BackEndFailed
         };
-        own_answer(kind, None)
+        error_response(kind, None)
     }
 
     /// Passes an answer on; `None` where it turned out not to be whole and
     /// nothing of it was passed on yet.
-    async fn pass_on(&mut self, opened: Opened) -> Option<Response<AnswerBody>> {
+    async fn pass_on(&mut self, opened: Opened) -> Option<Response<ResponseBody>> {
         let is_stream =
             self.route.kind == RouteKind::Streaming && opened.response.status() == StatusCode::OK;
         let is_short = opened
@@ -432,7 +432,7 @@
     }
 
     /// Reads the whole answer before any of it is passed on.
-    async fn hold(&mut self, opened: Opened) -> Option<Response<AnswerBody>> {
+    async fn hold(&mut self, opened: Opened) -> Option<Response<ResponseBody>> {
         let Opened {
             replica,
             response,
@@ -483,7 +483,7 @@
     }
 
     /// Passes an answer on as it comes.
-    fn stream(&mut self, opened: Opened) -> Response<AnswerBody> {
+    fn stream(&mut self, opened: Opened) -> Response<ResponseBody> {
         let (mut head, body) = opened.response.into_parts();
         let length = head.headers.get(header::CONTENT_LENGTH).cloned();
         strip_connection_headers(&mut head.headers);
@@ -520,7 +520,7 @@
     }
 }
 
-fn channel_body(mut receiver: mpsc::Receiver<Result<Bytes, BodyFailure>>) -> AnswerBody {
+fn channel_body(mut receiver: mpsc::Receiver<Result<Bytes, BodyFailure>>) -> ResponseBody {
     let frames = futures_util::stream::poll_fn(move |context| {
         let polled = receiver.poll_recv(context);
         polled.map(|item| item.map(|result| result.map(Frame::data)))
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -21,7 +21,7 @@
     /// This gateway, as IP:PORT.
     pub name: String,
     /// Most items at once.
-    pub most_items: u32,
+    pub max_items: u32,
 }
 
 /// Pause between two looks at what to call the job store for.
@@ -48,7 +48,7 @@
         } else {
             let held = running.len() as u32;
             let wanted = growth.items_to_request(room_for_items(&relay), held);
-            let left = settings.most_items.saturating_sub(held);
+            let left = settings.max_items.saturating_sub(held);
             wanted.min(left).min(ITEMS_AT_ONCE)
         };
         let calls = rhythm.after_interval(WorkState {
--- a/crates/relay/src/held_bytes.rs
+++ b/crates/relay/src/buffered_bytes.rs
@@ -20,22 +20,22 @@
 
 /// Bytes held by this process. Clones share the count.
 #[derive(Clone, Debug)]
-pub struct HeldBytes {
+pub struct BufferedBytes {
     most: u64,
     held: Arc<AtomicU64>,
 }
 
 /// Counts bytes as held until this is dropped.
 #[derive(Debug)]
-pub struct Held {
-    all: HeldBytes,
+pub struct BufferedGuard {
+    all: BufferedBytes,
     bytes: u64,
 }
 
 /// Bytes that count as held until they, and all that share them, are dropped.
 struct KeptBytes {
     bytes: Bytes,
-    _held: Held,
+    _held: BufferedGuard,
 }
 
 impl AsRef<[u8]> for KeptBytes {
@@ -44,11 +44,11 @@
     }
 }
 
-impl HeldBytes {
+impl BufferedBytes {
     /// Nothing is held yet of at most so many bytes.
     #[must_use]
     pub fn new(most: u64) -> Self {
-        HeldBytes {
+        BufferedBytes {
             most,
             held: Arc::default(),
         }
@@ -68,9 +68,9 @@
 
     /// Counts bytes that are held from now on.
     #[must_use]
-    pub fn hold(&self, bytes: u64) -> Held {
+    pub fn hold(&self, bytes: u64) -> BufferedGuard {
         self.held.fetch_add(bytes, Ordering::Relaxed);
-        Held {
+        BufferedGuard {
             all: self.clone(),
             bytes,
         }
@@ -84,7 +84,7 @@
     }
 }
 
-impl Drop for Held {
+impl Drop for BufferedGuard {
     fn drop(&mut self) {
         self.all.held.fetch_sub(self.bytes, Ordering::Relaxed);
     }
@@ -92,17 +92,17 @@
 
 /// Pieces of one answer that wait for its caller.
 #[derive(Debug)]
-pub struct UnreadPieces {
-    all: HeldBytes,
+pub struct UnreadBuffer {
+    all: BufferedBytes,
     pieces: VecDeque<Bytes>,
     bytes: u64,
 }
 
-impl UnreadPieces {
+impl UnreadBuffer {
     /// Nothing waits.
     #[must_use]
-    pub fn new(all: HeldBytes) -> Self {
-        UnreadPieces {
+    pub fn new(all: BufferedBytes) -> Self {
+        UnreadBuffer {
             all,
             pieces: VecDeque::new(),
             bytes: 0,
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -8,9 +8,9 @@
 use linnethitch_tenants::{KeyDigest, Tenant, TenantDirectory, bearer_key};
 
 use crate::{
-    answer::{AnswerBody, own_answer},
     attempt::COME_BACK_AFTER,
     dialect::HeaderNames,
+    response::{ResponseBody, error_response},
 };
 
 /// Of the time within which a key that was taken away must be refused everywhere, so much
@@ -23,14 +23,14 @@
 pub struct KeyPolicy {
     /// Time after which no gateway may take a key that was taken away, in touch with
     /// control or not. `None` where one that is cut off goes on by what it knows.
-    pub refused_within: Option<Duration>,
+    pub revocation_limit: Option<Duration>,
 }
 
 impl KeyPolicy {
     /// How old a gateway's knowledge of keys may be, in milliseconds.
     fn most_age_ms(&self) -> u64 {
         let kept = |within: Duration| within.saturating_sub(UNKNOWN_FOR).as_millis() as u64;
-        self.refused_within.map_or(u64::MAX, kept)
+        self.revocation_limit.map_or(u64::MAX, kept)
     }
 }
 
@@ -55,10 +55,12 @@
 
 impl KeyRefusal {
     /// The answer to a request that has not run.
-    pub(crate) fn answer(self) -> Response<AnswerBody> {
+    pub(crate) fn answer(self) -> Response<ResponseBody> {
         match self {
-            KeyRefusal::Missing | KeyRefusal::Unknown => own_answer(ErrorKind::InvalidKey, None),
-            KeyRefusal::TooOld => own_answer(ErrorKind::NotReady, Some(COME_BACK_AFTER)),
+            KeyRefusal::Missing | KeyRefusal::Unknown => {
+                error_response(ErrorKind::InvalidKey, None)
+            }
+            KeyRefusal::TooOld => error_response(ErrorKind::NotReady, Some(COME_BACK_AFTER)),
         }
     }
 
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -30,7 +30,7 @@
     /// Its parts, in order.
     pub parts: Vec<PromptPart>,
     /// Most tokens of the answer.
-    pub answer_tokens: u32,
+    pub max_output_tokens: u32,
 }
 
 /// How callers and replicas speak.
--- a/crates/relay/src/homes.rs
+++ b/crates/relay/src/homes.rs
@@ -10,10 +10,10 @@
 use slog::info;
 
 use crate::{
-    answer::{AnswerBody, own_answer},
     counters::RequestEnd,
     exchange::{Exchange, Outgoing},
     relay::Relay,
+    response::{ResponseBody, error_response},
     shared::Shared,
 };
 
@@ -168,7 +168,7 @@
         request: &str,
         route: &Route,
         tenant: Option<&str>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let fleet = self.gateway.fleet();
         let of_tenant = tenant.and_then(|name| fleet.tenants().get(name));
         let of_tenant = of_tenant.map(|tenant| tenant.homes.join(","));
@@ -177,7 +177,7 @@
             "tenant_homes" => of_tenant, "version" => fleet.table().map(|table| table.version));
         self.counters
             .request_ended(&route.name, RequestEnd::OutsideHomes);
-        own_answer(ErrorKind::OutsideHomes, None)
+        error_response(ErrorKind::OutsideHomes, None)
     }
 }
 
@@ -186,21 +186,21 @@
 impl Relay {
     /// Whether jobs of a route and a tenant may be kept, by the tenants in force now.
     #[must_use]
-    pub fn may_keep_jobs(&self, route: &Route, tenant: Option<&str>) -> bool {
+    pub fn may_store_jobs(&self, route: &Route, tenant: Option<&str>) -> bool {
         self.shared.homes_of(route, tenant).is_none()
     }
 
     /// A route of a job or of its items because of which it may not be kept, by what is in
     /// force now.
     #[must_use]
-    pub fn route_outside(&self, job: &JobSpec, tenant: Option<&str>) -> Option<Route> {
+    pub fn unstorable_route(&self, job: &JobSpec, tenant: Option<&str>) -> Option<Route> {
         let table = self.shared.table()?;
         let items = job.items.iter().map(|item| item.path.as_str());
         let mut paths: Vec<&str> = items.chain([job.path.as_str()]).collect();
         paths.sort_unstable();
         paths.dedup();
         let routes = paths.iter().filter_map(|path| table.find(&job.host, path));
-        let mut bound = routes.filter(|route| !self.may_keep_jobs(route, tenant));
+        let mut bound = routes.filter(|route| !self.may_store_jobs(route, tenant));
         bound.next().cloned()
     }
 
@@ -211,7 +211,7 @@
         job: &str,
         route: &Route,
         tenant: Option<&str>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         self.shared.refuse_outside_homes(job, route, tenant)
     }
 }
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -5,10 +5,10 @@
 //! what an answer means for the next step is decided here. The names of headers
 //! come from a [`Dialect`], so that this crate knows no platform.
 
-mod answer;
 mod attempt;
 mod batch;
 mod body;
+mod buffered_bytes;
 mod callers;
 mod cold_replicas;
 mod connections;
@@ -19,7 +19,6 @@
 mod exchange;
 mod fleet_changes;
 mod following;
-mod held_bytes;
 mod homes;
 mod item_run;
 mod planned_stop;
@@ -27,6 +26,7 @@
 mod quotas;
 mod relay;
 mod replica_ends;
+mod response;
 mod running_guard;
 mod running_items;
 mod search;
@@ -36,12 +36,12 @@
 mod suspected_requests;
 mod suspicions;
 
-pub use answer::{AnswerBody, own_answer, own_body};
 pub use batch::{BatchSettings, run_items};
 pub use body::read_body;
+pub use buffered_bytes::{BufferedBytes, BufferedGuard, UnreadBuffer};
 pub use callers::{Caller, KeyPolicy};
 pub use dialect::{Dialect, HeaderNames, Prompt};
 pub use events::EventSplitter;
-pub use held_bytes::{Held, HeldBytes, UnreadPieces};
 pub use relay::{Relay, RelaySettings};
+pub use response::{ResponseBody, error_response, gateway_response};
 pub use server::{CallerServer, ServerLimits, serve_callers};
--- a/crates/relay/src/planned_stop.rs
+++ b/crates/relay/src/planned_stop.rs
@@ -20,7 +20,7 @@
 
 impl PlannedStop {
     /// For a process that ends within a time after it is told to stop.
-    pub(crate) fn new(stopping: CancellationToken, ends_within: Duration) -> Arc<Self> {
+    pub(crate) fn new(stopping: CancellationToken, stop_within: Duration) -> Arc<Self> {
         let stop = Arc::new(PlannedStop {
             ends_at: OnceLock::new(),
             answer_times: Mutex::default(),
@@ -29,7 +29,7 @@
         tokio::spawn(async move {
             stopping.cancelled().await;
             // It is told to stop once.
-            let _ = told.ends_at.set(Instant::now() + ends_within);
+            let _ = told.ends_at.set(Instant::now() + stop_within);
         });
         stop
     }
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -12,13 +12,13 @@
 use tokio::sync::mpsc;
 
 use crate::{
-    answer::BodyFailure,
+    buffered_bytes::UnreadBuffer,
     connections::Connection,
     counters::RequestEnd,
     events::EventSplitter,
     exchange::{Exchange, Limits, Outgoing, Target, exchange},
-    held_bytes::UnreadPieces,
     homes::HomeZones,
+    response::BodyFailure,
     running_guard::RunningGuard,
     search::{Placed, Search},
     shared::Shared,
@@ -55,7 +55,7 @@
     splitter: EventSplitter,
     source: Source,
     /// What came and its caller has not taken.
-    unread: UnreadPieces,
+    unread: UnreadBuffer,
 }
 
 /// The replica that the stream comes from.
@@ -86,7 +86,7 @@
         running: RunningGuard,
     ) -> Self {
         Pump {
-            unread: UnreadPieces::new(shared.held.clone()),
+            unread: UnreadBuffer::new(shared.held.clone()),
             shared,
             settings,
             splitter: EventSplitter::default(),
@@ -177,7 +177,7 @@
     }
 
     /// Hands on what waits for the caller; false where it has gone.
-    async fn hand_rest_on(unread: &mut UnreadPieces, sender: &Sender) -> bool {
+    async fn hand_rest_on(unread: &mut UnreadBuffer, sender: &Sender) -> bool {
         while let Some(piece) = unread.pop() {
             if sender.send(Ok(piece)).await.is_err() {
                 return false;
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -14,7 +14,6 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    answer::{AnswerBody, own_answer},
     attempt::{Attempt, COME_BACK_AFTER},
     body::read_body,
     callers::{Caller, KeyPolicy, name_tenant},
@@ -23,6 +22,7 @@
     exchange::{Admitted, Outgoing, strip_connection_headers},
     following::{follow_fleet, follow_gateways, keep_slots},
     planned_stop::PlannedStop,
+    response::{ResponseBody, error_response},
     shared::Shared,
 };
 
@@ -40,9 +40,9 @@
     /// How far the fleet may go beyond what cold replicas bear.
     pub cold: ColdSettings,
     /// Bytes of requests and answers that may be held before new requests are refused.
-    pub most_held_bytes: u64,
+    pub max_buffered_bytes: u64,
     /// Longest time from being told to stop to the end of the process.
-    pub ends_within: Duration,
+    pub stop_within: Duration,
 }
 
 /// A quarter of a small machine of 160 MB: the rest is the process itself, the fleet as it
@@ -59,8 +59,8 @@
             keys: KeyPolicy::default(),
             quota: QuotaSettings::default(),
             cold: ColdSettings::default(),
-            most_held_bytes: DEFAULT_HELD_BYTES,
-            ends_within: DEFAULT_ENDS_WITHIN,
+            max_buffered_bytes: DEFAULT_HELD_BYTES,
+            stop_within: DEFAULT_ENDS_WITHIN,
         }
     }
 }
@@ -82,7 +82,7 @@
         stopping: CancellationToken,
         logger: Logger,
     ) -> Self {
-        let stop = PlannedStop::new(stopping.clone(), settings.ends_within);
+        let stop = PlannedStop::new(stopping.clone(), settings.stop_within);
         let shared = Shared::new(gateway.clone(), dialect, settings, stop, logger);
         let shared = Arc::new(shared);
         tokio::spawn(follow_fleet(Arc::clone(&shared), gateway.clone()));
@@ -99,7 +99,7 @@
 
     /// The fleet as it is known here, once a table is in force; where none was learned
     /// yet, the first that comes within the limit.
-    pub async fn first_fleet(&self, limit: Duration) -> Option<Arc<FleetView>> {
+    pub async fn wait_for_fleet(&self, limit: Duration) -> Option<Arc<FleetView>> {
         let mut views = self.shared.gateway.follow();
         let arrives = views.wait_for(|view| view.table().is_some());
         let view = linnethitch_clock::timeout(limit, arrives)
@@ -118,13 +118,13 @@
         fleet: &FleetView,
         headers: &HeaderMap,
         needs_key: bool,
-    ) -> Result<Option<Caller>, Box<Response<AnswerBody>>> {
+    ) -> Result<Option<Caller>, Box<Response<ResponseBody>>> {
         let caller = self.shared.caller(fleet, headers, needs_key);
         caller.map_err(|refusal| Box::new(refusal.answer()))
     }
 
     /// Takes out of a job's items what its caller said of itself: keys are not kept.
-    pub fn forget_keys(&self, fleet: &FleetView, items: &mut [ItemSpec]) {
+    pub fn strip_credentials(&self, fleet: &FleetView, items: &mut [ItemSpec]) {
         if !fleet.tenants().are_listed() {
             return;
         }
@@ -146,7 +146,7 @@
 
     /// Figures since the start, as Prometheus text.
     #[must_use]
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let gateway = &self.shared.gateway;
         let counters = &self.shared.counters;
         let silent_ms = gateway.control_silent_ms();
@@ -186,7 +186,7 @@
         table: &RouteTable,
         route: &Route,
         request: Request<Incoming>,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let arrived = Instant::now();
         let (head, body) = request.into_parts();
         let caller = match self.shared.caller(fleet, &head.headers, !route.public) {
@@ -199,7 +199,7 @@
         };
         let names = self.shared.dialect.names();
         let Some(request_id) = head.headers.get(&names.request_id).cloned() else {
-            return own_answer(ErrorKind::MalformedRequest, None);
+            return error_response(ErrorKind::MalformedRequest, None);
         };
         let limit = time_limit(&head.headers, names, route);
         let now_ms = self.shared.clock.now_ms();
@@ -212,7 +212,7 @@
         let until = arrived + limit;
         let body = match read_body(body, table.limits.body_bytes, until).await {
             Ok(body) => self.shared.held.keep(body),
-            Err(kind) => return own_answer(kind, None),
+            Err(kind) => return error_response(kind, None),
         };
         let tenant = caller.as_ref().map(|caller| caller.tenant.name.clone());
         let rank = caller.as_ref().and_then(|caller| caller.tenant.rank);
@@ -222,7 +222,7 @@
         };
         let homes = self.shared.homes_of(route, tenant.as_deref());
         let Some(service) = self.shared.pick_service(route, &homes) else {
-            return own_answer(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER));
+            return error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER));
         };
         let prompt = self.shared.dialect.prompt(&head.headers);
         let mut headers = head.headers;
@@ -265,23 +265,27 @@
         request_id: &HeaderValue,
         route: &Route,
         left: Duration,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let counters = &self.shared.counters;
         counters.request_ended(&route.name, RequestEnd::Stopping);
         info!(self.shared.logger, "request: refused, this gateway ends before it may";
             "request" => request_id.to_str().unwrap_or_default(), "route" => &route.name,
             "left_ms" => left.as_millis() as u64);
-        own_answer(ErrorKind::Stopping, Some(Duration::ZERO))
+        error_response(ErrorKind::Stopping, Some(Duration::ZERO))
     }
 
     /// The answer to a request that comes while too much is held for others who read slowly.
-    fn refuse_without_room(&self, request_id: &HeaderValue, route: &Route) -> Response<AnswerBody> {
+    fn refuse_without_room(
+        &self,
+        request_id: &HeaderValue,
+        route: &Route,
+    ) -> Response<ResponseBody> {
         let counters = &self.shared.counters;
         counters.request_ended(&route.name, RequestEnd::NoRoom);
         info!(self.shared.logger, "request: refused, too much is held for slow readers";
             "request" => request_id.to_str().unwrap_or_default(),
             "held_bytes" => self.shared.held.bytes());
-        own_answer(ErrorKind::Overloaded, Some(COME_BACK_AFTER))
+        error_response(ErrorKind::Overloaded, Some(COME_BACK_AFTER))
     }
 
     /// Lets a tenant's request in, if it is within the tenant's limit. What is beyond it
@@ -291,7 +295,7 @@
         caller: Option<Caller>,
         request_id: &HeaderValue,
         route: &Route,
-    ) -> Result<Option<Admitted>, Box<Response<AnswerBody>>> {
+    ) -> Result<Option<Admitted>, Box<Response<ResponseBody>>> {
         let Some(caller) = caller else {
             return Ok(None);
         };
@@ -304,7 +308,7 @@
                     "request" => request_id.to_str().unwrap_or_default(),
                     "tenant" => &caller.tenant.name, "again_in_ms" => again_in.as_millis() as u64);
                 let kind = ErrorKind::RequestRateLimited;
-                Err(Box::new(own_answer(kind, Some(again_in))))
+                Err(Box::new(error_response(kind, Some(again_in))))
             }
         }
     }
--- a/crates/relay/src/answer.rs
+++ b/crates/relay/src/response.rs
@@ -11,10 +11,10 @@
 pub(crate) type BodyFailure = Box<dyn std::error::Error + Send + Sync>;
 
 /// The body of any answer.
-pub type AnswerBody = UnsyncBoxBody<Bytes, BodyFailure>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, BodyFailure>;
 
 /// A body that is there as a whole.
-pub(crate) fn whole(bytes: Bytes) -> AnswerBody {
+pub(crate) fn whole(bytes: Bytes) -> ResponseBody {
     Full::new(bytes)
         .map_err(|never| match never {})
         .boxed_unsync()
@@ -22,11 +22,11 @@
 
 /// An answer of this process with a body of its own.
 #[must_use]
-pub fn own_body(
+pub fn gateway_response(
     status: StatusCode,
     content_type: &'static str,
     body: Bytes,
-) -> Response<AnswerBody> {
+) -> Response<ResponseBody> {
     let mut response = Response::new(whole(body));
     *response.status_mut() = status;
     let content_type = HeaderValue::from_static(content_type);
@@ -39,7 +39,7 @@
 /// The gateway's own answer for a kind of error. `again_in` tells the caller
 /// when to come back; it is given only where the request has not run.
 #[must_use]
-pub fn own_answer(kind: ErrorKind, again_in: Option<Duration>) -> Response<AnswerBody> {
+pub fn error_response(kind: ErrorKind, again_in: Option<Duration>) -> Response<ResponseBody> {
     let answer = kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::BAD_GATEWAY);
     let body = whole(Bytes::from_static(answer.code.as_bytes()));
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -24,7 +24,7 @@
 };
 use tokio_util::{sync::CancellationToken, task::TaskTracker};
 
-use crate::answer::AnswerBody;
+use crate::response::ResponseBody;
 
 /// Smallest read buffer that hyper takes, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
@@ -63,7 +63,7 @@
     fn answer(
         &self,
         request: Request<Incoming>,
-    ) -> impl Future<Output = Response<AnswerBody>> + Send;
+    ) -> impl Future<Output = Response<ResponseBody>> + Send;
 }
 
 /// Serves callers until told to stop, then until all that was begun has ended.
@@ -235,7 +235,7 @@
 
 /// Notes when an answer has been taken.
 struct TrackedBody {
-    body: AnswerBody,
+    body: ResponseBody,
     activity: Arc<Activity>,
     clock: Clock,
 }
@@ -248,7 +248,7 @@
 
 impl hyper::body::Body for TrackedBody {
     type Data = bytes::Bytes;
-    type Error = crate::answer::BodyFailure;
+    type Error = crate::response::BodyFailure;
 
     fn poll_frame(
         mut self: Pin<&mut Self>,
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -28,6 +28,7 @@
 use slog::{Logger, info};
 
 use crate::{
+    buffered_bytes::BufferedBytes,
     callers::{Caller, KeyPolicy, KeyRefusal, KnownKeys},
     cold_replicas::{ColdSends, ColdUse},
     connections::Connections,
@@ -36,7 +37,6 @@
     dialect::Dialect,
     exchange::Outgoing,
     fleet_changes::{FleetChanges, replica_traits},
-    held_bytes::HeldBytes,
     homes::HomeZones,
     planned_stop::PlannedStop,
     quotas::Quotas,
@@ -66,7 +66,7 @@
     /// When another gateway was heard of last.
     pub(crate) gateways_heard_ms: AtomicU64,
     /// Bytes of requests and answers that are held.
-    pub(crate) held: HeldBytes,
+    pub(crate) held: BufferedBytes,
     pub(crate) stop: Arc<PlannedStop>,
     pub(crate) counters: Arc<Counters>,
     pub(crate) clock: Clock,
@@ -109,7 +109,7 @@
             broken_runs: BrokenRuns::default(),
             news: SuspicionNews::default(),
             gateways_heard_ms: AtomicU64::new(0),
-            held: HeldBytes::new(settings.most_held_bytes),
+            held: BufferedBytes::new(settings.max_buffered_bytes),
             stop,
             counters,
             logger,
--- a/crates/relay/tests/all/cold.rs
+++ b/crates/relay/tests/all/cold.rs
@@ -113,7 +113,7 @@
     let replica = Replica::start(vec![Act::Send(OTHER_INCARNATION)]).await;
     let fleet = before_a_cold(&replica, table(safe_route())).await;
     fleet.ask("request").await;
-    assert!(fleet.relay.figures().contains("cold_sends_total 1"));
+    assert!(fleet.relay.metrics_text().contains("cold_sends_total 1"));
     assert_eq!(replica.requests(), 1);
 }
 
--- a/crates/relay/tests/all/cold_runs.rs
+++ b/crates/relay/tests/all/cold_runs.rs
@@ -53,7 +53,7 @@
         assert!(answer.complete, "{answer:?}");
         assert_eq!(answer.body, BOTH);
     }
-    let sent = fleet.relay.figures();
+    let sent = fleet.relay.metrics_text();
     assert!(sent.contains(&format!("cold_sends_total {STREAMS}")));
 }
 
--- a/crates/relay/tests/all/evacuations.rs
+++ b/crates/relay/tests/all/evacuations.rs
@@ -61,7 +61,7 @@
 }
 
 fn figure(fleet: &Fleet, name: &str) -> String {
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     let mut samples = figures.lines().filter(|line| !line.starts_with('#'));
     let line = samples.find(|line| line.contains(name));
     let value = line.and_then(|line| line.rsplit(' ').next());
--- a/crates/relay/tests/all/homes.rs
+++ b/crates/relay/tests/all/homes.rs
@@ -96,7 +96,7 @@
 }
 
 fn refusals(fleet: &Fleet) -> String {
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     let mut samples = figures.lines().filter(|line| !line.starts_with('#'));
     let line = samples.find(|line| line.contains(r#"end="OutsideHomes""#));
     let value = line.and_then(|line| line.rsplit(' ').next());
@@ -332,7 +332,11 @@
     }
     reached_by(&here, SLOTS).await;
     let waits = async {
-        while !fleet.relay.figures().contains(r#"used_by="Waiting"} 1"#) {
+        while !fleet
+            .relay
+            .metrics_text()
+            .contains(r#"used_by="Waiting"} 1"#)
+        {
             sleep(Duration::from_millis(5)).await;
         }
     };
@@ -343,6 +347,6 @@
     streams.drain(..SLOTS - 1);
     reached_by(&there, 1).await;
     assert_eq!(here.requests(), SLOTS);
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     assert!(figures.contains("relay_outside_homes_sends_total 1"));
 }
--- a/crates/relay/tests/all/items.rs
+++ b/crates/relay/tests/all/items.rs
@@ -137,7 +137,7 @@
 pub(crate) fn run(relay: &Relay, number: u8) {
     let settings = BatchSettings {
         name: format!("127.0.0.1:{number}"),
-        most_items: 8,
+        max_items: 8,
     };
     tokio::spawn(run_items(relay.clone(), settings));
 }
--- a/crates/relay/tests/all/kept_connections.rs
+++ b/crates/relay/tests/all/kept_connections.rs
@@ -12,7 +12,7 @@
     content-length: 5\r\n\r\nhello";
 
 fn opened(fleet: &Fleet, reason: &str) -> u32 {
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     let name = format!("linnethitch_relay_connections_total{{reason=\"{reason}\"}} ");
     let count = figures.lines().find_map(|line| line.strip_prefix(&name));
     count.map_or(0, |count| count.parse().expect("a number"))
--- a/crates/relay/tests/all/keys.rs
+++ b/crates/relay/tests/all/keys.rs
@@ -226,12 +226,12 @@
 #[case::refuses_in_time(Some(Duration::from_millis(2_600)), "503")]
 #[tokio::test]
 async fn a_gateway_that_is_cut_off_follows_the_policy(
-    #[case] refused_within: Option<Duration>,
+    #[case] revocation_limit: Option<Duration>,
     #[case] status: &str,
 ) {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let first = configuration(1, route(RouteKind::Safe, 1, false), two_tenants());
-    let policy = KeyPolicy { refused_within };
+    let policy = KeyPolicy { revocation_limit };
     let fleet = Fleet::start_by(first, policy, std::slice::from_ref(&replica)).await;
     let key = "Authorization: Bearer desk-key\r\n";
     assert!(
--- a/crates/relay/tests/all/planned_stop.rs
+++ b/crates/relay/tests/all/planned_stop.rs
@@ -40,6 +40,6 @@
     assert_eq!(replica.requests() - before, usize::from(is_taken));
     if !is_taken {
         assert!(header(&answer.head, "retry-after").is_some());
-        assert!(fleet.relay.figures().contains(r#"end="Stopping""#));
+        assert!(fleet.relay.metrics_text().contains(r#"end="Stopping""#));
     }
 }
--- a/crates/relay/tests/all/silent_connections.rs
+++ b/crates/relay/tests/all/silent_connections.rs
@@ -36,7 +36,7 @@
         let answer = fleet.ask(&format!("then-{number}")).await;
         assert_eq!(answer.status, 200);
     }
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     let retries = figures
         .lines()
         .find_map(|line| line.strip_prefix("linnethitch_relay_retries_total "));
--- a/crates/relay/tests/all/slow_readers.rs
+++ b/crates/relay/tests/all/slow_readers.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use linnethitch_registry::{Route, RouteKind};
-use linnethitch_relay::{Held, HeldBytes, UnreadPieces};
+use linnethitch_relay::{BufferedBytes, BufferedGuard, UnreadBuffer};
 use proptest::prelude::*;
 use rstest::rstest;
 use tokio::io::AsyncReadExt;
@@ -58,9 +58,9 @@
 #[case::events(130)]
 #[case::large_pieces(16_000)]
 fn a_thousand_slow_readers_are_held_within_the_bound(#[case] bytes: usize) {
-    let held = HeldBytes::new(MOST);
-    let mut callers: Vec<UnreadPieces> = (0..2_000)
-        .map(|_| UnreadPieces::new(held.clone()))
+    let held = BufferedBytes::new(MOST);
+    let mut callers: Vec<UnreadBuffer> = (0..2_000)
+        .map(|_| UnreadBuffer::new(held.clone()))
         .collect();
     for round in 0..600 {
         for (number, caller) in callers.iter_mut().enumerate() {
@@ -90,7 +90,7 @@
 /// What is passed on counts until nobody has it any more.
 #[test]
 fn bytes_count_as_long_as_anybody_has_them() {
-    let held = HeldBytes::new(MOST);
+    let held = BufferedBytes::new(MOST);
     let kept = held.keep(piece(500));
     let part = kept.slice(10..20);
     drop(kept);
@@ -102,10 +102,10 @@
 proptest! {
     #[test]
     fn what_is_held_is_what_waits(steps in proptest::collection::vec((0..4_u8, 1..5_000_usize), 1..200)) {
-        let held = HeldBytes::new(50_000);
-        let mut unread = UnreadPieces::new(held.clone());
+        let held = BufferedBytes::new(50_000);
+        let mut unread = UnreadBuffer::new(held.clone());
         let mut waiting = std::collections::VecDeque::new();
-        let mut others: Vec<Held> = Vec::new();
+        let mut others: Vec<BufferedGuard> = Vec::new();
         let mut of_others = 0;
         for (step, bytes) in steps {
             match step {
--- a/crates/relay/tests/all/starts.rs
+++ b/crates/relay/tests/all/starts.rs
@@ -92,7 +92,7 @@
 
 /// Connections to replicas that the gateway has opened.
 fn connections(fleet: &Fleet) -> u32 {
-    let figures = fleet.relay.figures();
+    let figures = fleet.relay.metrics_text();
     let name = "linnethitch_relay_connections_total{";
     let counts = figures.lines().filter(|line| line.starts_with(name));
     let counts = counts.map(|line| line.rsplit_once(' ').expect("a count").1);
--- a/crates/relay/tests/all/support/fleet.rs
+++ b/crates/relay/tests/all/support/fleet.rs
@@ -87,7 +87,7 @@
         while !known {
             tokio::time::sleep(Duration::from_millis(10)).await;
             let slots = r#"coordinated_slots{used_by="All"} 4"#;
-            known = self.relay.figures().contains(slots);
+            known = self.relay.metrics_text().contains(slots);
         }
     }
 
--- a/crates/relay/tests/all/support/gateway.rs
+++ b/crates/relay/tests/all/support/gateway.rs
@@ -9,8 +9,8 @@
 use hyper::body::Incoming;
 use linnethitch_cluster::{GatewayNode, NodeSettings};
 use linnethitch_relay::{
-    AnswerBody, CallerServer, Dialect, HeaderNames, KeyPolicy, Prompt, Relay, RelaySettings,
-    ServerLimits, own_answer, serve_callers,
+    CallerServer, Dialect, HeaderNames, KeyPolicy, Prompt, Relay, RelaySettings, ResponseBody,
+    ServerLimits, error_response, serve_callers,
 };
 use linnethitch_routing::dispatch::ReportedLoad;
 use tokio::{
@@ -59,13 +59,17 @@
 struct Front(Relay);
 
 impl CallerServer for Front {
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let fleet = self.0.first_fleet(LIMIT).await.expect("a table is there");
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let fleet = self
+            .0
+            .wait_for_fleet(LIMIT)
+            .await
+            .expect("a table is there");
         let table = fleet.table().expect("a table is there");
         let path = request.uri().path().to_owned();
         match table.find("desk.example", &path) {
             Some(route) => self.0.relay(&fleet, table, route, request).await,
-            None => own_answer(linnethitch_errors::ErrorKind::NotFound, None),
+            None => error_response(linnethitch_errors::ErrorKind::NotFound, None),
         }
     }
 }
@@ -126,7 +130,7 @@
         zone: node.zone.clone(),
         seed,
         keys: *policy,
-        ends_within: ENDS_WITHIN,
+        stop_within: ENDS_WITHIN,
         ..RelaySettings::default()
     };
     let relay = Relay::new(gateway, dialect, &settings, stopping.clone(), logger);
--- a/crates/relay/tests/all/support/registrations.rs
+++ b/crates/relay/tests/all/support/registrations.rs
@@ -140,7 +140,7 @@
         self.heartbeat(change).await;
         let figure = format!("relay_cold_replicas {left}\n");
         let warm = async {
-            while !self.relay.figures().contains(&figure) {
+            while !self.relay.metrics_text().contains(&figure) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
@@ -164,7 +164,7 @@
         ordered.expect("it is held");
         let known = async {
             let figure = format!("relay_evacuated_zones {}", u8::from(evacuated));
-            while !self.relay.figures().contains(&figure) {
+            while !self.relay.metrics_text().contains(&figure) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
             }
         };
