--- a/crates/relay/tests/all/support/gateway.rs
+++ b/crates/relay/tests/all/support/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway and its callers' interface.
+//! A gateway and its HTTP server for callers.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -9,8 +9,8 @@
 use hyper::body::Incoming;
 use linnethitch_cluster::{GatewayNode, NodeSettings};
 use linnethitch_relay::{
-    AnswerBody, CallerServer, Dialect, HeaderNames, KeyPolicy, Prompt, Relay, RelaySettings,
-    ServerLimits, own_answer, serve_callers,
+    CallerServer, Dialect, HeaderNames, KeyPolicy, Prompt, Relay, RelaySettings, ResponseBody,
+    ServerLimits, error_response, serve_callers,
 };
 use linnethitch_routing::dispatch::ReportedLoad;
 use tokio::{
@@ -59,25 +59,29 @@
 struct Front(Relay);
 
 impl CallerServer for Front {
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
-        let fleet = self.0.first_fleet(LIMIT).await.expect("a table is there");
-        let table = fleet.table().expect("a table is there");
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+        let fleet = self
+            .0
+            .wait_for_fleet(LIMIT)
+            .await
+            .expect("a route table is known");
+        let table = fleet.table().expect("a route table is known");
         let path = request.uri().path().to_owned();
         match table.find("desk.example", &path) {
             Some(route) => self.0.relay(&fleet, table, route, request).await,
-            None => own_answer(linnethitch_errors::ErrorKind::NotFound, None),
+            None => error_response(linnethitch_errors::ErrorKind::NotFound, None),
         }
     }
 }
 
-/// A gateway and its callers' interface.
+/// A gateway and its HTTP server for callers.
 pub(crate) struct Gateway {
     pub(crate) callers: SocketAddr,
     pub(crate) relay: Relay,
 }
 
 impl Gateway {
-    /// Sends a request with this body and reads until the answer or the connection ends.
+    /// Sends a request with this body and reads until the response or the connection ends.
     pub(crate) async fn ask(&self, id: &str, body: &str) -> Answer {
         let mut stream = self.open(id, "", body).await;
         read_answer(&mut stream).await
@@ -85,7 +89,9 @@
 
     /// Opens a connection and sends a request.
     pub(crate) async fn open(&self, id: &str, more_headers: &str, body: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(self.callers).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.callers)
+            .await
+            .expect("the gateway listens");
         let length = body.len();
         let request = format!(
             "POST /a/x?y=1 HTTP/1.1\r\nhost: desk.example\r\nrequest-id: {id}\r\n\
@@ -94,12 +100,12 @@
         stream
             .write_all(request.as_bytes())
             .await
-            .expect("it is sent");
+            .expect("the request is sent");
         stream
     }
 }
 
-/// Each gateway has an address of its own.
+/// Settings of a gateway with its own address.
 pub(super) fn gateway_settings(node: &NodeSettings, number: u8) -> NodeSettings {
     NodeSettings {
         address: Ipv4Addr::from(u32::from(node.address) + 128 + u32::from(number)),
@@ -107,7 +113,7 @@
     }
 }
 
-/// Starts a gateway beside others of the same fleet.
+/// Starts a gateway of a fleet.
 pub(super) async fn start_gateway(
     node: &NodeSettings,
     number: u8,
@@ -126,7 +132,7 @@
         zone: node.zone.clone(),
         seed,
         keys: *policy,
-        ends_within: ENDS_WITHIN,
+        stop_within: ENDS_WITHIN,
         ..RelaySettings::default()
     };
     let relay = Relay::new(gateway, dialect, &settings, stopping.clone(), logger);
