--- a/crates/control/src/attach/calls.rs
+++ b/crates/control/src/attach/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a gateway on their way to the member and back.
+//! Passes calls of a gateway to the member, and answers back to the gateway.
 
 use std::sync::Arc;
 
@@ -11,27 +11,27 @@
 use super::session::GatewaySender;
 use crate::driver::Driver;
 
-/// Calls of one gateway under way at once; more of them wait in its connection.
+/// Maximum number of unanswered calls per gateway; further calls wait in its connection.
 const MAX_CALLS: usize = 512;
 
-/// Passes calls on in the order in which they came, and their answers as they come.
-pub(super) struct CallRelay {
+/// Submits calls in their order of arrival and sends each answer as soon as it is available.
+pub(super) struct GatewayCalls {
     driver: Driver,
     sender: GatewaySender,
     permits: Arc<Semaphore>,
 }
 
-impl CallRelay {
+impl GatewayCalls {
     pub(super) fn new(driver: Driver, sender: GatewaySender) -> Self {
-        CallRelay {
+        GatewayCalls {
             driver,
             sender,
             permits: Arc::new(Semaphore::new(MAX_CALLS)),
         }
     }
 
-    /// Hands a call in, waiting for room; its answer is sent when it comes.
-    pub(super) async fn relay(&self, call: CallId, body: ControlCall) {
+    /// Submits a call, waiting for free capacity; a task sends the answer.
+    pub(super) async fn submit(&self, call: CallId, body: ControlCall) {
         let Ok(permit) = Arc::clone(&self.permits).acquire_owned().await else {
             return;
         };
@@ -39,7 +39,7 @@
         let sender = self.sender.clone();
         tokio::spawn(async move {
             let body = pending.wait().await;
-            // A gateway that has gone asks again elsewhere.
+            // A gateway that has disconnected calls again through another member.
             let _ = sender.send(&ControlMessage::Answer { call, body }).await;
             drop(permit);
         });
--- a/crates/control/src/attach/mod.rs
+++ b/crates/control/src/attach/mod.rs
@@ -1,4 +1,4 @@
-//! The server that gateways attach to.
+//! The server to which gateways attach.
 
 mod calls;
 mod push;
@@ -16,19 +16,20 @@
 use crate::{
     clock::Clock,
     driver::Driver,
-    soft_state::{SharedSoftState, rounds::SoftBell},
+    soft_state::{SharedSoftState, exchange::SoftStateNotifier},
 };
 use session::Session;
 
-/// Gateways attached to one member at most: a whole fleet, should four of five members be gone.
+/// Maximum number of gateways attached to one member: the gateways of a whole fleet, for the
+/// case that four of five members are unavailable.
 const MAX_GATEWAYS: usize = 4_096;
 
-/// What the sessions of gateways share.
+/// State shared by the sessions of gateways.
 #[derive(Clone)]
 pub(crate) struct AttachServer {
     pub(crate) driver: Driver,
     pub(crate) soft_state: SharedSoftState,
-    pub(crate) bell: SoftBell,
+    pub(crate) notifier: SoftStateNotifier,
     pub(crate) clock: Clock,
     pub(crate) logger: Logger,
 }
@@ -45,7 +46,7 @@
         Listener::new(socket, identity, options, traffic, MAX_GATEWAYS, logger)
     }
 
-    /// Accepts and serves gateways for ever.
+    /// Accepts and serves gateways until the task is cancelled.
     pub(crate) async fn run(self, listener: Listener) {
         let mut sessions = JoinSet::new();
         loop {
@@ -56,7 +57,7 @@
     }
 
     async fn serve(self, incoming: IncomingConnection) {
-        // A refused peer has been logged.
+        // `establish` logs a refused peer.
         if let Ok(connection) = incoming.establish::<GatewayMessage, ControlMessage>().await {
             Session::serve(self, connection).await;
         }
--- a/crates/control/src/attach/push.rs
+++ b/crates/control/src/attach/push.rs
@@ -1,5 +1,5 @@
-//! What a gateway is told without asking: configuration, stopped jobs,
-//! replicas, loads and how fresh this member's knowledge is.
+//! What a member sends to a gateway without a request: configuration, stopped jobs, replicas,
+//! loads, grants and the freshness of the member's own state.
 
 use std::{sync::Arc, time::Duration};
 
@@ -13,97 +13,102 @@
 use super::{AttachServer, session::GatewaySender};
 use crate::{
     clock::Clock,
-    driver::{ChangeMark, Driver, Held},
-    load_teller::{LoadNews, LoadTeller},
-    soft_state::{FleetVersion, SharedSoftState, SoftMark, VersionedFleet},
+    driver::{ChangeVersion, Driver, GatewayConfiguration},
+    load_selector::{LoadSelector, LoadUpdate},
+    soft_state::{FleetVersion, SharedSoftState, SoftStateVersion, VersionedFleet},
 };
 
-/// Time between two freshness stamps.
-const STAMP_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between two freshness messages.
+const FRESHNESS_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Tells one gateway what is new.
+/// Sends updates to one gateway.
 pub(super) struct Push {
     driver: Driver,
     soft_state: SharedSoftState,
     clock: Clock,
     sender: GatewaySender,
-    marks: watch::Receiver<ChangeMark>,
-    soft_changes: watch::Receiver<SoftMark>,
+    changes: watch::Receiver<ChangeVersion>,
+    soft_changes: watch::Receiver<SoftStateVersion>,
     gateway: GatewayId,
-    held: Held,
-    stopped_told: LogIndex,
-    fleet_told: Option<FleetVersion>,
-    loads: LoadTeller,
+    configuration: GatewayConfiguration,
+    stopped_sent: LogIndex,
+    fleet_sent: Option<FleetVersion>,
+    loads: LoadSelector,
 }
 
-/// A gateway and what it holds when it attaches.
-pub(super) struct Told {
+/// What a gateway reports when it attaches.
+pub(super) struct AttachingGateway {
     pub(super) gateway: GatewayId,
     pub(super) zone: ZoneId,
-    pub(super) held: Held,
+    pub(super) configuration: GatewayConfiguration,
 }
 
 impl Push {
-    pub(super) fn new(server: &AttachServer, sender: &GatewaySender, told: Told) -> Self {
+    pub(super) fn new(
+        server: &AttachServer,
+        sender: &GatewaySender,
+        attaching: AttachingGateway,
+    ) -> Self {
         Push {
             driver: server.driver.clone(),
             soft_state: server.soft_state.clone(),
             clock: server.clock,
             sender: sender.clone(),
-            marks: server.driver.marks(),
-            soft_changes: server.bell.hear(),
-            gateway: told.gateway,
-            held: told.held,
-            stopped_told: LogIndex(0),
-            fleet_told: None,
-            loads: LoadTeller::new(told.zone),
+            changes: server.driver.subscribe_changes(),
+            soft_changes: server.notifier.subscribe(),
+            gateway: attaching.gateway,
+            configuration: attaching.configuration,
+            stopped_sent: LogIndex(0),
+            fleet_sent: None,
+            loads: LoadSelector::new(attaching.zone),
         }
     }
 
-    /// Tells what is new until the connection takes no more; gives the reason.
+    /// Sends updates until the member stops or the connection accepts no more messages; returns
+    /// the cause.
     pub(super) async fn run(&mut self) -> String {
-        match self.tell_for_ever().await {
+        match self.send_updates().await {
             Ok(()) => "this member is stopping".to_owned(),
-            Err(refused) => format!("the gateway takes no messages: {refused:?}"),
+            Err(refused) => format!("cannot send to the gateway: {refused:?}"),
         }
     }
 
-    async fn tell_for_ever(&mut self) -> Result<(), SendRefused> {
+    async fn send_updates(&mut self) -> Result<(), SendRefused> {
         let view = self.driver.view();
         self.send(&ControlMessage::Attached {
             member: view.id,
             members: view.attach_addresses.to_vec(),
         })?;
-        if !self.tell_changes().await? {
+        if !self.send_changes().await? {
             return Ok(());
         }
-        self.tell_soft_state()?;
-        let mut stamps = tokio::time::interval(STAMP_INTERVAL);
-        stamps.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        self.send_soft_state()?;
+        let mut ticks = tokio::time::interval(FRESHNESS_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
             tokio::select! {
-                changed = self.marks.changed() => {
-                    let open = changed.is_ok() && self.tell_changes().await?;
+                changed = self.changes.changed() => {
+                    let open = changed.is_ok() && self.send_changes().await?;
                     if !open {
                         return Ok(());
                     }
                 }
-                Ok(()) = self.soft_changes.changed() => self.tell_soft_state()?,
-                _ = stamps.tick() => {
-                    self.stamp()?;
-                    // Loads that were over the budget earlier.
-                    self.tell_soft_state()?;
+                Ok(()) = self.soft_changes.changed() => self.send_soft_state()?,
+                _ = ticks.tick() => {
+                    self.send_freshness()?;
+                    // Sends loads that were over the limit of earlier rounds.
+                    self.send_soft_state()?;
                 }
             }
         }
     }
 
-    /// Sends new revisions and stopped jobs; `false` when the member has stopped.
-    async fn tell_changes(&mut self) -> Result<bool, SendRefused> {
-        self.marks.borrow_and_update();
+    /// Sends new revisions and stopped jobs; `false` if the member has stopped.
+    async fn send_changes(&mut self) -> Result<bool, SendRefused> {
+        self.changes.borrow_and_update();
         let Some(changes) = self
             .driver
-            .changes_since(self.held, self.stopped_told)
+            .changes_since(self.configuration, self.stopped_sent)
             .await
         else {
             return Ok(false);
@@ -114,16 +119,16 @@
         if !changes.stopped.is_empty() {
             self.send(&ControlMessage::CancelJobs(changes.stopped))?;
         }
-        self.held = Held {
+        self.configuration = GatewayConfiguration {
             revision: changes.revision,
             digest: None,
         };
-        self.stopped_told = changes.told;
+        self.stopped_sent = changes.stopped_up_to;
         Ok(true)
     }
 
-    /// Sends what has changed of replicas, loads and grants.
-    fn tell_soft_state(&mut self) -> Result<(), SendRefused> {
+    /// Sends changed replicas and loads, and new grants.
+    fn send_soft_state(&mut self) -> Result<(), SendRefused> {
         self.soft_changes.borrow_and_update();
         let now_ms = self.clock.member_time().monotonic_ms;
         let shared = Arc::clone(&self.soft_state);
@@ -135,20 +140,20 @@
         if let Some(replicas) = replicas {
             self.send(&replicas)?;
         }
-        self.tell_loads(loads)?;
+        self.send_loads(loads)?;
         if !grants.is_empty() {
             self.send_soft(&ControlMessage::Grants(grants))?;
         }
         Ok(())
     }
 
-    fn tell_loads(&mut self, news: LoadNews) -> Result<(), SendRefused> {
+    fn send_loads(&mut self, update: LoadUpdate) -> Result<(), SendRefused> {
         let mut messages = Vec::new();
-        if !news.whole.is_empty() {
-            messages.push(ControlMessage::Loads(news.whole));
+        if !update.full.is_empty() {
+            messages.push(ControlMessage::Loads(update.full));
         }
-        if !news.digest.loads.is_empty() {
-            messages.push(ControlMessage::LoadDigest(news.digest));
+        if !update.digest.loads.is_empty() {
+            messages.push(ControlMessage::LoadDigest(update.digest));
         }
         for message in messages {
             match self.sender.send_soft(&message) {
@@ -159,25 +164,26 @@
         Ok(())
     }
 
-    /// Replicas that have changed, once any list of them is known.
+    /// The changes of replicas since the last message; `None` if nothing has changed or no list
+    /// of replicas is known yet.
     fn replica_changes(&mut self, fleet: &VersionedFleet) -> Option<ControlMessage> {
         if !fleet.is_known() {
             return None;
         }
-        let delta = match self.fleet_told {
-            Some(told) => fleet.since(told),
-            None => fleet.whole(),
+        let delta = match self.fleet_sent {
+            Some(sent) => fleet.since(sent),
+            None => fleet.full(),
         };
-        self.fleet_told = Some(delta.version);
-        let news = delta.full || !delta.changed.is_empty() || !delta.removed.is_empty();
-        news.then_some(ControlMessage::Replicas {
+        self.fleet_sent = Some(delta.version);
+        let has_changes = delta.full || !delta.changed.is_empty() || !delta.removed.is_empty();
+        has_changes.then_some(ControlMessage::Replicas {
             full: delta.full,
             changed: delta.changed,
             removed: delta.removed,
         })
     }
 
-    fn stamp(&self) -> Result<(), SendRefused> {
+    fn send_freshness(&self) -> Result<(), SendRefused> {
         let view = self.driver.view();
         self.send_soft(&ControlMessage::Freshness {
             confirmed_at: view.confirmed_at,
@@ -187,12 +193,13 @@
         })
     }
 
-    /// Queues what must not be lost: a gateway that reads too slowly is let go.
+    /// Queues a message that must not be lost; if the queue is full, the gateway reads too slowly
+    /// and is disconnected.
     fn send(&self, message: &ControlMessage) -> Result<(), SendRefused> {
         self.sender.try_send(message)
     }
 
-    /// Queues what the next one replaces.
+    /// Queues a message that a later one replaces; it is dropped if the queue is full.
     fn send_soft(&self, message: &ControlMessage) -> Result<(), SendRefused> {
         match self.sender.send_soft(message) {
             Err(SendRefused::Full) => Ok(()),
--- a/crates/control/src/attach/session.rs
+++ b/crates/control/src/attach/session.rs
@@ -12,32 +12,32 @@
 
 use super::{
     AttachServer,
-    calls::CallRelay,
-    push::{Push, Told},
+    calls::GatewayCalls,
+    push::{AttachingGateway, Push},
 };
-use crate::{driver::Held, soft_state::ConnectionNumber};
+use crate::{driver::GatewayConfiguration, soft_state::ConnectionNumber};
 
-/// Longest time for a gateway to say who it is.
-const ATTACH_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for a gateway's `Attach` message.
+const ATTACH_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// An attached gateway.
 pub(super) struct Session {
     server: AttachServer,
     gateway: GatewayId,
     connection: ConnectionNumber,
-    calls: CallRelay,
+    calls: GatewayCalls,
     logger: Logger,
 }
 
 impl Session {
-    /// Serves a connection to its end.
+    /// Serves a connection until it ends.
     pub(super) async fn serve(
         server: AttachServer,
         connection: Connection<GatewayMessage, ControlMessage>,
     ) {
         let peer = connection.peer;
         let (sender, mut receiver) = connection.split();
-        let first = timeout(ATTACH_LIMIT, receiver.receive()).await;
+        let first = timeout(ATTACH_TIMEOUT, receiver.receive()).await;
         let Ok(Ok(Some(GatewayMessage::Attach {
             gateway,
             zone,
@@ -45,7 +45,7 @@
             digest,
         }))) = first
         else {
-            warn!(server.logger, "gateway refused: it did not say who it is"; "peer" => %peer);
+            warn!(server.logger, "gateway refused: no valid attach message"; "peer" => %peer);
             return;
         };
         let logger = server.logger.new(o!("gateway" => gateway.0.clone()));
@@ -57,18 +57,18 @@
                 .attached
                 .attach(&gateway, &zone, revision, now_ms)
         };
-        let held = Held {
+        let configuration = GatewayConfiguration {
             revision,
             digest: Some(digest),
         };
-        let told = Told {
+        let attaching = AttachingGateway {
             gateway: gateway.clone(),
             zone,
-            held,
+            configuration,
         };
-        let mut push = Push::new(&server, &sender, told);
+        let mut push = Push::new(&server, &sender, attaching);
         let session = Session {
-            calls: CallRelay::new(server.driver.clone(), sender.clone()),
+            calls: GatewayCalls::new(server.driver.clone(), sender.clone()),
             server: server.clone(),
             gateway,
             connection: number,
@@ -81,12 +81,12 @@
         info!(session.logger, "gateway detached"; "cause" => ended);
     }
 
-    /// Takes the gateway's messages; tells why there are no more.
+    /// Receives the gateway's messages until the connection ends; returns the cause.
     async fn receive(&self, receiver: &mut MessageReceiver<GatewayMessage>) -> String {
         loop {
             match receiver.receive().await {
                 Ok(Some(message)) => self.take(message).await,
-                Ok(None) => return "the gateway has ended the connection".to_owned(),
+                Ok(None) => return "the gateway closed the connection".to_owned(),
                 Err(report) => return format!("{report:?}"),
             }
         }
@@ -95,24 +95,24 @@
     async fn take(&self, message: GatewayMessage) {
         match message {
             GatewayMessage::Call { call, body } => {
-                self.note(GatewayMessage::Heartbeat);
-                self.calls.relay(call, body).await;
+                self.record(GatewayMessage::Heartbeat);
+                self.calls.submit(call, body).await;
             }
-            told => self.note(told),
+            report => self.record(report),
         }
     }
 
-    /// Takes what the gateway tells of itself; any message is a sign of life.
-    fn note(&self, message: GatewayMessage) {
+    /// Records a gateway's report; any message counts as contact.
+    fn record(&self, message: GatewayMessage) {
         let now_ms = self.server.clock.member_time().monotonic_ms;
         let mut soft_state = self.server.soft_state.lock();
         let attached = &mut soft_state.attached;
-        attached.heard(&self.gateway, now_ms);
+        attached.record_contact(&self.gateway, now_ms);
         match message {
             GatewayMessage::Confirm(revision) => attached.confirm(&self.gateway, revision),
-            GatewayMessage::Loads(loads) => attached.loads(loads),
-            GatewayMessage::Suspect(replicas) => attached.suspect(replicas),
-            GatewayMessage::WantGrants(wishes) => attached.wish(&self.gateway, wishes),
+            GatewayMessage::Loads(loads) => attached.record_loads(loads),
+            GatewayMessage::Suspect(replicas) => attached.record_suspects(replicas),
+            GatewayMessage::WantGrants(wishes) => attached.set_wishes(&self.gateway, wishes),
             GatewayMessage::Heartbeat
             | GatewayMessage::Attach { .. }
             | GatewayMessage::Call { .. } => {}
@@ -127,5 +127,5 @@
     }
 }
 
-/// Sends to one gateway.
+/// Sends messages to one gateway.
 pub(super) type GatewaySender = MessageSender<ControlMessage>;
--- a/crates/control/src/catch_up.rs
+++ b/crates/control/src/catch_up.rs
@@ -1,33 +1,35 @@
-//! How a gateway that is behind gets to the newest configuration.
+//! Chooses the updates that bring a gateway to the newest configuration.
 //!
-//! A gateway checks, parses, stores and syncs each step that it is sent. With
-//! 45,000 tenants that is about a tenth of a second a step, so a long history
-//! takes much longer than the whole text once. No input or output here.
+//! A gateway checks, parses, stores and syncs each update. With 45,000 tenants this takes
+//! about a tenth of a second per update, so a long series of deltas takes much longer
+//! than one full text. This module does no input or output.
 
 use linnethitch_protocol::attach::ConfigurationUpdate;
 
-/// More steps than these are replaced by the whole text: a few seconds of a gateway's work.
-pub const MAX_STEPS: usize = 32;
+/// Maximum number of deltas sent instead of the full text; applying them takes a gateway a few
+/// seconds.
+pub const MAX_DELTAS: usize = 32;
 
-/// The steps, or the whole text where there are none, too many, or where they are no shorter.
+/// Returns the deltas, or the full text if there is no series of deltas, if it has more than
+/// [`MAX_DELTAS`] or if its text is no shorter. `full_bytes` is the size of the full text.
 #[must_use]
-pub fn shortest(
-    steps: Option<Vec<ConfigurationUpdate>>,
-    whole: impl FnOnce() -> ConfigurationUpdate,
-    whole_bytes: usize,
+pub fn shortest_updates(
+    deltas: Option<Vec<ConfigurationUpdate>>,
+    full: impl FnOnce() -> ConfigurationUpdate,
+    full_bytes: usize,
 ) -> Vec<ConfigurationUpdate> {
-    match steps {
-        Some(steps) if is_shorter(&steps, whole_bytes) => steps,
-        _ => vec![whole()],
+    match deltas {
+        Some(deltas) if is_shorter(&deltas, full_bytes) => deltas,
+        _ => vec![full()],
     }
 }
 
-fn is_shorter(steps: &[ConfigurationUpdate], whole_bytes: usize) -> bool {
-    let bytes: usize = steps.iter().map(text_bytes).sum();
-    steps.len() <= 1 || (steps.len() <= MAX_STEPS && bytes < whole_bytes)
+fn is_shorter(deltas: &[ConfigurationUpdate], full_bytes: usize) -> bool {
+    let bytes: usize = deltas.iter().map(text_bytes).sum();
+    deltas.len() <= 1 || (deltas.len() <= MAX_DELTAS && bytes < full_bytes)
 }
 
-/// Bytes of text in an update.
+/// Size of the text in an update, in bytes.
 fn text_bytes(update: &ConfigurationUpdate) -> usize {
     match update {
         ConfigurationUpdate::Full { content, .. } => content.len(),
--- a/crates/control/src/clock.rs
+++ b/crates/control/src/clock.rs
@@ -7,7 +7,7 @@
 
 use crate::member::MemberTime;
 
-/// Monotonic time since the start, and the time of day.
+/// Monotonic time since the start and wall-clock time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Clock {
     started: Instant,
@@ -21,7 +21,7 @@
         }
     }
 
-    /// Both clocks, for a member.
+    /// Reads both clocks, for a member.
     pub(crate) fn member_time(self) -> MemberTime {
         MemberTime {
             monotonic_ms: self.started.elapsed().as_millis() as u64,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// The time of day; a clock set before 1970 counts as 1970.
+    /// Wall-clock time; a clock set before 1970 is read as 1970.
     pub(crate) fn wall(self) -> Timestamp {
         let since = SystemTime::now()
             .duration_since(UNIX_EPOCH)
--- a/crates/control/src/driver/room.rs
+++ b/crates/control/src/driver/call_memory.rs
@@ -1,4 +1,4 @@
-//! Memory for calls that wait for an answer.
+//! Limits the memory of calls that wait for an answer.
 
 use std::sync::Arc;
 
@@ -8,37 +8,37 @@
 };
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Bytes of one unit of room.
+/// Bytes of one unit of memory.
 const UNIT_BYTES: usize = 1024;
-/// Units of all calls together: 64 MiB.
-const UNITS: usize = 64 * 1024;
-/// Bytes that a call takes besides its payload, about.
-const CALL_BYTES: usize = 512;
+/// Maximum number of units of all calls together: 64 MiB.
+const MAX_UNITS: usize = 64 * 1024;
+/// Approximate bytes of a call without its payload.
+const CALL_OVERHEAD_BYTES: usize = 512;
 
-/// Lets calls in while there is room for them. Clones share the room.
+/// Admits calls while there is memory for them. Clones share the limit.
 #[derive(Clone)]
-pub(super) struct CallRoom {
+pub(super) struct CallMemory {
     units: Arc<Semaphore>,
 }
 
-impl CallRoom {
+impl CallMemory {
     pub(super) fn new() -> Self {
-        CallRoom {
-            units: Arc::new(Semaphore::new(UNITS)),
+        CallMemory {
+            units: Arc::new(Semaphore::new(MAX_UNITS)),
         }
     }
 
-    /// Waits for room for a call; it is given back when the permit is dropped.
-    pub(super) async fn enter(&self, call: &ControlCall) -> Option<OwnedSemaphorePermit> {
-        let units = (CALL_BYTES + payload_bytes(call))
+    /// Waits for the memory of a call, which is released when the permit is dropped.
+    pub(super) async fn acquire(&self, call: &ControlCall) -> Option<OwnedSemaphorePermit> {
+        let units = (CALL_OVERHEAD_BYTES + payload_bytes(call))
             .div_ceil(UNIT_BYTES)
-            .min(UNITS);
+            .min(MAX_UNITS);
         let units = u32::try_from(units).unwrap_or(u32::MAX);
         Arc::clone(&self.units).acquire_many_owned(units).await.ok()
     }
 }
 
-/// Bytes of a call's variable parts, about.
+/// Approximate bytes of a call's variable parts.
 fn payload_bytes(call: &ControlCall) -> usize {
     let ControlCall::Propose(command) = call else {
         return 0;
--- a/crates/control/src/driver/input.rs
+++ b/crates/control/src/driver/input.rs
@@ -1,4 +1,4 @@
-//! What the member's thread is asked.
+//! Requests to the member's thread.
 
 use linnethitch_placement::PlacementView;
 use linnethitch_protocol::{
@@ -9,7 +9,7 @@
 
 /// One request to the thread.
 pub(super) enum Input {
-    /// A message of another machine.
+    /// A message from another machine.
     Peer {
         from: MachineId,
         message: PeerMessage,
@@ -19,56 +19,56 @@
         body: ControlCall,
         call: PendingCall,
     },
-    /// What a gateway has not heard of yet.
+    /// The changes to send to a gateway.
     Changes {
-        held: Held,
+        configuration: GatewayConfiguration,
         stopped_after: LogIndex,
         reply: oneshot::Sender<Changes>,
     },
-    /// What placement reads of the replicated state.
+    /// The part of the replicated state that placement reads.
     Placement {
         reply: oneshot::Sender<PlacementView>,
     },
     /// A planned stop.
     Stop,
-    /// An end as by a crash.
+    /// An immediate end, as by a crash.
     Abort,
 }
 
 /// A call that waits for its answer.
 pub(super) struct PendingCall {
     pub(super) reply: oneshot::Sender<ControlAnswer>,
-    /// Its share of the memory for calls, held until it is answered.
+    /// The call's share of the memory for calls, released with the answer.
     pub(super) permit: OwnedSemaphorePermit,
 }
 
-/// The configuration that a gateway holds.
+/// The configuration that a gateway has stored.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Held {
-    /// Its revision.
+pub(crate) struct GatewayConfiguration {
+    /// The revision.
     pub(crate) revision: Revision,
-    /// Its digest, where the gateway has just told it.
+    /// The digest of the text, if the gateway has just reported it.
     pub(crate) digest: Option<u64>,
 }
 
-/// What is new for a gateway.
+/// Changes to send to a gateway.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Changes {
-    /// To be sent in order.
+    /// Configuration updates, to be sent in this order.
     pub(crate) updates: Vec<ConfigurationUpdate>,
     /// Jobs whose items must stop.
     pub(crate) stopped: Vec<JobId>,
-    /// What the gateway then holds.
+    /// The gateway's revision after the updates.
     pub(crate) revision: Revision,
-    /// The index up to which stopped jobs are told.
-    pub(crate) told: LogIndex,
+    /// The log index up to which `stopped` is complete.
+    pub(crate) stopped_up_to: LogIndex,
 }
 
-/// Grows when something that gateways must hear of has changed.
+/// Changes when there is a new revision or a stopped job to send to gateways.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct ChangeMark {
-    /// The revision applied here.
+pub(crate) struct ChangeVersion {
+    /// The configuration revision applied by this member.
     pub(crate) revision: Revision,
-    /// Where the last job was stopped.
+    /// The log index at which the last job was stopped.
     pub(crate) stopped: LogIndex,
 }
--- a/crates/control/src/driver/mod.rs
+++ b/crates/control/src/driver/mod.rs
@@ -1,11 +1,11 @@
-//! The thread that owns a [`Member`](crate::member::Member), and how tasks reach it.
+//! The thread that owns a [`Member`](crate::member::Member), and the interface of tasks to it.
 //!
-//! Syncs block, so the member has a thread of its own. Tasks reach it through
-//! one bounded queue and read its state from a shared view.
+//! Syncs block, so the member runs on its own thread. Tasks send requests through a bounded
+//! queue and read the member's state from a shared view.
 
+mod call_memory;
 mod input;
 mod notices;
-mod room;
 mod thread;
 
 use std::{path::PathBuf, sync::Arc, time::Duration};
@@ -30,21 +30,21 @@
     soft_state::SharedSoftState,
 };
 
-pub(crate) use input::{ChangeMark, Changes, Held};
+use call_memory::CallMemory;
+pub(crate) use input::{ChangeVersion, Changes, GatewayConfiguration};
 use input::{Input, PendingCall};
-use room::CallRoom;
 use thread::{MemberThread, Shared};
 
-/// Inputs that may wait for the member; senders wait when it is full.
+/// Maximum number of inputs in the member's queue; senders wait while it is full.
 const QUEUE_INPUTS: usize = 1_024;
-/// Longest time for leadership to pass to another member before a planned stop.
-const HAND_OVER_LIMIT: Duration = Duration::from_secs(2);
+/// Time limit for the transfer of leadership before a planned stop.
+const LEADERSHIP_TRANSFER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// What the member's thread works with.
+/// Settings and shared state of the member's thread.
 pub(crate) struct DriverSetup {
     pub(crate) settings: MemberSettings,
     pub(crate) data_dir: PathBuf,
-    /// The disk's id, should it have to be formatted.
+    /// The disk id to use if the data folder has to be formatted.
     pub(crate) new_disk: DiskId,
     pub(crate) clock: Clock,
     pub(crate) links: PeerLinks,
@@ -52,10 +52,10 @@
     pub(crate) logger: Logger,
 }
 
-/// How the thread ended.
+/// Resolves with the result of the thread when it ends.
 pub(crate) type DriverEnd = oneshot::Receiver<Result<(), Report<ErrorKind>>>;
 
-/// A member whose thread runs.
+/// A member with a running thread.
 pub(crate) struct StartedDriver {
     pub(crate) driver: Driver,
     pub(crate) end: DriverEnd,
@@ -63,37 +63,37 @@
     pub(crate) recorder: Recorder,
 }
 
-/// Reaches the member's thread. Clones share it.
+/// Interface to the member's thread. Clones share the thread.
 #[derive(Clone)]
 pub(crate) struct Driver {
     inputs: mpsc::Sender<Input>,
-    room: CallRoom,
+    call_memory: CallMemory,
     view: Arc<ArcSwap<MemberView>>,
-    marks: watch::Receiver<ChangeMark>,
+    changes: watch::Receiver<ChangeVersion>,
 }
 
 impl Driver {
-    /// Opens the member on a thread of its own.
+    /// Opens the member on its own thread.
     ///
     /// # Errors
     /// Those of [`Member::open`](crate::member::Member::open).
     pub(crate) async fn start(setup: DriverSetup) -> Result<StartedDriver, Report<ErrorKind>> {
         let (inputs, received) = mpsc::channel(QUEUE_INPUTS);
-        let (marker, marks) = watch::channel(ChangeMark::default());
+        let (change_sender, changes) = watch::channel(ChangeVersion::default());
         let view = Arc::new(ArcSwap::from_pointee(MemberView::default()));
         let (opened, opening) = oneshot::channel();
         let (ended, end) = oneshot::channel();
         let shared = Shared {
             inputs: received,
             view: Arc::clone(&view),
-            marker,
+            change_sender,
         };
         std::thread::Builder::new()
             .name("control-member".to_owned())
             .spawn(move || {
                 let result = match MemberThread::open(setup, shared) {
                     Ok(thread) => {
-                        // Whoever started this may have given up already.
+                        // The receiver may have been dropped.
                         let _ = opened.send(Ok(thread.recorder()));
                         thread.run()
                     }
@@ -110,9 +110,9 @@
             .unwrap_or_else(|_| Err(Report::new(ErrorKind::Internal)))?;
         let driver = Driver {
             inputs,
-            room: CallRoom::new(),
+            call_memory: CallMemory::new(),
             view,
-            marks,
+            changes,
         };
         Ok(StartedDriver {
             driver,
@@ -121,14 +121,14 @@
         })
     }
 
-    /// The member's state, a few milliseconds old at most.
+    /// The member's state as of a few milliseconds ago.
     pub(crate) fn view(&self) -> Arc<MemberView> {
         self.view.load_full()
     }
 
-    /// Tells when something that gateways must hear of has changed.
-    pub(crate) fn marks(&self) -> watch::Receiver<ChangeMark> {
-        self.marks.clone()
+    /// Subscribes to new revisions and stopped jobs.
+    pub(crate) fn subscribe_changes(&self) -> watch::Receiver<ChangeVersion> {
+        self.changes.clone()
     }
 
     /// Makes a call and waits for its answer.
@@ -136,37 +136,38 @@
         self.submit(body).await.wait().await
     }
 
-    /// Hands a call in, waiting for room, in the order of submission.
+    /// Submits a call, waiting for free memory; calls reach the member in the order of submission.
     pub(crate) async fn submit(&self, body: ControlCall) -> PendingAnswer {
-        let changes = matches!(body, ControlCall::Propose(_));
+        let is_change = matches!(body, ControlCall::Propose(_));
         let answer = self.try_submit(body).await;
-        PendingAnswer { answer, changes }
+        PendingAnswer { answer, is_change }
     }
 
     async fn try_submit(&self, body: ControlCall) -> Option<oneshot::Receiver<ControlAnswer>> {
         let (reply, answer) = oneshot::channel();
-        let permit = self.room.enter(&body).await?;
+        let permit = self.call_memory.acquire(&body).await?;
         let call = PendingCall { reply, permit };
         self.inputs.send(Input::Call { body, call }).await.ok()?;
         Some(answer)
     }
 
-    /// Hands in a message of another machine, waiting for room; `false` when
-    /// the member has stopped.
+    /// Passes a message from another machine to the member, waiting for space in the queue;
+    /// returns `false` if the member has stopped.
     pub(crate) async fn deliver(&self, from: MachineId, message: PeerMessage) -> bool {
         let input = Input::Peer { from, message };
         self.inputs.send(input).await.is_ok()
     }
 
-    /// What a gateway that holds so much has not heard of yet.
+    /// The changes to send to a gateway with this configuration that knows the jobs stopped up
+    /// to an index; `None` if the member has stopped.
     pub(crate) async fn changes_since(
         &self,
-        held: Held,
+        configuration: GatewayConfiguration,
         stopped_after: LogIndex,
     ) -> Option<Changes> {
         let (reply, answer) = oneshot::channel();
         let input = Input::Changes {
-            held,
+            configuration,
             stopped_after,
             reply,
         };
@@ -174,7 +175,7 @@
         answer.await.ok()
     }
 
-    /// What placement reads of the replicated state; empty when the member has stopped.
+    /// The part of the replicated state that placement reads; empty if the member has stopped.
     pub(crate) async fn placement_view(&self) -> PlacementView {
         let (reply, answer) = oneshot::channel();
         if self.inputs.send(Input::Placement { reply }).await.is_err() {
@@ -183,38 +184,40 @@
         answer.await.unwrap_or_default()
     }
 
-    /// Hands leadership over and ends the thread.
+    /// Transfers leadership and ends the thread.
     pub(crate) async fn stop(&self) {
-        // A thread that has ended already needs no telling.
+        // Fails only if the thread has already ended.
         let _ = self.inputs.send(Input::Stop).await;
     }
 
     /// Ends the thread at once, as a crash would.
     pub(crate) async fn abort(&self) {
-        // A thread that has ended already needs no telling.
+        // Fails only if the thread has already ended.
         let _ = self.inputs.send(Input::Abort).await;
     }
 }
 
-/// The answer to a call that was handed in.
+/// The pending answer to a submitted call.
 pub(crate) struct PendingAnswer {
-    /// `None` when the member had stopped before.
+    /// `None` if the member had stopped before it took the call.
     answer: Option<oneshot::Receiver<ControlAnswer>>,
-    changes: bool,
+    is_change: bool,
 }
 
 impl PendingAnswer {
-    /// Waits for the answer; a member that stops first leaves changes in doubt.
+    /// Waits for the answer. If the member stops first, the outcome of a change is unknown.
     pub(crate) async fn wait(self) -> ControlAnswer {
         match self.answer {
-            Some(answer) => answer.await.unwrap_or_else(|_| stopped(self.changes)),
-            None => stopped(false),
+            Some(answer) => answer
+                .await
+                .unwrap_or_else(|_| stopping_refusal(self.is_change)),
+            None => stopping_refusal(false),
         }
     }
 }
 
-fn stopped(in_doubt: bool) -> ControlAnswer {
-    let kind = if in_doubt {
+fn stopping_refusal(outcome_unknown: bool) -> ControlAnswer {
+    let kind = if outcome_unknown {
         ErrorKind::ControlOutcomeUnknown
     } else {
         ErrorKind::ControlUnavailable
--- a/crates/control/src/driver/notices.rs
+++ b/crates/control/src/driver/notices.rs
@@ -1,4 +1,4 @@
-//! Log lines of what happens to a member.
+//! Log lines for a member's notices.
 
 use slog::{Logger, error, info, warn};
 
--- a/crates/control/src/driver/thread.rs
+++ b/crates/control/src/driver/thread.rs
@@ -1,5 +1,4 @@
-//! The member's thread: takes what has come, lets the member work, and passes
-//! its outputs on.
+//! The member's thread: passes inputs to the member, flushes it and carries out its outputs.
 
 use std::{
     collections::HashMap,
@@ -28,12 +27,12 @@
 };
 
 use super::{
-    DriverSetup, HAND_OVER_LIMIT,
-    input::{ChangeMark, Changes, Held, Input, PendingCall},
+    DriverSetup, LEADERSHIP_TRANSFER_TIMEOUT,
+    input::{ChangeVersion, Changes, GatewayConfiguration, Input, PendingCall},
     notices,
 };
 use crate::{
-    catch_up::shortest,
+    catch_up::shortest_updates,
     clock::Clock,
     member::{Member, MemberOutput, MemberView},
     peers::PeerLinks,
@@ -43,22 +42,22 @@
 
 /// Time between two calls of [`Member::tick`].
 const TICK: Duration = Duration::from_millis(TICK_MILLISECONDS);
-/// Inputs that share one sync at most.
+/// Maximum number of inputs that share one sync.
 const MAX_INPUTS_PER_SYNC: usize = 512;
 
-/// What the thread shares with tasks.
+/// The thread's ends of what it shares with tasks.
 pub(super) struct Shared {
     pub(super) inputs: mpsc::Receiver<Input>,
     pub(super) view: Arc<ArcSwap<MemberView>>,
-    pub(super) marker: watch::Sender<ChangeMark>,
+    pub(super) change_sender: watch::Sender<ChangeVersion>,
 }
 
 /// The thread's state.
 pub(super) struct MemberThread {
     member: Member,
     shared: Shared,
-    /// Waits for inputs with a time limit; runs nothing else.
-    waiting: Runtime,
+    /// Used only to wait for inputs with a time limit.
+    wait_runtime: Runtime,
     clock: Clock,
     links: PeerLinks,
     soft_state: SharedSoftState,
@@ -66,30 +65,31 @@
     logger: Logger,
     replies: HashMap<CallId, PendingCall>,
     last_call: u64,
-    /// The `Expire` command under way.
-    expiry: Option<CallId>,
+    /// The pending `Expire` command.
+    expire_call: Option<CallId>,
     next_tick: Instant,
-    /// When to end although leadership could not be handed over.
-    stop_at: Option<Instant>,
+    /// When to end even if leadership has not been transferred.
+    stop_deadline: Option<Instant>,
     aborted: bool,
 }
 
 impl MemberThread {
     /// Opens the member's data folder.
     pub(super) fn open(setup: DriverSetup, shared: Shared) -> Result<Self, Report<ErrorKind>> {
-        let waiting = tokio::runtime::Builder::new_current_thread()
+        let wait_runtime = tokio::runtime::Builder::new_current_thread()
             .enable_time()
             .build()
             .change_context(ErrorKind::Io)?;
         let time = setup.clock.member_time();
         let files = Arc::new(RealFileSystem::new(&setup.data_dir)?);
         let member = Member::open(setup.settings, files, setup.new_disk, time)?;
-        // Only now: the journal's folder would make a blank data folder look foreign.
+        // Opened after the member: with the journal's folder in it, a blank data folder would
+        // count as foreign and be refused.
         let recorder = Recorder::open(&setup.data_dir).change_context(ErrorKind::Io)?;
         let thread = MemberThread {
             member,
             shared,
-            waiting,
+            wait_runtime,
             clock: setup.clock,
             links: setup.links,
             soft_state: setup.soft_state,
@@ -97,9 +97,9 @@
             logger: setup.logger,
             replies: HashMap::new(),
             last_call: 0,
-            expiry: None,
+            expire_call: None,
             next_tick: Instant::now(),
-            stop_at: None,
+            stop_deadline: None,
             aborted: false,
         };
         thread.publish();
@@ -111,7 +111,7 @@
         self.recorder.clone()
     }
 
-    /// Works until a planned stop or a failed disk.
+    /// Runs until a planned stop, an abort or a disk failure.
     pub(super) fn run(mut self) -> Result<(), Report<ErrorKind>> {
         loop {
             let open = self.take_inputs();
@@ -124,7 +124,7 @@
                 self.expire_if_due();
             }
             self.member.flush()?;
-            self.pass_outputs_on();
+            self.handle_outputs();
             self.publish();
             if !open || self.is_stopped() {
                 return Ok(());
@@ -132,9 +132,8 @@
         }
     }
 
-    /// Takes what has come, waiting until the next tick at most, and not at all
-    /// while there is work left; `false` when
-    /// nobody is left who could send anything.
+    /// Takes the queued inputs. Waits for the first one until the next tick, or not at all while
+    /// committed entries remain to be applied. Returns `false` if all senders are dropped.
     fn take_inputs(&mut self) -> bool {
         let wait = if self.member.has_unapplied() {
             Duration::ZERO
@@ -143,23 +142,23 @@
         };
         let inputs = &mut self.shared.inputs;
         let first = self
-            .waiting
+            .wait_runtime
             .block_on(async { timeout(wait, inputs.recv()).await });
         match first {
             Err(_) => return true,
             Ok(None) => return false,
-            Ok(Some(input)) => self.take(input),
+            Ok(Some(input)) => self.handle(input),
         }
         for _ in 1..MAX_INPUTS_PER_SYNC {
             match self.shared.inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle(input),
                 Err(_) => break,
             }
         }
         true
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         match input {
             Input::Peer { from, message } => self.member.receive(from, message),
             Input::Call { body, call } => {
@@ -167,21 +166,22 @@
                 self.replies.insert(number, call);
             }
             Input::Changes {
-                held,
+                configuration,
                 stopped_after,
                 reply,
             } => {
-                // The gateway may have gone.
-                let _ = reply.send(self.changes(held, stopped_after));
+                // The gateway may have disconnected.
+                let _ = reply.send(self.changes(configuration, stopped_after));
             }
             Input::Placement { reply } => {
-                // The driver of placement may have been ended.
+                // The placement task may have been cancelled.
                 let _ = reply.send(self.placement_view());
             }
             Input::Abort => self.aborted = true,
             Input::Stop => {
-                self.stop_at.get_or_insert(Instant::now() + HAND_OVER_LIMIT);
-                self.member.hand_leadership_over();
+                self.stop_deadline
+                    .get_or_insert(Instant::now() + LEADERSHIP_TRANSFER_TIMEOUT);
+                self.member.transfer_leadership();
             }
         }
     }
@@ -193,13 +193,13 @@
         call
     }
 
-    fn changes(&self, held: Held, stopped_after: LogIndex) -> Changes {
+    fn changes(&self, configuration: GatewayConfiguration, stopped_after: LogIndex) -> Changes {
         let ledger = self.member.ledger();
         Changes {
-            updates: self.configuration_updates(held),
+            updates: self.configuration_updates(configuration),
             stopped: ledger.jobs_stopped_since(stopped_after),
-            revision: held.revision.max(ledger.revision()),
-            told: self.mark().stopped.max(stopped_after),
+            revision: configuration.revision.max(ledger.revision()),
+            stopped_up_to: self.change_version().stopped.max(stopped_after),
         }
     }
 
@@ -216,15 +216,15 @@
         }
     }
 
-    fn configuration_updates(&self, held: Held) -> Vec<ConfigurationUpdate> {
+    fn configuration_updates(&self, stored: GatewayConfiguration) -> Vec<ConfigurationUpdate> {
         let ledger = self.member.ledger();
         let revision = ledger.revision();
-        if held.revision > revision || revision.0 == 0 {
-            // This member lags; the gateway never steps back.
+        if stored.revision > revision || revision.0 == 0 {
+            // This member lags behind; a gateway never returns to an older revision.
             return Vec::new();
         }
-        if held.revision == revision {
-            let differs = held
+        if stored.revision == revision {
+            let differs = stored
                 .digest
                 .is_some_and(|digest| digest != content_digest(&ledger.configuration_text()));
             return if differs {
@@ -233,25 +233,25 @@
                 Vec::new()
             };
         }
-        shortest(
-            ledger.configuration_updates_since(held.revision),
+        shortest_updates(
+            ledger.configuration_updates_since(stored.revision),
             || ledger.configuration_full(),
             ledger.configuration_text().len(),
         )
     }
 
-    /// Lets the leader end what is over.
+    /// Proposes an `Expire` command if this member leads and the ledger needs one.
     fn expire_if_due(&mut self) {
-        let leads = self.member.is_leader() && self.stop_at.is_none();
-        if !leads || self.expiry.is_some() {
+        let leads = self.member.is_leader() && self.stop_deadline.is_none();
+        if !leads || self.expire_call.is_some() {
             return;
         }
         if self.member.ledger().is_expiry_due(self.clock.wall()) {
-            self.expiry = Some(self.start_call(ControlCall::Propose(CommandBody::Expire)));
+            self.expire_call = Some(self.start_call(ControlCall::Propose(CommandBody::Expire)));
         }
     }
 
-    fn pass_outputs_on(&mut self) {
+    fn handle_outputs(&mut self) {
         for output in self.member.take_outputs() {
             match output {
                 MemberOutput::Send { to, message } => self.send(to, message),
@@ -275,19 +275,20 @@
     }
 
     fn answer(&mut self, call: CallId, mut body: ControlAnswer) {
-        if self.expiry == Some(call) {
-            self.expiry = None;
+        if self.expire_call == Some(call) {
+            self.expire_call = None;
             return;
         }
         self.complete_status(&mut body);
         if let Some(PendingCall { reply, permit }) = self.replies.remove(&call) {
-            // The asker may have given up.
+            // The caller may have been cancelled.
             let _ = reply.send(body);
             drop(permit);
         }
     }
 
-    /// Adds to the ledger's answer what the leader knows besides.
+    /// On the leader, adds members, gateways and replicas to the ledger's answer to a status
+    /// query.
     fn complete_status(&self, body: &mut ControlAnswer) {
         if !self.member.is_leader() {
             return;
@@ -302,9 +303,9 @@
         }
     }
 
-    fn mark(&self) -> ChangeMark {
+    fn change_version(&self) -> ChangeVersion {
         let ledger = self.member.ledger();
-        ChangeMark {
+        ChangeVersion {
             revision: ledger.revision(),
             stopped: ledger.last_stopped(),
         }
@@ -312,16 +313,16 @@
 
     fn publish(&self) {
         self.shared.view.store(Arc::new(self.member.view()));
-        let mark = self.mark();
-        self.shared.marker.send_if_modified(|told| {
-            let changed = *told != mark;
-            *told = mark;
+        let version = self.change_version();
+        self.shared.change_sender.send_if_modified(|current| {
+            let changed = *current != version;
+            *current = version;
             changed
         });
     }
 
     fn is_stopped(&self) -> bool {
-        self.stop_at
-            .is_some_and(|limit| !self.member.is_leader() || Instant::now() >= limit)
+        self.stop_deadline
+            .is_some_and(|deadline| !self.member.is_leader() || Instant::now() >= deadline)
     }
 }
--- a/crates/control/src/lib.rs
+++ b/crates/control/src/lib.rs
@@ -1,14 +1,14 @@
-//! The control process: replicated state, configuration delivery, placement
-//! and the operators' interface.
+//! The control process: replicated state, delivery of configuration, placement and the
+//! operators' interface.
 //!
-//! [`member`] holds the decisions of one member without clock, threads or
-//! network; [`process`] runs one over real files and sockets.
+//! [`member`] contains the logic of one member without clock, threads or network; [`process`]
+//! runs a member over real files and sockets.
 
 mod attach;
 pub mod catch_up;
 mod clock;
 mod driver;
-pub mod load_teller;
+pub mod load_selector;
 pub mod member;
 mod metrics;
 mod operator;
--- a/crates/control/src/member/apply.rs
+++ b/crates/control/src/member/apply.rs
@@ -17,12 +17,12 @@
     output::MemberNotice,
 };
 
-/// Bytes of entries that are applied in one flush, about.
+/// Approximate maximum size of the entries applied in one flush, in bytes.
 const APPLY_BYTES: usize = 4 * 1024 * 1024;
 
 impl Member {
-    /// Applies committed entries, at most so much that messages and time do not
-    /// wait long for it.
+    /// Applies committed entries, with a limit per flush so that messages and ticks are not
+    /// delayed for long.
     pub(super) fn apply_committed(&mut self) -> Result<(), Report<ErrorKind>> {
         if !self.has_unapplied() {
             return Ok(());
@@ -36,13 +36,13 @@
         Ok(())
     }
 
-    /// Whether committed entries wait to be applied: the next flush goes on with them.
+    /// Whether committed entries remain to be applied, which the next flush continues.
     #[must_use]
     pub fn has_unapplied(&self) -> bool {
         self.applied < self.appliable()
     }
 
-    /// The last index that is committed and stored here.
+    /// The last index that is committed and synced on this disk.
     fn appliable(&self) -> LogIndex {
         let status = self.node.status();
         status.committed.min(status.synced)
@@ -83,11 +83,11 @@
             frame::decode(bytes).map_err(|report| report.change_context(ErrorKind::Corrupted))?;
         let revision = self.ledger.revision();
         let answer = self.ledger.apply(index, &command)?;
-        self.note_effects(&command.body, revision);
+        self.notify_effects(&command.body, revision);
         Ok(answer)
     }
 
-    fn note_effects(&mut self, body: &CommandBody, before: Revision) {
+    fn notify_effects(&mut self, body: &CommandBody, before: Revision) {
         let revision = self.ledger.revision();
         if revision != before {
             self.notice(MemberNotice::Configuration(revision));
--- a/crates/control/src/member/calls.rs
+++ b/crates/control/src/member/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for a leader, a commit, a confirmed read or another machine.
+//! Pending calls: without a leader yet, proposed, being read or forwarded.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,19 +10,19 @@
     query::Query,
 };
 
-/// Most calls that wait at once, in all states together.
+/// Maximum number of pending calls, in all states together.
 const MAX_PENDING_CALLS: usize = 64 * 1024;
 
-/// Who gets the answer.
+/// The receiver of a call's answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallOrigin {
     /// The driver of this member.
     Local(CallId),
     /// Another member that forwarded the call.
     Peer {
-        /// Its machine.
+        /// Machine of the other member.
         machine: MachineId,
-        /// Its number of the call.
+        /// The other member's id of the call.
         call: CallId,
     },
 }
@@ -31,12 +31,12 @@
 #[derive(Debug)]
 pub(crate) struct ProposedCall {
     pub(crate) origin: CallOrigin,
-    /// The term that the entry was written in.
+    /// The term of the call's entry.
     pub(crate) term: Term,
     deadline_ms: u64,
 }
 
-/// A read that waits for its index.
+/// A read that waits for its read index to be confirmed or applied.
 #[derive(Debug)]
 pub(crate) struct ReadCall {
     pub(crate) origin: CallOrigin,
@@ -44,7 +44,7 @@
     deadline_ms: u64,
 }
 
-/// A call that has no leader yet.
+/// A call that waits for a leader.
 #[derive(Debug)]
 pub(crate) struct WaitingCall {
     pub(crate) call: CallId,
@@ -59,14 +59,14 @@
     to: MachineId,
 }
 
-/// An answer that is due, and to whom.
+/// An answer to send, and its receiver.
 #[derive(Debug)]
 pub(crate) struct DueAnswer {
     pub(crate) origin: CallOrigin,
     pub(crate) body: ControlAnswer,
 }
 
-/// All calls under way.
+/// All pending calls.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
     proposed: BTreeMap<LogIndex, ProposedCall>,
@@ -78,18 +78,18 @@
     last_number: u64,
 }
 
-/// An answer that certainly nothing was done.
+/// The answer to a call that certainly had no effect.
 pub(crate) fn unavailable(reason: &str) -> ControlAnswer {
     ControlAnswer::Refused(Refusal::new(ErrorKind::ControlUnavailable, reason))
 }
 
-/// An answer that the change may or may not take effect.
+/// The answer to a change that may or may not take effect.
 pub(crate) fn outcome_unknown(reason: &str) -> ControlAnswer {
     ControlAnswer::Refused(Refusal::new(ErrorKind::ControlOutcomeUnknown, reason))
 }
 
 impl PendingCalls {
-    /// Whether no further call is taken.
+    /// Whether the maximum number of pending calls is reached.
     pub(crate) fn is_full(&self) -> bool {
         let count = self.proposed.len()
             + self.unconfirmed.len()
@@ -99,7 +99,7 @@
         count >= MAX_PENDING_CALLS
     }
 
-    /// Notes a call that was appended at an index.
+    /// Adds a call that was appended at an index; returns the answer to an earlier call there.
     pub(crate) fn add_proposed(
         &mut self,
         index: LogIndex,
@@ -112,12 +112,12 @@
             term,
             deadline_ms,
         };
-        // An older call at the same index was cut off the log by another leader.
+        // Another leader has removed the entry of an earlier call at the same index.
         let replaced = self.proposed.insert(index, call)?;
         Some(not_committed(replaced.origin))
     }
 
-    /// The call behind an entry that is being applied, if this member proposed it.
+    /// Removes and returns the call at the index of an entry that is being applied.
     pub(crate) fn take_proposed(&mut self, index: LogIndex, term: Term) -> TakenProposal {
         match self.proposed.remove(&index) {
             Some(call) if call.term == term => TakenProposal::Own(call.origin),
@@ -126,20 +126,22 @@
         }
     }
 
-    /// Takes calls up to an index whose entries will not be seen here, since a
-    /// snapshot covers them.
-    pub(crate) fn skip_proposed_through(&mut self, index: LogIndex) -> Vec<DueAnswer> {
-        let rest = self.proposed.split_off(&LogIndex(index.0 + 1));
-        std::mem::replace(&mut self.proposed, rest)
+    /// Removes the calls up to an index that an installed snapshot covers. Their entries are
+    /// not applied one by one, so the outcome of the calls is unknown.
+    pub(crate) fn take_proposed_up_to(&mut self, index: LogIndex) -> Vec<DueAnswer> {
+        let remaining = self.proposed.split_off(&LogIndex(index.0 + 1));
+        std::mem::replace(&mut self.proposed, remaining)
             .into_values()
             .map(|call| DueAnswer {
                 origin: call.origin,
-                body: outcome_unknown("the change was overtaken by a snapshot"),
+                body: outcome_unknown(
+                    "the member installed a snapshot before it applied the change",
+                ),
             })
             .collect()
     }
 
-    /// Notes a read; the number is its context for consensus.
+    /// Adds a read; returns its context for consensus.
     pub(crate) fn add_read(&mut self, origin: CallOrigin, query: Query, deadline_ms: u64) -> u64 {
         self.last_number += 1;
         let call = ReadCall {
@@ -151,7 +153,7 @@
         self.last_number
     }
 
-    /// A read may be answered once `index` is applied.
+    /// Records the read index of a read: it may be answered once `index` is applied.
     pub(crate) fn confirm_read(&mut self, context: u64, index: LogIndex) {
         if let Some(call) = self.unconfirmed.remove(&context) {
             self.confirmed.entry(index).or_default().push(call);
@@ -159,15 +161,15 @@
         }
     }
 
-    /// A read cannot be confirmed here.
+    /// Removes and returns a read that this member cannot confirm.
     pub(crate) fn take_unconfirmed(&mut self, context: u64) -> Option<ReadCall> {
         self.unconfirmed.remove(&context)
     }
 
-    /// Reads that may be answered now.
+    /// Removes and returns the reads that may be answered.
     pub(crate) fn take_confirmed(&mut self, applied: LogIndex) -> Vec<ReadCall> {
-        let rest = self.confirmed.split_off(&LogIndex(applied.0 + 1));
-        let due: Vec<ReadCall> = std::mem::replace(&mut self.confirmed, rest)
+        let remaining = self.confirmed.split_off(&LogIndex(applied.0 + 1));
+        let due: Vec<ReadCall> = std::mem::replace(&mut self.confirmed, remaining)
             .into_values()
             .flatten()
             .collect();
@@ -175,17 +177,17 @@
         due
     }
 
-    /// Lets a call wait for a leader.
+    /// Adds a call that waits for a leader.
     pub(crate) fn add_waiting(&mut self, waiting: WaitingCall) {
         self.waiting.push_back(waiting);
     }
 
-    /// All calls that wait for a leader.
+    /// Removes and returns the calls that wait for a leader.
     pub(crate) fn take_waiting(&mut self) -> VecDeque<WaitingCall> {
         std::mem::take(&mut self.waiting)
     }
 
-    /// Notes a call sent to the leader; gives the number to send it under.
+    /// Adds a call that is forwarded to the leader; returns the id to send with it.
     pub(crate) fn add_sent(&mut self, waiting: WaitingCall, to: MachineId) -> CallId {
         self.last_number += 1;
         let number = CallId(self.last_number);
@@ -193,13 +195,13 @@
         number
     }
 
-    /// Takes back a call that was sent.
+    /// Removes and returns a forwarded call.
     pub(crate) fn take_sent(&mut self, number: CallId) -> Option<WaitingCall> {
         self.sent.remove(&number).map(|sent| sent.waiting)
     }
 
-    /// Handles calls sent to machines other than the new leader: reads wait
-    /// again, changes have an unknown outcome.
+    /// Handles calls that were forwarded to machines other than the new leader: reads wait for
+    /// a leader again, changes have an unknown outcome.
     pub(crate) fn leader_changed(&mut self, leader: Option<MachineId>) -> Vec<DueAnswer> {
         let mut due = Vec::new();
         let lost: Vec<CallId> = self
@@ -223,7 +225,7 @@
         due
     }
 
-    /// Answers for all calls whose time is up.
+    /// Removes the calls whose deadline has passed; returns their answers.
     pub(crate) fn take_expired(&mut self, now_ms: u64) -> Vec<DueAnswer> {
         let mut due = Vec::new();
         for call in take_where(&mut self.proposed, |call| call.deadline_ms <= now_ms) {
@@ -258,11 +260,11 @@
     }
 
     fn expire_waiting(&mut self, now_ms: u64, due: &mut Vec<DueAnswer>) {
-        let (expired, rest): (VecDeque<_>, VecDeque<_>) = self
+        let (expired, remaining): (VecDeque<_>, VecDeque<_>) = self
             .waiting
             .drain(..)
             .partition(|waiting| waiting.deadline_ms <= now_ms);
-        self.waiting = rest;
+        self.waiting = remaining;
         for waiting in expired {
             due.push(DueAnswer {
                 origin: CallOrigin::Local(waiting.call),
@@ -272,17 +274,17 @@
     }
 }
 
-/// What became of the call behind an applied entry.
+/// The result of looking up the call of an applied entry.
 pub(crate) enum TakenProposal {
-    /// This member did not propose anything there.
+    /// This member proposed nothing at the index.
     None,
-    /// The entry is this member's own.
+    /// This member proposed the entry.
     Own(CallOrigin),
-    /// Another leader's entry took the place of this member's.
+    /// Another leader's entry replaced the entry of this member.
     Replaced(CallOrigin),
 }
 
-/// Removes the values that meet a condition, in the order of their keys.
+/// Removes and returns the values that meet a condition, in the order of their keys.
 fn take_where<K: Ord + Copy, V>(
     map: &mut BTreeMap<K, V>,
     condition: impl Fn(&V) -> bool,
@@ -295,7 +297,7 @@
     keys.iter().filter_map(|key| map.remove(key)).collect()
 }
 
-/// The answer when another leader's entry took the place of a proposed one.
+/// The answer to a call whose entry was replaced by another leader's entry.
 pub(crate) fn not_committed(origin: CallOrigin) -> DueAnswer {
     DueAnswer {
         origin,
--- a/crates/control/src/member/core.rs
+++ b/crates/control/src/member/core.rs
@@ -1,4 +1,4 @@
-//! The member itself: opening, time, messages and the work between two syncs.
+//! The member: opening, time, messages and the work between two syncs.
 
 use std::{
     cmp::Reverse,
@@ -22,21 +22,21 @@
 
 use super::{
     calls::PendingCalls,
-    formation::Presence,
     log_store::LogStore,
     opening::{OpenedState, open_state, start_node},
     output::{MemberNotice, MemberOutput},
     persist::Unsynced,
+    presence::Presence,
     settings::{MemberSettings, MemberTime},
     snapshots::SnapshotBuild,
 };
 
-/// Ticks made up for at once after a pause.
+/// Maximum number of ticks in one call of [`Member::tick`] after a process pause.
 const MAX_TICKS_AT_ONCE: u64 = 50;
-/// How often the membership and the free space are looked at, in milliseconds.
-const UPKEEP_INTERVAL_MS: u64 = 100;
+/// Time between two checks of the membership and of the free space, in milliseconds.
+const MAINTENANCE_INTERVAL_MS: u64 = 100;
 
-/// One control member; see the module's documentation.
+/// One control member; see the documentation of the module.
 pub struct Member {
     pub(super) settings: MemberSettings,
     pub(super) folder: DataFolder,
@@ -46,39 +46,39 @@
     pub(super) time: MemberTime,
     pub(super) calls: PendingCalls,
     pub(super) presence: Presence,
-    /// Entries up to here are in the ledger.
+    /// Entries up to this index are in the ledger.
     pub(super) applied: LogIndex,
     /// The membership as of `applied`.
     pub(super) applied_membership: Membership,
     pub(super) snapshot_build: Option<SnapshotBuild>,
-    /// Checkpoints of the payload store that the snapshots kept here belong to.
+    /// Checkpoints of the payload store by the index of the stored snapshot they belong to.
     pub(super) payload_marks: BTreeMap<LogIndex, PayloadMark>,
-    /// Size of the log when the last snapshot was stored or given up, in bytes.
+    /// Size of the log when the last snapshot was stored or abandoned, in bytes.
     pub(super) snapshot_retry_bytes: u64,
     pub(super) outputs: Vec<MemberOutput>,
     /// Whether free space has fallen below the reserve.
     pub(super) disk_full: bool,
     pub(super) unsynced: VecDeque<Unsynced>,
-    /// Entries that the log could not take yet, since the disk is full.
+    /// Entries that are not yet appended to the log because the disk is full.
     pub(super) unappended: Vec<Entry>,
     known_leader: Option<MemberId>,
     ticked_ms: u64,
     pub(super) hello_ms: Option<u64>,
-    upkeep_ms: u64,
+    maintenance_ms: u64,
     /// Whether this disk may take part in starting a new cluster.
     pub(super) may_start_cluster: bool,
 }
 
 impl Member {
-    /// Opens the member's data folder, formatting a blank one with `new_disk`
-    /// as its id, which must never have been used before.
+    /// Opens the member's data folder. A blank folder is formatted with the disk id `new_disk`,
+    /// which must never have been used before.
     ///
-    /// A log that is damaged inside is set aside: the member then is a blank
-    /// one under `new_disk` and fetches everything from the others.
+    /// A log that is damaged before its end is set aside: the member then starts blank with the
+    /// disk id `new_disk` and fetches the state from the other members.
     ///
     /// # Errors
-    /// `DataFolderRefused` when the folder is foreign, locked or of another
-    /// format, `StorageFull`, `Io`.
+    /// `DataFolderRefused` if the folder belongs to another cluster, role or machine, is locked
+    /// or has another format; `StorageFull`, `Io`.
     pub fn open(
         settings: MemberSettings,
         file_system: Arc<dyn FileSystem>,
@@ -108,7 +108,7 @@
         let node = start_node(&settings, &folder, &store)?;
         Ok(Member {
             ticked_ms: time.monotonic_ms,
-            upkeep_ms: time.monotonic_ms,
+            maintenance_ms: time.monotonic_ms,
             settings,
             folder,
             store,
@@ -132,8 +132,8 @@
         })
     }
 
-    /// Lets time pass; to be called about every [`TICK_MILLISECONDS`], after
-    /// the messages that have arrived.
+    /// Advances time; to be called about every [`TICK_MILLISECONDS`], after the arrived messages
+    /// are passed to [`Member::receive`].
     pub fn tick(&mut self, time: MemberTime) {
         self.time = time;
         let elapsed = time.monotonic_ms.saturating_sub(self.ticked_ms) / TICK_MILLISECONDS;
@@ -146,10 +146,10 @@
         for due in self.calls.take_expired(time.monotonic_ms) {
             self.answer(due.origin, due.body);
         }
-        self.say_hello();
-        if time.monotonic_ms >= self.upkeep_ms + UPKEEP_INTERVAL_MS {
-            self.upkeep_ms = time.monotonic_ms;
-            self.upkeep();
+        self.send_hello_if_due();
+        if time.monotonic_ms >= self.maintenance_ms + MAINTENANCE_INTERVAL_MS {
+            self.maintenance_ms = time.monotonic_ms;
+            self.run_maintenance();
         }
     }
 
@@ -168,11 +168,11 @@
             } if member.machine == from => {
                 let now_ms = self.time.monotonic_ms;
                 self.presence
-                    .note(member, formatted, attach_address, now_ms);
+                    .record_hello(member, formatted, attach_address, now_ms);
             }
             PeerMessage::Forward { call, body } => self.receive_forwarded(from, call, body),
             PeerMessage::Forwarded { call, body } => self.receive_answer(call, body),
-            // Soft state is the driver's; a message under another's name is dropped.
+            // The driver handles soft state. A message whose sender is not `from` is dropped.
             PeerMessage::Digest(_)
             | PeerMessage::Broadcast(_)
             | PeerMessage::Consensus(_)
@@ -180,12 +180,12 @@
         }
     }
 
-    /// Writes, syncs, sends and applies whatever has come up.
+    /// Writes, syncs, sends and applies all pending work.
     ///
     /// # Errors
-    /// `Io` or `Corrupted` when the disk failed. The member must not be used
-    /// any more then; it may be opened again. A full disk is not an error:
-    /// what waits is tried again with the next flush.
+    /// `Io` or `Corrupted` if the disk failed. The member must not be used after such an error
+    /// but may be opened again. A full disk is not an error: the next flush retries the pending
+    /// writes.
     pub fn flush(&mut self) -> Result<(), Report<ErrorKind>> {
         loop {
             if !self.unsynced.is_empty() && !self.sync()? {
@@ -196,38 +196,38 @@
             }
             let ready = self.node.ready(&self.store);
             self.store.check_reads()?;
-            self.carry_out(ready)?;
+            self.handle_ready(ready)?;
         }
         self.apply_committed()?;
         self.answer_reads();
-        self.note_leader();
+        self.notify_leader_change();
         self.snapshot_if_due()
     }
 
-    /// Asks the member with the longest log to lead instead of this one, as
-    /// before a planned stop. Nothing happens where this member does not lead.
-    pub fn hand_leadership_over(&mut self) {
+    /// Transfers leadership to the voter with the longest log, for use before a planned stop.
+    /// Does nothing if this member does not lead.
+    pub fn transfer_leadership(&mut self) {
         let status = self.node.status();
         let voters = status.peers.iter().filter(|peer| peer.voter);
         let successor = voters.max_by_key(|peer| (peer.matched, Reverse(peer.ticks_since_contact)));
         if let Some(peer) = successor {
-            // A refusal means that this member no longer leads.
+            // An error means that this member no longer leads.
             let _ = self.node.transfer_leadership(peer.member);
         }
     }
 
-    /// What the driver has to do, in order.
+    /// Removes and returns the outputs for the driver, to be carried out in order.
     pub fn take_outputs(&mut self) -> Vec<MemberOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// This member: its machine and disk.
+    /// This member's machine and disk.
     #[must_use]
     pub fn id(&self) -> MemberId {
         self.folder.member()
     }
 
-    /// The consensus node at a glance.
+    /// Status of the consensus node.
     #[must_use]
     pub fn status(&self) -> Status {
         self.node.status()
@@ -239,13 +239,13 @@
         self.node.is_leader()
     }
 
-    /// The state up to [`Member::applied`].
+    /// The state machine with all entries up to [`Member::applied`].
     #[must_use]
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// The last index that the ledger holds.
+    /// The index of the last entry applied to the ledger.
     #[must_use]
     pub fn applied(&self) -> LogIndex {
         self.applied
@@ -257,7 +257,7 @@
         self.store.log.disk_bytes()
     }
 
-    /// Where gateways attach to this and to other members, as far as heard.
+    /// Addresses for gateways of this member and of the members whose hello was received.
     #[must_use]
     pub fn attach_addresses(&self) -> Vec<String> {
         let own = std::iter::once(self.settings.attach_address.as_str());
@@ -275,7 +275,7 @@
         self.outputs.push(MemberOutput::Notice(notice));
     }
 
-    fn note_leader(&mut self) {
+    fn notify_leader_change(&mut self) {
         let leader = self.node.leader();
         if leader == self.known_leader {
             return;
--- a/crates/control/src/member/log_store.rs
+++ b/crates/control/src/member/log_store.rs
@@ -1,4 +1,4 @@
-//! The durable log and its snapshots, as consensus reads them.
+//! The log and the snapshots on disk, as read by consensus.
 
 use std::cell::{Cell, RefCell};
 
@@ -15,11 +15,11 @@
 pub(crate) struct LogStore {
     pub(crate) log: Log,
     pub(crate) snapshots: SnapshotStore,
-    /// The snapshot that holds the payloads too, so that it can be sent to others.
+    /// Index of the snapshot that contains the payloads and can therefore be sent to others.
     sendable: Option<LogIndex>,
-    /// Whether consensus wanted to send a snapshot and there was none that holds payloads.
+    /// Whether consensus needed a snapshot to send and none contained the payloads.
     missed: Cell<bool>,
-    /// The first failed read; consensus itself is told of an empty result.
+    /// The first failed read, for which consensus got an empty result.
     read_failure: RefCell<Option<Report<ErrorKind>>>,
 }
 
@@ -34,20 +34,20 @@
         }
     }
 
-    /// Fails if a read failed since the last call.
+    /// Returns the error of the first read that failed since the last call.
     ///
     /// # Errors
-    /// `Corrupted` when an entry failed its checksum, `Io`.
+    /// `Corrupted` if the checksum of an entry did not match, `Io`.
     pub(crate) fn check_reads(&self) -> Result<(), Report<ErrorKind>> {
         self.read_failure.take().map_or(Ok(()), Err)
     }
 
-    /// Notes that the snapshot at an index holds the payloads too.
+    /// Records that the snapshot at an index contains the payloads.
     pub(crate) fn set_sendable(&mut self, index: LogIndex) {
         self.sendable = Some(index);
     }
 
-    /// Whether consensus missed a snapshot that it could send, since the last call.
+    /// Whether consensus has lacked a snapshot to send since the last call.
     pub(crate) fn take_missed(&self) -> bool {
         self.missed.take()
     }
@@ -56,7 +56,7 @@
         self.sendable.and_then(|index| self.snapshots.find(index))
     }
 
-    fn note_failure(&self, report: Report<ErrorKind>) {
+    fn record_failure(&self, report: Report<ErrorKind>) {
         self.read_failure.borrow_mut().get_or_insert(report);
     }
 }
@@ -75,14 +75,14 @@
     }
 
     fn entries(&self, from: LogIndex, to_exclusive: LogIndex, max_bytes: usize) -> Vec<Entry> {
-        let held = self.first_index() <= from && from <= self.last_index();
-        if !held || from >= to_exclusive {
+        let is_stored = self.first_index() <= from && from <= self.last_index();
+        if !is_stored || from >= to_exclusive {
             return Vec::new();
         }
         match self.log.entries(from, to_exclusive, max_bytes) {
             Ok(entries) => entries,
             Err(report) => {
-                self.note_failure(report);
+                self.record_failure(report);
                 Vec::new()
             }
         }
@@ -111,7 +111,7 @@
         match self.snapshots.read_chunk(meta.index, offset, max_bytes) {
             Ok((data, last)) => Some(SnapshotPiece { data, last }),
             Err(report) => {
-                self.note_failure(report);
+                self.record_failure(report);
                 None
             }
         }
--- a/crates/control/src/member/upkeep.rs
+++ b/crates/control/src/member/maintenance.rs
@@ -1,5 +1,5 @@
-//! What a member does from time to time: saying who it is, looking at its disk,
-//! repairing the membership, and starting a new cluster.
+//! Periodic work of a member: sending hellos, checking free space, repairing the membership
+//! and starting a new cluster.
 
 use error_stack::Report;
 use linnethitch_consensus::{
@@ -10,27 +10,25 @@
 use linnethitch_protocol::{attach::PeerMessage, consensus::Membership, frame, ids::LogIndex};
 use linnethitch_storage::{folder::DataFolder, revision::RevisionFile};
 
-use super::{
-    core::Member, formation::HELLO_INTERVAL_MS, opening::start_node, output::MemberNotice,
-};
+use super::{core::Member, opening::start_node, output::MemberNotice, presence::HELLO_INTERVAL_MS};
 
-/// File that holds the first membership of a new cluster on the disk that started it.
+/// File with the first membership of a new cluster, on the disk that started the cluster.
 const FIRST_MEMBERSHIP_FILE: &str = "first-membership";
-/// Silence, in ticks, after which a disk is lost whose machine has another one now.
+/// Ticks without contact after which a disk counts as lost if its machine now has another disk.
 const REPLACED_DISK_TICKS: u32 = 50;
 
 impl Member {
-    /// Whether this disk takes part in a running cluster or may have.
+    /// Whether this disk takes part in a cluster or may have done so.
     pub(super) fn is_formatted(&self) -> bool {
         let status = self.node.status();
         !status.membership.voters.is_empty() || status.last_index > LogIndex(0)
     }
 
-    pub(super) fn say_hello(&mut self) {
+    pub(super) fn send_hello_if_due(&mut self) {
         let now_ms = self.time.monotonic_ms;
         if self
             .hello_ms
-            .is_some_and(|said_ms| now_ms < said_ms + HELLO_INTERVAL_MS)
+            .is_some_and(|sent_ms| now_ms < sent_ms + HELLO_INTERVAL_MS)
         {
             return;
         }
@@ -48,8 +46,8 @@
         }
     }
 
-    pub(super) fn upkeep(&mut self) {
-        self.look_at_free_space();
+    pub(super) fn run_maintenance(&mut self) {
+        self.check_free_space();
         self.start_cluster_if_due();
         if self.node.status().role == Role::Leader {
             self.repair_membership();
@@ -57,9 +55,9 @@
         self.retry_waiting();
     }
 
-    fn look_at_free_space(&mut self) {
-        // A file system that cannot tell is taken for one that has room: the
-        // sync itself still refuses what does not fit.
+    fn check_free_space(&mut self) {
+        // If the file system cannot report its free space, writes are allowed: a write that
+        // does not fit still fails in the sync.
         let Ok(free) = self.folder.file_system().free_bytes() else {
             return;
         };
@@ -70,9 +68,9 @@
         }
     }
 
-    /// Proposes the next step towards a full membership of present disks. A
-    /// machine has one disk at a time, so a voter is replaced only when its own
-    /// machine speaks with another disk; a short silence is enough then.
+    /// Proposes the next step towards a full membership of present disks. A machine has one
+    /// disk at a time, so a voter is replaced only if its own machine is present with another
+    /// disk; a short time without contact to the old disk is then enough.
     fn repair_membership(&mut self) {
         let policy = RepairPolicy {
             voters: self.settings.machines.len(),
@@ -86,14 +84,14 @@
             return;
         };
         let text = format!("{:?}: {:?}", step.reason, step.change);
-        // A refusal means that the time has not come yet; upkeep asks again.
+        // An error means that the change is not possible yet; the next run retries.
         if self.node.propose_membership(step.change).is_ok() {
             self.notice(MemberNotice::MembershipProposed(text));
         }
     }
 
-    /// Starts a new cluster with this disk as its one voter, when nothing can
-    /// have been acknowledged before.
+    /// Starts a new cluster with this disk as its only voter, if no earlier cluster on these
+    /// machines can have acknowledged anything.
     fn start_cluster_if_due(&mut self) {
         let own = self.settings.machine;
         let is_lowest = self.settings.machines.iter().all(|other| *other >= own);
@@ -120,7 +118,7 @@
     }
 }
 
-/// The file names the disk, so that it does not outlive a new identity.
+/// The file name contains the disk id, so that the file is not used after a reformat.
 fn first_membership_file(folder: &DataFolder) -> RevisionFile {
     let path = format!("{FIRST_MEMBERSHIP_FILE}-{:016x}", folder.disk().0);
     RevisionFile::new(folder.file_system(), path)
--- a/crates/control/src/member/opening.rs
+++ b/crates/control/src/member/opening.rs
@@ -1,5 +1,5 @@
-//! Opening what a member stored: its log and snapshots, or a blank state in
-//! place of a damaged one; and starting consensus from it.
+//! Opens a member's log and snapshots, or a blank state if they are damaged, and starts
+//! consensus from them.
 
 use error_stack::Report;
 use linnethitch_consensus::{LogView, Node, RestoredState, Settings};
@@ -13,24 +13,24 @@
 
 use super::{
     log_store::LogStore,
+    maintenance::load_first_membership,
     settings::MemberSettings,
     snapshots::{RestoredLedger, restore_ledger},
-    upkeep::load_first_membership,
 };
 
-/// What a folder holds.
+/// The state opened from a data folder.
 pub(super) struct OpenedState {
     pub(super) store: LogStore,
     pub(super) restored: RestoredLedger,
-    /// Why what was stored before had to be set aside, if it had.
+    /// The damage because of which the earlier state was set aside, if any.
     pub(super) set_aside: Option<String>,
 }
 
-/// Opens log, snapshots and payloads. A state that has lost something is set
-/// aside: the folder then is a blank one under `new_disk`.
+/// Opens log, snapshots and payloads. A state of which a part is lost is set aside: the folder
+/// is then blank, with the disk id `new_disk`.
 ///
 /// # Errors
-/// `StorageFull`, `Io`; `Corrupted` when even a new log cannot be read.
+/// `StorageFull`, `Io`; `Corrupted` if a blank state cannot be read either.
 pub(super) fn open_state(
     folder: &mut DataFolder,
     new_disk: DiskId,
@@ -50,7 +50,7 @@
     })
 }
 
-/// Opens what is stored, or tells what of it is lost.
+/// Opens the stored state; the inner error describes the damage if a part of it is lost.
 fn open_stored(folder: &mut DataFolder) -> Result<Result<OpenedState, String>, Report<ErrorKind>> {
     let log = match folder.open_log(LogLimits::default())? {
         OpenedLog::Damaged(damage) => return Ok(Err(damage.to_string())),
@@ -79,15 +79,16 @@
     restore_ledger(store, folder.file_system(), membership)
 }
 
-/// The log begins after the state of a snapshot; without a whole snapshot that
-/// reaches up to it, the state cannot be built again.
+/// Describes the gap between the newest complete snapshot and the first entry of the log, if there
+/// is one. With a gap the state cannot be restored.
 fn find_gap(log: &Log, snapshots: &SnapshotStore) -> Option<String> {
     let covered = snapshots
         .latest()
         .map_or(LogIndex(0), |info| info.meta.index);
     let first = log.first_index();
-    (first.0 > covered.0 + 1)
-        .then(|| format!("the log begins at {first}, but no whole snapshot goes beyond {covered}"))
+    (first.0 > covered.0 + 1).then(|| {
+        format!("the log begins at {first}, but the newest complete snapshot ends at {covered}")
+    })
 }
 
 fn open_blank_log(folder: &mut DataFolder) -> Result<Log, Report<ErrorKind>> {
@@ -99,10 +100,10 @@
     }
 }
 
-/// Starts consensus from what is stored.
+/// Starts consensus from the stored state.
 ///
 /// # Errors
-/// `Io` or `Corrupted` when the first membership cannot be read.
+/// `Io` or `Corrupted` if the first membership cannot be read.
 pub(super) fn start_node(
     settings: &MemberSettings,
     folder: &DataFolder,
--- a/crates/control/src/member/output.rs
+++ b/crates/control/src/member/output.rs
@@ -1,29 +1,29 @@
-//! What a member wants its driver to do.
+//! Outputs of a member, to be carried out by its driver.
 
 use linnethitch_protocol::{
     attach::{ControlAnswer, PeerMessage},
     ids::{CallId, JobId, LogIndex, MachineId, MemberId, Revision, Term},
 };
 
-/// Something for the driver to do, in order.
+/// One output; the driver carries outputs out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum MemberOutput {
-    /// Send to another machine. Messages may be lost; a lost forwarded call is
-    /// handed back by [`super::Member::undelivered`].
+    /// Send a message to another machine. Messages may be lost; a message that was certainly not
+    /// sent is passed to [`super::Member::undelivered`].
     Send {
-        /// To which machine.
+        /// The receiving machine.
         to: MachineId,
-        /// What.
+        /// The message.
         message: PeerMessage,
     },
     /// The answer to a call; each call is answered exactly once.
     Answer {
-        /// Which call.
+        /// Id of the call.
         call: CallId,
-        /// Its answer.
+        /// The answer.
         body: ControlAnswer,
     },
-    /// Something changed that others may want to know.
+    /// Report a change of the member's state.
     Notice(MemberNotice),
 }
 
@@ -32,12 +32,12 @@
 pub enum MemberNotice {
     /// The known leader changed.
     Leader {
-        /// In which term.
+        /// The current term.
         term: Term,
-        /// Who leads; `None` while nobody is known to.
+        /// The leader; `None` while no leader is known.
         leader: Option<MemberId>,
     },
-    /// A configuration was committed and applied here.
+    /// A configuration was committed and applied by this member.
     Configuration(Revision),
     /// A job was cancelled.
     JobCancelled(JobId),
@@ -45,23 +45,23 @@
     ClusterStarted,
     /// This leader proposed a change of the membership.
     MembershipProposed(String),
-    /// A snapshot of the state up to this index was stored; the log before it is given back.
+    /// A snapshot of the state was stored, so that the log before it can be compacted.
     SnapshotStored {
         /// The last index that it covers.
         index: LogIndex,
-        /// Bytes of its file.
+        /// Size of its file, in bytes.
         bytes: u64,
     },
-    /// A snapshot of the leader took the place of the state here.
+    /// A snapshot of the leader, up to this index, replaced the state of this member.
     SnapshotInstalled(LogIndex),
-    /// The log was damaged: it is set aside and fetched anew under a new disk id.
+    /// The log was damaged and set aside; the member fetches the state again under a new disk id.
     DamagedLogSetAside(String),
-    /// The disk is full; what was received is kept in memory and tried again.
+    /// The disk is full; received entries remain in memory and their write is retried.
     DiskFull,
 }
 
 impl MemberNotice {
-    /// The notice's code in logs and in the decision journal.
+    /// The reason code of the notice in logs and in the decision journal.
     #[must_use]
     pub fn reason(&self) -> &'static str {
         match self {
--- a/crates/control/src/member/persist.rs
+++ b/crates/control/src/member/persist.rs
@@ -1,4 +1,4 @@
-//! Writing and syncing what consensus hands out, and sending what may be sent then.
+//! Writes and syncs the output of consensus and sends its messages.
 
 use error_stack::Report;
 use linnethitch_consensus::Ready;
@@ -7,7 +7,7 @@
 
 use super::{core::Member, output::MemberNotice};
 
-/// Work handed out by consensus whose sync is outstanding.
+/// Output of consensus that is not yet synced.
 pub(super) struct Unsynced {
     number: u64,
     messages: Vec<ConsensusMessage>,
@@ -20,7 +20,7 @@
         }
     }
 
-    pub(super) fn carry_out(&mut self, ready: Ready) -> Result<(), Report<ErrorKind>> {
+    pub(super) fn handle_ready(&mut self, ready: Ready) -> Result<(), Report<ErrorKind>> {
         if let Some(index) = ready.truncate_after {
             self.store.log.truncate_after(index)?;
         }
@@ -52,13 +52,13 @@
         Ok(())
     }
 
-    /// Whether a full disk keeps the member from storing what consensus handed
-    /// out. It then takes no part in consensus; the others go on without it.
+    /// Whether the member cannot store the output of consensus because the disk is full. It then
+    /// takes no part in consensus, and the other members continue without it.
     pub(super) fn is_blocked(&self) -> bool {
         !self.unsynced.is_empty()
     }
 
-    /// Appends what waits; false when the disk is full.
+    /// Appends the entries that are not in the log yet; returns false if the disk is full.
     fn append_waiting(&mut self) -> Result<bool, Report<ErrorKind>> {
         let last = self.store.log.last_index();
         self.unappended.retain(|entry| entry.index > last);
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Stores what was handed out; false when the disk is full.
+    /// Appends and syncs the output of consensus; returns false if the disk is full.
     pub(super) fn sync(&mut self) -> Result<bool, Report<ErrorKind>> {
         let synced = match self.append_waiting()? {
             true => self.store.log.sync(),
--- a/crates/control/src/member/proposals.rs
+++ b/crates/control/src/member/proposals.rs
@@ -1,4 +1,4 @@
-//! Calls of gateways and operators: proposed and read here, or at the leader.
+//! Calls of gateways and operators: carried out here or forwarded to the leader.
 
 use linnethitch_consensus::ProposeError;
 use linnethitch_errors::ErrorKind;
@@ -17,12 +17,15 @@
 };
 
 impl Member {
-    /// Takes a call of the driver; the number is the driver's own and must
-    /// not be in use. Each call is answered once, within the call timeout.
+    /// Takes a call from the driver. The driver chooses the id, which must not be in use. Each
+    /// call is answered once, within the call timeout.
     pub fn call(&mut self, call: CallId, body: ControlCall) {
         let deadline_ms = self.call_deadline();
         if self.calls.is_full() {
-            self.answer(CallOrigin::Local(call), unavailable("too many calls wait"));
+            self.answer(
+                CallOrigin::Local(call),
+                unavailable("too many pending calls"),
+            );
             return;
         }
         self.start(WaitingCall {
@@ -32,8 +35,8 @@
         });
     }
 
-    /// The driver could not send a message. A forwarded call that certainly
-    /// did not leave is tried again.
+    /// Takes back a message that the driver did not send. A forwarded call is retried, since
+    /// it certainly did not reach the other member.
     pub fn undelivered(&mut self, message: &PeerMessage) {
         if let PeerMessage::Forward { call, .. } = message
             && let Some(waiting) = self.calls.take_sent(*call)
@@ -51,7 +54,7 @@
         }
     }
 
-    /// Takes a call that another member forwarded, or refuses it for certain.
+    /// Takes a call that another member forwarded. A refusal means that nothing was done.
     pub(super) fn receive_forwarded(&mut self, from: MachineId, call: CallId, body: ControlCall) {
         let origin = CallOrigin::Peer {
             machine: from,
@@ -60,7 +63,7 @@
         if !self.node.is_leader() {
             self.answer(origin, unavailable("this member does not lead"));
         } else if self.calls.is_full() {
-            self.answer(origin, unavailable("too many calls wait"));
+            self.answer(origin, unavailable("too many pending calls"));
         } else {
             let deadline_ms = self.call_deadline();
             self.serve(origin, body, deadline_ms);
@@ -73,7 +76,7 @@
             return;
         };
         if is_unavailable(&body) && waiting.deadline_ms > self.time.monotonic_ms {
-            // Nothing was done there; perhaps another member leads by now.
+            // The call had no effect there; another member may lead by now.
             self.calls.add_waiting(waiting);
         } else {
             self.answer(CallOrigin::Local(waiting.call), body);
@@ -142,7 +145,7 @@
         }
     }
 
-    /// Appends a command; on an error nothing was appended.
+    /// Proposes a command; after an error nothing is in the log.
     fn propose(
         &mut self,
         origin: CallOrigin,
@@ -168,13 +171,13 @@
         Ok(())
     }
 
-    /// Refuses what could not be stored safely.
+    /// Refuses a command that could not be stored safely.
     fn check_accepting(&self, body: &CommandBody) -> Result<(), Refusal> {
-        let gives_space_back = matches!(
+        let frees_space = matches!(
             body,
             CommandBody::Expire | CommandBody::DeleteFile { .. } | CommandBody::CancelJob { .. }
         );
-        if self.disk_full && !gives_space_back {
+        if self.disk_full && !frees_space {
             return Err(Refusal::new(
                 ErrorKind::StorageFull,
                 "the leader's data folder has no space left",
@@ -184,7 +187,7 @@
         if voters / 2 + 1 < self.settings.full_quorum() {
             return Err(Refusal::new(
                 ErrorKind::ControlUnavailable,
-                "the cluster has too few voters to keep a change safe",
+                "the cluster has too few voters to store a change safely",
             ));
         }
         Ok(())
@@ -209,11 +212,11 @@
         }
         ProposeError::Overloaded => Refusal::new(
             ErrorKind::Overloaded,
-            "too many changes wait for a quorum's sync",
+            "too many changes wait for a quorum to store them",
         ),
         ProposeError::TooLarge => Refusal::new(
             ErrorKind::BodyTooLarge,
-            "the change exceeds the log's limit",
+            "the change exceeds the maximum size of a log entry",
         ),
     }
 }
--- a/crates/control/src/member/settings.rs
+++ b/crates/control/src/member/settings.rs
@@ -7,7 +7,7 @@
 const DEFAULT_SNAPSHOT_LOG_BYTES: u64 = 64 * 1024 * 1024;
 /// Default free space below which new work is refused, in bytes.
 const DEFAULT_RESERVED_BYTES: u64 = 64 * 1024 * 1024;
-/// Default time after which an unanswered call is given up, in milliseconds.
+/// Default time limit of a call, in milliseconds.
 const DEFAULT_CALL_TIMEOUT_MS: u64 = 5_000;
 
 /// Settings of a member.
@@ -17,30 +17,30 @@
     pub cluster: String,
     /// This machine.
     pub machine: MachineId,
-    /// All machines set aside for control, this one included.
+    /// All machines that run control members, including this one.
     pub machines: Vec<MachineId>,
-    /// Whether a new cluster may be started when the disks of all machines are blank.
+    /// Whether a new cluster may be started if the disks of all machines are blank.
     pub bootstrap: bool,
-    /// Where gateways attach to this member; told to the others.
+    /// Address for gateways, which this member announces to the others.
     pub attach_address: String,
     /// Size of the log at which a snapshot is taken, in bytes.
     pub snapshot_log_bytes: u64,
     /// Free space below which new work is refused, in bytes.
     pub reserved_bytes: u64,
-    /// Time after which an unanswered call is given up, in milliseconds.
+    /// Time limit of a call, in milliseconds; a call without an answer by then is refused.
     pub call_timeout_ms: u64,
     /// Seed of the election jitter.
     pub seed: u64,
-    /// Safety rules that are switched off; none in a running system.
+    /// Consensus safety rules that are switched off for tests; none in a running system.
     #[doc(hidden)]
     pub safety: SafetyOverrides,
-    /// The same for the state machine.
+    /// Safety rules of the ledger that are switched off for tests; none in a running system.
     #[doc(hidden)]
     pub ledger_safety: linnethitch_ledger::SafetyOverrides,
 }
 
 impl MemberSettings {
-    /// Settings with the defaults of a running system; `machine` is one of `machines`.
+    /// Settings with production defaults; `machines` includes `machine`.
     #[must_use]
     pub fn new(cluster: &str, machine: MachineId, machines: Vec<MachineId>) -> Self {
         MemberSettings {
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Voters that must store an entry before it is acknowledged, at the full membership.
+    /// Size of a quorum when the disks of all machines are voters.
     pub(crate) fn full_quorum(&self) -> usize {
         self.machines.len() / 2 + 1
     }
@@ -67,8 +67,8 @@
 /// The driver's clocks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct MemberTime {
-    /// A clock that never falls or jumps, in milliseconds from any start.
+    /// Monotonic clock, in milliseconds from an arbitrary start.
     pub monotonic_ms: u64,
-    /// The machine's time of day, which may be off.
+    /// The machine's wall clock, which may be wrong.
     pub wall: Timestamp,
 }
--- a/crates/control/src/member/snapshots.rs
+++ b/crates/control/src/member/snapshots.rs
@@ -1,9 +1,10 @@
-//! Snapshots of the ledger: written bit by bit, restored, received from the leader.
+//! Takes snapshots of the ledger in parts, restores them, and receives and installs snapshots
+//! of the leader.
 //!
-//! Payloads lie in files of their own, so an ordinary snapshot leaves them out
-//! and names the checkpoint of the payload store that it belongs to. Only when
-//! another member needs a snapshot does the next one bring them along. It
-//! counts as an ordinary one too: a restart from it stores its payloads anew.
+//! Payloads are stored in separate files. A local snapshot does not contain them but names the
+//! checkpoint of the payload store to which it belongs. If another member needs a snapshot, the
+//! next snapshot contains the payloads (transfer scope). It can also be used for a local
+//! restart, which then stores its payloads again.
 
 use std::sync::Arc;
 
@@ -22,17 +23,17 @@
 
 use super::{core::Member, log_store::LogStore, output::MemberNotice};
 
-/// Bytes that are read at once from a snapshot.
+/// Bytes of a snapshot read at once.
 const READ_BYTES: usize = 1024 * 1024;
-/// Bytes of a snapshot written between two flushes, so that none takes long.
+/// Approximate bytes of a snapshot written in one flush, which delays messages and ticks.
 const WRITE_BYTES_PER_FLUSH: usize = 4 * 1024 * 1024;
-/// A member that was heard of within so many ticks can take a snapshot.
-const PRESENT_TICKS: u32 = 100;
-/// While a member takes a snapshot no other is begun, so that it stays and the
-/// log after it too; the log may become so many times as long for that.
-const LONGEST_WAIT: u64 = 32;
+/// A peer with contact within this many ticks can receive a snapshot.
+const PEER_CONTACT_TICKS: u32 = 100;
+/// While a peer waits for a snapshot, no new snapshot is begun, so that the snapshot being sent
+/// and the log after it remain, until the log has grown to this many times the usual limit.
+const MAX_GROWTH_FACTOR: u64 = 32;
 
-/// The state as of the newest snapshot on disk.
+/// The state of the newest snapshot on disk.
 pub(super) struct RestoredLedger {
     pub(super) ledger: Ledger,
     pub(super) applied: LogIndex,
@@ -47,7 +48,7 @@
     file: FileWriter,
 }
 
-/// Reads the newest snapshot; an empty ledger where there is none.
+/// Reads the newest snapshot; without a snapshot the ledger is empty.
 pub(super) fn restore_ledger(
     store: &LogStore,
     file_system: Arc<dyn FileSystem>,
@@ -94,7 +95,7 @@
 }
 
 impl Member {
-    /// Begins a snapshot when the log has grown enough, and goes on with one begun.
+    /// Continues writing a snapshot; begins one if a peer needs it or the log has grown enough.
     pub(super) fn snapshot_if_due(&mut self) -> Result<(), Report<ErrorKind>> {
         let missed = self.store.take_missed();
         if self.snapshot_build.is_none() {
@@ -119,23 +120,23 @@
         Ok(())
     }
 
-    /// The log is as long as the settings allow since the last snapshot.
+    /// Whether the log has grown enough since the last snapshot.
     fn is_snapshot_due(&self) -> bool {
         let log_bytes = self.store.log.disk_bytes();
         let grown = log_bytes.saturating_sub(self.snapshot_retry_bytes);
         let limit = self.settings.snapshot_log_bytes;
-        let may_wait = grown < limit.saturating_mul(LONGEST_WAIT);
+        let may_defer = grown < limit.saturating_mul(MAX_GROWTH_FACTOR);
         grown >= limit
             && self.applied > self.newest_snapshot()
-            && !(may_wait && self.is_snapshot_awaited())
+            && !(may_defer && self.is_snapshot_awaited())
     }
 
-    /// Whether a member that is present is to get a snapshot. One that is silent
-    /// must not keep this one from its own.
+    /// Whether a reachable peer needs a snapshot. An unreachable peer must not prevent this
+    /// member from taking snapshots of its own.
     fn is_snapshot_awaited(&self) -> bool {
         let status = self.node.status();
         status.peers.iter().any(|peer| {
-            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PRESENT_TICKS
+            peer.state == PeerState::Snapshot && peer.ticks_since_contact < PEER_CONTACT_TICKS
         })
     }
 
@@ -178,7 +179,7 @@
         Ok(())
     }
 
-    /// Writes the next part; true when the content is complete.
+    /// Writes the next part; returns whether the content is complete.
     fn continue_snapshot(&self, build: &mut SnapshotBuild) -> Result<bool, Report<ErrorKind>> {
         let mut written = 0;
         while written < WRITE_BYTES_PER_FLUSH {
@@ -205,11 +206,11 @@
             }
         }
         self.compact_log()?;
-        self.settle_payloads()
+        self.release_payloads()
     }
 
-    /// Gives the space of payloads back that no snapshot kept here needs.
-    fn settle_payloads(&mut self) -> Result<(), Report<ErrorKind>> {
+    /// Frees the space of payloads that no stored snapshot needs.
+    fn release_payloads(&mut self) -> Result<(), Report<ErrorKind>> {
         let Some(oldest) = self.store.snapshots.oldest() else {
             return Ok(());
         };
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Gives the log back up to the oldest snapshot that is kept.
+    /// Compacts the log up to the oldest stored snapshot.
     fn compact_log(&mut self) -> Result<(), Report<ErrorKind>> {
         if let Some(oldest) = self.store.snapshots.oldest() {
             let SnapshotMeta { index, term, .. } = oldest.meta;
@@ -235,7 +236,7 @@
         Ok(())
     }
 
-    /// Stores a piece of the leader's snapshot and installs it when it is whole.
+    /// Stores a chunk of the leader's snapshot and installs the snapshot when it is complete.
     pub(super) fn receive_snapshot_chunk(
         &mut self,
         chunk: &ReceivedChunk,
@@ -271,7 +272,7 @@
         if let Some(build) = self.snapshot_build.take() {
             self.store.snapshots.abandon(build.file)?;
         }
-        // Closes the payload store whose place the snapshot's payloads take.
+        // Closes the payload store, which the snapshot's payloads replace.
         self.ledger = Ledger::new(Box::new(MemoryPayloads::default()));
         self.payload_marks.clear();
         self.ledger = read_ledger(&self.store, self.folder.file_system(), meta.index)?;
@@ -287,7 +288,7 @@
             self.store.log.reset_to(meta.index, meta.term)?;
         }
         self.snapshot_retry_bytes = self.store.log.disk_bytes();
-        for due in self.calls.skip_proposed_through(meta.index) {
+        for due in self.calls.take_proposed_up_to(meta.index) {
             self.answer(due.origin, due.body);
         }
         self.node.report_snapshot_installed(meta, &self.store);
--- a/crates/control/src/member/view.rs
+++ b/crates/control/src/member/view.rs
@@ -1,4 +1,4 @@
-//! What a driver may want to know of a member without asking it.
+//! A member's state as published by its driver.
 
 use std::sync::Arc;
 
@@ -12,49 +12,49 @@
 
 use super::core::Member;
 
-/// A member at one moment.
+/// State of a member at one moment.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct MemberView {
     /// This member.
     pub id: MemberId,
-    /// Its term.
+    /// The current term.
     pub term: Term,
-    /// Who leads, as far as is known.
+    /// The leader, if known.
     pub leader: Option<MemberId>,
     /// Whether this member leads and has committed an entry of its term.
     pub leads: bool,
-    /// When it last knew that it follows a leader with a quorum; 0 for never.
+    /// When this member last knew that it led or followed a leader with a quorum; 0 if never.
     pub confirmed_at: Timestamp,
-    /// The revision applied here.
+    /// The configuration revision applied by this member.
     pub revision: Revision,
-    /// The configuration applied here.
+    /// The configuration applied by this member.
     pub fleet: Option<Arc<Fleet>>,
-    /// The last index applied here.
+    /// The last index applied by this member.
     pub applied: LogIndex,
-    /// Items pending, by model.
+    /// Pending batch items by model.
     pub pending: Vec<PendingItems>,
-    /// Orders to engines that are not settled.
+    /// Number of orders to engines that are not settled.
     pub open_orders: usize,
-    /// Results dropped so far, since another was first or the job had stopped.
+    /// Number of results dropped because another result was first or the job had stopped.
     pub dropped_results: u64,
-    /// Bytes of the files and results that are kept.
+    /// Bytes of the stored files, results and answers.
     pub payload_bytes: u64,
-    /// The members, on the leader only.
+    /// Status of all members; empty unless this member leads.
     pub members: Vec<MemberStatus>,
-    /// Disks that vote.
+    /// Number of voters.
     pub voters: usize,
-    /// Where gateways attach to this and to other members.
+    /// Addresses for gateways of this and other members.
     pub attach_addresses: Arc<Vec<String>>,
-    /// Whether this disk takes part in a running cluster or may have.
+    /// Whether this disk takes part in a cluster or may have done so.
     pub formatted: bool,
     /// Bytes of the log on disk.
     pub log_bytes: u64,
-    /// Whether new work is refused for want of space.
+    /// Whether new work is refused because the disk is full.
     pub disk_full: bool,
 }
 
 impl Member {
-    /// This member now.
+    /// The current state of this member.
     #[must_use]
     pub fn view(&self) -> MemberView {
         let status = self.node.status();
@@ -62,7 +62,7 @@
             id: status.id,
             term: status.term,
             leader: status.leader,
-            leads: self.node.is_leader() && self.leads_settled(),
+            leads: self.node.is_leader() && self.has_applied_own_term(),
             confirmed_at: self.confirmed_at(),
             revision: self.ledger.revision(),
             fleet: self.ledger.fleet(),
@@ -80,40 +80,41 @@
         }
     }
 
-    /// Whether everything of earlier terms is applied here.
-    fn leads_settled(&self) -> bool {
+    /// Whether an entry of the current term, and so everything of earlier terms, is applied.
+    fn has_applied_own_term(&self) -> bool {
         self.store.log.term(self.applied) == Some(self.node.term())
     }
 
-    /// When this member last knew that it follows a leader with a quorum.
+    /// When this member last knew that it led or followed a leader with a quorum.
     fn confirmed_at(&self) -> Timestamp {
-        let silent_ticks = if self.node.is_leader() {
-            self.quorum_silence()
+        let ticks_since_contact = if self.node.is_leader() {
+            self.ticks_since_quorum()
         } else if self.node.leader().is_some() {
             Some(self.node.status().ticks_since_leader)
         } else {
             None
         };
-        if let Some(ticks) = silent_ticks {
+        if let Some(ticks) = ticks_since_contact {
             let silent_ms = u64::from(ticks) * TICK_MILLISECONDS;
             return Timestamp(self.time.wall.0.saturating_sub(silent_ms));
         }
         Timestamp(0)
     }
 
-    /// Ticks since the slowest member of the quickest quorum was heard of.
-    fn quorum_silence(&self) -> Option<u32> {
+    /// Ticks since the last contact with a complete quorum: the longest time since contact among
+    /// the members of the quorum with the most recent contact.
+    fn ticks_since_quorum(&self) -> Option<u32> {
         let status = self.node.status();
-        let mut silences: Vec<u32> = status
+        let mut ticks: Vec<u32> = status
             .peers
             .iter()
             .filter(|peer| peer.voter)
             .map(|peer| peer.ticks_since_contact)
             .collect();
-        silences.push(0);
-        silences.sort_unstable();
+        ticks.push(0);
+        ticks.sort_unstable();
         let quorum = status.membership.voters.len() / 2 + 1;
-        silences.get(quorum - 1).copied()
+        ticks.get(quorum - 1).copied()
     }
 
     fn member_statuses(&self) -> Vec<MemberStatus> {
--- a/crates/control/src/operator/apply.rs
+++ b/crates/control/src/operator/apply.rs
@@ -1,4 +1,4 @@
-//! `PUT /v1/configuration`: one change, and waiting until it is in force.
+//! `PUT /v1/configuration`: applies one change and optionally waits until it is in force.
 
 use std::time::Duration;
 
@@ -20,28 +20,29 @@
     unexpected,
 };
 
-/// Header with the id of the change, made once by the operator's tool.
+/// Header with the id of the change, generated once by the operator's tool.
 const CHANGE_HEADER: &str = "linnethitch-change";
-/// Header with the revision that the change builds on.
+/// Header with the revision on which the change is based.
 const EXPECTED_HEADER: &str = "linnethitch-expected-revision";
-/// Query parameter: wait up to so many milliseconds until every live gateway has confirmed.
+/// Query parameter: maximum time in milliseconds to wait until every live gateway has confirmed
+/// the change.
 const WAIT_PARAMETER: &str = "wait_ms";
-/// Longest id of a change, in bytes.
+/// Maximum length of a change id, in bytes.
 const MAX_CHANGE_ID_BYTES: usize = 128;
-/// Longest wait for confirmations.
+/// Maximum time to wait for confirmations.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Pause between two looks at the revisions in force.
-const WAIT_PAUSE: Duration = Duration::from_millis(50);
+/// Time between two queries of the revisions in force.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 #[derive(Serialize)]
 struct AcceptedBody {
     revision: u64,
-    /// Whether every live gateway has confirmed it; absent when that was not asked for.
+    /// Whether every live gateway has confirmed the revision; absent if the request does not wait.
     #[serde(skip_serializing_if = "Option::is_none")]
     in_force: Option<bool>,
 }
 
-/// Applies a fleet file as a whole.
+/// Applies a complete fleet file.
 pub(super) async fn apply(
     operator: &Operator,
     request: IncomingRequest,
@@ -84,7 +85,11 @@
 fn expected_revision(head: &RequestHead) -> Result<Revision, Failure> {
     let text = required_header(head, EXPECTED_HEADER)?;
     let number = text.parse().map_err(|_| {
-        Failure::new(ErrorKind::InvalidValue, "a revision is a number").with_param(EXPECTED_HEADER)
+        Failure::new(
+            ErrorKind::InvalidValue,
+            "the expected revision must be a number",
+        )
+        .with_param(EXPECTED_HEADER)
     })?;
     Ok(Revision(number))
 }
@@ -96,7 +101,7 @@
     let milliseconds = text.parse().map_err(|_| {
         Failure::new(
             ErrorKind::InvalidValue,
-            "the wait is a number of milliseconds",
+            "the wait must be a number of milliseconds",
         )
         .with_param(WAIT_PARAMETER)
     })?;
@@ -120,11 +125,11 @@
     }
 }
 
-/// Whether every live gateway has confirmed a revision within a time.
+/// Waits until every live gateway has confirmed a revision; returns `false` after the limit.
 async fn wait_until_in_force(operator: &Operator, revision: Revision, limit: Duration) -> bool {
     let deadline = Instant::now() + limit;
     loop {
-        // A lost leader is found again before the deadline or not at all.
+        // A failed query, such as during an election, is retried until the deadline.
         if let Ok(QueryAnswer::Status(status)) = operator.query(Query::Status).await
             && status.lowest_in_force >= revision
         {
@@ -133,6 +138,6 @@
         if Instant::now() >= deadline {
             return false;
         }
-        sleep(WAIT_PAUSE).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/control/src/operator/explain.rs
+++ b/crates/control/src/operator/explain.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/explain/{id}`: what this member's decision journal knows.
+//! `GET /v1/explain/{id}`: records of this member's decision journal.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
--- a/crates/control/src/operator/jobs.rs
+++ b/crates/control/src/operator/jobs.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/jobs/{tenant}[/{job}]`: batch jobs as operators see them.
+//! `GET /v1/jobs/{tenant}[/{job}]`: batch jobs, for operators.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -12,8 +12,8 @@
 
 use super::{Operator, OperatorRequest, unexpected};
 
-/// Jobs of one page.
-const PAGE_JOBS: u32 = 100;
+/// Maximum number of jobs on one page.
+const MAX_PAGE_JOBS: u32 = 100;
 
 #[derive(Serialize)]
 struct JobBody {
@@ -36,7 +36,7 @@
     more: bool,
 }
 
-/// A page of a tenant's jobs, newest first; `?after=JOB` gives the next one.
+/// Lists a page of a tenant's jobs, newest first; `?after=JOB` returns the page after a job.
 pub(super) async fn list(
     operator: &Operator,
     request: OperatorRequest,
@@ -44,7 +44,7 @@
     let query = Query::Jobs {
         tenant: tenant(&request),
         after: request.incoming.head.query("after").map(JobId::from),
-        limit: PAGE_JOBS,
+        limit: MAX_PAGE_JOBS,
     };
     match operator.query(query).await? {
         QueryAnswer::Jobs { jobs, more } => Ok(json_response(
@@ -58,7 +58,7 @@
     }
 }
 
-/// One job.
+/// Answers with one job.
 pub(super) async fn get(
     operator: &Operator,
     request: OperatorRequest,
--- a/crates/control/src/operator/mod.rs
+++ b/crates/control/src/operator/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' HTTP interface.
+//! The HTTP interface for operators.
 
 mod apply;
 mod explain;
@@ -30,12 +30,13 @@
 use request::OperatorRequest;
 pub(crate) use routes::build_router;
 
-/// When an operator should come back after control could not answer.
+/// Time after which an operator should retry a request that control could not answer.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
-/// Knowledge older than this does not count as following a leader, in milliseconds.
+/// A member is not ready if it last confirmed a leader with a quorum longer ago than this, in
+/// milliseconds.
 const MAX_CONFIRMED_AGE_MS: u64 = 2_000;
 
-/// Bounds of operators' connections.
+/// Limits of operators' connections.
 pub(crate) const CONNECTION_LIMITS: ConnectionLimits = ConnectionLimits {
     connections: 256,
     header_bytes: 64 * 1024,
@@ -43,7 +44,7 @@
     write_stall: Duration::from_secs(10),
 };
 
-/// What a path of the interface does.
+/// The endpoints of the interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     /// `GET /v1/configuration`
@@ -69,13 +70,13 @@
 }
 
 impl Endpoint {
-    /// Whether the operators' key is needed.
+    /// Whether the operators' key is required.
     fn is_protected(self) -> bool {
         !matches!(self, Endpoint::Health | Endpoint::Ready | Endpoint::Metrics)
     }
 }
 
-/// What handlers work with.
+/// State shared by the request handlers.
 pub(crate) struct Operator {
     pub(crate) driver: Driver,
     pub(crate) key: OperatorKey,
@@ -83,7 +84,7 @@
     pub(crate) metrics: Metrics,
     pub(crate) gauges: ControlMetrics,
     pub(crate) clock: Clock,
-    /// Control machines in all.
+    /// Number of control machines.
     pub(crate) machines: usize,
 }
 
@@ -99,7 +100,7 @@
 }
 
 impl Operator {
-    /// Does what an operator asks.
+    /// Checks the key and handles a request.
     async fn respond(
         &self,
         endpoint: Endpoint,
@@ -135,7 +136,7 @@
         }
     }
 
-    /// Ready once changes are accepted: a leader is known and enough disks vote.
+    /// Ready if changes are accepted: a leader is known and there are enough voters.
     fn ready(&self) -> Result<Response<Body>, Failure> {
         let view = self.driver.view();
         let age_ms = self.clock.wall().0.saturating_sub(view.confirmed_at.0);
@@ -143,7 +144,7 @@
             return Err(not_ready("no leader is known"));
         }
         if view.voters / 2 < self.machines / 2 {
-            return Err(not_ready("too few disks vote"));
+            return Err(not_ready("too few voters"));
         }
         Ok(json_response(
             StatusCode::OK,
@@ -169,7 +170,7 @@
         }
     }
 
-    /// Commits a command.
+    /// Proposes a command and waits for its outcome.
     async fn propose(&self, command: CommandBody) -> Result<Outcome, Failure> {
         match self.driver.call(ControlCall::Propose(command)).await {
             ControlAnswer::Outcome(Outcome::Refused(refusal)) => Err(refusal.into()),
@@ -203,6 +204,6 @@
 fn unexpected() -> Failure {
     Failure::new(
         ErrorKind::Internal,
-        "the member gave an answer to another question",
+        "the member returned an unexpected type of answer",
     )
 }
--- a/crates/control/src/operator/orders.rs
+++ b/crates/control/src/operator/orders.rs
@@ -31,7 +31,7 @@
     ChangeRole { role: &'static str },
 }
 
-/// The open orders as applied at this member.
+/// Lists the open orders in the state applied by this member.
 pub(super) async fn list(operator: &Operator) -> Response<Body> {
     let view = operator.driver.placement_view().await;
     let orders = view.open_orders.into_iter().map(OrderBody::from).collect();
--- a/crates/control/src/operator/request.rs
+++ b/crates/control/src/operator/request.rs
@@ -1,4 +1,4 @@
-//! A request of an operator and the proof that it comes from one.
+//! Requests of operators and the check of the operators' key.
 
 use std::time::Duration;
 
@@ -15,7 +15,7 @@
 
 use super::routes::PathNames;
 
-/// Bounds of a fleet file: it must fit into one entry of the log.
+/// Limits of a fleet file, which must fit into one log entry.
 const BODY_LIMITS: BodyLimits = BodyLimits {
     bytes: MAX_ENTRY_BYTES as u64,
     time: Duration::from_secs(30),
@@ -36,19 +36,19 @@
     }
 }
 
-/// The whole body as text.
+/// Reads the complete body as text.
 pub(super) async fn read_text(request: IncomingRequest) -> Result<String, Failure> {
     let bytes = read_whole(&request.head.headers, request.body, BODY_LIMITS).await?;
     String::from_utf8(bytes.into())
         .map_err(|_| Failure::new(ErrorKind::MalformedRequest, "the body is not UTF-8"))
 }
 
-/// A header's value that must be there.
+/// The value of a required header.
 pub(super) fn required_header<'a>(head: &'a RequestHead, name: &str) -> Result<&'a str, Failure> {
     head.header(name)
         .filter(|value| !value.is_empty())
         .ok_or_else(|| {
-            let message = format!("the header {name} is needed");
+            let message = format!("the header {name} is required");
             Failure::new(ErrorKind::MalformedRequest, message).with_param(name)
         })
 }
@@ -59,10 +59,10 @@
 }
 
 impl OperatorKey {
-    /// The key of the settings.
+    /// Reads the hash from its text in the settings.
     ///
     /// # Errors
-    /// `InvalidValue` when the text is no hexadecimal hash.
+    /// `InvalidValue` if the text is not hexadecimal.
     pub(crate) fn from_hexadecimal(text: &str) -> Result<Self, ErrorKind> {
         let hash = hex::decode(text).map_err(|_| ErrorKind::InvalidValue)?;
         Ok(OperatorKey { hash })
--- a/crates/control/src/operator/routes.rs
+++ b/crates/control/src/operator/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the operators' interface.
+//! Routes of the operators' interface.
 
 use std::sync::Arc;
 
@@ -17,14 +17,14 @@
 
 use super::{Endpoint, Operator};
 
-/// Names in a path, decoded.
+/// Decoded names in a request path.
 #[derive(Debug, Default, Deserialize)]
 pub(super) struct PathNames {
-    /// A tenant.
+    /// The tenant.
     pub(super) tenant: Option<String>,
-    /// A job.
+    /// The job.
     pub(super) job: Option<String>,
-    /// Parts of what is to be explained.
+    /// Path segments of the id to explain.
     pub(super) id: Option<Vec<String>>,
 }
 
--- a/crates/control/src/operator/status.rs
+++ b/crates/control/src/operator/status.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/status`: the fleet at a glance.
+//! `GET /v1/status`: status of the fleet.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -50,7 +50,7 @@
     state: String,
 }
 
-/// Answers with what the leader knows.
+/// Answers with the leader's status of the fleet.
 pub(super) async fn status(operator: &Operator) -> Result<Response<Body>, Failure> {
     match operator.query(Query::Status).await? {
         QueryAnswer::Status(status) => Ok(json_response(StatusCode::OK, &StatusBody::from(status))),
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -1,8 +1,8 @@
 //! Connections between control members.
 //!
-//! A member opens one connection to every other and sends on it; it receives
-//! on the connections that the others open. The first message of a connection
-//! says who speaks, and only listed machines may.
+//! A member opens one connection to every other member for sending, and receives on the
+//! connections that the others open. The first message of a connection identifies the sender;
+//! only machines of the settings are accepted.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -22,17 +22,19 @@
 use crate::{
     clock::Clock,
     driver::Driver,
-    soft_state::{SharedSoftState, rounds::SoftBell},
+    soft_state::{SharedSoftState, exchange::SoftStateNotifier},
 };
 
-/// First and longest wait before a machine is connected to again.
-const FIRST_RETRY: Duration = Duration::from_millis(20);
-const LONGEST_RETRY: Duration = Duration::from_millis(500);
-/// Longest time for a peer to say who it is.
-const HELLO_LIMIT: Duration = Duration::from_secs(2);
-/// A machine may connect anew before its old connection is found dead.
-const CONNECTIONS_PER_MACHINE: usize = 4;
-/// Limits of a connection between members: a silent one is given up soon.
+/// Shortest wait before a new attempt to connect.
+const MIN_RETRY_DELAY: Duration = Duration::from_millis(20);
+/// Longest wait before a new attempt to connect.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Time limit for a peer's first message.
+const HELLO_TIMEOUT: Duration = Duration::from_secs(2);
+/// Maximum number of incoming connections per machine. More than one, since a machine may connect
+/// again before its old connection is detected as dead.
+const MAX_CONNECTIONS_PER_MACHINE: usize = 4;
+/// Options of connections between members, with short timeouts to detect dead connections soon.
 const OPTIONS: ConnectionOptions = ConnectionOptions {
     open_timeout: Duration::from_secs(1),
     keep_alive: Duration::from_millis(500),
@@ -52,16 +54,17 @@
 }
 
 impl PeerLinks {
-    /// Queues a message, if a connection is open and has room.
+    /// Queues a message if a connection is open and its queue is not full.
     ///
     /// # Errors
-    /// Why it was certainly not sent.
+    /// The reason why the message was certainly not sent.
     pub(crate) fn send(&self, to: MachineId, message: &PeerMessage) -> Result<(), SendRefused> {
         let sender = self.senders.lock().get(&to).cloned();
         sender.ok_or(SendRefused::Closed)?.try_send(message)
     }
 
-    /// Queues soft state, which gives way to newer soft state.
+    /// Queues a message with soft state, which may be dropped since a later one replaces it;
+    /// returns whether it was queued.
     pub(crate) fn send_soft(&self, to: MachineId, message: &PeerMessage) -> bool {
         let sender = self.senders.lock().get(&to).cloned();
         sender.is_some_and(|sender| sender.send_soft(message).is_ok())
@@ -76,25 +79,25 @@
     }
 }
 
-/// What the connections of a member share.
+/// State shared by the connections of a member.
 #[derive(Clone)]
 pub(crate) struct Peering {
     pub(crate) identity: ClusterIdentity,
     /// The other machines and their peer addresses.
     pub(crate) others: BTreeMap<MachineId, SocketAddr>,
-    /// Where gateways attach to this member.
+    /// Address for gateways of this member.
     pub(crate) attach_address: String,
     pub(crate) links: PeerLinks,
     pub(crate) driver: Driver,
     pub(crate) soft_state: SharedSoftState,
-    pub(crate) bell: SoftBell,
+    pub(crate) notifier: SoftStateNotifier,
     pub(crate) clock: Clock,
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) logger: Logger,
 }
 
 impl Peering {
-    /// Connects to all other machines and receives from them, for ever.
+    /// Connects to all other machines and receives from them until the task is cancelled.
     pub(crate) async fn run(self, listener: Listener) {
         let mut tasks = JoinSet::new();
         for (machine, address) in self.others.clone() {
@@ -110,39 +113,39 @@
             self.identity.clone(),
             OPTIONS,
             Arc::clone(&self.traffic),
-            CONNECTIONS_PER_MACHINE * self.others.len().max(1),
+            MAX_CONNECTIONS_PER_MACHINE * self.others.len().max(1),
             self.logger.clone(),
         )
     }
 
     async fn keep_connected(self, machine: MachineId, address: SocketAddr) {
         let logger = self.logger.new(o!("machine" => machine.0));
-        let mut backoff = Backoff::new(FIRST_RETRY, LONGEST_RETRY, rand::random());
+        let mut backoff = Backoff::new(MIN_RETRY_DELAY, MAX_RETRY_DELAY, rand::random());
         loop {
             let traffic = Arc::clone(&self.traffic);
             match connect(&address.to_string(), &self.identity, OPTIONS, traffic).await {
                 Ok(connection) => {
                     backoff.reset();
                     info!(logger, "connected to a peer"; "address" => %address);
-                    self.hold(machine, connection).await;
+                    self.send_on(machine, connection).await;
                     info!(logger, "connection to a peer ended");
                 }
                 Err(report) => {
-                    debug!(logger, "peer not reached"; "error" => ?report.current_context());
+                    debug!(logger, "cannot connect to a peer"; "error" => ?report.current_context());
                 }
             }
             sleep(backoff.next_wait()).await;
         }
     }
 
-    /// Offers a connection for sending until it ends.
-    async fn hold(&self, machine: MachineId, connection: Connection<PeerMessage, PeerMessage>) {
+    /// Makes a connection available for sending until it ends.
+    async fn send_on(&self, machine: MachineId, connection: Connection<PeerMessage, PeerMessage>) {
         let (sender, mut receiver) = connection.split();
         if sender.try_send(&self.hello()).is_err() {
             return;
         }
         self.links.open(machine, sender);
-        // Nothing is received here but the other side's signs of life.
+        // The peer sends no messages on this connection; `receive` returns when it ends.
         while let Ok(Some(_)) = receiver.receive().await {}
         self.links.close(machine);
     }
@@ -169,9 +172,9 @@
         let Ok(mut connection) = incoming.establish::<PeerMessage, PeerMessage>().await else {
             return;
         };
-        let first = timeout(HELLO_LIMIT, connection.receiver.receive()).await;
+        let first = timeout(HELLO_TIMEOUT, connection.receiver.receive()).await;
         let Ok(Ok(Some(hello @ PeerMessage::Hello { member, .. }))) = first else {
-            warn!(self.logger, "peer refused: it did not say who it is";
+            warn!(self.logger, "peer refused: no valid hello message";
                 "reason" => "peer_refused", "peer" => %connection.peer);
             return;
         };
@@ -183,13 +186,13 @@
         }
         let mut next = Some(hello);
         while let Some(message) = next {
-            if !self.take(machine, message).await {
+            if !self.handle(machine, message).await {
                 return;
             }
             next = match connection.receiver.receive().await {
                 Ok(received) => received,
                 Err(report) => {
-                    info!(self.logger, "connection of a peer lost";
+                    info!(self.logger, "connection from a peer lost";
                         "machine" => machine.0, "error" => ?report);
                     return;
                 }
@@ -197,8 +200,9 @@
         }
     }
 
-    /// Hands a message to whom it concerns; `false` when the member has stopped.
-    async fn take(&self, from: MachineId, message: PeerMessage) -> bool {
+    /// Passes a message to the soft state or to the member; returns `false` if the member has
+    /// stopped.
+    async fn handle(&self, from: MachineId, message: PeerMessage) -> bool {
         match message {
             PeerMessage::Digest(digest) if digest.machine == from => {
                 let now_ms = self.clock.member_time().monotonic_ms;
@@ -206,12 +210,12 @@
                 true
             }
             PeerMessage::Broadcast(broadcast) => {
-                let mark = {
+                let version = {
                     let mut soft_state = self.soft_state.lock();
                     soft_state.take_broadcast(broadcast);
-                    soft_state.mark()
+                    soft_state.version()
                 };
-                self.bell.ring(mark);
+                self.notifier.notify(version);
                 true
             }
             PeerMessage::Digest(_) => true,
--- a/crates/control/src/placement.rs
+++ b/crates/control/src/placement.rs
@@ -1,4 +1,4 @@
-//! Placement in this process: what its driver needs of the member.
+//! Connects the placement driver to the member of this process.
 
 use linnethitch_observability::journal::JournalRecord;
 use linnethitch_placement::{PlacementHost, PlacementView};
@@ -11,7 +11,7 @@
 
 use crate::{driver::Driver, record::Recorder, soft_state::SharedSoftState};
 
-/// The member as placement sees it.
+/// The member as the host of placement.
 pub(crate) struct ControlPlacement {
     pub(crate) driver: Driver,
     pub(crate) soft_state: SharedSoftState,
--- a/crates/control/src/process.rs
+++ b/crates/control/src/process.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of a control process.
+//! Starts and stops a control process.
 
 use std::{collections::BTreeMap, net::SocketAddr, sync::Arc};
 
@@ -31,13 +31,13 @@
     record::Recorder,
     soft_state::{
         SharedSoftState, SoftState,
-        rounds::{Rounds, SoftBell},
+        exchange::{SoftStateExchange, SoftStateNotifier},
     },
 };
 
 pub use crate::sockets::{ControlAddresses, ControlSockets};
 
-/// Starts control members; several may run in one operating system process.
+/// Starts control members; one operating system process may run several.
 #[derive(Debug)]
 pub struct ControlProcess;
 
@@ -48,7 +48,7 @@
     end: DriverEnd,
     stopping: CancellationToken,
     operator_server: JoinHandle<()>,
-    /// Tasks that run as long as the process; dropping the set ends them.
+    /// Tasks that run until the member ends; dropping the set cancels them.
     tasks: JoinSet<()>,
     _links: LinkRuntime,
 }
@@ -57,9 +57,8 @@
     /// Starts a control member on the addresses of its settings.
     ///
     /// # Errors
-    /// `Io` when an address cannot be listened on or a file not be read,
-    /// `DataFolderRefused` when the data folder is not this member's,
-    /// `InvalidValue` for a key of wrong form, `StorageFull`.
+    /// `Io` if listening on an address or reading a file fails, `DataFolderRefused` if the data
+    /// folder is not this member's, `InvalidValue` for a malformed key, `StorageFull`.
     pub async fn start(
         settings: ControlSettings,
         logger: Logger,
@@ -73,11 +72,11 @@
         Self::start_on(settings, sockets, logger).await
     }
 
-    /// Starts a control member on sockets that are bound already; the
-    /// addresses to listen on in the settings do not count then.
+    /// Starts a control member on bound sockets; the listen addresses in the settings are
+    /// ignored.
     ///
     /// # Errors
-    /// As [`ControlProcess::start`].
+    /// The errors of [`ControlProcess::start`].
     pub async fn start_on(
         settings: ControlSettings,
         sockets: ControlSockets,
@@ -104,7 +103,7 @@
         let attach = links.adopt(sockets.attach)?;
         let mut tasks = shared.spawn(&driver, links.handle(), peer, attach);
         tasks.spawn(placement.run());
-        info!(logger, "control member runs";
+        info!(logger, "control member started";
             "member" => %driver.view().id,
             "peer_address" => %addresses.peer,
             "attach_address" => %addresses.attach,
@@ -122,30 +121,30 @@
 }
 
 impl ControlHandle {
-    /// Where the member listens.
+    /// The addresses on which the member listens.
     #[must_use]
     pub fn addresses(&self) -> ControlAddresses {
         self.addresses
     }
 
-    /// Whether this member leads and has everything of earlier terms.
+    /// Whether this member leads and has applied all entries of earlier terms.
     #[must_use]
     pub fn leads(&self) -> bool {
         self.driver.view().leads
     }
 
-    /// Resolves when the member ends by itself, such as by a failed disk.
+    /// Resolves when the member ends without a call to stop it, such as after a disk failure.
     ///
     /// # Errors
-    /// `Io` or `Corrupted` when the disk failed.
+    /// `Io` or `Corrupted` if the disk failed.
     pub async fn failed(&mut self) -> Result<(), Report<ErrorKind>> {
         (&mut self.end)
             .await
             .unwrap_or_else(|_| Err(Report::new(ErrorKind::Internal)))
     }
 
-    /// Planned stop: hands leadership over, answers operators' requests in
-    /// progress, and closes the data folder. Gateways move to other members.
+    /// Planned stop: transfers leadership, answers operators' requests in progress and closes the
+    /// data folder. Gateways move to other members.
     pub async fn stop(self) {
         let ControlHandle {
             driver,
@@ -157,15 +156,15 @@
         } = self;
         stopping.cancel();
         driver.stop().await;
-        // A failed disk has been told by `failed` or is logged by its reader.
+        // `failed` has reported a disk failure, or its reader logs it.
         let _ = end.await;
-        // The member answers nothing any more, so what still waits is refused at once.
+        // The member has ended, so the remaining requests are refused without delay.
         let _ = operator_server.await;
         tasks.shutdown().await;
     }
 
-    /// Ends at once without handing leadership over, as a crash would; for
-    /// harnesses that run members in their own process.
+    /// Ends at once without a transfer of leadership, as a crash would; for test harnesses that
+    /// run members in their own process.
     pub async fn abort(self) {
         let ControlHandle {
             driver,
@@ -177,12 +176,12 @@
         operator_server.abort();
         tasks.shutdown().await;
         driver.abort().await;
-        // However it ended, the data folder is free again.
+        // The data folder is unlocked after the end, whatever its result.
         let _ = end.await;
     }
 }
 
-/// What the parts of a process share.
+/// State shared by the parts of a process.
 struct Shared {
     identity: ClusterIdentity,
     machine: MachineId,
@@ -269,7 +268,7 @@
         PlacementDriver::new(Arc::new(host), settings.platform_address, limits)
     }
 
-    /// Starts the links to other members and to gateways.
+    /// Starts the tasks for connections to other members and to gateways.
     fn spawn(
         self,
         driver: &Driver,
@@ -278,20 +277,20 @@
         attach: TcpListener,
     ) -> JoinSet<()> {
         let mut tasks = JoinSet::new();
-        let bell = SoftBell::new();
-        let rounds = Rounds {
+        let notifier = SoftStateNotifier::new();
+        let exchange = SoftStateExchange {
             soft_state: Arc::clone(&self.soft_state),
             driver: driver.clone(),
             links: self.links.clone(),
             others: self.others.keys().copied().collect(),
             clock: self.clock,
-            bell: bell.clone(),
+            notifier: notifier.clone(),
         };
-        tasks.spawn_on(rounds.run(), links);
+        tasks.spawn_on(exchange.run(), links);
         let attach_server = AttachServer {
             driver: driver.clone(),
             soft_state: Arc::clone(&self.soft_state),
-            bell: bell.clone(),
+            notifier: notifier.clone(),
             clock: self.clock,
             logger: self.logger.clone(),
         };
@@ -306,7 +305,7 @@
             links: self.links,
             driver: driver.clone(),
             soft_state: self.soft_state,
-            bell,
+            notifier,
             clock: self.clock,
             traffic: self.traffic,
             logger: self.logger,
--- a/crates/control/src/record.rs
+++ b/crates/control/src/record.rs
@@ -1,4 +1,4 @@
-//! What this member writes into its decision journal.
+//! The decision journal of this member.
 
 use std::{io, path::Path, sync::Arc};
 
@@ -7,10 +7,10 @@
 
 use crate::member::MemberNotice;
 
-/// Size of a control member's journal, in bytes.
+/// Maximum size of a control member's journal, in bytes.
 const JOURNAL_MAX_BYTES: u64 = 64 * 1024 * 1024;
 
-/// Writes decisions of this process. Clones share the journal.
+/// Writes the decisions of this process to the journal. Clones share the journal.
 #[derive(Clone)]
 pub(crate) struct Recorder {
     journal: Arc<Journal>,
@@ -20,7 +20,7 @@
     /// Opens the journal in the data folder.
     ///
     /// # Errors
-    /// When the folder cannot be made or read.
+    /// If the folder cannot be created or read.
     pub(crate) fn open(data_dir: &Path) -> io::Result<Self> {
         let journal = Journal::open(data_dir, JOURNAL_MAX_BYTES)?;
         Ok(Recorder {
@@ -28,12 +28,12 @@
         })
     }
 
-    /// Queues a record; never waits.
+    /// Queues a record without waiting.
     pub(crate) fn record(&self, record: JournalRecord) {
         self.journal.record(record);
     }
 
-    /// Queues what a member tells of itself, as far as it is a decision.
+    /// Queues a record of a member's notice, if the notice is a decision.
     pub(crate) fn notice(&self, now: Timestamp, notice: &MemberNotice) {
         let (kind, subject, outcome) = match notice {
             MemberNotice::Leader { term, leader } => {
@@ -65,10 +65,10 @@
     }
 
     /// All records about a request, job, item, replica, tenant or revision.
-    /// Reads files: not for a task's own thread.
+    /// Blocks on reading files, so it must not run on a thread of the async runtime.
     ///
     /// # Errors
-    /// When a segment of the journal cannot be read.
+    /// If a segment of the journal cannot be read.
     pub(crate) fn lookup(&self, id: &str) -> io::Result<Vec<JournalRecord>> {
         self.journal.lookup(id)
     }
--- a/crates/control/src/sockets.rs
+++ b/crates/control/src/sockets.rs
@@ -1,4 +1,4 @@
-//! The sockets of a control member and their addresses.
+//! Sockets of a control member and their addresses.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 use linnethitch_errors::ErrorKind;
 use tokio::net::TcpListener;
 
-/// The sockets of a control member, bound before anything starts.
+/// The sockets of a control member, bound before the member starts.
 #[derive(Debug)]
 pub struct ControlSockets {
     pub(crate) peer: TcpListener,
@@ -14,7 +14,7 @@
     pub(crate) operator: TcpListener,
 }
 
-/// Where a control member listens.
+/// The addresses on which a control member listens.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ControlAddresses {
     /// For other control members.
@@ -26,10 +26,10 @@
 }
 
 impl ControlSockets {
-    /// Binds the addresses; port 0 lets the system choose.
+    /// Binds the addresses; for port 0 the operating system chooses a free port.
     ///
     /// # Errors
-    /// `Io` when an address cannot be listened on.
+    /// `Io` if listening on an address fails.
     pub async fn bind(
         peer: SocketAddr,
         attach: SocketAddr,
@@ -42,10 +42,10 @@
         })
     }
 
-    /// The addresses with the ports that were chosen.
+    /// The bound addresses with their actual ports.
     ///
     /// # Errors
-    /// `Io` when the system does not tell them.
+    /// `Io` if the operating system does not return them.
     pub fn addresses(&self) -> Result<ControlAddresses, Report<ErrorKind>> {
         let local = |socket: &TcpListener| socket.local_addr().change_context(ErrorKind::Io);
         Ok(ControlAddresses {
--- a/crates/control/src/soft_state/attached.rs
+++ b/crates/control/src/soft_state/attached.rs
@@ -9,12 +9,12 @@
     query::GatewayStatus,
 };
 
-/// Loads and suspects that wait for the next digest, at most.
+/// Maximum number of loads, and of suspects, that wait for the next digest.
 const MAX_WAITING: usize = 8_192;
-/// Wishes of one gateway that are kept, one a model.
+/// Maximum number of wishes stored per gateway; a gateway sends one per model.
 const MAX_WISHES: usize = 64;
 
-/// Tells two connections of one gateway apart.
+/// Distinguishes the connections of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ConnectionNumber(u64);
 
@@ -23,13 +23,13 @@
     connection: ConnectionNumber,
     zone: ZoneId,
     revision: Revision,
-    heard_ms: u64,
+    last_contact_ms: u64,
     wishes: Vec<GrantWish>,
-    /// Granted and not yet passed on.
+    /// Grants not yet sent to the gateway.
     grants: Vec<Grant>,
 }
 
-/// All gateways attached here and what they have told.
+/// All gateways attached to this member and what they have reported.
 #[derive(Debug, Default)]
 pub(crate) struct AttachedGateways {
     gateways: BTreeMap<GatewayId, Attached>,
@@ -39,7 +39,7 @@
 }
 
 impl AttachedGateways {
-    /// A gateway has attached; an older connection of it no longer counts.
+    /// Registers a gateway's connection, which replaces an earlier connection of the same gateway.
     pub(crate) fn attach(
         &mut self,
         gateway: &GatewayId,
@@ -53,7 +53,7 @@
             connection,
             zone: zone.clone(),
             revision,
-            heard_ms: now_ms,
+            last_contact_ms: now_ms,
             wishes: Vec::new(),
             grants: Vec::new(),
         };
@@ -61,7 +61,7 @@
         connection
     }
 
-    /// A connection has ended.
+    /// Removes the gateway of an ended connection, unless the gateway has attached again.
     pub(crate) fn detach(&mut self, gateway: &GatewayId, connection: ConnectionNumber) {
         let is_current = self
             .gateways
@@ -72,56 +72,56 @@
         }
     }
 
-    /// A gateway gave a sign of life.
-    pub(crate) fn heard(&mut self, gateway: &GatewayId, now_ms: u64) {
+    /// Records that a message of a gateway has arrived.
+    pub(crate) fn record_contact(&mut self, gateway: &GatewayId, now_ms: u64) {
         if let Some(attached) = self.gateways.get_mut(gateway) {
-            attached.heard_ms = now_ms;
+            attached.last_contact_ms = now_ms;
         }
     }
 
-    /// A gateway has a revision stored, synced and in force.
+    /// Records that a gateway has a revision stored, synced and in force.
     pub(crate) fn confirm(&mut self, gateway: &GatewayId, revision: Revision) {
         if let Some(attached) = self.gateways.get_mut(gateway) {
             attached.revision = attached.revision.max(revision);
         }
     }
 
-    /// A gateway wishes for batch capacity, in place of what it wished before.
-    pub(crate) fn wish(&mut self, gateway: &GatewayId, mut wishes: Vec<GrantWish>) {
+    /// Stores the batch capacity that a gateway requests, in place of its earlier wishes.
+    pub(crate) fn set_wishes(&mut self, gateway: &GatewayId, mut wishes: Vec<GrantWish>) {
         wishes.truncate(MAX_WISHES);
         if let Some(attached) = self.gateways.get_mut(gateway) {
             attached.wishes = wishes;
         }
     }
 
-    /// The leader granted a gateway capacity; grants not yet passed on are replaced.
-    pub(super) fn grant(&mut self, gateway: &GatewayId, grants: Vec<Grant>) {
+    /// Stores the leader's grants for a gateway in place of those not yet sent.
+    pub(super) fn set_grants(&mut self, gateway: &GatewayId, grants: Vec<Grant>) {
         if let Some(attached) = self.gateways.get_mut(gateway) {
             attached.grants = grants;
         }
     }
 
-    /// What is granted to a gateway and not yet passed on.
+    /// Removes and returns the grants that are not yet sent to a gateway.
     pub(crate) fn take_grants(&mut self, gateway: &GatewayId) -> Vec<Grant> {
         let attached = self.gateways.get_mut(gateway);
         attached.map_or_else(Vec::new, |attached| std::mem::take(&mut attached.grants))
     }
 
-    /// A gateway has seen loads.
-    pub(crate) fn loads(&mut self, loads: Vec<ReplicaLoad>) {
-        for seen in loads {
-            let known = self.loads.get(&seen.replica);
-            let newer = known.is_none_or(|known| known.measured_at < seen.load.measured_at);
+    /// Records loads that a gateway has observed; the newest load of each replica counts.
+    pub(crate) fn record_loads(&mut self, loads: Vec<ReplicaLoad>) {
+        for observed in loads {
+            let known = self.loads.get(&observed.replica);
+            let newer = known.is_none_or(|known| known.measured_at < observed.load.measured_at);
             if newer && (known.is_some() || self.loads.len() < MAX_WAITING) {
-                self.loads.insert(seen.replica, seen.load);
+                self.loads.insert(observed.replica, observed.load);
             }
         }
     }
 
-    /// A gateway's data path found replicas dead or leaving.
-    pub(crate) fn suspect(&mut self, replicas: Vec<ReplicaId>) {
-        let room = MAX_WAITING.saturating_sub(self.suspects.len());
-        self.suspects.extend(replicas.into_iter().take(room));
+    /// Records replicas that a gateway's data path found dead or leaving.
+    pub(crate) fn record_suspects(&mut self, replicas: Vec<ReplicaId>) {
+        let capacity = MAX_WAITING.saturating_sub(self.suspects.len());
+        self.suspects.extend(replicas.into_iter().take(capacity));
     }
 
     pub(super) fn take_loads(&mut self) -> Vec<ReplicaLoad> {
@@ -139,7 +139,7 @@
         let status = |(gateway, attached): (&GatewayId, &Attached)| GatewayStatus {
             gateway: gateway.clone(),
             revision: attached.revision,
-            silent_ms: now_ms.saturating_sub(attached.heard_ms),
+            silent_ms: now_ms.saturating_sub(attached.last_contact_ms),
         };
         self.gateways.iter().map(status).collect()
     }
--- a/crates/control/src/soft_state/rounds.rs
+++ b/crates/control/src/soft_state/exchange.rs
@@ -1,66 +1,66 @@
-//! The exchange of soft state between members, a few times a second.
+//! The periodic exchange of soft state between members.
 
 use std::time::Duration;
 
 use linnethitch_protocol::{attach::PeerMessage, ids::MachineId};
 use tokio::{sync::watch, time::MissedTickBehavior};
 
-use super::{SharedSoftState, SoftMark};
+use super::{SharedSoftState, SoftStateVersion};
 use crate::{clock::Clock, driver::Driver, peers::PeerLinks};
 
 /// Time between two exchanges.
-const ROUND: Duration = Duration::from_millis(250);
+const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 
-/// Tells the sessions of gateways that there is something to tell. Clones share it.
+/// Notifies the sessions of gateways of changed soft state. Clones share the subscribers.
 #[derive(Clone)]
-pub(crate) struct SoftBell {
-    marks: watch::Sender<SoftMark>,
+pub(crate) struct SoftStateNotifier {
+    versions: watch::Sender<SoftStateVersion>,
 }
 
-impl SoftBell {
+impl SoftStateNotifier {
     pub(crate) fn new() -> Self {
-        SoftBell {
-            marks: watch::Sender::new(SoftMark::default()),
+        SoftStateNotifier {
+            versions: watch::Sender::new(SoftStateVersion::default()),
         }
     }
 
-    /// Wakes the sessions if the mark has changed.
-    pub(crate) fn ring(&self, mark: SoftMark) {
-        self.marks.send_if_modified(|told| {
-            let changed = *told != mark;
-            *told = mark;
+    /// Wakes the sessions if the version has changed.
+    pub(crate) fn notify(&self, version: SoftStateVersion) {
+        self.versions.send_if_modified(|current| {
+            let changed = *current != version;
+            *current = version;
             changed
         });
     }
 
-    /// Hears of changes from now on.
-    pub(crate) fn hear(&self) -> watch::Receiver<SoftMark> {
-        self.marks.subscribe()
+    /// Subscribes to changes from now on.
+    pub(crate) fn subscribe(&self) -> watch::Receiver<SoftStateVersion> {
+        self.versions.subscribe()
     }
 }
 
-/// What an exchange works with.
-pub(crate) struct Rounds {
+/// Sends this member's soft state to the other members.
+pub(crate) struct SoftStateExchange {
     pub(crate) soft_state: SharedSoftState,
     pub(crate) driver: Driver,
     pub(crate) links: PeerLinks,
     pub(crate) others: Vec<MachineId>,
     pub(crate) clock: Clock,
-    pub(crate) bell: SoftBell,
+    pub(crate) notifier: SoftStateNotifier,
 }
 
-impl Rounds {
-    /// Exchanges soft state for ever.
+impl SoftStateExchange {
+    /// Exchanges soft state until the task is cancelled.
     pub(crate) async fn run(self) {
-        let mut rounds = tokio::time::interval(ROUND);
-        rounds.set_missed_tick_behavior(MissedTickBehavior::Delay);
+        let mut ticks = tokio::time::interval(EXCHANGE_INTERVAL);
+        ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
         loop {
-            rounds.tick().await;
-            self.round();
+            ticks.tick().await;
+            self.exchange();
         }
     }
 
-    fn round(&self) {
+    fn exchange(&self) {
         let view = self.driver.view();
         let now = self.clock.member_time();
         let now_ms = now.monotonic_ms;
@@ -82,6 +82,6 @@
             self.links
                 .send_soft(leader.machine, &PeerMessage::Digest(digest));
         }
-        self.bell.ring(self.soft_state.lock().mark());
+        self.notifier.notify(self.soft_state.lock().version());
     }
 }
--- a/crates/control/src/soft_state/fleet.rs
+++ b/crates/control/src/soft_state/fleet.rs
@@ -1,4 +1,4 @@
-//! Replicas and loads with versions, so that changes can be told without the rest.
+//! Replicas and loads with versions, so that changes can be sent without the unchanged entries.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -9,12 +9,13 @@
     query::ReplicaStatus,
 };
 
-use crate::load_teller::KnownLoad;
+use crate::load_selector::KnownLoad;
 
-/// Removals that are remembered; whoever has missed older ones gets everything.
-const KEPT_REMOVALS: usize = 1_024;
+/// Maximum number of recorded removals; a receiver that missed an older removal gets the full
+/// fleet.
+const MAX_REMOVALS: usize = 1_024;
 
-/// Grows with every change.
+/// Increases with every change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct FleetVersion(pub(crate) u64);
 
@@ -31,26 +32,26 @@
     replicas: BTreeMap<ReplicaId, Versioned<ReplicaInfo>>,
     loads: BTreeMap<ReplicaId, Versioned<LoadReport>>,
     removals: VecDeque<(FleetVersion, ReplicaId)>,
-    /// Removals up to here are forgotten.
-    forgotten: FleetVersion,
+    /// Removals up to this version are no longer recorded.
+    discarded: FleetVersion,
 }
 
 /// What has changed between two versions.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct FleetDelta {
-    /// Whether `changed` is the whole list.
+    /// Whether `changed` is the complete list.
     pub(crate) full: bool,
     pub(crate) changed: Vec<ReplicaInfo>,
     pub(crate) removed: Vec<ReplicaId>,
     pub(crate) loads: Vec<ReplicaLoad>,
-    /// The version that it builds on.
+    /// The version to which the delta applies.
     pub(crate) base: FleetVersion,
-    /// The version that results.
+    /// The version after the delta.
     pub(crate) version: FleetVersion,
 }
 
 impl VersionedFleet {
-    /// The version now.
+    /// The current version.
     pub(crate) fn version(&self) -> FleetVersion {
         self.version
     }
@@ -76,7 +77,7 @@
         })
     }
 
-    /// Whether a list of replicas was ever told, if only an empty one.
+    /// Whether a list of replicas, possibly an empty one, was ever set.
     pub(crate) fn is_known(&self) -> bool {
         self.version > FleetVersion(0)
     }
@@ -99,7 +100,7 @@
         self.replicas.insert(id, value);
     }
 
-    /// Takes a replica off.
+    /// Removes a replica and its load.
     pub(crate) fn remove(&mut self, replica: &ReplicaId) {
         self.loads.remove(replica);
         if self.replicas.remove(replica).is_none() {
@@ -107,22 +108,25 @@
         }
         let version = self.next_version();
         self.removals.push_back((version, replica.clone()));
-        if self.removals.len() > KEPT_REMOVALS
+        if self.removals.len() > MAX_REMOVALS
             && let Some((version, _)) = self.removals.pop_front()
         {
-            self.forgotten = version;
+            self.discarded = version;
         }
     }
 
-    /// Makes the list this one.
+    /// Replaces the list of replicas.
     pub(crate) fn replace(&mut self, all: Vec<ReplicaInfo>) {
-        let gone: Vec<ReplicaId> = {
-            let kept = all.iter().map(|info| &info.machine.replica);
-            let kept: std::collections::BTreeSet<&ReplicaId> = kept.collect();
+        let removed: Vec<ReplicaId> = {
+            let remaining = all.iter().map(|info| &info.machine.replica);
+            let remaining: std::collections::BTreeSet<&ReplicaId> = remaining.collect();
             let known = self.replicas.keys();
-            known.filter(|id| !kept.contains(id)).cloned().collect()
+            known
+                .filter(|id| !remaining.contains(id))
+                .cloned()
+                .collect()
         };
-        for replica in &gone {
+        for replica in &removed {
             self.remove(replica);
         }
         for info in all {
@@ -133,7 +137,7 @@
         }
     }
 
-    /// Takes a load, unless a newer one of this replica is known.
+    /// Stores the load of a listed replica, unless a load that is as new is known.
     pub(crate) fn put_load(&mut self, replica: &ReplicaId, load: LoadReport) {
         let known = self.loads.get(replica);
         let is_newer = known.is_none_or(|known| known.value.measured_at < load.measured_at);
@@ -148,8 +152,8 @@
         self.loads.insert(replica.clone(), value);
     }
 
-    /// Everything.
-    pub(crate) fn whole(&self) -> FleetDelta {
+    /// All replicas and loads.
+    pub(crate) fn full(&self) -> FleetDelta {
         FleetDelta {
             full: true,
             changed: self.replicas().cloned().collect(),
@@ -160,10 +164,11 @@
         }
     }
 
-    /// What has changed since a version; everything, where that is not known any more.
+    /// Changes since a version; all replicas and loads if removals since then are no longer
+    /// recorded, or if the version is newer than the current one.
     pub(crate) fn since(&self, base: FleetVersion) -> FleetDelta {
-        if base < self.forgotten || base > self.version {
-            return self.whole();
+        if base < self.discarded || base > self.version {
+            return self.full();
         }
         let changed = self.replicas.values().filter(|entry| entry.version > base);
         let removed = self
@@ -195,7 +200,7 @@
     }
 }
 
-/// A replica as `status` shows it.
+/// The entry of a replica in the answer to a status query.
 pub(super) fn replica_status(info: &ReplicaInfo) -> ReplicaStatus {
     let serves = match (&info.machine.kind, &info.engine.model) {
         (BackEndKind::Application(service), _) => service.0.clone(),
--- a/crates/control/src/soft_state/grants.rs
+++ b/crates/control/src/soft_state/grants.rs
@@ -12,53 +12,53 @@
 
 use super::fleet::VersionedFleet;
 
-/// A member's wishes count for this long after its last digest, in milliseconds.
-const WISHES_MS: u64 = 2_000;
-/// Allocations in the life of one grant.
+/// A member's wishes expire this long after its last digest, in milliseconds.
+const WISHES_VALID_MS: u64 = 2_000;
+/// Number of allocations within the validity of one grant.
 const ALLOCATIONS_PER_GRANT: u64 = 4;
 
-/// The wishes that one member told.
+/// The wishes in the last digest of one member.
 #[derive(Debug)]
-struct Told {
+struct ReportedWishes {
     at_ms: u64,
     wishes: Vec<GatewayWishes>,
 }
 
-/// Wishes, and what is granted for them.
+/// Allocates batch capacity to gateways by their wishes.
 #[derive(Debug, Default)]
-pub(super) struct GrantDesk {
-    book: GrantTable,
+pub(super) struct GrantAllocator {
+    table: GrantTable,
     grant_ms: u64,
     next_ms: u64,
-    told: BTreeMap<MachineId, Told>,
+    reported: BTreeMap<MachineId, ReportedWishes>,
     allocated: BTreeMap<GatewayId, Vec<Grant>>,
 }
 
-impl GrantDesk {
-    /// Begins anew, as a leader that does not know what the last one granted:
-    /// nothing is granted until that has ended.
+impl GrantAllocator {
+    /// Starts over for a new term. The grants of the previous leader are not known, so nothing
+    /// is granted until they have expired.
     pub(super) fn begin(&mut self, now_ms: u64) {
-        *self = GrantDesk {
+        *self = GrantAllocator {
             next_ms: now_ms + u64::from(GrantSettings::default().valid_ms),
-            ..GrantDesk::default()
+            ..GrantAllocator::default()
         };
     }
 
-    /// Takes the wishes of a member's gateways in place of its earlier ones.
-    pub(super) fn take_wishes(
+    /// Stores the wishes of a member's gateways in place of the member's earlier ones.
+    pub(super) fn set_wishes(
         &mut self,
         machine: MachineId,
         wishes: Vec<GatewayWishes>,
         now_ms: u64,
     ) {
-        let told = Told {
+        let reported = ReportedWishes {
             at_ms: now_ms,
             wishes,
         };
-        self.told.insert(machine, told);
+        self.reported.insert(machine, reported);
     }
 
-    /// Allocates anew where that is due; `true` when it did.
+    /// Allocates capacity if that is due; returns whether it did.
     pub(super) fn allocate(
         &mut self,
         rules: &Fleet,
@@ -71,18 +71,18 @@
         }
         if self.grant_ms != rules.batch.grant_ms {
             self.grant_ms = rules.batch.grant_ms;
-            self.book.set_settings(GrantSettings {
+            self.table.set_settings(GrantSettings {
                 valid_ms: u32::try_from(self.grant_ms).unwrap_or(u32::MAX),
                 ..GrantSettings::default()
             });
         }
         self.next_ms = now_ms + self.grant_ms / ALLOCATIONS_PER_GRANT;
-        self.told
-            .retain(|_, told| now_ms.saturating_sub(told.at_ms) <= WISHES_MS);
-        let wishes = self.wishes();
+        self.reported
+            .retain(|_, reported| now_ms.saturating_sub(reported.at_ms) <= WISHES_VALID_MS);
+        let requests = self.requests();
         let replicas = batch_replicas(rules, fleet);
         self.allocated.clear();
-        for allocation in self.book.allocate(wall, &wishes, &replicas) {
+        for allocation in self.table.allocate(wall, &requests, &replicas) {
             let grants = self.allocated.entry(allocation.gateway).or_default();
             grants.push(allocation.grant);
         }
@@ -90,9 +90,9 @@
     }
 
     /// The grants of the gateways attached to a member.
-    pub(super) fn of(&self, machine: MachineId) -> Vec<(GatewayId, Vec<Grant>)> {
-        let told = self.told.get(&machine);
-        let gateways = told.into_iter().flat_map(|told| &told.wishes);
+    pub(super) fn grants_for(&self, machine: MachineId) -> Vec<(GatewayId, Vec<Grant>)> {
+        let reported = self.reported.get(&machine);
+        let gateways = reported.into_iter().flat_map(|reported| &reported.wishes);
         gateways
             .filter_map(|wishes| {
                 let grants = self.allocated.get(&wishes.gateway)?;
@@ -101,25 +101,26 @@
             .collect()
     }
 
-    /// All wishes; of a gateway that has just moved, those of one member only.
-    fn wishes(&self) -> Vec<CapacityRequest> {
+    /// All wishes as requests. A gateway that has just moved may be in the digests of two
+    /// members; its wishes are taken from one of them.
+    fn requests(&self) -> Vec<CapacityRequest> {
         let mut by_gateway: BTreeMap<&GatewayId, &GatewayWishes> = BTreeMap::new();
-        for wishes in self.told.values().flat_map(|told| &told.wishes) {
+        for wishes in self.reported.values().flat_map(|reported| &reported.wishes) {
             by_gateway.insert(&wishes.gateway, wishes);
         }
-        let wishes = by_gateway.into_values().flat_map(|of| {
-            of.wishes.iter().map(|wish| CapacityRequest {
-                gateway: of.gateway.clone(),
-                zone: of.zone.clone(),
+        let requests = by_gateway.into_values().flat_map(|from| {
+            from.wishes.iter().map(|wish| CapacityRequest {
+                gateway: from.gateway.clone(),
+                zone: from.zone.clone(),
                 model: wish.model.clone(),
                 sequences: wish.sequences,
             })
         });
-        wishes.collect()
+        requests.collect()
     }
 }
 
-/// The engines that batch may run on.
+/// The engines that may run batch items.
 fn batch_replicas(rules: &Fleet, fleet: &VersionedFleet) -> Vec<BatchReplica> {
     let pools = rules.models.iter().filter(|pool| pool.batch);
     let names: Vec<&str> = pools.map(|pool| pool.name.as_str()).collect();
--- a/crates/control/src/soft_state/leader.rs
+++ b/crates/control/src/soft_state/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of all gateways through the members' digests.
+//! What the leader knows of all gateways from the members' digests.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,14 +10,14 @@
 
 use super::FleetVersion;
 
-/// A gateway counts as live for this long after its last word, in milliseconds.
-const LIVE_MS: u64 = 5_000;
-/// A silent gateway is shown in `status` for this long, in milliseconds.
-const SHOWN_MS: u64 = 60_000;
-/// Replicas under suspicion at most.
+/// A gateway counts as live for this long after its last contact, in milliseconds.
+const GATEWAY_LIVE_MS: u64 = 5_000;
+/// A gateway without contact remains in the status for this long, in milliseconds.
+const GATEWAY_SHOWN_MS: u64 = 60_000;
+/// Maximum number of suspected replicas.
 const MAX_SUSPECTS: usize = 8_192;
 
-/// A gateway and whether a change waits for its confirmation.
+/// A gateway and whether a change must wait for its confirmation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct KnownGateway {
     pub(super) status: GatewayStatus,
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 struct Reported {
     revision: Revision,
-    heard_ms: u64,
+    last_contact_ms: u64,
 }
 
 /// The leader's knowledge.
@@ -36,63 +36,65 @@
     term: Term,
     since_ms: u64,
     gateways: BTreeMap<GatewayId, Reported>,
-    /// The version of this leader's fleet that each member holds.
-    held: BTreeMap<MachineId, FleetVersion>,
+    /// The version of this leader's fleet that each member has received.
+    member_versions: BTreeMap<MachineId, FleetVersion>,
     suspects: BTreeSet<ReplicaId>,
 }
 
 impl LeaderView {
-    /// Begins to lead in a term; `false` when it already does.
+    /// Starts leading in a term; returns `false` if it already leads in this term.
     pub(super) fn begin(&mut self, term: Term, now_ms: u64) -> bool {
         if term == self.term {
             return false;
         }
         self.term = term;
         self.since_ms = now_ms;
-        self.held.clear();
+        self.member_versions.clear();
         true
     }
 
-    /// The term that it leads in, or led in last.
+    /// The term in which this member leads or last led.
     pub(super) fn term(&self) -> Term {
         self.term
     }
 
-    /// The version that a member holds; `None` when it holds another leader's fleet.
-    pub(super) fn held_by(&self, machine: MachineId) -> Option<FleetVersion> {
-        self.held.get(&machine).copied()
+    /// The version that a member has received; `None` if its fleet is from another leader.
+    pub(super) fn version_of(&self, machine: MachineId) -> Option<FleetVersion> {
+        self.member_versions.get(&machine).copied()
     }
 
     pub(super) fn take_digest(&mut self, digest: MemberDigest, now_ms: u64) {
         if digest.fleet_term == self.term {
             let version = FleetVersion(digest.fleet_version);
-            self.held.insert(digest.machine, version);
+            self.member_versions.insert(digest.machine, version);
         } else {
-            self.held.remove(&digest.machine);
+            self.member_versions.remove(&digest.machine);
         }
         for status in digest.gateways {
-            self.note_gateway(status, now_ms);
+            self.record_gateway(status, now_ms);
         }
-        let room = MAX_SUSPECTS.saturating_sub(self.suspects.len());
-        self.suspects.extend(digest.suspects.into_iter().take(room));
+        let capacity = MAX_SUSPECTS.saturating_sub(self.suspects.len());
+        self.suspects
+            .extend(digest.suspects.into_iter().take(capacity));
         self.gateways
-            .retain(|_, known| now_ms.saturating_sub(known.heard_ms) <= SHOWN_MS);
+            .retain(|_, known| now_ms.saturating_sub(known.last_contact_ms) <= GATEWAY_SHOWN_MS);
     }
 
-    /// Replicas found dead or leaving by data paths since the last call.
+    /// Removes and returns the replicas that data paths found dead or leaving since the last call.
     pub(super) fn take_suspects(&mut self) -> Vec<ReplicaId> {
         std::mem::take(&mut self.suspects).into_iter().collect()
     }
 
-    /// A gateway that moves is told of by two members for a while: the newest word counts.
-    fn note_gateway(&mut self, status: GatewayStatus, now_ms: u64) {
-        let heard_ms = now_ms.saturating_sub(status.silent_ms);
+    /// Records a gateway's status. While a gateway moves, two members report it: the report with
+    /// the latest contact counts.
+    fn record_gateway(&mut self, status: GatewayStatus, now_ms: u64) {
+        let last_contact_ms = now_ms.saturating_sub(status.silent_ms);
         let reported = Reported {
             revision: status.revision,
-            heard_ms,
+            last_contact_ms,
         };
         match self.gateways.get_mut(&status.gateway) {
-            Some(known) if known.heard_ms > heard_ms => {}
+            Some(known) if known.last_contact_ms > last_contact_ms => {}
             Some(known) => *known = reported,
             None => {
                 self.gateways.insert(status.gateway, reported);
@@ -100,8 +102,8 @@
         }
     }
 
-    /// All known gateways; those with a running session are known even when
-    /// no digest has told of them, and count with revision 0 then.
+    /// All known gateways. A gateway with a running session that no digest has reported is
+    /// included with revision 0.
     pub(super) fn gateways<'a>(
         &self,
         with_session: impl Iterator<Item = &'a GatewayId>,
@@ -112,9 +114,9 @@
             .gateways
             .iter()
             .map(|(gateway, reported)| {
-                let silent_ms = now_ms.saturating_sub(reported.heard_ms);
+                let silent_ms = now_ms.saturating_sub(reported.last_contact_ms);
                 KnownGateway {
-                    live: silent_ms < LIVE_MS || with_session.contains(gateway),
+                    live: silent_ms < GATEWAY_LIVE_MS || with_session.contains(gateway),
                     status: GatewayStatus {
                         gateway: gateway.clone(),
                         revision: reported.revision,
@@ -123,10 +125,10 @@
                 }
             })
             .collect();
-        let unheard = with_session
+        let unreported = with_session
             .into_iter()
             .filter(|gateway| !self.gateways.contains_key(*gateway));
-        known.extend(unheard.map(|gateway| KnownGateway {
+        known.extend(unreported.map(|gateway| KnownGateway {
             live: true,
             status: GatewayStatus {
                 gateway: gateway.clone(),
--- a/crates/control/src/soft_state/mod.rs
+++ b/crates/control/src/soft_state/mod.rs
@@ -1,15 +1,15 @@
-//! What control knows without replicating it: attached gateways, replicas and
-//! their loads. It is lost with a process and learned again within a second.
+//! Control state that is not replicated: attached gateways, replicas and their loads.
+//! A restarted process rebuilds it within a second.
 //!
-//! Every member tells the leader of the gateways attached to it (a digest);
-//! the leader tells every member of replicas and loads (a broadcast). No
-//! clock is read here: times are passed in.
+//! Every member reports the gateways attached to it to the leader (a digest); the leader
+//! sends replicas and loads to every member (a broadcast). No clock is read here: times
+//! are passed in.
 
 mod attached;
+pub(crate) mod exchange;
 mod fleet;
 mod grants;
 mod leader;
-pub(crate) mod rounds;
 
 use std::sync::Arc;
 
@@ -23,59 +23,59 @@
 
 pub(crate) use attached::{AttachedGateways, ConnectionNumber};
 pub(crate) use fleet::{FleetVersion, VersionedFleet};
-use grants::GrantDesk;
+use grants::GrantAllocator;
 use leader::LeaderView;
 
 use crate::member::MemberTime;
 
-/// Soft state that tasks and the member's thread share.
+/// Soft state, shared by tasks and the member's thread.
 pub(crate) type SharedSoftState = Arc<Mutex<SoftState>>;
 
 /// The soft state of one member.
 #[derive(Debug)]
 pub(crate) struct SoftState {
     machine: MachineId,
-    /// Gateways attached here.
+    /// Gateways attached to this member.
     pub(crate) attached: AttachedGateways,
-    /// Replicas and loads as the leader tells them, or as found where this member leads.
+    /// Replicas and loads as received from the leader, or as found by placement on the leader.
     pub(crate) fleet: VersionedFleet,
-    /// Whose fleet this is, and its version as the leader counts.
-    held: HeldFleet,
+    /// Term and version of the leader's fleet that `fleet` corresponds to.
+    received: ReceivedFleet,
     leader: LeaderView,
-    grants: GrantDesk,
-    /// Grows when gateways attached here are granted capacity.
-    granted: u64,
+    grants: GrantAllocator,
+    /// Increases when gateways attached to this member are granted capacity.
+    grants_version: u64,
 }
 
-/// Grows when something has changed that gateways attached here must hear of.
+/// Changes when there is something new for the gateways attached to this member.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct SoftMark {
+pub(crate) struct SoftStateVersion {
     fleet: FleetVersion,
-    granted: u64,
+    grants: u64,
 }
 
-/// The leader's count of what was received last.
+/// Term and version of the leader's fleet that was received last.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-struct HeldFleet {
+struct ReceivedFleet {
     term: Term,
     version: FleetVersion,
 }
 
 impl SoftState {
-    /// Nothing known yet.
+    /// Soft state of a member that has received nothing yet.
     pub(crate) fn new(machine: MachineId) -> Self {
         SoftState {
             machine,
             attached: AttachedGateways::default(),
             fleet: VersionedFleet::default(),
-            held: HeldFleet::default(),
+            received: ReceivedFleet::default(),
             leader: LeaderView::default(),
-            grants: GrantDesk::default(),
-            granted: 0,
+            grants: GrantAllocator::default(),
+            grants_version: 0,
         }
     }
 
-    /// What the leader must hear of the gateways attached here.
+    /// The report to the leader on the gateways attached to this member.
     pub(crate) fn digest(&mut self, now_ms: u64) -> MemberDigest {
         MemberDigest {
             machine: self.machine,
@@ -83,67 +83,68 @@
             loads: self.attached.take_loads(),
             suspects: self.attached.take_suspects(),
             wishes: self.attached.wishes(),
-            fleet_term: self.held.term,
-            fleet_version: self.held.version.0,
+            fleet_term: self.received.term,
+            fleet_version: self.received.version.0,
         }
     }
 
-    /// Takes what another member, or this one, tells of its gateways.
+    /// Takes the digest of another member or of this one.
     pub(crate) fn take_digest(&mut self, mut digest: MemberDigest, now_ms: u64) {
         for known in &digest.loads {
             self.fleet.put_load(&known.replica, known.load);
         }
         let wishes = std::mem::take(&mut digest.wishes);
-        self.grants.take_wishes(digest.machine, wishes, now_ms);
+        self.grants.set_wishes(digest.machine, wishes, now_ms);
         self.leader.take_digest(digest, now_ms);
     }
 
-    /// Replicas that data paths found dead or leaving since the last call.
+    /// Removes and returns the replicas that data paths found dead or leaving since the last call.
     pub(crate) fn take_suspects(&mut self) -> Vec<ReplicaId> {
         self.leader.take_suspects()
     }
 
-    /// What gateways attached here must hear of.
-    pub(crate) fn mark(&self) -> SoftMark {
-        SoftMark {
+    /// The version of what is sent to the gateways attached to this member.
+    pub(crate) fn version(&self) -> SoftStateVersion {
+        SoftStateVersion {
             fleet: self.fleet.version(),
-            granted: self.granted,
+            grants: self.grants_version,
         }
     }
 
-    /// Begins or goes on to lead in a term.
+    /// Starts or continues leading in a term.
     pub(crate) fn lead(&mut self, term: Term, now_ms: u64) {
         if self.leader.begin(term, now_ms) {
             self.grants.begin(now_ms);
-            self.held = HeldFleet {
+            self.received = ReceivedFleet {
                 term,
                 version: self.fleet.version(),
             };
         }
     }
 
-    /// Grants batch capacity where that is due.
+    /// Grants batch capacity if an allocation is due.
     pub(crate) fn allocate_grants(&mut self, rules: &Fleet, now: MemberTime) {
         let now_ms = now.monotonic_ms;
         let allocated = self.grants.allocate(rules, &self.fleet, now_ms, now.wall);
         if allocated {
-            self.pass_grants_on(self.grants.of(self.machine));
+            self.store_grants(self.grants.grants_for(self.machine));
         }
     }
 
-    fn pass_grants_on(&mut self, grants: Vec<(GatewayId, Vec<Grant>)>) {
-        self.granted += u64::from(!grants.is_empty());
+    fn store_grants(&mut self, grants: Vec<(GatewayId, Vec<Grant>)>) {
+        self.grants_version += u64::from(!grants.is_empty());
         for (gateway, grants) in grants {
-            self.attached.grant(&gateway, grants);
+            self.attached.set_grants(&gateway, grants);
         }
     }
 
-    /// What a member must hear of this leader, given what its last digest said it holds.
+    /// The message of this leader to a member: the changes since the version in the member's last
+    /// digest, or the full fleet.
     pub(crate) fn broadcast(&self, to: MachineId, applied: LogIndex) -> LeaderBroadcast {
         let term = self.leader.term();
-        let delta = match self.leader.held_by(to) {
+        let delta = match self.leader.version_of(to) {
             Some(version) => self.fleet.since(version),
-            None => self.fleet.whole(),
+            None => self.fleet.full(),
         };
         LeaderBroadcast {
             applied,
@@ -151,29 +152,29 @@
             changed: delta.changed,
             removed: delta.removed,
             loads: delta.loads,
-            grants: self.grants.of(to),
+            grants: self.grants.grants_for(to),
             term,
             base: delta.base.0,
             version: delta.version.0,
         }
     }
 
-    /// Takes what the leader tells.
+    /// Takes a broadcast of the leader; an outdated one is ignored.
     pub(crate) fn take_broadcast(&mut self, broadcast: LeaderBroadcast) {
-        let same_leader = broadcast.term == self.held.term;
-        if broadcast.term < self.held.term
-            || (same_leader && broadcast.version < self.held.version.0)
+        let same_leader = broadcast.term == self.received.term;
+        if broadcast.term < self.received.term
+            || (same_leader && broadcast.version < self.received.version.0)
         {
             return;
         }
-        self.pass_grants_on(broadcast.grants);
+        self.store_grants(broadcast.grants);
         if broadcast.version == 0 {
-            // The leader knows of no list yet; what an earlier one told stays.
+            // The leader has no list yet; the list of the previous leader remains.
             return;
         }
         if broadcast.full {
             self.fleet.replace(broadcast.changed);
-        } else if same_leader && broadcast.base <= self.held.version.0 {
+        } else if same_leader && broadcast.base <= self.received.version.0 {
             for replica in &broadcast.removed {
                 self.fleet.remove(replica);
             }
@@ -181,19 +182,21 @@
                 self.fleet.put(info);
             }
         } else {
-            // The next digest says what is held, and the leader sends everything.
+            // The delta does not apply. The next digest reports the received version, and the
+            // leader then sends what is missing.
             return;
         }
         for known in &broadcast.loads {
             self.fleet.put_load(&known.replica, known.load);
         }
-        self.held = HeldFleet {
+        self.received = ReceivedFleet {
             term: broadcast.term,
             version: FleetVersion(broadcast.version),
         };
     }
 
-    /// Adds gateways and replicas to a status.
+    /// Adds gateways and replicas to a status. `sessions` are gateways with the epoch and the end
+    /// of their sessions.
     pub(crate) fn complete_status<'a>(
         &self,
         status: &mut FleetStatus,
--- a/crates/control/tests/all/back_ends.rs
+++ b/crates/control/tests/all/back_ends.rs
@@ -1,4 +1,4 @@
-//! Emulated engines and the platform that lists them.
+//! Emulated engines and an emulated platform that lists them.
 
 use linnethitch_emulator::{
     engine::server::{EngineServer, EngineSettings},
@@ -9,25 +9,25 @@
     ids::{ReplicaId, ZoneId},
 };
 
-/// How many times as fast as real time the back ends run.
-const COMPRESSION: u32 = 20;
-/// A model of a fleet file, with one replica.
+/// Speed of the back ends relative to real time.
+const TIME_COMPRESSION: u32 = 20;
+/// A section of a fleet file with a model that has one replica.
 pub(crate) const MODEL: &str = "\n[[model]]\nname = \"quote\"\nversion = \"v1\"\nplacement = [{ zone = \"a\", replicas = 1 }]\n";
 
-/// An engine with nothing loaded.
+/// An engine without a loaded model.
 pub(crate) async fn engine(name: &str) -> EngineServer {
     let settings = EngineSettings {
-        time_compression: COMPRESSION,
+        time_compression: TIME_COMPRESSION,
         ..EngineSettings::new(name, "a")
     };
     EngineServer::start(settings).await.expect("a free port")
 }
 
-/// A platform that lists these engines.
+/// A platform that lists the given engines.
 pub(crate) async fn platform(engines: &[EngineServer]) -> PlatformServer {
     let settings = PlatformSettings {
         machines: engines.iter().map(machine).collect(),
-        time_compression: COMPRESSION,
+        time_compression: TIME_COMPRESSION,
         ..PlatformSettings::default()
     };
     PlatformServer::start(settings).await.expect("a free port")
--- a/crates/control/tests/all/batch.rs
+++ b/crates/control/tests/all/batch.rs
@@ -1,4 +1,4 @@
-//! Batch jobs from the callers' interface through control to engines and back.
+//! Batch jobs from the callers' interface through control to engines.
 
 use std::{collections::BTreeSet, net::SocketAddr};
 
@@ -19,11 +19,11 @@
 const TENANT_KEY: &str = "tenant-key";
 const ITEMS: usize = 200;
 
-/// What is lost while the job runs.
+/// The failure while the job runs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Lost {
     Nothing,
-    LeaderCutOff,
+    LeaderIsolated,
     OneGateway,
 }
 
@@ -44,7 +44,7 @@
     (0..ITEMS).map(line).collect()
 }
 
-async fn ask(address: SocketAddr, method: Method, path: &str, kind: &str, body: String) -> Answer {
+async fn send(address: SocketAddr, method: Method, path: &str, kind: &str, body: String) -> Answer {
     let request = Request::builder()
         .method(method)
         .uri(format!("http://{address}{path}"))
@@ -56,7 +56,7 @@
 }
 
 async fn get(address: SocketAddr, path: &str) -> Answer {
-    ask(
+    send(
         address,
         Method::GET,
         path,
@@ -66,9 +66,9 @@
     .await
 }
 
-/// Sends an input file and a job; gives the job's id.
+/// Uploads an input file and creates a job; returns the job's id.
 async fn submit(address: SocketAddr) -> String {
-    let file = ask(
+    let file = send(
         address,
         Method::POST,
         "/v1/files",
@@ -79,7 +79,7 @@
     assert_eq!(file.status, StatusCode::OK, "{file:?}");
     let batch = json!({"input_file_id": file.body["id"], "endpoint": "/v1/chat/completions", "completion_window": "24h"});
     let kind = "application/json";
-    let job = ask(
+    let job = send(
         address,
         Method::POST,
         "/v1/batches",
@@ -93,7 +93,7 @@
 
 #[rstest]
 #[case::nothing(Lost::Nothing)]
-#[case::the_leader(Lost::LeaderCutOff)]
+#[case::the_leader(Lost::LeaderIsolated)]
 #[case::one_gateway(Lost::OneGateway)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn every_item_of_a_job_completes_exactly_once(#[case] lost: Lost) {
@@ -112,11 +112,11 @@
         TempDir::new().expect("a folder"),
         TempDir::new().expect("a folder"),
     ];
-    let stays = control.gateway(&folders[0], &[1, 2, 3]).await;
-    let goes = control
+    let remaining = control.gateway(&folders[0], &[1, 2, 3]).await;
+    let ending = control
         .gateway_named("gateway-2", &folders[1], &[1, 2, 3])
         .await;
-    let address = stays.address();
+    let address = remaining.address();
     wait_until("the gateway is ready", async || {
         get(address, "/readyz").await.status == StatusCode::OK
     })
@@ -129,8 +129,8 @@
     .await;
     match lost {
         Lost::Nothing => {}
-        Lost::LeaderCutOff => control.set_cut_off(control.leader().await, true),
-        Lost::OneGateway => drop(goes),
+        Lost::LeaderIsolated => control.set_isolated(control.leader().await, true),
+        Lost::OneGateway => drop(ending),
     }
     wait_until("the job is complete", async || {
         get(address, &path).await.body["status"] == "completed"
--- a/crates/control/tests/all/catch_up.rs
+++ b/crates/control/tests/all/catch_up.rs
@@ -1,24 +1,24 @@
-//! A gateway that is behind gets the steps or the whole text, whichever is shorter.
+//! A gateway with an older revision gets deltas or the full text, whichever is shorter.
 
-use linnethitch_control::catch_up::{MAX_STEPS, shortest};
+use linnethitch_control::catch_up::{MAX_DELTAS, shortest_updates};
 use linnethitch_protocol::{
     attach::{ConfigurationUpdate, TextEdit},
     ids::Revision,
 };
 use rstest::rstest;
 
-const WHOLE_BYTES: usize = 1_000;
+const FULL_BYTES: usize = 1_000;
 
-fn whole() -> ConfigurationUpdate {
+fn full() -> ConfigurationUpdate {
     ConfigurationUpdate::Full {
         revision: Revision(100),
-        content: "x".repeat(WHOLE_BYTES),
+        content: "x".repeat(FULL_BYTES),
         digest: 1,
     }
 }
 
-fn steps(count: usize, bytes: usize) -> Vec<ConfigurationUpdate> {
-    let step = |number: u64| ConfigurationUpdate::Delta {
+fn deltas_of(count: usize, bytes: usize) -> Vec<ConfigurationUpdate> {
+    let delta = |number: u64| ConfigurationUpdate::Delta {
         from: Revision(number),
         to: Revision(number + 1),
         edits: vec![TextEdit {
@@ -28,24 +28,24 @@
         }],
         digest: 1,
     };
-    (0..count as u64).map(step).collect()
+    (0..count as u64).map(delta).collect()
 }
 
 #[rstest]
-#[case::history_unknown(None, false)]
-#[case::nothing_missing(Some(steps(0, 0)), true)]
-#[case::one_step(Some(steps(1, 10)), true)]
-#[case::one_large_step(Some(steps(1, 2 * WHOLE_BYTES)), true)]
-#[case::a_few_steps(Some(steps(MAX_STEPS, 10)), true)]
-#[case::too_many_steps(Some(steps(MAX_STEPS + 1, 10)), false)]
-#[case::steps_as_long_as_the_whole(Some(steps(2, WHOLE_BYTES / 2)), false)]
-fn the_shorter_way_is_taken(
-    #[case] history: Option<Vec<ConfigurationUpdate>>,
-    #[case] by_steps: bool,
+#[case::no_deltas_known(None, false)]
+#[case::nothing_missing(Some(deltas_of(0, 0)), true)]
+#[case::one_delta(Some(deltas_of(1, 10)), true)]
+#[case::one_large_delta(Some(deltas_of(1, 2 * FULL_BYTES)), true)]
+#[case::maximum_of_deltas(Some(deltas_of(MAX_DELTAS, 10)), true)]
+#[case::too_many_deltas(Some(deltas_of(MAX_DELTAS + 1, 10)), false)]
+#[case::deltas_as_long_as_the_full_text(Some(deltas_of(2, FULL_BYTES / 2)), false)]
+fn the_shorter_updates_are_chosen(
+    #[case] deltas: Option<Vec<ConfigurationUpdate>>,
+    #[case] expects_deltas: bool,
 ) {
-    let expected = match &history {
-        Some(steps) if by_steps => steps.clone(),
-        _ => vec![whole()],
+    let expected = match &deltas {
+        Some(deltas) if expects_deltas => deltas.clone(),
+        _ => vec![full()],
     };
-    assert_eq!(shortest(history, whole, WHOLE_BYTES), expected);
+    assert_eq!(shortest_updates(deltas, full, FULL_BYTES), expected);
 }
--- a/crates/control/tests/all/cluster.rs
+++ b/crates/control/tests/all/cluster.rs
@@ -1,4 +1,4 @@
-//! Members over virtual disks and a virtual network, all in one thread.
+//! Harness of members over virtual disks and a virtual network, in one thread.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -14,12 +14,12 @@
 
 /// Milliseconds of one step of the virtual clock.
 const STEP_MS: u64 = 10;
-/// Rounds of messages delivered within one step.
+/// Rounds of message delivery within one step.
 const ROUNDS_PER_STEP: usize = 8;
-/// Time of day at the start of a test.
+/// Wall-clock time at the start of a test, in milliseconds.
 const START_WALL_MS: u64 = 1_700_000_000_000;
 
-/// A fleet file that differs by its note.
+/// A valid fleet file that contains the note.
 pub(crate) fn fleet_file(note: &str) -> String {
     format!("# {note}\nname = \"test\"\n\n[[zone]]\nname = \"a\"\nregion = \"r\"\n")
 }
@@ -33,8 +33,8 @@
 pub(crate) struct Machine {
     pub(crate) disk: VirtualDisk,
     pub(crate) member: Option<Member>,
-    /// Neither sends nor receives.
-    pub(crate) cut_off: bool,
+    /// Whether the machine neither sends nor receives.
+    pub(crate) isolated: bool,
 }
 
 pub(crate) struct Cluster {
@@ -43,26 +43,26 @@
     pub(crate) answers: BTreeMap<(MachineId, CallId), ControlAnswer>,
     pub(crate) notices: Vec<(MachineId, MemberNotice)>,
     pub(crate) snapshot_log_bytes: u64,
-    /// The most bytes that one flush has given out.
-    pub(crate) largest_burst: usize,
+    /// The most bytes sent by one flush of a member.
+    pub(crate) max_burst_bytes: usize,
     messages: Vec<Message>,
     next_call: u64,
     next_disk: u64,
 }
 
 impl Cluster {
-    /// Blank machines, all started, not yet formed.
+    /// Started machines with blank disks, before the cluster starts.
     pub(crate) fn blank(size: u32) -> Self {
         Cluster::blank_with_snapshots(size, 64 * 1024 * 1024)
     }
 
-    /// Blank machines that take a snapshot at the given size of the log.
+    /// Started machines with blank disks that take a snapshot at the given size of the log.
     pub(crate) fn blank_with_snapshots(size: u32, snapshot_log_bytes: u64) -> Self {
         let machine = |number| {
             let machine = Machine {
                 disk: VirtualDisk::new(u64::from(number)),
                 member: None,
-                cut_off: false,
+                isolated: false,
             };
             (MachineId(number), machine)
         };
@@ -72,7 +72,7 @@
             answers: BTreeMap::new(),
             notices: Vec::new(),
             snapshot_log_bytes,
-            largest_burst: 0,
+            max_burst_bytes: 0,
             messages: Vec::new(),
             next_call: 0,
             next_disk: 100,
@@ -125,14 +125,14 @@
         machine.member = Some(member);
     }
 
-    /// The process dies; what was not synced is lost.
+    /// The process crashes; unsynced writes are lost.
     pub(crate) fn crash(&mut self, number: u32) {
         let machine = self.machine(number);
         machine.member = None;
         machine.disk.crash();
     }
 
-    /// The machine comes back with a blank disk.
+    /// The machine restarts with a blank disk.
     pub(crate) fn lose_disk(&mut self, number: u32) {
         let machine = self.machine(number);
         machine.member = None;
@@ -154,7 +154,7 @@
     pub(crate) fn running(&self) -> impl Iterator<Item = &Member> {
         self.machines
             .values()
-            .filter(|machine| !machine.cut_off)
+            .filter(|machine| !machine.isolated)
             .filter_map(|machine| machine.member.as_ref())
     }
 
@@ -171,7 +171,7 @@
         leader.map_or_else(Vec::new, |status| status.membership.voters)
     }
 
-    /// Lets one step of time pass.
+    /// Advances the virtual clock by one step.
     pub(crate) fn step(&mut self) {
         self.now_ms += STEP_MS;
         let time = self.time();
@@ -183,11 +183,11 @@
         for _ in 0..ROUNDS_PER_STEP {
             self.flush_all();
             for Message { from, to, message } in std::mem::take(&mut self.messages) {
-                let from_cut = self.machines[&from].cut_off;
+                let from_isolated = self.machines[&from].isolated;
                 let machine = self.machines.get_mut(&to).expect("a known machine");
                 if let Some(member) = &mut machine.member
-                    && !machine.cut_off
-                    && !from_cut
+                    && !machine.isolated
+                    && !from_isolated
                 {
                     member.receive(from, message);
                 }
@@ -221,7 +221,7 @@
                     MemberOutput::Notice(notice) => self.notices.push((*number, notice)),
                 }
             }
-            self.largest_burst = self.largest_burst.max(burst);
+            self.max_burst_bytes = self.max_burst_bytes.max(burst);
         }
     }
 
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Runs until a condition holds, for a virtual minute at most.
+    /// Runs until a condition holds; panics after a virtual minute.
     pub(crate) fn run_until(&mut self, what: &str, condition: impl Fn(&Cluster) -> bool) {
         for _ in 0..6_000 {
             if condition(self) {
@@ -239,7 +239,7 @@
             }
             self.step();
         }
-        panic!("never: {what}");
+        panic!("not reached within a virtual minute: {what}");
     }
 
     pub(crate) fn start_call(&mut self, number: u32, body: ControlCall) -> CallId {
@@ -272,7 +272,7 @@
         self.call(number, ControlCall::Propose(body))
     }
 
-    /// Applies a number of changes, one after the other, from a revision on.
+    /// Applies changes one after the other, from revision `from` to revision `to`.
     pub(crate) fn apply_many(&mut self, number: u32, from: u64, to: u64) {
         for revision in from..to {
             let change = format!("change-{revision}");
@@ -281,7 +281,7 @@
         }
     }
 
-    /// The configuration's revision and text, read through a member.
+    /// The revision and text of the configuration, read through a member.
     pub(crate) fn configuration(&mut self, number: u32) -> (Revision, String) {
         let answer = self.call(number, ControlCall::Query(Query::Configuration));
         match answer {
