--- a/crates/control/tests/all/faults.rs
+++ b/crates/control/tests/all/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of control processes over real sockets and files.
+//! Control processes under faults, over real sockets and files.
 
 use http::StatusCode;
 use rstest::rstest;
@@ -9,21 +9,21 @@
     processes::{Answer, TestControl, wait_until},
 };
 
-/// What happens between a change and its resend.
+/// The fault between a change and its repetition.
 #[derive(Clone, Copy, Debug)]
-enum Between {
+enum Fault {
     /// Every member restarts.
     Restarts,
-    /// So many other changes follow that snapshots replace the log, and every member restarts.
+    /// More changes follow until snapshots replace the log, and every member restarts.
     Snapshots,
-    /// The leader is cut off silently.
+    /// The leader is isolated; its connections stay open.
     LostLeader,
     /// Two disks are lost at once.
     TwoLostDisks,
 }
 
 impl TestControl {
-    /// Sends a change until it has an answer that is final, through one member after another.
+    /// Sends a change through one member after another until the answer is final.
     async fn apply_until_answered(&self, change: &str, expected: u64, note: &str) -> Answer {
         for round in 0..60 {
             let running = self.running();
@@ -35,7 +35,7 @@
                 return answer;
             }
         }
-        panic!("the change {change} was never answered");
+        panic!("no final answer to the change {change}");
     }
 
     async fn revision(&self, number: u32) -> u64 {
@@ -60,21 +60,23 @@
 #[case::a_follower(false)]
 #[case::the_leader(true)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_member_cut_off_silently_misleads_nobody_and_returns(#[case] leader: bool) {
+async fn an_isolated_member_serves_no_stale_state_and_catches_up(#[case] leader: bool) {
     let control = TestControl::start(3).await;
     control.apply_many(0, 1).await;
     let leads = control.leader().await;
-    let cut_off = if leader { leads } else { leads % 3 + 1 };
-    let others: Vec<u32> = (1..=3).filter(|number| *number != cut_off).collect();
+    let isolated = if leader { leads } else { leads % 3 + 1 };
+    let others: Vec<u32> = (1..=3).filter(|number| *number != isolated).collect();
     let folder = TempDir::new().expect("a folder");
-    let gateway = control.gateway(&folder, &[cut_off]).await;
+    let gateway = control.gateway(&folder, &[isolated]).await;
     wait_until("the gateway is attached", async || {
         let status = control.get(others[0], "/v1/status").await.body;
         status["lowest_in_force"] == 1 && status["gateways"][0]["revision"] == 1
     })
     .await;
-    control.set_cut_off(cut_off, true);
-    let late = control.apply(cut_off, "late", 1, &fleet_file("late")).await;
+    control.set_isolated(isolated, true);
+    let late = control
+        .apply(isolated, "late", 1, &fleet_file("late"))
+        .await;
     assert!(!late.status.is_success(), "{late:?}");
     let mut second = control
         .apply(others[0], "second", 1, &fleet_file("two"))
@@ -84,7 +86,7 @@
             .apply(others[1], "second", 1, &fleet_file("two"))
             .await;
     }
-    // Had the cut-off leader's change been committed, this one would be refused.
+    // If the isolated leader's change had been committed, this change would be refused.
     assert_eq!(second.body["revision"], 2, "{second:?}");
     wait_until(
         "the gateway has moved and has the change in force",
@@ -94,14 +96,14 @@
         },
     )
     .await;
-    let stale = control.get(cut_off, "/v1/configuration").await;
+    let stale = control.get(isolated, "/v1/configuration").await;
     assert_eq!(stale.code(), "control_unavailable", "{stale:?}");
-    control.set_cut_off(cut_off, false);
+    control.set_isolated(isolated, false);
     wait_until("the member has caught up", async || {
-        control.revision(cut_off).await == 2
+        control.revision(isolated).await == 2
     })
     .await;
-    let read = control.get(cut_off, "/v1/configuration").await;
+    let read = control.get(isolated, "/v1/configuration").await;
     assert_eq!(read.body["content"], fleet_file("two"), "{read:?}");
     gateway.stop().await;
 }
@@ -110,10 +112,10 @@
 #[case::two_operators(2)]
 #[case::many_operators(9)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn of_operators_that_race_on_one_revision_exactly_one_wins(#[case] operators: u32) {
+async fn of_concurrent_changes_to_one_revision_exactly_one_is_accepted(#[case] operators: u32) {
     let control = TestControl::start(3).await;
     for expected in 0..4 {
-        let race = (0..operators).map(|operator| {
+        let changes = (0..operators).map(|operator| {
             let change = format!("change-{expected}-{operator}");
             let control = &control;
             async move {
@@ -123,35 +125,35 @@
                     .await
             }
         });
-        let answers = futures_util::future::join_all(race).await;
-        let won = answers
+        let answers = futures_util::future::join_all(changes).await;
+        let accepted = answers
             .iter()
             .filter(|answer| answer.status == StatusCode::OK);
-        assert_eq!(won.count(), 1, "{answers:?}");
-        let lost = answers
+        assert_eq!(accepted.count(), 1, "{answers:?}");
+        let refused = answers
             .iter()
             .filter(|answer| answer.code() == "revision_conflict");
-        assert_eq!(lost.count() as u32, operators - 1, "{answers:?}");
+        assert_eq!(refused.count() as u32, operators - 1, "{answers:?}");
     }
 }
 
 #[rstest]
-#[case::restarts(Between::Restarts)]
-#[case::snapshots(Between::Snapshots)]
-#[case::lost_leader(Between::LostLeader)]
-#[case::two_lost_disks(Between::TwoLostDisks)]
+#[case::restarts(Fault::Restarts)]
+#[case::snapshots(Fault::Snapshots)]
+#[case::lost_leader(Fault::LostLeader)]
+#[case::two_lost_disks(Fault::TwoLostDisks)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_resent_after_a_lost_answer_gets_the_same_answer(#[case] between: Between) {
+async fn a_change_resent_after_a_lost_answer_gets_the_same_answer(#[case] fault: Fault) {
     let mut control = TestControl::start_with(5, ([127, 0, 0, 1], 1).into(), 4 * 1024).await;
     control.apply_many(0, 1).await;
-    match between {
-        Between::Restarts => restart_all(&mut control).await,
-        Between::Snapshots => {
+    match fault {
+        Fault::Restarts => restart_all(&mut control).await,
+        Fault::Snapshots => {
             control.apply_many(1, 60).await;
             restart_all(&mut control).await;
         }
-        Between::LostLeader => control.set_cut_off(control.leader().await, true),
-        Between::TwoLostDisks => {
+        Fault::LostLeader => control.set_isolated(control.leader().await, true),
+        Fault::TwoLostDisks => {
             control.lose_disk(1).await;
             control.lose_disk(2).await;
             control.wait_until_all_vote().await;
@@ -176,7 +178,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn after_500_changes_members_and_gateways_come_back_to_the_newest() {
+async fn after_500_changes_members_and_gateways_catch_up_to_the_newest() {
     let mut control = TestControl::start_with(3, ([127, 0, 0, 1], 1).into(), 64 * 1024).await;
     control.apply_many(0, 3).await;
     let folders = [
@@ -197,7 +199,7 @@
         control.revision(3).await == 503
     })
     .await;
-    // The first one returns from revision 3 on, the second one is new.
+    // The first gateway returns with revision 3 and the second one is new.
     for folder in &folders {
         let gateway = control.gateway(folder, &[3]).await;
         wait_until("the gateway has the newest in force", async || {
@@ -214,7 +216,7 @@
 #[case::the_leader(true)]
 #[case::a_follower(false)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_takes_effect_once_though_a_member_is_lost_while_it_is_applied(
+async fn a_change_takes_effect_once_when_a_member_is_isolated_while_it_is_applied(
     #[case] leader: bool,
 ) {
     let control = TestControl::start(3).await;
@@ -223,12 +225,12 @@
         let lost = if leader { leads } else { leads % 3 + 1 };
         let change = format!("change-{revision}");
         let applying = control.apply_until_answered(&change, revision, &change);
-        let losing = async { control.set_cut_off(lost, true) };
-        let (answer, ()) = tokio::join!(applying, losing);
+        let isolating = async { control.set_isolated(lost, true) };
+        let (answer, ()) = tokio::join!(applying, isolating);
         assert_eq!(answer.body["revision"], revision + 1, "{answer:?}");
-        control.set_cut_off(lost, false);
+        control.set_isolated(lost, false);
         for number in control.running() {
-            wait_until("every member has it", async || {
+            wait_until("every member has the change", async || {
                 control.revision(number).await == revision + 1
             })
             .await;
--- a/crates/control/tests/all/main.rs
+++ b/crates/control/tests/all/main.rs
@@ -5,7 +5,7 @@
 mod catch_up;
 mod cluster;
 mod faults;
-mod load_teller;
+mod load_selector;
 mod member;
 mod payloads;
 
@@ -21,7 +21,7 @@
     cluster.crash(3);
     cluster.apply_many(1, 0, 300);
     cluster.start(3);
-    cluster.run_until("it has caught up", |cluster| {
+    cluster.run_until("the member has caught up", |cluster| {
         cluster.member(3).ledger().revision().0 == 300
     });
     let installed = cluster.notices.iter().any(|(machine, notice)| {
--- a/crates/control/tests/all/member.rs
+++ b/crates/control/tests/all/member.rs
@@ -1,4 +1,4 @@
-//! The member: forming, calls, failures and repairs.
+//! Members over virtual disks: start of a cluster, calls, failures and repairs.
 
 use std::sync::Arc;
 
@@ -21,9 +21,9 @@
     }
 }
 
-fn count_notices(cluster: &Cluster, wanted: fn(&MemberNotice) -> bool) -> usize {
+fn count_notices(cluster: &Cluster, matches: fn(&MemberNotice) -> bool) -> usize {
     let notices = cluster.notices.iter();
-    notices.filter(|(_, notice)| wanted(notice)).count()
+    notices.filter(|(_, notice)| matches(notice)).count()
 }
 
 #[rstest]
@@ -40,17 +40,17 @@
 }
 
 #[test]
-fn nothing_forms_before_all_machines_are_present() {
+fn no_cluster_starts_before_all_machines_are_present() {
     let mut cluster = Cluster::blank(5);
-    cluster.machine(4).cut_off = true;
+    cluster.machine(4).isolated = true;
     cluster.run_ms(10_000);
     assert_eq!(cluster.leader(), None);
-    cluster.machine(4).cut_off = false;
+    cluster.machine(4).isolated = false;
     cluster.run_until_all_vote();
 }
 
 #[test]
-fn nothing_is_accepted_before_enough_machines_vote() {
+fn no_change_is_accepted_before_enough_machines_vote() {
     let mut cluster = Cluster::blank(5);
     cluster.run_until("a leader", |cluster| cluster.leader().is_some());
     assert_eq!(cluster.voters().len(), 1);
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn the_cluster_goes_on_when_its_leader_dies() {
+fn the_cluster_continues_after_its_leader_crashes() {
     let mut cluster = Cluster::formed(5);
     assert_eq!(cluster.apply(1, "first", 0, "one"), accepted(1));
     let leader = cluster.leader().expect("a leader");
@@ -139,7 +139,7 @@
 #[case::two_disks(&[3, 5])]
 #[case::the_first_machine(&[1])]
 #[case::the_first_and_another(&[1, 2])]
-fn lost_disks_are_replaced_and_nothing_is_lost(#[case] lost: &[u32]) {
+fn lost_disks_are_replaced_without_loss_of_state(#[case] lost: &[u32]) {
     let mut cluster = Cluster::formed(5);
     cluster.apply_many(4, 0, 20);
     let before = cluster.voters();
@@ -159,9 +159,10 @@
 }
 
 #[test]
-fn a_replaced_disk_is_filled_in_bursts_that_leave_time_for_heartbeats() {
-    const PIECE: usize = 256 * 1024;
-    const LARGEST_BURST: usize = 6 * 1024 * 1024;
+fn a_replaced_disk_is_filled_in_bounded_bursts() {
+    const CHUNK_BYTES: usize = 256 * 1024;
+    /// Larger bursts delay heartbeats.
+    const MAX_BURST_BYTES: usize = 6 * 1024 * 1024;
     let mut cluster = Cluster::formed(3);
     let leader = cluster.leader().expect("a leader");
     let other = leader % 3 + 1;
@@ -173,29 +174,29 @@
         filename: String::new(),
     };
     cluster.call(leader, ControlCall::Propose(create));
-    for piece in 0..64 {
+    for chunk in 0..64 {
         let append = CommandBody::AppendFile {
             file: file.clone(),
-            offset: piece * PIECE as u64,
-            data: vec![b'x'; PIECE],
+            offset: chunk * CHUNK_BYTES as u64,
+            data: vec![b'x'; CHUNK_BYTES],
         };
         cluster.call(leader, ControlCall::Propose(append));
     }
-    cluster.largest_burst = 0;
+    cluster.max_burst_bytes = 0;
     cluster.lose_disk(other);
     cluster.run_until_all_vote();
-    cluster.run_until("it has everything", |cluster| {
+    cluster.run_until("the new disk has applied everything", |cluster| {
         cluster.member(other).applied() == cluster.member(leader).applied()
     });
     assert!(
-        cluster.largest_burst < LARGEST_BURST,
+        cluster.max_burst_bytes < MAX_BURST_BYTES,
         "{} bytes at once",
-        cluster.largest_burst
+        cluster.max_burst_bytes
     );
 }
 
 #[test]
-fn two_machines_lost_right_after_a_repair_of_two_lose_nothing() {
+fn two_disks_lost_right_after_the_repair_of_two_lose_no_state() {
     let mut cluster = Cluster::formed(5);
     assert_eq!(cluster.apply(4, "first", 0, "one"), accepted(1));
     for lost in [[1, 2], [3, 4]] {
@@ -212,7 +213,7 @@
 }
 
 #[test]
-fn a_majority_of_lost_disks_stops_the_cluster_instead_of_starting_a_new_one() {
+fn a_cluster_with_a_majority_of_lost_disks_stops_and_no_new_one_starts() {
     let mut cluster = Cluster::formed(5);
     assert_eq!(cluster.apply(4, "first", 0, "one"), accepted(1));
     for number in 1..=3 {
@@ -226,7 +227,7 @@
 }
 
 #[test]
-fn a_damaged_log_is_set_aside_and_fetched_anew() {
+fn a_damaged_log_is_set_aside_and_fetched_again() {
     let mut cluster = Cluster::formed(3);
     cluster.apply_many(1, 0, 10);
     cluster.run_ms(200);
@@ -236,7 +237,7 @@
     let segment = segments.next().expect("a log segment");
     cluster.machine(3).disk.flip_bit(&segment, 200, 3);
     cluster.start(3);
-    cluster.run_until("it votes again", |cluster| {
+    cluster.run_until("the member votes again", |cluster| {
         cluster.voters().iter().any(|voter| voter.disk.0 > 103)
     });
     let set_aside = count_notices(&cluster, |notice| {
@@ -248,34 +249,34 @@
 }
 
 #[test]
-fn a_member_that_is_cut_off_refuses_and_catches_up_without_an_election() {
+fn an_isolated_member_refuses_calls_and_catches_up_without_an_election() {
     let mut cluster = Cluster::formed(5);
     assert_eq!(cluster.apply(1, "first", 0, "one"), accepted(1));
     let leader = cluster.leader().expect("a leader");
-    let cut = if leader == 5 { 4 } else { 5 };
-    cluster.machine(cut).cut_off = true;
-    let sent = cluster.apply(cut, "lost", 1, "lost");
+    let isolated = if leader == 5 { 4 } else { 5 };
+    cluster.machine(isolated).isolated = true;
+    let sent = cluster.apply(isolated, "lost", 1, "lost");
     assert_eq!(refusal(&sent), Some(ErrorKind::ControlOutcomeUnknown));
-    let later = cluster.apply(cut, "lost", 1, "lost");
+    let later = cluster.apply(isolated, "lost", 1, "lost");
     assert_eq!(refusal(&later), Some(ErrorKind::ControlUnavailable));
-    let read = cluster.call(cut, ControlCall::Query(Query::Configuration));
+    let read = cluster.call(isolated, ControlCall::Query(Query::Configuration));
     assert_eq!(refusal(&read), Some(ErrorKind::ControlUnavailable));
     cluster.apply_many(leader, 1, 100);
     cluster.run_ms(600_000);
     let term = cluster.member(leader).status().term;
-    cluster.machine(cut).cut_off = false;
-    cluster.run_until("it has caught up", |cluster| {
-        cluster.member(cut).ledger().revision().0 == 100
+    cluster.machine(isolated).isolated = false;
+    cluster.run_until("the member has caught up", |cluster| {
+        cluster.member(isolated).ledger().revision().0 == 100
     });
     assert_eq!(cluster.member(leader).status().term, term);
 }
 
 #[test]
-fn a_cut_off_leader_neither_answers_reads_nor_accepts_changes() {
+fn an_isolated_leader_neither_answers_reads_nor_accepts_changes() {
     let mut cluster = Cluster::formed(5);
     assert_eq!(cluster.apply(1, "first", 0, "one"), accepted(1));
     let old = cluster.leader().expect("a leader");
-    cluster.machine(old).cut_off = true;
+    cluster.machine(old).isolated = true;
     let read = cluster.start_call(old, ControlCall::Query(Query::Configuration));
     let change = ControlCall::Propose(apply_command("lost", 1, "lost"));
     let change = cluster.start_call(old, change);
@@ -286,7 +287,7 @@
     assert_eq!(refusal(&read), Some(ErrorKind::ControlUnavailable));
     let change = cluster.answer(old, change);
     assert_eq!(refusal(&change), Some(ErrorKind::ControlOutcomeUnknown));
-    cluster.machine(old).cut_off = false;
+    cluster.machine(old).isolated = false;
     cluster.run_ms(2_000);
     assert_eq!(cluster.configuration(old).1, fleet_file("two"));
 }
@@ -307,7 +308,7 @@
 }
 
 #[test]
-fn a_follower_without_any_room_does_not_hold_the_others_up() {
+fn a_follower_with_a_full_disk_does_not_block_the_others() {
     let mut cluster = Cluster::formed(3);
     let leader = cluster.leader().expect("a leader");
     let follower = if leader == 3 { 2 } else { 3 };
@@ -315,24 +316,24 @@
     cluster.machine(follower).disk.set_capacity(used);
     cluster.apply_many(leader, 0, 50);
     cluster.machine(follower).disk.set_capacity(u64::MAX);
-    cluster.run_until("it has caught up", |cluster| {
+    cluster.run_until("the follower has caught up", |cluster| {
         cluster.member(follower).ledger().revision().0 == 50
     });
 }
 
 #[test]
-fn a_leader_hands_over_before_a_planned_stop() {
+fn a_leader_transfers_leadership_before_a_planned_stop() {
     let mut cluster = Cluster::formed(5);
     let leader = cluster.leader().expect("a leader");
     let member = cluster.machine(leader).member.as_mut();
-    member.expect("the member runs").hand_leadership_over();
+    member.expect("the member runs").transfer_leadership();
     cluster.run_ms(100);
     let next = cluster.leader().expect("a leader at once");
     assert_ne!(next, leader);
 }
 
 #[test]
-fn a_folder_of_another_cluster_is_refused_untouched() {
+fn a_folder_of_another_cluster_is_refused_and_not_changed() {
     let mut cluster = Cluster::formed(1);
     cluster.crash(1);
     let disk = cluster.machine(1).disk.clone();
--- a/crates/control/tests/all/payloads.rs
+++ b/crates/control/tests/all/payloads.rs
@@ -1,4 +1,4 @@
-//! Files' contents lie beside the snapshots and survive whatever the state survives.
+//! Contents of files are stored outside the snapshots and survive the same faults as the state.
 
 use linnethitch_control::member::MemberNotice;
 use linnethitch_protocol::{
@@ -12,12 +12,12 @@
 
 use crate::cluster::Cluster;
 
-const PIECE_BYTES: usize = 16 * 1024;
-const PIECES: usize = 40;
-/// Small enough that the upload passes several snapshots.
+const CHUNK_BYTES: usize = 16 * 1024;
+const CHUNKS: usize = 40;
+/// Small enough that members take several snapshots during an upload.
 const SNAPSHOT_LOG_BYTES: u64 = 64 * 1024;
 
-/// What happens once the file is stored.
+/// The fault after the file is stored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     AllRestart,
@@ -28,7 +28,7 @@
 }
 
 fn content() -> Vec<u8> {
-    (0..PIECES * PIECE_BYTES)
+    (0..CHUNKS * CHUNK_BYTES)
         .map(|position| (position / 7 % 251) as u8)
         .collect()
 }
@@ -50,11 +50,11 @@
     };
     propose(cluster, create);
     let content = content();
-    for (number, piece) in content.chunks(PIECE_BYTES).enumerate() {
+    for (number, chunk) in content.chunks(CHUNK_BYTES).enumerate() {
         let append = CommandBody::AppendFile {
             file: file.clone(),
-            offset: (number * PIECE_BYTES) as u64,
-            data: piece.to_vec(),
+            offset: (number * CHUNK_BYTES) as u64,
+            data: chunk.to_vec(),
         };
         propose(cluster, append);
     }
@@ -66,8 +66,8 @@
     propose(cluster, finish);
 }
 
-/// The file's content as one member holds it.
-fn held(cluster: &Cluster, number: u32) -> Option<Vec<u8>> {
+/// The file's content as stored by one member.
+fn stored_content(cluster: &Cluster, number: u32) -> Option<Vec<u8>> {
     let query = Query::FileContent {
         tenant: TenantId::from("acme"),
         file: FileId::from("file-1"),
@@ -80,7 +80,7 @@
     }
 }
 
-/// Each snapshot so far must be far smaller than what the files hold.
+/// Checks that each snapshot so far is far smaller than the contents of the files.
 fn assert_snapshots_without_payloads(cluster: &Cluster) {
     let notices = cluster.notices.iter();
     let stored = notices.filter_map(|(_, notice)| match notice {
@@ -94,7 +94,7 @@
     );
 }
 
-fn strike(cluster: &mut Cluster, fault: Fault) {
+fn inject(cluster: &mut Cluster, fault: Fault) {
     match fault {
         Fault::AllRestart => {
             for number in 1..=5 {
@@ -117,14 +117,14 @@
                 .iter()
                 .filter(|path| path.starts_with(PAYLOAD_DIRECTORY));
             let segment = segments.next().expect("a payload segment");
-            disk.damage(segment, |bytes| bytes.truncate(PIECE_BYTES));
+            disk.damage(segment, |bytes| bytes.truncate(CHUNK_BYTES));
             cluster.start(3);
         }
     }
 }
 
 #[rstest]
-fn a_file_is_whole_on_every_member_after(
+fn a_file_is_complete_on_every_member_after(
     #[values(
         Fault::AllRestart,
         Fault::LostDisk,
@@ -140,31 +140,34 @@
     cluster.run_ms(200);
     assert_snapshots_without_payloads(&cluster);
 
-    strike(&mut cluster, fault);
-    cluster.run_until("every member holds the file", |cluster| {
-        (1..=5).all(|number| held(cluster, number).is_some())
+    inject(&mut cluster, fault);
+    cluster.run_until("every member has the file", |cluster| {
+        (1..=5).all(|number| stored_content(cluster, number).is_some())
     });
     if fault == Fault::LostDiskAndRestart {
         cluster.crash(3);
         cluster.start(3);
-        cluster.run_until("it holds the file again", |cluster| {
-            held(cluster, 3).is_some()
+        cluster.run_until("the restarted member has the file again", |cluster| {
+            stored_content(cluster, 3).is_some()
         });
     }
     cluster.run_until_all_vote();
     for number in 1..=5 {
-        assert!(held(&cluster, number) == Some(content()), "member {number}");
+        assert!(
+            stored_content(&cluster, number) == Some(content()),
+            "member {number}"
+        );
     }
     let digest = cluster.member(1).ledger().digest();
     assert_eq!(cluster.member(3).ledger().digest(), digest);
 }
 
 #[test]
-fn a_silent_member_far_behind_neither_stops_snapshots_nor_makes_them_large() {
+fn an_unreachable_member_neither_stops_snapshots_nor_makes_them_large() {
     let mut cluster = Cluster::blank_with_snapshots(3, SNAPSHOT_LOG_BYTES);
     cluster.run_until_all_vote();
-    let silent = if cluster.leader() == Some(3) { 2 } else { 3 };
-    cluster.crash(silent);
+    let unreachable = if cluster.leader() == Some(3) { 2 } else { 3 };
+    cluster.crash(unreachable);
     for number in 1..=3 {
         upload(&mut cluster, &format!("file-{number}"));
         // Long enough for the leader to try to send a snapshot.
@@ -177,8 +180,8 @@
     });
     let taken = taken.count();
     assert!(taken >= 20, "{taken} snapshots for 30 times their distance");
-    cluster.start(silent);
-    cluster.run_until("it holds the file", |cluster| {
-        held(cluster, silent).is_some()
+    cluster.start(unreachable);
+    cluster.run_until("the returning member has the file", |cluster| {
+        stored_content(cluster, unreachable).is_some()
     });
 }
--- a/crates/control/tests/all/placement.rs
+++ b/crates/control/tests/all/placement.rs
@@ -1,4 +1,4 @@
-//! Placement by control processes, against the emulator's platform and engines.
+//! Placement by control processes, with an emulated platform and engines.
 
 use linnethitch_config::settings::DEFAULT_SNAPSHOT_LOG_BYTES;
 use linnethitch_emulator::{engine::server::EngineServer, platform::PlatformServer};
@@ -22,7 +22,7 @@
     wait_until("the model is placed", async || loaded(&engines[0])).await;
     let leader = control.leader().await;
     for number in control.running() {
-        wait_until("every member knows of it", async || {
+        wait_until("every member lists the replica", async || {
             let status = control.get(number, "/v1/status").await.body;
             status["replicas"][0]["serves"] == "quote v1"
         })
--- a/crates/control/tests/all/process.rs
+++ b/crates/control/tests/all/process.rs
@@ -1,4 +1,4 @@
-//! A control process as operators and gateways see it.
+//! A control process from the side of operators and gateways.
 
 use std::{
     io::{self, Write},
@@ -24,7 +24,7 @@
 #[case::three(3)]
 #[case::five(5)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_change_reaches_a_gateway_and_outlives_restarts(#[case] size: u32) {
+async fn a_change_reaches_a_gateway_and_survives_restarts(#[case] size: u32) {
     let mut control = TestControl::start(size).await;
     let folder = TempDir::new().expect("a folder");
     let all: Vec<u32> = (1..=size).collect();
@@ -49,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn status_tells_of_members_and_gateways_through_any_member() {
+async fn any_member_answers_with_the_status_of_members_and_gateways() {
     let control = TestControl::start(3).await;
     let folder = TempDir::new().expect("a folder");
     let gateway = control.gateway(&folder, &[2]).await;
@@ -82,7 +82,7 @@
 #[case::no_job(Method::GET, "/v1/jobs/one/batch_1", "key", &[], 404, "not_found")]
 #[case::no_method(Method::DELETE, "/v1/status", "key", &[], 405, "method_not_allowed")]
 #[tokio::test]
-async fn a_wrong_request_gets_the_answer_of_the_error_table(
+async fn an_invalid_request_gets_the_expected_status_and_code(
     #[case] method: Method,
     #[case] path: &str,
     #[case] key: &str,
@@ -106,7 +106,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn a_planned_stop_of_the_leader_hands_over_and_loses_nothing() {
+async fn a_planned_stop_of_the_leader_transfers_leadership_without_loss() {
     let mut control = TestControl::start(3).await;
     control.apply(1, "first", 0, &fleet_file("one")).await;
     let leader = control.leader().await;
@@ -174,7 +174,7 @@
     );
 }
 
-/// A log that can be read while it is written.
+/// A log that tests can read while it is written.
 #[derive(Clone, Default)]
 struct SharedLog(Arc<Mutex<Vec<u8>>>);
 
@@ -201,7 +201,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn what_happens_to_a_member_is_logged_with_a_reason_code() {
+async fn notices_of_a_member_are_logged_with_reason_codes() {
     let log = SharedLog::default();
     let logging = Logging::start(&LogSettings::default(), log.clone());
     let nowhere = ([127, 0, 0, 1], 1).into();
--- a/crates/control/tests/all/processes.rs
+++ b/crates/control/tests/all/processes.rs
@@ -1,4 +1,4 @@
-//! Control processes and gateways over loopback sockets and real files.
+//! Harness of control processes and gateways over loopback sockets and real files.
 
 use std::{collections::BTreeMap, fs, net::SocketAddr, time::Duration};
 
@@ -25,12 +25,12 @@
 use tempfile::TempDir;
 use tokio::time::timeout;
 
-/// The operators' bearer key of the tests.
+/// The operators' bearer key.
 pub(crate) const OPERATOR_KEY: &str = "operator-key";
 const CLUSTER_KEY: &str = "a key of the cluster of the tests";
-/// Longest wait for an answer.
-const CALL_LIMIT: Duration = Duration::from_secs(20);
-/// Stands for an answer that never came.
+/// Time limit for an answer.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
+/// Status of a request without an answer.
 pub(crate) const NO_ANSWER: StatusCode = StatusCode::IM_A_TEAPOT;
 
 /// A member's folder, addresses and, while it runs, its process.
@@ -40,15 +40,15 @@
     pub(crate) handle: Option<ControlHandle>,
 }
 
-/// Control members, one a machine, numbered from 1.
+/// Control members, one per machine, numbered from 1.
 pub(crate) struct TestControl {
     pub(crate) members: BTreeMap<u32, TestMember>,
     pub(crate) platform: SocketAddr,
     pub(crate) snapshot_log_bytes: u64,
     /// Where members log to.
     pub(crate) logger: Logger,
-    /// The ways between members, from one to another.
-    ways: BTreeMap<(u32, u32), Proxy>,
+    /// Proxies for the connections between members, by sender and receiver.
+    proxies: BTreeMap<(u32, u32), Proxy>,
     network: Network,
 }
 
@@ -60,20 +60,20 @@
 }
 
 impl Answer {
-    /// The code of the error table.
+    /// The error code of the answer.
     pub(crate) fn code(&self) -> &str {
         self.body["error"]["code"].as_str().unwrap_or("")
     }
 }
 
 impl TestControl {
-    /// Starts members that form a cluster, and waits until all vote.
+    /// Starts the members of a new cluster and waits until all vote.
     pub(crate) async fn start(size: u32) -> Self {
         let nowhere = any_port();
         Self::start_with(size, nowhere, DEFAULT_SNAPSHOT_LOG_BYTES).await
     }
 
-    /// Starts members with a platform and a size of the log at which snapshots are taken.
+    /// Like `start`, with a platform and the size of the log at which snapshots are taken.
     pub(crate) async fn start_with(
         size: u32,
         platform: SocketAddr,
@@ -108,35 +108,35 @@
             platform,
             snapshot_log_bytes,
             logger,
-            ways: BTreeMap::new(),
+            proxies: BTreeMap::new(),
             network: Network::start().expect("threads"),
         };
-        control.lay_ways();
+        control.start_proxies();
         for (number, bound) in sockets {
             control.start_on(number, bound).await;
         }
         control
     }
 
-    fn lay_ways(&mut self) {
+    fn start_proxies(&mut self) {
         for from in self.members.keys() {
             for (to, member) in self.members.iter().filter(|(to, _)| *to != from) {
                 let proxy = self.network.streams(any_port(), member.addresses.peer);
-                self.ways.insert((*from, *to), proxy.expect("a port"));
+                self.proxies.insert((*from, *to), proxy.expect("a port"));
             }
         }
     }
 
-    /// Cuts a member off from all others without closing a connection, or joins it again.
-    pub(crate) fn set_cut_off(&self, number: u32, cut_off: bool) {
-        for ((from, to), way) in &self.ways {
+    /// Isolates a member from all others without closing a connection, or ends the isolation.
+    pub(crate) fn set_isolated(&self, number: u32, isolated: bool) {
+        for ((from, to), proxy) in &self.proxies {
             if *from == number || *to == number {
-                way.set(if cut_off { Mode::Hold } else { Mode::Pass });
+                proxy.set(if isolated { Mode::Hold } else { Mode::Pass });
             }
         }
     }
 
-    /// The member's disk is lost; it starts again on a blank one.
+    /// Restarts a member with a blank disk.
     pub(crate) async fn lose_disk(&mut self, number: u32) {
         self.stop(number).await;
         let folder = self.members[&number].folder.path().join("data");
@@ -152,7 +152,7 @@
         self.member(number).handle = Some(handle);
     }
 
-    /// Starts a stopped member again on its folder and addresses.
+    /// Restarts a stopped member with its folder and addresses.
     pub(crate) async fn restart(&mut self, number: u32) {
         let addresses = self.members[&number].addresses;
         let sockets = ControlSockets::bind(addresses.peer, addresses.attach, addresses.operator)
@@ -167,7 +167,7 @@
         handle.expect("the member runs").stop().await;
     }
 
-    /// Waits until every running member says that it is ready.
+    /// Waits until every running member reports that it is ready.
     pub(crate) async fn wait_until_ready(&self) {
         for number in self.running() {
             wait_until("the member is ready", async || {
@@ -212,12 +212,12 @@
         self.members.get_mut(&number).expect("a known member")
     }
 
-    /// Asks a member's operator interface.
+    /// Sends a GET request to a member's operator interface.
     pub(crate) async fn get(&self, number: u32, path: &str) -> Answer {
         call(self.request(number, Method::GET, path, "")).await
     }
 
-    /// Sends a change.
+    /// Sends a configuration change to a member.
     pub(crate) async fn apply(
         &self,
         number: u32,
@@ -260,8 +260,8 @@
         fs::write(&key_file, CLUSTER_KEY).expect("a key file");
         let peers = self.members.iter().map(|(machine, member)| ControlPeer {
             machine: *machine,
-            address: match self.ways.get(&(number, *machine)) {
-                Some(way) => way.address,
+            address: match self.proxies.get(&(number, *machine)) {
+                Some(proxy) => proxy.address,
                 None => member.addresses.peer,
             },
         });
@@ -289,7 +289,7 @@
         self.gateway_named("gateway-1", folder, members).await
     }
 
-    /// Starts a gateway of a name.
+    /// Starts a gateway with a name.
     pub(crate) async fn gateway_named(
         &self,
         name: &str,
@@ -319,8 +319,8 @@
     }
 }
 
-/// A loopback address of this test process alone with any port: a port that a
-/// stopped member has freed is not given to another test before it starts again.
+/// A loopback address that only this test process uses, with any port. So no other test can take
+/// the port of a stopped member before the member restarts.
 fn any_port() -> SocketAddr {
     let [.., high, middle, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 64 | (high & 63), middle, low], 0))
@@ -337,11 +337,11 @@
     hex::encode(Sha256::digest(key.as_bytes()))
 }
 
-/// Sends a request; an answer that never comes counts as [`NO_ANSWER`].
+/// Sends a request; the status is [`NO_ANSWER`] if there is no answer in time.
 pub(crate) async fn call(request: Request<Full<Bytes>>) -> Answer {
     let client: Client<HttpConnector, Full<Bytes>> =
         Client::builder(TokioExecutor::new()).build_http();
-    let response = timeout(CALL_LIMIT, client.request(request)).await;
+    let response = timeout(CALL_TIMEOUT, client.request(request)).await;
     let Ok(Ok(response)) = response else {
         return Answer {
             status: NO_ANSWER,
@@ -350,13 +350,13 @@
     };
     let status = response.status();
     let bytes = response.into_body().collect().await;
-    let bytes = bytes.expect("a whole body").to_bytes();
+    let bytes = bytes.expect("a complete body").to_bytes();
     let body = serde_json::from_slice(&bytes)
         .unwrap_or_else(|_| Value::String(String::from_utf8_lossy(&bytes).into_owned()));
     Answer { status, body }
 }
 
-/// Waits for a condition; a minute bounds a hang and is no expectation of speed.
+/// Waits for a condition; panics after a minute, which only bounds a hang.
 pub(crate) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..6_000 {
         if condition().await {
@@ -364,5 +364,5 @@
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("not reached in a minute: {what}");
+    panic!("not reached within a minute: {what}");
 }
