--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -25,7 +25,7 @@
 use crate::{
     client::GroupClient,
     cold_times::ColdTimes,
-    control_figures::{ControlFigures, FiguresNow},
+    control_metrics::{ControlMetrics, MetricValues},
     control_pulses::pulse_source,
     driver::{self, GroupHandle},
     incoming::{Answers, Inbound},
@@ -93,7 +93,7 @@
     store_voters: usize,
     pub(crate) logger: Logger,
     zones: Arc<ZoneMap>,
-    figures: ControlFigures,
+    metrics: ControlMetrics,
 }
 
 impl ControlNode {
@@ -139,7 +139,7 @@
             store_voters: settings.store_voters,
             logger: node.logger.clone(),
             zones: Arc::new(node.zones.clone()),
-            figures: ControlFigures::new(node.bytes.clone()),
+            metrics: ControlMetrics::new(node.bytes.clone()),
         };
         let pulses = pulse_source(&control.shared, own, node.place(), base.clock);
         node::listen(&node, inbox, Arc::clone(&base.traffic), Some(pulses)).await?;
@@ -211,12 +211,12 @@
 
     /// Figures since the start, as Prometheus text.
     #[must_use]
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let builds = {
             let presence = self.shared.presence.lock();
             presence.builds(self.clock.now_ms())
         };
-        self.figures.to_text(&FiguresNow {
+        self.metrics.to_text(&MetricValues {
             known_gateways: self.known_gateways(),
             silent_gateways: self.silent_gateways(),
             stored_format: self.stored_format(),
--- a/crates/cluster/src/control_figures.rs
+++ b/crates/cluster/src/control_metrics.rs
@@ -14,7 +14,7 @@
 use crate::{heard_builds::NodeBuild, message_bytes::MessageBytes};
 
 /// What the gauges are set to.
-pub(crate) struct FiguresNow<'a> {
+pub(crate) struct MetricValues<'a> {
     pub(crate) known_gateways: usize,
     pub(crate) silent_gateways: usize,
     pub(crate) stored_format: Format,
@@ -30,7 +30,7 @@
 
 /// Gauges that are set when they are read. Clones share them.
 #[derive(Clone)]
-pub(crate) struct ControlFigures {
+pub(crate) struct ControlMetrics {
     registry: Arc<Mutex<Registry>>,
     known: Gauge,
     silent: Gauge,
@@ -39,7 +39,7 @@
     bytes: MessageBytes,
 }
 
-impl ControlFigures {
+impl ControlMetrics {
     pub(crate) fn new(bytes: MessageBytes) -> Self {
         let (known, silent) = (Gauge::default(), Gauge::default());
         let mut registry = Registry::with_prefix("linnethitch");
@@ -52,7 +52,7 @@
         registry.register("control_stored_format", help, stored_format.clone());
         let help = "Nodes that this member hears, by build and the newest format that they speak";
         registry.register("control_nodes", help, nodes.clone());
-        ControlFigures {
+        ControlMetrics {
             stored_format,
             nodes,
             registry: Arc::new(Mutex::new(registry)),
@@ -63,7 +63,7 @@
     }
 
     /// These and the counts of messages as Prometheus text.
-    pub(crate) fn to_text(&self, now: &FiguresNow<'_>) -> String {
+    pub(crate) fn to_text(&self, now: &MetricValues<'_>) -> String {
         self.known.set(now.known_gateways as i64);
         self.silent.set(now.silent_gateways as i64);
         self.stored_format
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -10,7 +10,7 @@
 
 /// What came of an order about a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneOrder {
+pub enum ZoneOrderOutcome {
     /// The zone is as was asked, since this entry; 0 where it always was.
     Held(LogIndex),
     /// There is no such zone.
@@ -29,7 +29,7 @@
         &self,
         zone: &str,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
         self.order_evacuation(zone, true, limit).await
     }
 
@@ -41,7 +41,7 @@
         &self,
         zone: &str,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
         self.order_evacuation(zone, false, limit).await
     }
 
@@ -52,19 +52,19 @@
         zone: &str,
         evacuated: bool,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
         let until = Instant::now() + limit;
         let mut seen = {
             let view = self.view();
             let evacuations = view.registry.evacuations();
             if !self.zones().has_zone(zone) && !evacuations.has_record(zone) {
-                return Ok(ZoneOrder::Unknown);
+                return Ok(ZoneOrderOutcome::Unknown);
             }
             evacuations.changed_at(zone)
         };
         let is_stored = self.wait_for_newest_format(until).await;
         if self.has_older_member() || self.has_older_gateway() {
-            return Ok(ZoneOrder::NotYet);
+            return Ok(ZoneOrderOutcome::NotYet);
         }
         if !is_stored {
             // A member that is cut off does not know.
@@ -89,7 +89,7 @@
                 return Err(Unavailable);
             };
             if held == evacuated {
-                return Ok(ZoneOrder::Held(changed_at));
+                return Ok(ZoneOrderOutcome::Held(changed_at));
             }
             // Another order was given since what this member knew.
             seen = changed_at;
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -252,7 +252,7 @@
 
     /// Waits, after this process stood still, until control has said what is in force now,
     /// or counts as lost. At any other time it returns at once.
-    pub async fn news_after_standstill(&self) {
+    pub async fn wait_for_update_after_pause(&self) {
         let mut news = self.standstill.follow();
         loop {
             // One that stood still again while it waited wants news of after that.
@@ -268,7 +268,7 @@
     /// How long this process stood still since its start, up to now. What it measured meanwhile
     /// looks longer by that.
     #[must_use]
-    pub fn stood_still(&self) -> Duration {
+    pub fn total_pause(&self) -> Duration {
         self.note_running();
         self.standstill.total()
     }
@@ -299,7 +299,7 @@
     }
 
     /// Sends a datagram to other gateways; it may not arrive.
-    pub fn tell_gateways(&self, gateways: &[MachineId], message: &GatewayDatagram) {
+    pub fn send_to_gateways(&self, gateways: &[MachineId], message: &GatewayDatagram) {
         for gateway in gateways {
             self.send_datagram(*gateway, message);
         }
@@ -307,7 +307,7 @@
 
     /// Tells control that the start of a replica, by its key, ended under runs of this
     /// gateway; false when that was not held within the limit.
-    pub async fn tell_replica_ended(
+    pub async fn report_replica_ended(
         &self,
         replica: &str,
         runs: Vec<EndedRun>,
@@ -322,14 +322,14 @@
 
     /// Tells control that a copy of a suspected request came to a whole answer; false
     /// when that was not held within the limit.
-    pub async fn tell_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
+    pub async fn report_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
         let command = RegistryCommand::ClearSuspicions(vec![cleared]);
         self.tell_control(command, limit).await
     }
 
     /// Tells control that another incarnation answers in the place of this start; false when
     /// that was not held within the limit.
-    pub async fn tell_not_there(&self, replica: &str, limit: Duration) -> bool {
+    pub async fn report_not_at_address(&self, replica: &str, limit: Duration) -> bool {
         let command = RegistryCommand::NotAtAddress(replica.to_owned());
         self.tell_control(command, limit).await
     }
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -12,7 +12,7 @@
 use crate::{
     connection_end::ConnectionEnd,
     message::{NodeHello, NodeMessage, ReplyBody},
-    message_bytes::{MessageBytes, Way},
+    message_bytes::{Direction, MessageBytes},
     pulse::{PulseSource, ToldPulses},
 };
 
@@ -64,13 +64,14 @@
 impl CountedSender {
     fn try_send(&self, message: &NodeMessage) -> Result<(), SendRefused> {
         let bytes = self.sender.try_send_counted(message)?;
-        self.bytes.count(message, &self.peer_zone, Way::Sent, bytes);
+        self.bytes
+            .count(message, &self.peer_zone, Direction::Sent, bytes);
         Ok(())
     }
 
     fn count_received(&self, message: &NodeMessage, bytes: usize) {
         self.bytes
-            .count(message, &self.peer_zone, Way::Received, bytes);
+            .count(message, &self.peer_zone, Direction::Received, bytes);
     }
 }
 
--- a/crates/cluster/src/message_bytes.rs
+++ b/crates/cluster/src/message_bytes.rs
@@ -15,7 +15,7 @@
 
 /// Which way bytes went, as the node that counts them sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
-pub enum Way {
+pub enum Direction {
     /// From the other one.
     Received,
     /// To the other one.
@@ -85,7 +85,7 @@
 struct MessageLabels {
     message: MessageKind,
     peer_zone: String,
-    way: Way,
+    way: Direction,
 }
 
 /// Counts of one node since its start. Clones share them.
@@ -123,7 +123,13 @@
         text
     }
 
-    pub(crate) fn count(&self, message: &NodeMessage, peer_zone: &str, way: Way, bytes: usize) {
+    pub(crate) fn count(
+        &self,
+        message: &NodeMessage,
+        peer_zone: &str,
+        way: Direction,
+        bytes: usize,
+    ) {
         let labels = MessageLabels {
             message: MessageKind::of(message),
             peer_zone: peer_zone.to_owned(),
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -43,7 +43,7 @@
     /// Control machines to begin with.
     pub seeds: Seeds,
     /// Most connections of other nodes at once.
-    pub most_connections: usize,
+    pub max_connections: usize,
     /// Whether the whole cluster starts for the first time.
     pub bootstrap: bool,
     /// Machines that may be lost at once.
@@ -164,7 +164,7 @@
         settings.identity.clone(),
         connection_options(settings.newest_format),
         traffic,
-        settings.most_connections,
+        settings.max_connections,
         settings.logger.clone(),
     )
     .await?;
--- a/crates/cluster/src/results_wanted.rs
+++ b/crates/cluster/src/results_query.rs
@@ -14,7 +14,7 @@
 
 /// Which results of which job are wanted.
 #[derive(Clone, Debug)]
-pub struct ResultsWanted {
+pub struct ResultsQuery {
     /// The job.
     pub job: String,
     /// Who reads.
@@ -25,7 +25,7 @@
     pub most_bytes: u32,
 }
 
-impl ResultsWanted {
+impl ResultsQuery {
     /// Asks the leader how many there are.
     pub(crate) fn listed(&self) -> StoreCall {
         StoreCall::Listed {
@@ -59,7 +59,7 @@
 impl GatewayNode {
     /// Reads results of a job: how many there are from the job store's leader, and their
     /// texts from a member that is nearer, where there is one.
-    pub async fn results(&self, wanted: ResultsWanted, limit: Duration) -> StoreReply {
+    pub async fn results(&self, wanted: ResultsQuery, limit: Duration) -> StoreReply {
         let until = Instant::now() + limit;
         if let Some(member) = self.nearer_member() {
             let listed = self.call_store(wanted.listed(), limit).await;
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -47,7 +47,7 @@
     /// Most voters of the group.
     pub voters: usize,
     /// Time for which jobs are kept after they were accepted.
-    pub kept: Duration,
+    pub retention: Duration,
 }
 
 /// A running store member.
@@ -160,7 +160,7 @@
         group.log_limits.segment_bytes = SEGMENT_BYTES;
         group.retained_snapshots = KEPT_SNAPSHOTS;
         group.seed ^= u64::from(own.0);
-        let kept_ms = self.settings.kept.as_millis() as u64;
+        let kept_ms = self.settings.retention.as_millis() as u64;
         let service = StoreService::new(kept_ms, self.seen.clone());
         let (driver, handle) = driver::open(
             group,
--- a/crates/cluster/tests/all/builds.rs
+++ b/crates/cluster/tests/all/builds.rs
@@ -244,7 +244,7 @@
         let started = ControlNode::start(settings(Format::NEWEST)).await;
         let (control, running) = started.expect("it starts");
         tokio::spawn(running);
-        until("it is raised", || control.figures().contains(&raised)).await;
+        until("it is raised", || control.metrics_text().contains(&raised)).await;
     });
     let refused = runtime().block_on(async {
         let (_control, running) = ControlNode::start(settings(Format::First)).await?;
@@ -256,6 +256,9 @@
         let again = ControlNode::start(settings(Format::NEWEST)).await;
         let (control, running) = again.expect("it starts");
         tokio::spawn(running);
-        until("it is as it was", || control.figures().contains(&raised)).await;
+        until("it is as it was", || {
+            control.metrics_text().contains(&raised)
+        })
+        .await;
     });
 }
--- a/crates/cluster/tests/all/evacuations.rs
+++ b/crates/cluster/tests/all/evacuations.rs
@@ -4,7 +4,7 @@
 use std::{net::Ipv4Addr, time::Duration};
 
 use linnethitch_cluster::{
-    ControlNode, ControlSettings, GatewayNode, NodeSettings, Unavailable, ZoneOrder,
+    ControlNode, ControlSettings, GatewayNode, NodeSettings, Unavailable, ZoneOrderOutcome,
 };
 use rstest::rstest;
 use tempfile::TempDir;
@@ -80,7 +80,10 @@
     async fn evacuate(&self, member: usize) {
         let control = &self.members[member].control;
         let ordered = control.evacuate_zone(ZONE, LIMIT).await;
-        assert!(matches!(ordered, Ok(ZoneOrder::Held(_))), "{ordered:?}");
+        assert!(
+            matches!(ordered, Ok(ZoneOrderOutcome::Held(_))),
+            "{ordered:?}"
+        );
     }
 }
 
@@ -101,7 +104,10 @@
     }
     let last = &fleet.members[2].control;
     let restored = last.restore_zone(ZONE, LIMIT).await;
-    assert!(matches!(restored, Ok(ZoneOrder::Held(_))), "{restored:?}");
+    assert!(
+        matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
+        "{restored:?}"
+    );
     until("it is not", || !knows_evacuated(&gateway)).await;
     assert_eq!(last.restore_zone(ZONE, LIMIT).await, restored);
 }
@@ -113,11 +119,11 @@
     for zone in ["elsewhere", ""] {
         assert_eq!(
             control.evacuate_zone(zone, LIMIT).await,
-            Ok(ZoneOrder::Unknown)
+            Ok(ZoneOrderOutcome::Unknown)
         );
         assert_eq!(
             control.restore_zone(zone, LIMIT).await,
-            Ok(ZoneOrder::Unknown)
+            Ok(ZoneOrderOutcome::Unknown)
         );
     }
 }
@@ -132,7 +138,10 @@
         let (one, other) = (round % 3, (round + 1) % 3);
         fleet.evacuate(one).await;
         let restored = fleet.members[other].control.restore_zone(ZONE, LIMIT).await;
-        assert!(matches!(restored, Ok(ZoneOrder::Held(_))), "{restored:?}");
+        assert!(
+            matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
+            "{restored:?}"
+        );
     }
     fleet.evacuate(0).await;
     until("it is evacuated", || knows_evacuated(&gateway)).await;
@@ -146,8 +155,14 @@
     let evacuate = fleet.members[1].control.evacuate_zone(ZONE, LIMIT);
     let restore = fleet.members[2].control.restore_zone(ZONE, LIMIT);
     let (evacuated, restored) = tokio::join!(evacuate, restore);
-    assert!(matches!(evacuated, Ok(ZoneOrder::Held(_))), "{evacuated:?}");
-    assert!(matches!(restored, Ok(ZoneOrder::Held(_))), "{restored:?}");
+    assert!(
+        matches!(evacuated, Ok(ZoneOrderOutcome::Held(_))),
+        "{evacuated:?}"
+    );
+    assert!(
+        matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
+        "{restored:?}"
+    );
     let held = fleet.members[0]
         .control
         .put_configuration(configuration(2), Vec::new(), LIMIT)
@@ -170,14 +185,17 @@
 async fn an_acknowledged_evacuation_outlives_a_member(#[values(0, 1, 2)] ended: usize) {
     let fleet = Fleet::start(140 + 10 * ended as u8).await;
     let held = fleet.members[0].control.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(held, Ok(ZoneOrder::Held(_))), "{held:?}");
+    assert!(matches!(held, Ok(ZoneOrderOutcome::Held(_))), "{held:?}");
     fleet.members[ended].end();
     let gateway = fleet.gateway(144 + 10 * ended as u8);
     until("it is evacuated", || knows_evacuated(&gateway)).await;
     let other = &fleet.members[(ended + 1) % 3].control;
     assert_eq!(other.evacuate_zone(ZONE, LIMIT).await, held);
     let restored = other.restore_zone(ZONE, LIMIT).await;
-    assert!(matches!(restored, Ok(ZoneOrder::Held(_))), "{restored:?}");
+    assert!(
+        matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
+        "{restored:?}"
+    );
     until("it is not evacuated", || !knows_evacuated(&gateway)).await;
 }
 
--- a/crates/cluster/tests/all/known_gateways.rs
+++ b/crates/cluster/tests/all/known_gateways.rs
@@ -174,7 +174,7 @@
     fleet.tell(2).await;
     assert_eq!(fleet.near.coordinators().len(), 1);
     assert_eq!(fleet.near.silent_coordinators().len(), 1);
-    let figures = fleet.process.control.figures();
+    let figures = fleet.process.control.metrics_text();
     let tells = |line: &str| figures.lines().any(|told| told == line);
     assert!(tells("linnethitch_control_known_gateways 2"), "{figures}");
     assert!(tells("linnethitch_control_silent_gateways 1"), "{figures}");
@@ -218,7 +218,7 @@
         },
     };
     let told = GatewayDatagram::Suspicions(vec![cleared]);
-    teller.tell_gateways(&[machine_of(far)], &told);
+    teller.send_to_gateways(&[machine_of(far)], &told);
     let (_, message) = timeout(LIMIT, received.receive())
         .await
         .expect("it is told")
--- a/crates/cluster/tests/all/results.rs
+++ b/crates/cluster/tests/all/results.rs
@@ -3,8 +3,7 @@
 use std::time::Duration;
 
 use linnethitch_cluster::{
-    ControlNode, ControlSettings, GatewayNode, NodeSettings, ResultsWanted, StoreNode,
-    StoreSettings,
+    ControlNode, ControlSettings, GatewayNode, NodeSettings, ResultsQuery, StoreNode, StoreSettings,
 };
 use linnethitch_job_store::{
     ItemOutcome, ItemRef, ItemSpec, JobSpec, ResultsPage, StoreCall, StoreReply,
@@ -59,7 +58,7 @@
                 node: node.clone(),
                 data_dir,
                 voters: STORES,
-                kept: LIMIT * 2,
+                retention: LIMIT * 2,
             };
             tokio::spawn(StoreNode::run(settings, std::future::pending()));
             stores.push(node);
@@ -109,7 +108,7 @@
 }
 
 async fn results(gateway: &GatewayNode, since: u32) -> ResultsPage {
-    let wanted = ResultsWanted {
+    let wanted = ResultsQuery {
         job: "job".to_owned(),
         tenant: None,
         since,
--- a/crates/cluster/tests/all/silence.rs
+++ b/crates/cluster/tests/all/silence.rs
@@ -10,7 +10,7 @@
 };
 
 use linnethitch_clock::testing::suspend_for;
-use linnethitch_cluster::{ControlNode, GatewayNode, NodeSettings, Unavailable, ZoneOrder};
+use linnethitch_cluster::{ControlNode, GatewayNode, NodeSettings, Unavailable, ZoneOrderOutcome};
 use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
 use rstest::rstest;
 use tempfile::TempDir;
@@ -119,12 +119,15 @@
     let pair = Pair::start(94).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
-    pair.gateway.news_after_standstill().await;
+    pair.gateway.wait_for_update_after_pause().await;
     pair.proxy.silence_open(Way::Both);
     let evacuated = pair.control.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(evacuated, Ok(ZoneOrder::Held(_))), "{evacuated:?}");
+    assert!(
+        matches!(evacuated, Ok(ZoneOrderOutcome::Held(_))),
+        "{evacuated:?}"
+    );
     suspend_for(Duration::from_secs(60));
-    pair.gateway.news_after_standstill().await;
+    pair.gateway.wait_for_update_after_pause().await;
     assert!(pair.gateway.fleet().evacuations().contains(ZONE));
 }
 
@@ -139,13 +142,16 @@
     suspend_for(Duration::from_secs(60));
     let gateway = pair.gateway.clone();
     let waiting = tokio::spawn(async move {
-        gateway.news_after_standstill().await;
+        gateway.wait_for_update_after_pause().await;
         gateway.fleet().evacuations().contains(ZONE)
     });
     // It waits by now: everything here runs in one thread.
     tokio::task::yield_now().await;
     let evacuated = pair.control.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(evacuated, Ok(ZoneOrder::Held(_))), "{evacuated:?}");
+    assert!(
+        matches!(evacuated, Ok(ZoneOrderOutcome::Held(_))),
+        "{evacuated:?}"
+    );
     assert!(!waiting.is_finished());
     pair.proxy.set(Mode::Pass);
     suspend_for(Duration::from_secs(60));
@@ -161,7 +167,7 @@
     until("the first version", || version(&pair.gateway) == 1).await;
     pair.proxy.set(Mode::Silent(Way::Both));
     suspend_for(Duration::from_secs(60));
-    let waited = tokio::time::timeout(LIMIT, pair.gateway.news_after_standstill());
+    let waited = tokio::time::timeout(LIMIT, pair.gateway.wait_for_update_after_pause());
     waited.await.expect("in time");
     assert_eq!(version(&pair.gateway), 1);
 }
@@ -298,14 +304,17 @@
     let (last, _) = &members.control[2];
     put(first, 1).await;
     let held = last.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(held, Ok(ZoneOrder::Held(_))), "{held:?}");
+    assert!(matches!(held, Ok(ZoneOrderOutcome::Held(_))), "{held:?}");
     members.cut_last_off();
     let restored = first.restore_zone(ZONE, LIMIT).await;
-    assert!(matches!(restored, Ok(ZoneOrder::Held(_))), "{restored:?}");
+    assert!(
+        matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
+        "{restored:?}"
+    );
     assert_eq!(last.evacuate_zone(ZONE, CUT_FOR).await, Err(Unavailable));
     members.join_last_again();
     let again = last.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(again, Ok(ZoneOrder::Held(_))), "{again:?}");
+    assert!(matches!(again, Ok(ZoneOrderOutcome::Held(_))), "{again:?}");
     assert_ne!(again, held);
 }
 
--- a/crates/cluster/tests/all/support.rs
+++ b/crates/cluster/tests/all/support.rs
@@ -46,7 +46,7 @@
         address,
         port,
         seeds: Seeds::new(seeds.to_vec()),
-        most_connections: 100,
+        max_connections: 100,
         bootstrap: true,
         tolerated_losses: 0,
         newest_format: Format::NEWEST,
--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -5,7 +5,7 @@
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_group::{
-    GroupMember, GroupOutput, GroupSettings, StateMachine, InMemorySnapshot, bootstrap_disk,
+    GroupMember, GroupOutput, GroupSettings, InMemorySnapshot, StateMachine, bootstrap_disk,
 };
 use linnethitch_job_store::{Dispatcher, ItemOutcome, JobStore, RunId, StoreCommand};
 use linnethitch_protocol::ids::{MachineId, MemberId};
--- a/crates/registry/tests/all/fourth_layout.rs
+++ b/crates/registry/tests/all/fourth_layout.rs
@@ -1,6 +1,6 @@
 //! Values in the first layout and in the third to fifth layouts stay readable.
 
-use linnethitch_group::{StateMachine, InMemorySnapshot};
+use linnethitch_group::{InMemorySnapshot, StateMachine};
 use linnethitch_registry::{Registry, RegistryCommand, ReplicaState};
 use linnethitch_tenants::KeyDigest;
 use rstest::rstest;
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linnethitch_cluster::{DatagramBytes, Way};
+use linnethitch_cluster::{DatagramBytes, Direction};
 use linnethitch_protocol::slots::SlotLoad;
 use prometheus_client::{
     encoding::{EncodeLabelSet, EncodeLabelValue, text::encode},
@@ -65,7 +65,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReplicaLabels {
     zone: String,
-    way: Way,
+    way: Direction,
 }
 
 /// What coordinated slots are used by.
@@ -294,8 +294,8 @@
             self.replica_bytes.get_or_create(&labels).clone()
         };
         ReplicaBytes {
-            sent: counter(Way::Sent),
-            received: counter(Way::Received),
+            sent: counter(Direction::Sent),
+            received: counter(Direction::Received),
         }
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -282,7 +282,7 @@
 async fn news_after_standstill(shared: &Shared, limits: Limits) {
     let left = limits.until.saturating_duration_since(Instant::now());
     // Where time is over, the request goes on as well.
-    let _ = timeout(left / 2, shared.gateway.news_after_standstill()).await;
+    let _ = timeout(left / 2, shared.gateway.wait_for_update_after_pause()).await;
 }
 
 /// Waits for news of a suspected request where this gateway is cut off, for half of the
--- a/crates/relay/src/replica_ends.rs
+++ b/crates/relay/src/replica_ends.rs
@@ -233,7 +233,11 @@
         self.shared.note_ends(&self.replica, runs.iter());
         let gateway = self.shared.gateway.clone();
         let replica = self.replica.clone();
-        async move { gateway.tell_replica_ended(&replica, runs, TELL_LIMIT).await }
+        async move {
+            gateway
+                .report_replica_ended(&replica, runs, TELL_LIMIT)
+                .await
+        }
     }
 
     fn log(&self, evidence: Option<Evidence>) {
--- a/crates/relay/src/running_guard.rs
+++ b/crates/relay/src/running_guard.rs
@@ -67,7 +67,7 @@
             known_ends,
             began,
             sent: began,
-            still_before: shared.gateway.stood_still(),
+            still_before: shared.gateway.total_pause(),
             work,
             report,
             _lease: lease,
@@ -77,13 +77,13 @@
     /// Notes that it is about to be sent.
     pub(crate) fn note_sent(&mut self) {
         self.sent = Instant::now();
-        self.still_before = self.shared.gateway.stood_still();
+        self.still_before = self.shared.gateway.total_pause();
     }
 
     /// How long it has run, without the time for which this process stood still: that is no
     /// sign of when the request ends its replica.
     fn ran(&self) -> Duration {
-        let still = self.shared.gateway.stood_still();
+        let still = self.shared.gateway.total_pause();
         let still = still.saturating_sub(self.still_before);
         self.sent.elapsed().saturating_sub(still)
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -400,7 +400,7 @@
         let gateway = self.gateway.clone();
         let replica = replica.to_owned();
         // Where control does not hear of it, the next request that goes there tells it.
-        tokio::spawn(async move { gateway.tell_not_there(&replica, TELL_LIMIT).await });
+        tokio::spawn(async move { gateway.report_not_at_address(&replica, TELL_LIMIT).await });
     }
 
     /// Own requests and items under way at a service.
--- a/crates/relay/src/suspected_requests.rs
+++ b/crates/relay/src/suspected_requests.rs
@@ -136,7 +136,7 @@
     fn tell_suspicions(&self, gateways: &[MachineId], to_tell: &[ToldSuspicion]) {
         for told in to_tell.chunks(MOST_IN_DATAGRAM) {
             let message = GatewayDatagram::Suspicions(told.to_vec());
-            self.gateway.tell_gateways(gateways, &message);
+            self.gateway.send_to_gateways(gateways, &message);
         }
     }
 
@@ -158,6 +158,6 @@
         self.tell_suspicions(&self.gateway.other_gateways(), &told);
         let gateway = self.gateway.clone();
         // Where control does not hear of it, the next copy that ends well clears it.
-        tokio::spawn(async move { gateway.tell_cleared(fingerprint, TELL_LIMIT).await });
+        tokio::spawn(async move { gateway.report_cleared(fingerprint, TELL_LIMIT).await });
     }
 }
--- a/crates/relay/tests/all/cold.rs
+++ b/crates/relay/tests/all/cold.rs
@@ -49,7 +49,7 @@
     suspend_for(FIRST);
     sleep(HEARD).await;
     // After a suspension nothing is sent before control has spoken.
-    fleet.relay.gateway().news_after_standstill().await;
+    fleet.relay.gateway().wait_for_update_after_pause().await;
 }
 
 #[tokio::test]
--- a/crates/relay/tests/all/ending_requests.rs
+++ b/crates/relay/tests/all/ending_requests.rs
@@ -293,7 +293,7 @@
             },
         };
         let receivers = [first.relay.gateway().machine()];
-        other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![told]));
+        other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(vec![told]));
     };
     let (answer, ()) = tokio::join!(waiting, told_later);
     assert_eq!((answer.status, service.ended()), (400, 1));
@@ -355,7 +355,7 @@
     };
     let late = ["other", SLOW].map(refused_elsewhere);
     let receivers = [first.relay.gateway().machine()];
-    other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(late.to_vec()));
+    other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(late.to_vec()));
     while first.ask("other", "other").await.status != 400 {
         sleep(Duration::from_millis(10)).await;
     }
@@ -389,7 +389,7 @@
         },
     };
     let receivers = [first.relay.gateway().machine()];
-    other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![refused]));
+    other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(vec![refused]));
     let answered = async |status: u16| {
         while first.ask("innocent", SLOW).await.status != status {
             sleep(CALLER_PAUSE).await;
@@ -401,8 +401,8 @@
         known: EndsInRow::default(),
         ran_ms: 30,
     };
-    assert!(other.tell_replica_ended("i-9", vec![ended], LIMIT).await);
-    other.tell_cleared(fingerprint(SLOW), LIMIT).await;
+    assert!(other.report_replica_ended("i-9", vec![ended], LIMIT).await);
+    other.report_cleared(fingerprint(SLOW), LIMIT).await;
     timeout(LIMIT, answered(200)).await.expect("it is served");
 }
 
--- a/crates/relay/tests/all/support/fleet.rs
+++ b/crates/relay/tests/all/support/fleet.rs
@@ -138,7 +138,7 @@
             address,
             port: free_port(address).await,
             seeds: Seeds::new(vec![address]),
-            most_connections: 100,
+            max_connections: 100,
             bootstrap: true,
             tolerated_losses: 0,
             newest_format: Format::NEWEST,
@@ -250,7 +250,7 @@
             },
             data_dir: self.folder.path().join("store").display().to_string(),
             voters: 1,
-            kept: 2 * LIMIT,
+            retention: 2 * LIMIT,
         };
         tokio::spawn(StoreNode::run(settings, std::future::pending()));
         let answers = async {
