--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -9,12 +9,12 @@
 
 use crate::{
     driver::GroupHandle,
-    links::{CallLost, Links},
+    links::{CallFailed, Links},
     message::{CallBody, RegistryCall, RegistryReply, ReplyBody},
 };
 
 /// Longest wait for one machine before another is asked.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(700);
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause when no leader is known.
 const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
 /// Pause after a leader refused: it has too much to do, or waits for other members.
@@ -40,7 +40,7 @@
     fn from_body(body: ReplyBody) -> Option<Self::Reply>;
     fn verdict(reply: &Self::Reply) -> Verdict;
     /// The answer when time is up: `sent` when it may have been done.
-    fn given_up(sent: bool) -> Self::Reply;
+    fn timed_out(sent: bool) -> Self::Reply;
 }
 
 impl GroupCalls for RegistryCall {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn given_up(sent: bool) -> RegistryReply {
+    fn timed_out(sent: bool) -> RegistryReply {
         if sent {
             RegistryReply::Unknown
         } else {
@@ -98,7 +98,7 @@
         }
     }
 
-    fn given_up(sent: bool) -> StoreReply {
+    fn timed_out(sent: bool) -> StoreReply {
         if sent {
             StoreReply::Unknown
         } else {
@@ -112,15 +112,15 @@
     links: Links,
     /// The member on this machine, if there is one.
     local: Option<(MachineId, GroupHandle<C, C::Reply>)>,
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<LeaderSearch>>,
 }
 
 #[derive(Default)]
-struct Known {
+struct LeaderSearch {
     machines: BTreeSet<MachineId>,
     leader: Option<MachineId>,
     /// The machine asked last when no leader was known.
-    asked: Option<MachineId>,
+    last_asked: Option<MachineId>,
 }
 
 impl<C: GroupCalls> Clone for GroupClient<C> {
@@ -155,18 +155,18 @@
     /// Calls the leader until it answers or time is up. A call may be carried
     /// out more than once, so it must do no harm when repeated.
     pub(crate) async fn call(&self, call: C, limit: Duration) -> C::Reply {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         let mut may_be_done = false;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return C::given_up(may_be_done);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return C::timed_out(may_be_done);
             }
             let Some(target) = self.target() else {
-                sleep(NO_LEADER_PAUSE.min(left)).await;
+                sleep(NO_LEADER_PAUSE.min(remaining)).await;
                 continue;
             };
-            let attempt = timeout(left.min(ATTEMPT_LIMIT), self.ask(target, &call)).await;
+            let attempt = timeout(remaining.min(ATTEMPT_TIMEOUT), self.ask(target, &call)).await;
             match attempt {
                 Ok(Ok(reply)) => match C::verdict(&reply) {
                     Verdict::Final => {
@@ -176,21 +176,21 @@
                     Verdict::NotLeader(leader) => {
                         let leader = leader.filter(|leader| *leader != target);
                         if let Some(leader) = leader {
-                            self.links.reach(leader);
+                            self.links.open_for_calls(leader);
                         }
                         self.note_leader(leader);
                     }
-                    Verdict::Refused => sleep(REFUSED_PAUSE.min(left)).await,
+                    Verdict::Refused => sleep(REFUSED_PAUSE.min(remaining)).await,
                     Verdict::Unknown => may_be_done = true,
                 },
-                Ok(Err(CallLost::NotSent)) => self.note_leader(None),
-                Ok(Err(CallLost::MayHaveArrived)) | Err(_) => {
+                Ok(Err(CallFailed::NotSent)) => self.note_leader(None),
+                Ok(Err(CallFailed::MayHaveArrived)) | Err(_) => {
                     may_be_done = true;
                     self.note_leader(None);
                 }
             }
             if self.known.lock().leader.is_none() {
-                sleep(NO_LEADER_PAUSE.min(left)).await;
+                sleep(NO_LEADER_PAUSE.min(remaining)).await;
             }
         }
     }
@@ -198,8 +198,8 @@
     /// Asks one machine, whether it leads or not.
     ///
     /// # Errors
-    /// [`CallLost`] where no answer came.
-    pub(crate) async fn ask(&self, target: MachineId, call: &C) -> Result<C::Reply, CallLost> {
+    /// [`CallFailed`] where no answer came.
+    pub(crate) async fn ask(&self, target: MachineId, call: &C) -> Result<C::Reply, CallFailed> {
         if let Some((own, handle)) = &self.local
             && *own == target
         {
@@ -208,10 +208,10 @@
                 let _ = reply.send(body);
             };
             handle.call(call.clone(), Box::new(send)).await;
-            return answered.await.map_err(|_| CallLost::MayHaveArrived);
+            return answered.await.map_err(|_| CallFailed::MayHaveArrived);
         }
         let reply = self.links.call(target, call.to_body()).await?;
-        C::from_body(reply).ok_or(CallLost::MayHaveArrived)
+        C::from_body(reply).ok_or(CallFailed::MayHaveArrived)
     }
 
     /// The leader, else the known machines in turn.
@@ -220,10 +220,12 @@
         if let Some(leader) = known.leader {
             return Some(leader);
         }
-        let after = known.asked.map_or(0, |asked| asked.0.wrapping_add(1));
+        let after = known
+            .last_asked
+            .map_or(0, |last_asked| last_asked.0.wrapping_add(1));
         let next = known.machines.range(MachineId(after)..).next();
         let next = next.or_else(|| known.machines.first()).copied();
-        known.asked = next;
+        known.last_asked = next;
         next
     }
 
--- a/crates/cluster/src/cold_times.rs
+++ b/crates/cluster/src/cold_times.rs
@@ -16,11 +16,11 @@
     until_ms: BTreeMap<String, u64>,
     /// Starts that are no longer held are looked for once there are so many: a look at all for
     /// each commit would cost the square of a fleet that starts cold.
-    look_at: usize,
+    prune_at: usize,
 }
 
 /// So few are kept without a look.
-const FEW: usize = 64;
+const MIN_PRUNE_SIZE: usize = 64;
 
 impl ColdTimes {
     /// Whether a heartbeat says that its start is cold for longer than was proposed here.
@@ -30,7 +30,7 @@
     /// known here. The first that each member hears is thus committed, once for each member.
     /// A spare commit costs one entry of the log; after a missed one gateways would send a
     /// cold replica what a warm one bears.
-    pub(crate) fn is_longer(&self, key: &str, change: &ReplicaChange, now_ms: u64) -> bool {
+    pub(crate) fn is_cold_longer(&self, key: &str, change: &ReplicaChange, now_ms: u64) -> bool {
         if change.cold_ms == 0 {
             return false;
         }
@@ -47,9 +47,9 @@
         now_ms: u64,
         is_held: impl Fn(&str) -> bool,
     ) {
-        if self.until_ms.len() >= self.look_at.max(FEW) {
+        if self.until_ms.len() >= self.prune_at.max(MIN_PRUNE_SIZE) {
             self.until_ms.retain(|key, _| is_held(key));
-            self.look_at = 2 * self.until_ms.len();
+            self.prune_at = 2 * self.until_ms.len();
         }
         if cold_ms > 0 {
             self.until_ms.insert(key, now_ms + cold_ms);
--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -26,12 +26,12 @@
     client::GroupClient,
     cold_times::ColdTimes,
     control_metrics::{ControlMetrics, MetricValues},
-    control_pulses::pulse_source,
     driver::{self, GroupHandle},
+    heartbeat_registry::heartbeat_source,
     incoming::{Answers, Inbound},
     links::Links,
     message::{
-        CallBody, NodeMessage, NodeRole, RegistryCall, RegistryReply, ReplyBody, spoken_format,
+        CallBody, NodeMessage, NodeRole, RegistryCall, RegistryReply, ReplyBody, common_format,
     },
     node::{self, NodeBase, NodeSettings},
     presence::Presence,
@@ -40,15 +40,15 @@
 };
 
 /// Most voters of control.
-const MOST_VOTERS: usize = 7;
+const MAX_VOTERS: usize = 7;
 /// How often links and links' targets are looked at.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 /// How often the leader is told which replicas were heard of.
-const ALIVE_INTERVAL: Duration = Duration::from_secs(2);
+const ALIVE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
 /// Longest time to tell it.
-const ALIVE_LIMIT: Duration = Duration::from_secs(1);
+const ALIVE_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
 /// A control machine that is not heard of for so long is no longer linked to.
-const FORGOTTEN_MS: u64 = 30_000;
+const LINK_EXPIRY_MS: u64 = 30_000;
 
 /// Settings of a control member.
 #[derive(Clone)]
@@ -88,7 +88,7 @@
     pub(crate) links: Links,
     pub(crate) clock: Clock,
     /// Keys of starts that were heard of since the leader was last told.
-    pub(crate) heard: Arc<Mutex<BTreeSet<String>>>,
+    pub(crate) alive_replicas: Arc<Mutex<BTreeSet<String>>>,
     pub(crate) cold_times: Arc<Mutex<ColdTimes>>,
     store_voters: usize,
     pub(crate) logger: Logger,
@@ -113,7 +113,7 @@
             view: Mutex::new(Arc::new(RegistryView::default())),
             changes: watch::channel(0).0,
             presence: Mutex::new(Presence::default()),
-            noted_ms: AtomicU64::new(0),
+            current_checked_ms: AtomicU64::new(0),
         });
         let logger = node.logger.clone();
         let service = RegistryService::new(Arc::clone(&shared), settings.store_voters, logger);
@@ -126,7 +126,8 @@
             node.logger.clone(),
         )?;
         let member = driver.id();
-        base.links.note(|hello| hello.member = Some(member));
+        base.links
+            .update_hello_later(|hello| hello.member = Some(member));
         let control = ControlNode {
             own,
             client: GroupClient::new(base.links.clone(), Some((own, handle.clone()))),
@@ -134,18 +135,18 @@
             handle,
             links: base.links.clone(),
             clock: base.clock,
-            heard: Arc::default(),
+            alive_replicas: Arc::default(),
             cold_times: Arc::default(),
             store_voters: settings.store_voters,
             logger: node.logger.clone(),
             zones: Arc::new(node.zones.clone()),
             metrics: ControlMetrics::new(node.bytes.clone()),
         };
-        let pulses = pulse_source(&control.shared, own, node.place(), base.clock);
-        node::listen(&node, inbox, Arc::clone(&base.traffic), Some(pulses)).await?;
+        let heartbeats = heartbeat_source(&control.shared, own, node.place(), base.clock);
+        node::listen(&node, inbox, Arc::clone(&base.traffic), Some(heartbeats)).await?;
         tokio::spawn(control.clone().take_messages(base.inbox));
-        tokio::spawn(control.clone().keep_links(node.seeds.clone(), own));
-        tokio::spawn(control.clone().tell_alive());
+        tokio::spawn(control.clone().update_links(node.seeds.clone(), own));
+        tokio::spawn(control.clone().report_alive_replicas());
         Ok((control, driver.run()))
     }
 
@@ -325,7 +326,7 @@
                     let now_ms = self.clock.now_ms();
                     let mut presence = self.shared.presence.lock();
                     let is_linked = hello.is_linked_to(self.own);
-                    presence.lose(&hello, is_linked, fell_silent, now_ms);
+                    presence.record_closed(&hello, is_linked, fell_silent, now_ms);
                 }
                 Inbound::Message {
                     from,
@@ -344,19 +345,24 @@
             }
             NodeMessage::Hello(hello) => {
                 if let (NodeRole::Control, Some(member)) = (hello.role, hello.member) {
-                    let speaks = spoken_format(hello.newest_format);
+                    let speaks = common_format(hello.newest_format);
                     self.handle.present(member, speaks).await;
                 }
                 let now_ms = self.clock.now_ms();
-                if self.shared.presence.lock().note(hello, now_ms) {
+                if self.shared.presence.lock().record(hello, now_ms) {
                     self.shared.changes.send_modify(|count| *count += 1);
                 }
             }
-            NodeMessage::Pulse(pulse) => {
+            NodeMessage::ControlHeartbeat(heartbeat) => {
                 let now_ms = self.clock.now_ms();
                 let mut presence = self.shared.presence.lock();
-                let is_urgent =
-                    presence.note_relayed(self.own, from, pulse.heard, pulse.stopped, now_ms);
+                let is_urgent = presence.record_relayed(
+                    self.own,
+                    from,
+                    heartbeat.reachable,
+                    heartbeat.stopped,
+                    now_ms,
+                );
                 drop(presence);
                 if is_urgent {
                     self.shared.changes.send_modify(|count| *count += 1);
@@ -376,9 +382,9 @@
         }
     }
 
-    async fn keep_links(self, seeds: Seeds, own: MachineId) {
+    async fn update_links(self, seeds: Seeds, own: MachineId) {
         let mut known: BTreeMap<MachineId, u64> = BTreeMap::new();
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         loop {
             ticks.tick().await;
             let now_ms = self.clock.now_ms();
@@ -389,12 +395,12 @@
             for (machine, _) in self.shared.presence.lock().control(now_ms) {
                 known.insert(machine, now_ms);
             }
-            known.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < FORGOTTEN_MS);
-            let mut wanted: BTreeSet<MachineId> = known.keys().copied().collect();
-            wanted.extend(seeds.machines());
-            self.links.keep(&wanted);
+            known.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LINK_EXPIRY_MS);
+            let mut targets: BTreeSet<MachineId> = known.keys().copied().collect();
+            targets.extend(seeds.machines());
+            self.links.set_targets(&targets);
             let group = if members.is_empty() {
-                wanted
+                targets
             } else {
                 members.into_iter().chain([own]).collect()
             };
@@ -402,16 +408,16 @@
         }
     }
 
-    async fn tell_alive(self) {
-        let mut ticks = interval(ALIVE_INTERVAL);
+    async fn report_alive_replicas(self) {
+        let mut ticks = interval(ALIVE_REPORT_INTERVAL);
         loop {
             ticks.tick().await;
-            let heard: Vec<String> = std::mem::take(&mut *self.heard.lock())
+            let alive_replicas: Vec<String> = std::mem::take(&mut *self.alive_replicas.lock())
                 .into_iter()
                 .collect();
-            if !heard.is_empty() {
-                let call = RegistryCall::Alive(heard);
-                self.client.call(call, ALIVE_LIMIT).await;
+            if !alive_replicas.is_empty() {
+                let call = RegistryCall::ReplicasAlive(alive_replicas);
+                self.client.call(call, ALIVE_REPORT_TIMEOUT).await;
             }
         }
     }
@@ -421,16 +427,16 @@
 fn group_settings(node: &NodeSettings) -> GroupSettings {
     let own = node.machine();
     let seeds = node.seeds.machines();
-    let forms = node.bootstrap && seeds.contains(&own);
-    let new_disk = if forms {
+    let is_first_member = node.bootstrap && seeds.contains(&own);
+    let new_disk = if is_first_member {
         bootstrap_disk(own)
     } else {
         random_disk()
     };
     let mut group = GroupSettings::new("linnethitch", FolderRole::Control, own, new_disk);
-    group.max_voters = MOST_VOTERS;
+    group.max_voters = MAX_VOTERS;
     group.seed ^= u64::from(own.0);
-    group.first_members = forms.then(|| {
+    group.first_members = is_first_member.then(|| {
         let members = seeds.iter().map(|machine| MemberId {
             machine: *machine,
             disk: bootstrap_disk(*machine),
--- a/crates/cluster/src/control_metrics.rs
+++ b/crates/cluster/src/control_metrics.rs
@@ -11,7 +11,7 @@
     registry::Registry,
 };
 
-use crate::{heard_builds::NodeBuild, message_bytes::MessageBytes};
+use crate::{message_bytes::MessageBytes, node_builds::NodeBuild};
 
 /// What the gauges are set to.
 pub(crate) struct MetricValues<'a> {
--- a/crates/cluster/src/nearness.rs
+++ b/crates/cluster/src/distance.rs
@@ -4,7 +4,7 @@
 
 /// How far one place is from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Nearness {
+pub(crate) enum Distance {
     /// In its zone.
     Zone,
     /// In another zone of its region.
@@ -13,15 +13,15 @@
     Elsewhere,
 }
 
-impl Nearness {
+impl Distance {
     /// How far two places are from each other.
     pub(crate) fn between(one: &Place, other: &Place) -> Self {
         if one.zone == other.zone {
-            Nearness::Zone
+            Distance::Zone
         } else if one.region == other.region {
-            Nearness::Region
+            Distance::Region
         } else {
-            Nearness::Elsewhere
+            Distance::Elsewhere
         }
     }
 }
--- a/crates/cluster/src/driver/formats.rs
+++ b/crates/cluster/src/driver/formats.rs
@@ -37,8 +37,8 @@
             return;
         };
         let stored = self.member.state().format();
-        let spoken = self.spoken_with_others();
-        let Some(raised) = self.stored_format.raise(stored, spoken.into_iter()) else {
+        let link_format = self.link_formats_of_others();
+        let Some(raised) = self.stored_format.raise(stored, link_format.into_iter()) else {
             return;
         };
         info!(self.logger, "stored format raised"; "format" => raised.number(),
@@ -58,13 +58,17 @@
             return true;
         }
         let stored = self.member.state().format();
-        let spoken = self.spoken_with_others();
-        self.stored_format
-            .is_settled(stored, self.member.is_current(), spoken.into_iter(), now_ms)
+        let link_format = self.link_formats_of_others();
+        self.stored_format.is_settled(
+            stored,
+            self.member.is_current(),
+            link_format.into_iter(),
+            now_ms,
+        )
     }
 
     /// What the links to all other members speak.
-    fn spoken_with_others(&self) -> Vec<Option<Format>> {
+    fn link_formats_of_others(&self) -> Vec<Option<Format>> {
         let own = self.member.id().machine;
         let membership = self.member.status().membership;
         let members = membership.voters.iter().chain(&membership.learners);
@@ -78,35 +82,35 @@
 
     /// Whether a machine reads what the group stores. Where nobody told what it speaks, it is
     /// asked over a link, and counts when it is heard of next.
-    pub(super) fn may_join(&self, machine: MachineId, told: Option<Format>) -> bool {
-        let speaks = told.or_else(|| self.links.format_with(machine));
+    pub(super) fn may_join(&self, machine: MachineId, reported: Option<Format>) -> bool {
+        let supported = reported.or_else(|| self.links.format_with(machine));
         let may_join = self
             .stored_format
-            .may_join(self.member.state().format(), speaks);
-        if !may_join && speaks.is_none() && self.member.is_leader() {
-            self.links.reach(machine);
+            .may_join(self.member.state().format(), supported);
+        if !may_join && supported.is_none() && self.member.is_leader() {
+            self.links.open_for_calls(machine);
         }
         may_join
     }
 
     /// Whether a member can take a message: entries and snapshots that it cannot read would
     /// stop it and stay on its disk.
-    pub(super) fn can_take(&mut self, message: &ConsensusMessage) -> bool {
+    pub(super) fn can_read(&mut self, message: &ConsensusMessage) -> bool {
         let stores = matches!(
             message.body,
             ConsensusBody::Append(_) | ConsensusBody::SnapshotChunk(_)
         );
         let to = message.to.machine;
-        let spoken = self.links.format_with(to);
+        let link_format = self.links.format_with(to);
         let stored = self.member.state().format();
-        if !stores || self.stored_format.can_be_sent(stored, spoken) {
-            self.unable.remove(&to);
+        if !stores || self.stored_format.can_be_sent(stored, link_format) {
+            self.outdated_members.remove(&to);
             return true;
         }
-        if self.unable.insert(to) {
+        if self.outdated_members.insert(to) {
             warn!(self.logger, "member cannot read what is stored";
                 "member" => address_of(to).to_string(),
-                "reads" => spoken.map(Format::number), "stored" => self.format().number());
+                "reads" => link_format.map(Format::number), "stored" => self.format().number());
         }
         false
     }
--- a/crates/cluster/src/driver/mod.rs
+++ b/crates/cluster/src/driver/mod.rs
@@ -22,11 +22,11 @@
 use crate::{links::Links, message::NodeMessage, node::address_of};
 
 /// Inputs that may wait for the member.
-const QUEUE_INPUTS: usize = 4_096;
+const MAX_QUEUED_INPUTS: usize = 4_096;
 /// Inputs taken before the next sync.
-const INPUTS_AT_ONCE: usize = 256;
+const MAX_INPUT_BATCH: usize = 256;
 /// Longest time for leadership to pass on before a planned stop.
-const HAND_OVER_LIMIT: Duration = Duration::from_millis(800);
+const LEADER_TRANSFER_TIMEOUT: Duration = Duration::from_millis(800);
 
 /// What a service goes by at one moment.
 #[derive(Clone, Copy, Debug)]
@@ -83,7 +83,7 @@
     fn failed(&self, failure: CallFailure) -> Self::Reply;
 
     /// Commands that the leader proposes by itself.
-    fn upkeep(&mut self, member: &GroupMember<Self::State>, now: Now) -> Vec<Vec<u8>>;
+    fn run_maintenance(&mut self, member: &GroupMember<Self::State>, now: Now) -> Vec<Vec<u8>>;
 
     /// The first entry in the newest format; proposed once all members read that.
     fn raise_format(&self) -> Option<Vec<u8>>;
@@ -103,7 +103,7 @@
     Present {
         member: MemberId,
         /// The newest format that it speaks, as far as that was told.
-        speaks: Option<Format>,
+        supported: Option<Format>,
     },
     Retiring(BTreeSet<MachineId>),
     Stop(tokio::sync::oneshot::Sender<()>),
@@ -131,8 +131,8 @@
         let _ = self.inputs.send(Input::Call { call, reply }).await;
     }
 
-    pub(crate) async fn present(&self, member: MemberId, speaks: Option<Format>) {
-        let _ = self.inputs.send(Input::Present { member, speaks }).await;
+    pub(crate) async fn present(&self, member: MemberId, supported: Option<Format>) {
+        let _ = self.inputs.send(Input::Present { member, supported }).await;
     }
 
     pub(crate) async fn retiring(&self, machines: BTreeSet<MachineId>) {
@@ -143,7 +143,7 @@
     pub(crate) async fn stop(&self) {
         let (done, stopped) = tokio::sync::oneshot::channel();
         if self.inputs.send(Input::Stop(done)).await.is_ok() {
-            let _ = linnethitch_clock::timeout(HAND_OVER_LIMIT, stopped).await;
+            let _ = linnethitch_clock::timeout(LEADER_TRANSFER_TIMEOUT, stopped).await;
         }
     }
 }
@@ -168,7 +168,7 @@
     stopping: Option<tokio::sync::oneshot::Sender<()>>,
     stored_format: StoredFormat,
     /// Members that are sent nothing which is stored, since they could not read it.
-    unable: BTreeSet<MachineId>,
+    outdated_members: BTreeSet<MachineId>,
 }
 
 /// A driver, and the handle that reaches it.
@@ -192,7 +192,7 @@
     let file_system = Arc::new(RealFileSystem::new(data_dir)?);
     let tick = Duration::from_millis(settings.tick_ms);
     let member = GroupMember::open(settings, file_system, clock.now_ms())?;
-    let (sender, inputs) = mpsc::channel(QUEUE_INPUTS);
+    let (sender, inputs) = mpsc::channel(MAX_QUEUED_INPUTS);
     let stored_format = StoredFormat::new(links.newest_format(), clock.now_ms());
     let driver = GroupDriver {
         member,
@@ -206,7 +206,7 @@
         open: std::collections::HashMap::new(),
         stopping: None,
         stored_format,
-        unable: BTreeSet::new(),
+        outdated_members: BTreeSet::new(),
     };
     Ok((driver, GroupHandle { inputs: sender }))
 }
@@ -225,13 +225,13 @@
     pub(crate) async fn run(mut self) -> Result<(), Report<ErrorKind>> {
         let mut next_tick = Instant::now();
         loop {
-            let until = if self.member.has_unapplied() || self.member.is_writing_snapshot() {
+            let wake_at = if self.member.has_unapplied() || self.member.is_writing_snapshot() {
                 Instant::now()
             } else {
                 next_tick
             };
-            match timeout_at(until, self.inputs.recv()).await {
-                Ok(Some(input)) => self.take_all(input),
+            match timeout_at(wake_at, self.inputs.recv()).await {
+                Ok(Some(input)) => self.handle_batch(input),
                 Ok(None) => return Ok(()),
                 Err(_) => {}
             }
@@ -241,32 +241,32 @@
             }
             self.member.flush()?;
             self.check_format()?;
-            self.pass_outputs_on();
+            self.process_outputs();
             // What the outputs began is written before anything else is awaited.
             self.member.flush()?;
-            self.pass_outputs_on();
+            self.process_outputs();
             let now = self.now();
             self.service.flushed(&self.member, now);
             self.stop_if_due();
         }
     }
 
-    fn take_all(&mut self, first: Input<S::Call, S::Reply>) {
-        self.take(first);
-        for _ in 1..INPUTS_AT_ONCE {
+    fn handle_batch(&mut self, first: Input<S::Call, S::Reply>) {
+        self.handle(first);
+        for _ in 1..MAX_INPUT_BATCH {
             match self.inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle(input),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input<S::Call, S::Reply>) {
+    fn handle(&mut self, input: Input<S::Call, S::Reply>) {
         match input {
             Input::Message(message) => self.member.receive(message),
             Input::Call { call, reply } => self.begin(call, reply),
-            Input::Present { member, speaks } => {
-                if self.may_join(member.machine, speaks) {
+            Input::Present { member, supported } => {
+                if self.may_join(member.machine, supported) {
                     self.member.note_present(member, self.clock.now_ms());
                 }
             }
@@ -307,7 +307,7 @@
             self.stored_format.clear_proposed();
         } else if self.stopping.is_none() {
             self.raise_format_if_due();
-            for command in self.service.upkeep(&self.member, now) {
+            for command in self.service.run_maintenance(&self.member, now) {
                 self.propose_own(command);
             }
         }
@@ -319,10 +319,10 @@
         self.member.propose(self.next_call, command);
     }
 
-    fn pass_outputs_on(&mut self) {
+    fn process_outputs(&mut self) {
         for output in self.member.take_outputs() {
             match output {
-                GroupOutput::Send(message) if self.can_take(&message) => {
+                GroupOutput::Send(message) if self.can_read(&message) => {
                     let to = message.to.machine;
                     self.links.send(to, &NodeMessage::Consensus(message));
                 }
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -53,7 +53,7 @@
         evacuated: bool,
         limit: Duration,
     ) -> Result<ZoneOrderOutcome, Unavailable> {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         let mut seen = {
             let view = self.view();
             let evacuations = view.registry.evacuations();
@@ -62,7 +62,7 @@
             }
             evacuations.changed_at(zone)
         };
-        let is_stored = self.wait_for_newest_format(until).await;
+        let is_stored = self.wait_for_newest_format(deadline).await;
         if self.has_older_member() || self.has_older_gateway() {
             return Ok(ZoneOrderOutcome::NotYet);
         }
@@ -80,15 +80,15 @@
             } else {
                 RegistryCommand::RestoreZone(order)
             };
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let RegistryAnswer::ZoneState {
-                evacuated: held,
+                evacuated: is_evacuated,
                 changed_at,
-            } = self.propose(command, left).await?
+            } = self.propose(command, remaining).await?
             else {
                 return Err(Unavailable);
             };
-            if held == evacuated {
+            if is_evacuated == evacuated {
                 return Ok(ZoneOrderOutcome::Held(changed_at));
             }
             // Another order was given since what this member knew.
--- a/crates/cluster/src/first_format.rs
+++ b/crates/cluster/src/first_format.rs
@@ -18,10 +18,10 @@
 
 use crate::{
     message::{
-        CallBody, NodeHello, NodeMessage, NodeRole, PlacedGateway, PlacedMachine, PresentStore,
-        Pulse, RegistryCall, RegistryReply, ReplyBody, StoreGroupView,
+        CallBody, ControlHeartbeat, NodeHello, NodeMessage, NodeRole, PlacedGateway, PlacedMachine,
+        PresentStore, RegistryCall, RegistryReply, ReplyBody, StoreGroupView,
     },
-    told_set::SetChange,
+    set_change::SetChange,
 };
 
 #[derive(Archive, Serialize, Deserialize)]
@@ -33,10 +33,10 @@
     region: String,
     member: Option<MemberId>,
     forming: bool,
-    callers: Option<String>,
+    caller_address: Option<String>,
     ready: bool,
     coordinates: bool,
-    upto: LogIndex,
+    up_to_index: LogIndex,
     store_group: Option<StoreGroupView>,
 }
 
@@ -48,7 +48,7 @@
 }
 
 #[derive(Archive, Serialize, Deserialize)]
-pub(crate) struct FirstPulse {
+pub(crate) struct FirstControlHeartbeat {
     control: Option<SetChange<MachineId>>,
     stores: Option<SetChange<FirstPresentStore>>,
     store_members: Option<SetChange<MachineId>>,
@@ -63,14 +63,14 @@
 pub(crate) enum FirstRegistryCall {
     Propose(FirstFormatCommand),
     Document,
-    Alive(Vec<String>),
+    ReplicasAlive(Vec<String>),
 }
 
 #[derive(Archive, Serialize, Deserialize)]
 pub(crate) enum FirstRegistryReply {
     Answer(FirstFormatAnswer),
     Document(Option<Vec<u8>>),
-    Noted,
+    Recorded,
     NotLeader(Option<MachineId>),
     Refused,
     Unknown,
@@ -91,8 +91,8 @@
 #[derive(Archive, Serialize, Deserialize)]
 pub(crate) enum FirstMessage {
     Hello(FirstHello),
-    Alive { upto: LogIndex },
-    Pulse(Box<FirstPulse>),
+    KeepAlive { up_to_index: LogIndex },
+    ControlHeartbeat(Box<FirstControlHeartbeat>),
     Consensus(ConsensusMessage),
     Call { call: CallId, body: FirstCallBody },
     Reply { call: CallId, body: FirstReplyBody },
@@ -107,14 +107,14 @@
     })
 }
 
-fn somewhere(machine: MachineId) -> PlacedMachine {
+fn at_unknown_place(machine: MachineId) -> PlacedMachine {
     PlacedMachine {
         machine,
         place: Place::default(),
     }
 }
 
-fn gateway_somewhere(machine: MachineId) -> PlacedGateway {
+fn gateway_at_unknown_place(machine: MachineId) -> PlacedGateway {
     PlacedGateway {
         machine,
         place: Place::default(),
@@ -132,10 +132,10 @@
             region: hello.region,
             member: hello.member,
             forming: hello.forming,
-            callers: hello.callers,
+            caller_address: hello.caller_address,
             ready: hello.ready,
             coordinates: hello.coordinates,
-            upto: hello.upto,
+            up_to_index: hello.up_to_index,
             store_group: hello.store_group,
         }
     }
@@ -151,10 +151,10 @@
             region: first.region,
             member: first.member,
             forming: first.forming,
-            callers: first.callers,
+            caller_address: first.caller_address,
             ready: first.ready,
             coordinates: first.coordinates,
-            upto: first.upto,
+            up_to_index: first.up_to_index,
             linked: Vec::new(),
             store_group: first.store_group,
             newest_format: Format::First.number(),
@@ -184,33 +184,33 @@
     }
 }
 
-impl TryFrom<Pulse> for FirstPulse {
+impl TryFrom<ControlHeartbeat> for FirstControlHeartbeat {
     type Error = Report<ErrorKind>;
 
-    fn try_from(pulse: Pulse) -> Result<Self, Self::Error> {
-        Ok(FirstPulse {
-            control: mapped(pulse.control, |placed| placed.machine),
-            stores: mapped(pulse.stores, FirstPresentStore::from),
-            store_members: mapped(pulse.store_members, |placed| placed.machine),
-            gateways: pulse.gateways,
-            coordinators: mapped(pulse.coordinators, |placed| placed.machine),
-            silent_coordinators: pulse.silent_coordinators,
-            update: pulse.update.map(TryFrom::try_from).transpose()?,
-            current: pulse.current,
+    fn try_from(heartbeat: ControlHeartbeat) -> Result<Self, Self::Error> {
+        Ok(FirstControlHeartbeat {
+            control: mapped(heartbeat.control, |placed| placed.machine),
+            stores: mapped(heartbeat.stores, FirstPresentStore::from),
+            store_members: mapped(heartbeat.store_members, |placed| placed.machine),
+            gateways: heartbeat.gateways,
+            coordinators: mapped(heartbeat.coordinators, |placed| placed.machine),
+            silent_coordinators: heartbeat.silent_coordinators,
+            update: heartbeat.update.map(TryFrom::try_from).transpose()?,
+            current: heartbeat.current,
         })
     }
 }
 
-impl From<FirstPulse> for Pulse {
-    fn from(first: FirstPulse) -> Self {
-        Pulse {
-            control: mapped(first.control, somewhere),
+impl From<FirstControlHeartbeat> for ControlHeartbeat {
+    fn from(first: FirstControlHeartbeat) -> Self {
+        ControlHeartbeat {
+            control: mapped(first.control, at_unknown_place),
             stores: mapped(first.stores, PresentStore::from),
-            store_members: mapped(first.store_members, somewhere),
+            store_members: mapped(first.store_members, at_unknown_place),
             gateways: first.gateways,
-            coordinators: mapped(first.coordinators, gateway_somewhere),
+            coordinators: mapped(first.coordinators, gateway_at_unknown_place),
             silent_coordinators: first.silent_coordinators,
-            heard: None,
+            reachable: None,
             stopped: None,
             update: first.update.map(Into::into),
             current: first.current,
@@ -225,11 +225,11 @@
         Ok(match call {
             RegistryCall::Propose(command) => FirstRegistryCall::Propose(command.try_into()?),
             RegistryCall::Document => FirstRegistryCall::Document,
-            RegistryCall::Alive(starts) => {
+            RegistryCall::ReplicasAlive(starts) => {
                 let ids = starts
                     .iter()
                     .map(|key| parse_incarnation_key(key).0.to_owned());
-                FirstRegistryCall::Alive(ids.collect())
+                FirstRegistryCall::ReplicasAlive(ids.collect())
             }
         })
     }
@@ -240,7 +240,7 @@
         match first {
             FirstRegistryCall::Propose(command) => RegistryCall::Propose(command.into()),
             FirstRegistryCall::Document => RegistryCall::Document,
-            FirstRegistryCall::Alive(ids) => RegistryCall::Alive(ids),
+            FirstRegistryCall::ReplicasAlive(ids) => RegistryCall::ReplicasAlive(ids),
         }
     }
 }
@@ -252,7 +252,7 @@
         Ok(match reply {
             RegistryReply::Answer(answer) => FirstRegistryReply::Answer(answer.try_into()?),
             RegistryReply::Document(document) => FirstRegistryReply::Document(document),
-            RegistryReply::Noted => FirstRegistryReply::Noted,
+            RegistryReply::Recorded => FirstRegistryReply::Recorded,
             RegistryReply::NotLeader(leader) => FirstRegistryReply::NotLeader(leader),
             RegistryReply::Refused => FirstRegistryReply::Refused,
             RegistryReply::Unknown => FirstRegistryReply::Unknown,
@@ -265,7 +265,7 @@
         match first {
             FirstRegistryReply::Answer(answer) => RegistryReply::Answer(answer.into()),
             FirstRegistryReply::Document(document) => RegistryReply::Document(document),
-            FirstRegistryReply::Noted => RegistryReply::Noted,
+            FirstRegistryReply::Recorded => RegistryReply::Recorded,
             FirstRegistryReply::NotLeader(leader) => RegistryReply::NotLeader(leader),
             FirstRegistryReply::Refused => RegistryReply::Refused,
             FirstRegistryReply::Unknown => RegistryReply::Unknown,
@@ -319,14 +319,16 @@
     fn try_from(message: NodeMessage) -> Result<Self, Self::Error> {
         Ok(match message {
             NodeMessage::Hello(hello) => FirstMessage::Hello(hello.into()),
-            NodeMessage::Alive { upto } => FirstMessage::Alive { upto },
-            NodeMessage::Pulse(pulse) => FirstMessage::Pulse(Box::new((*pulse).try_into()?)),
-            NodeMessage::Beat { current } => {
-                let pulse = Pulse {
+            NodeMessage::KeepAlive { up_to_index } => FirstMessage::KeepAlive { up_to_index },
+            NodeMessage::ControlHeartbeat(heartbeat) => {
+                FirstMessage::ControlHeartbeat(Box::new((*heartbeat).try_into()?))
+            }
+            NodeMessage::EmptyControlHeartbeat { current } => {
+                let heartbeat = ControlHeartbeat {
                     current,
-                    ..Pulse::default()
+                    ..ControlHeartbeat::default()
                 };
-                FirstMessage::Pulse(Box::new(pulse.try_into()?))
+                FirstMessage::ControlHeartbeat(Box::new(heartbeat.try_into()?))
             }
             NodeMessage::Consensus(message) => FirstMessage::Consensus(message),
             NodeMessage::Call { call, body } => FirstMessage::Call {
@@ -338,7 +340,9 @@
                 body: body.try_into()?,
             },
             // What it tells builds on nothing that the receiver may lack.
-            NodeMessage::TellAll => return Err(not_in_first_format("request to tell all")),
+            NodeMessage::FullUpdateRequest => {
+                return Err(not_in_first_format("request to tell all"));
+            }
         })
     }
 }
@@ -347,8 +351,10 @@
     fn from(first: FirstMessage) -> Self {
         match first {
             FirstMessage::Hello(hello) => NodeMessage::Hello(hello.into()),
-            FirstMessage::Alive { upto } => NodeMessage::Alive { upto },
-            FirstMessage::Pulse(pulse) => NodeMessage::Pulse(Box::new((*pulse).into())),
+            FirstMessage::KeepAlive { up_to_index } => NodeMessage::KeepAlive { up_to_index },
+            FirstMessage::ControlHeartbeat(heartbeat) => {
+                NodeMessage::ControlHeartbeat(Box::new((*heartbeat).into()))
+            }
             FirstMessage::Consensus(message) => NodeMessage::Consensus(message),
             FirstMessage::Call { call, body } => NodeMessage::Call {
                 call,
--- a/crates/cluster/src/gateway/learner.rs
+++ b/crates/cluster/src/gateway/fleet_updater.rs
@@ -15,30 +15,30 @@
     time::interval,
 };
 
-use super::{GatewayNode, NamedGateway};
+use super::{GatewayNode, RecentGateway};
 use crate::{
     incoming::Inbound,
     linked_members::{KnownMembers, LinkedMembers},
-    message::{NodeMessage, PlacedGateway, Pulse},
+    message::{ControlHeartbeat, NodeMessage, PlacedGateway},
     node::address_of,
     seeds::Seeds,
 };
 
 /// How often links are looked at.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 /// A member that was asked for everything is asked again after this: everything is a few
 /// hundred kilobytes, and takes that long over a narrow link.
-const ASK_AGAIN_AFTER: Duration = Duration::from_secs(1);
+const FULL_UPDATE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
 /// A gateway that control named is told what ends replicas for so long, in milliseconds: one
 /// that control does not hear, or that stops, may serve on.
-const NAMED_FOR_MS: u64 = 60_000;
+const GATEWAY_RETENTION_MS: u64 = 60_000;
 
 /// Takes what control tells.
-pub(super) struct Learner {
+pub(super) struct FleetUpdater {
     pub(super) gateway: GatewayNode,
     pub(super) seeds: Seeds,
     pub(super) fleet: FleetView,
-    pub(super) teller: watch::Sender<Arc<FleetView>>,
+    pub(super) publisher: watch::Sender<Arc<FleetView>>,
     /// No control member was heard of for [`super::CONTROL_LOST_MS`].
     pub(super) control_lost: bool,
     /// Members are heard of, but for [`super::CONTROL_LOST_MS`] none that told all that is in
@@ -46,29 +46,29 @@
     pub(super) is_behind: bool,
     pub(super) linked: LinkedMembers,
     /// When each member was asked for everything last.
-    pub(super) asked_for_all: BTreeMap<MachineId, Instant>,
+    pub(super) full_update_requested: BTreeMap<MachineId, Instant>,
     pub(super) logger: Logger,
 }
 
-impl Learner {
+impl FleetUpdater {
     pub(super) async fn run(mut self, mut inbox: mpsc::Receiver<Inbound>) {
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    self.gateway.note_running();
-                    self.keep_links();
-                    self.note_coordinators();
-                    self.look_for_control();
-                    self.look_for_news();
+                    self.gateway.record_running();
+                    self.update_links();
+                    self.update_coordinators();
+                    self.log_control_loss();
+                    self.log_staleness();
                 }
                 inbound = inbox.recv() => match inbound {
                     Some(Inbound::Message {
                         from,
-                        message: NodeMessage::Pulse(pulse),
+                        message: NodeMessage::ControlHeartbeat(heartbeat),
                         link_opened,
                         ..
-                    }) => self.take(from, *pulse, link_opened),
+                    }) => self.handle(from, *heartbeat, link_opened),
                     Some(_) => {}
                     None => return,
                 },
@@ -76,74 +76,91 @@
         }
     }
 
-    fn take(&mut self, from: MachineId, mut pulse: Pulse, link_opened: Option<Instant>) {
+    fn handle(
+        &mut self,
+        from: MachineId,
+        mut heartbeat: ControlHeartbeat,
+        link_opened: Option<Instant>,
+    ) {
         let now_ms = self.gateway.clock.now_ms();
-        self.note_control_heard(from, now_ms);
-        let has_coordinators = pulse.coordinators.is_some();
-        let names_others = self.gateway.told.lock().take(from, &mut pulse, now_ms);
-        if names_others {
-            self.keep_links();
+        self.log_control_contact(from, now_ms);
+        let has_coordinators = heartbeat.coordinators.is_some();
+        let has_new_machines = self
+            .gateway
+            .reported
+            .lock()
+            .apply(from, &mut heartbeat, now_ms);
+        if has_new_machines {
+            self.update_links();
         }
         if has_coordinators {
-            self.note_coordinators();
+            self.update_coordinators();
         }
-        if let Some(update) = pulse.update {
+        if let Some(update) = heartbeat.update {
             self.take_update(from, update);
         }
-        if pulse
+        if heartbeat
             .current
             .is_some_and(|current| current <= self.fleet.up_to_index())
         {
             self.gateway.current_at_ms.store(now_ms, Ordering::Relaxed);
-            self.note_news(link_opened);
+            self.record_update(link_opened);
         }
     }
 
     /// A member told all that is in force. A process that has just woken up learns by this
     /// that it stood still, before it takes what had waited for news.
-    fn note_news(&self, link_opened: Option<Instant>) {
-        self.gateway.note_running();
+    fn record_update(&self, link_opened: Option<Instant>) {
+        self.gateway.record_running();
         if let Some(opened) = link_opened {
-            self.gateway.standstill.note_news(opened);
+            self.gateway.process_pause.record_update(opened);
         }
     }
 
     fn take_update(&mut self, from: MachineId, update: FleetUpdate) {
         if self.fleet.apply(update) {
-            let upto = self.fleet.up_to_index();
-            self.gateway.links.say(|hello| hello.upto = upto);
+            let up_to_index = self.fleet.up_to_index();
+            self.gateway
+                .links
+                .update_hello(|hello| hello.up_to_index = up_to_index);
             let version = self.fleet.table().map(|table| table.version);
             let evacuated: Vec<&str> = self.fleet.evacuations().zones().collect();
-            info!(self.logger, "fleet changed"; "upto" => upto.0, "version" => version,
+            info!(self.logger, "fleet changed"; "upto" => up_to_index.0, "version" => version,
                 "evacuated" => evacuated.join(" "),
                 "from" => address_of(from).to_string(),
                 "replicas" => self.fleet.live_count());
-            self.teller.send_replace(Arc::new(self.fleet.clone()));
+            self.publisher.send_replace(Arc::new(self.fleet.clone()));
         }
         if self.fleet.needs_full_update() {
-            self.ask_for_all(from);
+            self.request_full_update(from);
         }
     }
 
     /// What this control member told builds on something that is not known here, such as
     /// when another group took the place of the one that told before.
-    fn ask_for_all(&mut self, from: MachineId) {
+    fn request_full_update(&mut self, from: MachineId) {
         let now = Instant::now();
-        let asked = self.asked_for_all.get(&from);
-        if asked.is_some_and(|asked| now < *asked + ASK_AGAIN_AFTER) {
+        let last_requested = self.full_update_requested.get(&from);
+        if last_requested
+            .is_some_and(|last_requested| now < *last_requested + FULL_UPDATE_RETRY_INTERVAL)
+        {
             return;
         }
-        self.asked_for_all.insert(from, now);
-        let upto = self.fleet.up_to_index();
-        warn!(self.logger, "fleet not known"; "upto" => upto.0,
+        self.full_update_requested.insert(from, now);
+        let up_to_index = self.fleet.up_to_index();
+        warn!(self.logger, "fleet not known"; "upto" => up_to_index.0,
             "from" => address_of(from).to_string());
-        self.gateway.links.say(|hello| hello.upto = upto);
-        self.gateway.links.send(from, &NodeMessage::TellAll);
+        self.gateway
+            .links
+            .update_hello(|hello| hello.up_to_index = up_to_index);
+        self.gateway
+            .links
+            .send(from, &NodeMessage::FullUpdateRequest);
     }
 
     /// Says once that members are heard of, but none that knows what is in force: it may be
     /// newer than what this gateway acts on.
-    fn look_for_news(&mut self) {
+    fn log_staleness(&mut self) {
         let age_ms = self.gateway.knowledge_age_ms();
         let is_behind = age_ms >= super::CONTROL_LOST_MS && !self.gateway.is_control_lost();
         if std::mem::replace(&mut self.is_behind, is_behind) == is_behind {
@@ -160,7 +177,7 @@
     }
 
     /// Says once that control is away: what is in force here may be old from now on.
-    fn look_for_control(&mut self) {
+    fn log_control_loss(&mut self) {
         let silent_ms = self.gateway.control_silent_ms();
         if self.control_lost || !self.gateway.is_control_lost() {
             return;
@@ -171,74 +188,75 @@
             "upto" => self.fleet.up_to_index().0, "version" => version);
     }
 
-    fn note_control_heard(&mut self, from: MachineId, now_ms: u64) {
+    fn log_control_contact(&mut self, from: MachineId, now_ms: u64) {
         if !std::mem::take(&mut self.control_lost) {
             return;
         }
-        let silent_ms = self.gateway.told.lock().silent_ms(now_ms);
+        let silent_ms = self.gateway.reported.lock().silent_ms(now_ms);
         info!(self.logger, "control heard of again"; "silent_ms" => silent_ms,
             "from" => address_of(from).to_string());
     }
 
-    fn note_named(&self, told: &[PlacedGateway]) {
-        let silent = self.gateway.told.lock().silent_coordinators();
+    fn record_named(&self, reported: &[PlacedGateway]) {
+        let silent = self.gateway.reported.lock().silent_coordinators();
         let now_ms = self.gateway.clock.now_ms();
-        let mut named = self.gateway.named.lock();
-        named.retain(|_, gateway| now_ms < gateway.at_ms + NAMED_FOR_MS);
+        let mut recent_gateways = self.gateway.recent_gateways.lock();
+        recent_gateways.retain(|_, gateway| now_ms < gateway.at_ms + GATEWAY_RETENTION_MS);
         for gateway in silent.iter() {
-            named.entry(*gateway).or_default().at_ms = now_ms;
+            recent_gateways.entry(*gateway).or_default().at_ms = now_ms;
         }
-        for gateway in told {
+        for gateway in reported {
             let format = Some(gateway.common_format());
             let at_ms = now_ms;
-            named.insert(gateway.machine, NamedGateway { at_ms, format });
+            recent_gateways.insert(gateway.machine, RecentGateway { at_ms, format });
         }
     }
 
-    fn note_coordinators(&self) {
-        let told = self.gateway.told.lock().coordinators();
-        self.note_named(&told);
+    fn update_coordinators(&self) {
+        let reported = self.gateway.reported.lock().coordinators();
+        self.record_named(&reported);
         let mut placed = self.gateway.placed.lock();
-        if Arc::ptr_eq(&placed, &told) {
+        if Arc::ptr_eq(&placed, &reported) {
             return;
         }
-        let machines: BTreeSet<MachineId> = told.iter().map(|gateway| gateway.machine).collect();
+        let machines: BTreeSet<MachineId> =
+            reported.iter().map(|gateway| gateway.machine).collect();
         let newest = self.gateway.links.newest_format();
-        let witnesses = told
+        let witnesses = reported
             .iter()
             .filter(|gateway| gateway.common_format().min(newest) >= Format::Second);
         let witnesses = witnesses.map(|gateway| gateway.machine).collect();
         *self.gateway.witnesses.lock() = Arc::new(witnesses);
         *self.gateway.coordinators.lock() = Arc::new(machines.into_iter().collect());
-        *placed = told;
+        *placed = reported;
     }
 
-    fn keep_links(&mut self) {
+    fn update_links(&mut self) {
         let now_ms = self.gateway.clock.now_ms();
-        let told = self.gateway.told.lock();
-        let store_members = told.store_members();
-        let machines = told.control(&self.seeds.machines(), now_ms);
-        let places = told.control_places();
-        let heard_ms = told.control_heard();
-        drop(told);
+        let reported = self.gateway.reported.lock();
+        let store_members = reported.store_members();
+        let machines = reported.control(&self.seeds.machines(), now_ms);
+        let places = reported.control_places();
+        let last_contact_ms = reported.control_last_contact_ms();
+        drop(reported);
         let links = &self.gateway.links;
         let speaks_first = |machine| links.format_with(machine) == Some(Format::First);
         let known = KnownMembers {
             machines: &machines,
             places: &places,
-            heard_ms: &heard_ms,
-            relay_nothing: machines.iter().any(|machine| speaks_first(*machine)),
+            last_contact_ms: &last_contact_ms,
+            without_relay: machines.iter().any(|machine| speaks_first(*machine)),
         };
         let choice = self
             .linked
             .choose(self.gateway.own, &self.gateway.place, &known, now_ms);
-        let mut wanted = choice.links;
-        self.gateway.control.set_machines(wanted.clone());
+        let mut targets = choice.links;
+        self.gateway.control.set_machines(targets.clone());
         self.gateway
             .links
-            .say(|hello| hello.linked.clone_from(&choice.linked));
-        wanted.extend(&store_members);
+            .update_hello(|hello| hello.linked.clone_from(&choice.linked));
+        targets.extend(&store_members);
         self.gateway.store.set_machines(store_members);
-        self.gateway.links.keep(&wanted);
+        self.gateway.links.set_targets(&targets);
     }
 }
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -1,7 +1,7 @@
 //! A gateway as the other nodes see it: it learns the fleet from control and
 //! calls the job store.
 
-mod learner;
+mod fleet_updater;
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +24,7 @@
 use slog::{Logger, error, warn};
 use tokio::sync::watch;
 
-use self::learner::Learner;
+use self::fleet_updater::FleetUpdater;
 use crate::{
     client::GroupClient,
     datagram_bytes::DatagramBytes,
@@ -32,8 +32,8 @@
     links::Links,
     message::{NodeRole, PlacedGateway, RegistryCall, RegistryReply},
     node::{NodeBase, NodeSettings, address_of},
-    standstill::Standstill,
-    told_fleet::ToldFleet,
+    process_pause::PauseTracker,
+    reported_fleet::ReportedFleet,
 };
 
 /// Control counts as lost when none of its members was heard of for so long, in
@@ -51,7 +51,7 @@
     port: u16,
     datagrams: Option<Datagrams<GatewayDatagram>>,
     datagram_bytes: DatagramBytes,
-    pub(crate) told: Arc<Mutex<ToldFleet>>,
+    pub(crate) reported: Arc<Mutex<ReportedFleet>>,
     /// Gateways that coordinate slots, in a fixed order.
     coordinators: Arc<Mutex<Arc<Vec<MachineId>>>>,
     /// Those of them that read the format in which there are witnesses of limits.
@@ -59,22 +59,23 @@
     /// The same ones, and where each is.
     placed: Arc<Mutex<Arc<Vec<PlacedGateway>>>>,
     /// Gateways that control named lately, also as silent.
-    named: Arc<Mutex<BTreeMap<MachineId, NamedGateway>>>,
+    recent_gateways: Arc<Mutex<BTreeMap<MachineId, RecentGateway>>>,
     zones: Arc<ZoneMap>,
     clock: Clock,
     /// When this gateway last knew all that a control member knew to be in force.
     current_at_ms: Arc<AtomicU64>,
-    standstill: Arc<Standstill>,
+    process_pause: Arc<PauseTracker>,
     logger: Logger,
 }
 
 impl GatewayNode {
     /// Starts to learn the fleet.
     #[must_use]
-    pub fn start(settings: &NodeSettings, callers: String) -> Self {
+    pub fn start(settings: &NodeSettings, caller_address: String) -> Self {
         let (base, _) = NodeBase::start(settings, NodeRole::Gateway);
-        base.links.say(|hello| hello.callers = Some(callers));
-        let (teller, fleet) = watch::channel(Arc::new(FleetView::default()));
+        base.links
+            .update_hello(|hello| hello.caller_address = Some(caller_address));
+        let (publisher, fleet) = watch::channel(Arc::new(FleetView::default()));
         let gateway = GatewayNode {
             fleet,
             links: base.links.clone(),
@@ -85,29 +86,29 @@
             port: settings.port,
             datagrams: bind_datagrams(settings),
             datagram_bytes: DatagramBytes::default(),
-            told: Arc::default(),
+            reported: Arc::default(),
             coordinators: Arc::default(),
             witnesses: Arc::default(),
             placed: Arc::default(),
-            named: Arc::default(),
+            recent_gateways: Arc::default(),
             zones: Arc::new(settings.zones.clone()),
             clock: base.clock,
             current_at_ms: Arc::default(),
-            standstill: Arc::default(),
+            process_pause: Arc::default(),
             logger: settings.logger.clone(),
         };
-        let learner = Learner {
+        let fleet_updater = FleetUpdater {
             gateway: gateway.clone(),
             seeds: settings.seeds.clone(),
             fleet: FleetView::default(),
-            teller,
+            publisher,
             control_lost: false,
             is_behind: false,
             linked: LinkedMembers::default(),
-            asked_for_all: BTreeMap::new(),
+            full_update_requested: BTreeMap::new(),
             logger: settings.logger.clone(),
         };
-        tokio::spawn(learner.run(base.inbox));
+        tokio::spawn(fleet_updater.run(base.inbox));
         gateway
     }
 
@@ -163,12 +164,12 @@
     /// on.
     #[must_use]
     pub fn silent_coordinators(&self) -> Vec<MachineId> {
-        self.told.lock().silent_coordinators().to_vec()
+        self.reported.lock().silent_coordinators().to_vec()
     }
 
     /// Tells control that this gateway stops: others coordinate its slots.
     pub fn stop_coordinating(&self) {
-        self.links.say(|hello| hello.coordinates = false);
+        self.links.update_hello(|hello| hello.coordinates = false);
     }
 
     /// Datagrams to and from other gateways; `None` where their port is taken.
@@ -201,7 +202,11 @@
     /// first, and the oldest after it.
     fn formats_for(&self, to: MachineId, message: &GatewayDatagram) -> Vec<Format> {
         let newest = self.links.newest_format();
-        let known = self.named.lock().get(&to).and_then(|named| named.format);
+        let known = self
+            .recent_gateways
+            .lock()
+            .get(&to)
+            .and_then(|recent_gateways| recent_gateways.format);
         match known {
             Some(format) => vec![format.min(newest)],
             None if newest > Format::OLDEST && message.loses_in(Format::OLDEST) => {
@@ -224,7 +229,7 @@
         let fleet = self.fleet();
         let table = fleet.table();
         let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
-        let known = self.told.lock().gateways();
+        let known = self.reported.lock().gateways();
         near(&known, question, homes.as_ref())
     }
 
@@ -232,7 +237,7 @@
     /// force here is at least so old.
     #[must_use]
     pub fn control_silent_ms(&self) -> u64 {
-        self.told.lock().silent_ms(self.clock.now_ms())
+        self.reported.lock().silent_ms(self.clock.now_ms())
     }
 
     /// Whether no control member was heard of for so long that three pulses were missed.
@@ -253,15 +258,15 @@
     /// Waits, after this process stood still, until control has said what is in force now,
     /// or counts as lost. At any other time it returns at once.
     pub async fn wait_for_update_after_pause(&self) {
-        let mut news = self.standstill.follow();
+        let mut updates = self.process_pause.subscribe();
         loop {
             // One that stood still again while it waited wants news of after that.
-            self.note_running();
-            let Some(left) = self.standstill.news_wait() else {
+            self.record_running();
+            let Some(remaining) = self.process_pause.remaining_update_wait() else {
                 return;
             };
             // Where time is over it looks again, and goes on by what it knows.
-            let _ = timeout(left, news.changed()).await;
+            let _ = timeout(remaining, updates.changed()).await;
         }
     }
 
@@ -269,20 +274,20 @@
     /// looks longer by that.
     #[must_use]
     pub fn total_pause(&self) -> Duration {
-        self.note_running();
-        self.standstill.total()
+        self.record_running();
+        self.process_pause.total()
     }
 
-    fn note_running(&self) {
-        if let Some(still) = self.standstill.note_running() {
-            warn!(self.logger, "stood still"; "still_ms" => still.as_millis() as u64,
+    fn record_running(&self) {
+        if let Some(pause) = self.process_pause.record_running() {
+            warn!(self.logger, "stood still"; "still_ms" => pause.as_millis() as u64,
                 "upto" => self.fleet().up_to_index().0);
         }
     }
 
     /// Tells control whether callers may come here.
     pub fn set_ready(&self, ready: bool) {
-        self.links.say(|hello| hello.ready = ready);
+        self.links.update_hello(|hello| hello.ready = ready);
     }
 
     /// Calls the job store's leader, until it answers or time is up.
@@ -293,8 +298,10 @@
     /// Every other gateway that control named within the last minute, in a fixed order.
     #[must_use]
     pub fn other_gateways(&self) -> Vec<MachineId> {
-        let named = self.named.lock();
-        let others = named.keys().filter(|gateway| **gateway != self.own);
+        let recent_gateways = self.recent_gateways.lock();
+        let others = recent_gateways
+            .keys()
+            .filter(|gateway| **gateway != self.own);
         others.copied().collect()
     }
 
@@ -317,24 +324,24 @@
             replica: replica.to_owned(),
             runs,
         };
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
     /// Tells control that a copy of a suspected request came to a whole answer; false
     /// when that was not held within the limit.
     pub async fn report_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
         let command = RegistryCommand::ClearSuspicions(vec![cleared]);
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
     /// Tells control that another incarnation answers in the place of this start; false when
     /// that was not held within the limit.
     pub async fn report_not_at_address(&self, replica: &str, limit: Duration) -> bool {
         let command = RegistryCommand::NotAtAddress(replica.to_owned());
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
-    async fn tell_control(&self, command: RegistryCommand, limit: Duration) -> bool {
+    async fn propose_to_control(&self, command: RegistryCommand, limit: Duration) -> bool {
         let reply = self.control.call(RegistryCall::Propose(command), limit);
         matches!(reply.await, RegistryReply::Answer(_))
     }
@@ -348,7 +355,7 @@
 
 /// What control told of another gateway.
 #[derive(Clone, Copy, Debug, Default)]
-struct NamedGateway {
+struct RecentGateway {
     /// When it was named last, in milliseconds.
     at_ms: u64,
     /// The newest format that it and this build read, as control heard it last. It holds while
--- a/crates/cluster/src/pulse.rs
+++ b/crates/cluster/src/heartbeat.rs
@@ -13,39 +13,39 @@
 use tokio::sync::watch;
 
 use crate::{
-    message::{NodeHello, NodeRole, Pulse},
+    message::{ControlHeartbeat, NodeHello, NodeRole},
     present_fleet::{PresentFleet, SharedPresence},
 };
 
 /// A node is told of a change of the registry by the nearest control member at once. Each
 /// further one tells it so much later than the one before, should it not have said meanwhile
 /// that it knows: its word comes back over a link between regions that carries traffic.
-const WITHHELD_FOR: Duration = Duration::from_millis(300);
+const BACKUP_DELAY: Duration = Duration::from_millis(300);
 /// Members after this one tell together with it, so that a node whose nearest members are all
 /// gone is told 1.2 s late at most.
-const LAST_RANK: u32 = 4;
+const MAX_RANK: u32 = 4;
 
 /// Where pulses come from. Clones share it.
 #[derive(Clone)]
-pub(crate) struct PulseSource {
+pub(crate) struct HeartbeatSource {
     /// Changes whenever a pulse is worth sending at once.
     pub(crate) changes: watch::Receiver<u64>,
     own: MachineId,
-    registry: Arc<dyn PulseRegistry>,
+    registry: Arc<dyn HeartbeatRegistry>,
     present: Arc<Mutex<SharedPresence>>,
 }
 
 /// What a control member knows that pulses tell.
-pub(crate) trait PulseRegistry: Send + Sync {
+pub(crate) trait HeartbeatRegistry: Send + Sync {
     /// Counts what nodes said that others should learn.
-    fn presence_news(&self) -> u64;
+    fn presence_change_count(&self) -> u64;
 
     /// Who is present now.
     fn present(&self) -> PresentFleet;
 
     /// Whether anything that a role needs of the registry changed after an entry, as far as
     /// this member knows what is in force.
-    fn has_news(&self, role: NodeRole, since: LogIndex) -> bool;
+    fn has_update(&self, role: NodeRole, since: LogIndex) -> bool;
 
     /// What changed after an entry of what a role needs of the registry, as a format can tell
     /// it; `None` where this member does not know what is in force.
@@ -55,14 +55,14 @@
     fn current(&self) -> Option<LogIndex>;
 }
 
-impl PulseSource {
+impl HeartbeatSource {
     /// The source of a control member.
     pub(crate) fn new(
         own: MachineId,
         changes: watch::Receiver<u64>,
-        registry: impl PulseRegistry + 'static,
+        registry: impl HeartbeatRegistry + 'static,
     ) -> Self {
-        PulseSource {
+        HeartbeatSource {
             own,
             changes,
             registry: Arc::new(registry),
@@ -73,13 +73,13 @@
     /// Who is present now. The same value is returned as long as nothing changed.
     fn present(&self) -> Arc<PresentFleet> {
         let mut present = self.present.lock();
-        let news = self.registry.presence_news();
-        present.now(news, || self.registry.present())
+        let change_count = self.registry.presence_change_count();
+        present.now(change_count, || self.registry.present())
     }
 }
 
 /// What one connection was told.
-pub(crate) struct ToldPulses {
+pub(crate) struct HeartbeatSession {
     /// The format of the connection.
     format: Format,
     machine: MachineId,
@@ -88,53 +88,53 @@
     /// Members to which the node keeps links; empty where it does to all.
     linked: Vec<MachineId>,
     /// The newest change of the registry that the node was told or knows.
-    upto: LogIndex,
+    up_to_index: LogIndex,
     /// Since when a change is withheld that another control member tells.
     withheld_since: Option<Instant>,
     /// How long it is withheld.
     withheld: Duration,
     /// Who was present when it was told last.
-    last: Option<Arc<PresentFleet>>,
+    last_sent: Option<Arc<PresentFleet>>,
 }
 
-impl ToldPulses {
+impl HeartbeatSession {
     /// Nothing was told yet to a node.
     pub(crate) fn new(hello: &NodeHello, format: Format) -> Self {
-        ToldPulses {
+        HeartbeatSession {
             format,
             machine: hello.machine,
             place: hello.place(),
             role: hello.role,
             linked: hello.linked.clone(),
-            upto: hello.upto,
+            up_to_index: hello.up_to_index,
             withheld_since: None,
             withheld: Duration::ZERO,
-            last: None,
+            last_sent: None,
         }
     }
 
     /// Notes what the node says of itself by now.
-    pub(crate) fn note_hello(&mut self, hello: &NodeHello) {
+    pub(crate) fn record_hello(&mut self, hello: &NodeHello) {
         self.linked.clone_from(&hello.linked);
     }
 
     /// Notes that the node knows the registry up to an entry, whoever told it.
-    pub(crate) fn note_known(&mut self, upto: LogIndex) {
-        if upto > self.upto {
-            self.upto = upto;
+    pub(crate) fn record_known(&mut self, up_to_index: LogIndex) {
+        if up_to_index > self.up_to_index {
+            self.up_to_index = up_to_index;
             // Somebody tells it: what is still missing is on its way.
             self.withheld_since = None;
         }
     }
 
     /// Notes that the node lacks what it was told before: everything is told once more.
-    pub(crate) fn forget(&mut self) {
-        self.upto = LogIndex(0);
+    pub(crate) fn reset(&mut self) {
+        self.up_to_index = LogIndex(0);
     }
 
     /// The newest change of the registry that the node was told or knows.
-    pub(crate) fn upto(&self) -> LogIndex {
-        self.upto
+    pub(crate) fn up_to_index(&self) -> LogIndex {
+        self.up_to_index
     }
 
     /// How long a change is still withheld; `None` where none is.
@@ -146,61 +146,66 @@
     /// What changed in the registry, if this member is to tell it now.
     fn update(
         &mut self,
-        source: &PulseSource,
-        tellers: &BTreeMap<MachineId, Place>,
+        source: &HeartbeatSource,
+        senders: &BTreeMap<MachineId, Place>,
     ) -> Option<FleetUpdate> {
-        if !source.registry.has_news(self.role, self.upto) {
+        if !source.registry.has_update(self.role, self.up_to_index) {
             self.withheld_since = None;
             return None;
         }
         let is_linked =
             |machine: &MachineId| self.linked.is_empty() || self.linked.contains(machine);
-        let tellers = tellers.iter().filter(|(machine, _)| is_linked(machine));
-        let tellers = tellers.map(|(machine, place)| (*machine, place));
-        let rank = notification_rank(self.machine, &self.place, source.own, tellers);
-        self.withheld = WITHHELD_FOR * LAST_RANK.min(rank as u32);
+        let senders = senders.iter().filter(|(machine, _)| is_linked(machine));
+        let senders = senders.map(|(machine, place)| (*machine, place));
+        let rank = notification_rank(self.machine, &self.place, source.own, senders);
+        self.withheld = BACKUP_DELAY * MAX_RANK.min(rank as u32);
         let since = *self.withheld_since.get_or_insert_with(Instant::now);
         if since.elapsed() < self.withheld {
             return None;
         }
         self.withheld_since = None;
-        let update = source.registry.update(self.role, self.format, self.upto)?;
-        self.upto = update.up_to_index;
+        let update = source
+            .registry
+            .update(self.role, self.format, self.up_to_index)?;
+        self.up_to_index = update.up_to_index;
         Some(update)
     }
 
     /// The next pulse. It counts as told: the connection ends if it is not sent.
-    pub(crate) fn next(&mut self, source: &PulseSource) -> Pulse {
+    pub(crate) fn next(&mut self, source: &HeartbeatSource) -> ControlHeartbeat {
         let fleet = source.present();
-        let mut pulse = Pulse {
-            update: self.update(source, &fleet.tellers),
+        let mut heartbeat = ControlHeartbeat {
+            update: self.update(source, &fleet.senders),
             current: source.registry.current(),
-            ..Pulse::default()
+            ..ControlHeartbeat::default()
         };
         if self
-            .last
+            .last_sent
             .as_ref()
-            .is_some_and(|last| Arc::ptr_eq(last, &fleet))
+            .is_some_and(|last_sent| Arc::ptr_eq(last_sent, &fleet))
         {
-            return pulse;
+            return heartbeat;
         }
-        let change = source.present.lock().change(self.last.as_ref(), &fleet);
-        pulse.control.clone_from(&change.control);
-        pulse.store_members.clone_from(&change.store_members);
+        let change = source
+            .present
+            .lock()
+            .change(self.last_sent.as_ref(), &fleet);
+        heartbeat.control.clone_from(&change.control);
+        heartbeat.store_members.clone_from(&change.store_members);
         match self.role {
-            NodeRole::Store => pulse.stores.clone_from(&change.stores),
+            NodeRole::Store => heartbeat.stores.clone_from(&change.stores),
             NodeRole::Gateway => {
-                pulse.gateways.clone_from(&change.gateways);
-                pulse.coordinators.clone_from(&change.coordinators);
+                heartbeat.gateways.clone_from(&change.gateways);
+                heartbeat.coordinators.clone_from(&change.coordinators);
                 let silent = &change.silent_coordinators;
-                pulse.silent_coordinators.clone_from(silent);
+                heartbeat.silent_coordinators.clone_from(silent);
             }
             NodeRole::Control => {
-                pulse.heard.clone_from(&change.heard);
-                pulse.stopped.clone_from(&change.stopped);
+                heartbeat.reachable.clone_from(&change.reachable);
+                heartbeat.stopped.clone_from(&change.stopped);
             }
         }
-        self.last = Some(fleet);
-        pulse
+        self.last_sent = Some(fleet);
+        heartbeat
     }
 }
--- a/crates/cluster/src/control_pulses.rs
+++ b/crates/cluster/src/heartbeat_registry.rs
@@ -14,74 +14,76 @@
 use linnethitch_registry::{FleetUpdate, Place};
 
 use crate::{
+    heartbeat::{HeartbeatRegistry, HeartbeatSource},
     message::{NodeRole, PlacedMachine},
     present_fleet::PresentFleet,
-    pulse::{PulseRegistry, PulseSource},
     registry_service::RegistryShared,
 };
 
 /// A control member has heard of every gateway by this time after its start.
-const HEARD_OF_ALL_MS: u64 = 1_200;
+const ALL_CONTACTED_MS: u64 = 1_200;
 
 /// Where the pulses of a control member at a place come from.
-pub(crate) fn pulse_source(
+pub(crate) fn heartbeat_source(
     shared: &Arc<RegistryShared>,
     own: MachineId,
     place: Place,
     clock: Clock,
-) -> PulseSource {
-    let registry = ControlPulses {
+) -> HeartbeatSource {
+    let registry = ControlHeartbeatRegistry {
         shared: Arc::clone(shared),
         own,
         place,
         clock,
     };
-    PulseSource::new(own, shared.changes.subscribe(), registry)
+    HeartbeatSource::new(own, shared.changes.subscribe(), registry)
 }
 
 /// What a control member knows.
-struct ControlPulses {
+struct ControlHeartbeatRegistry {
     shared: Arc<RegistryShared>,
     own: MachineId,
     place: Place,
     clock: Clock,
 }
 
-impl PulseRegistry for ControlPulses {
-    fn presence_news(&self) -> u64 {
-        self.shared.presence.lock().news()
+impl HeartbeatRegistry for ControlHeartbeatRegistry {
+    fn presence_change_count(&self) -> u64 {
+        self.shared.presence.lock().change_count()
     }
 
     fn present(&self) -> PresentFleet {
         let now_ms = self.clock.now_ms();
         let view = Arc::clone(&self.shared.view.lock());
         let presence = self.shared.presence.lock();
-        let heard = presence.control(now_ms);
-        let mut tellers: BTreeMap<_, _> = heard.map(|(at, place)| (at, place.clone())).collect();
-        tellers.insert(self.own, self.place.clone());
-        let members = view.members.iter().chain(tellers.keys());
+        let reachable = presence.control(now_ms);
+        let mut senders: BTreeMap<_, _> =
+            reachable.map(|(at, place)| (at, place.clone())).collect();
+        senders.insert(self.own, self.place.clone());
+        let members = view.members.iter().chain(senders.keys());
         let control = members.map(|machine| PlacedMachine {
             machine: *machine,
-            place: tellers.get(machine).cloned().unwrap_or_default(),
+            place: senders.get(machine).cloned().unwrap_or_default(),
         });
         let control: BTreeSet<PlacedMachine> = control.collect();
-        let heard_of_all = now_ms >= HEARD_OF_ALL_MS;
+        let all_contacted = now_ms >= ALL_CONTACTED_MS;
         PresentFleet {
             control,
-            tellers,
+            senders,
             stores: presence.stores(now_ms).into_iter().collect(),
             store_members: presence.store_members(),
-            gateways: heard_of_all.then(|| presence.gateways().ready(now_ms).into_iter().collect()),
+            gateways: all_contacted
+                .then(|| presence.gateways().ready(now_ms).into_iter().collect()),
             coordinators: presence.placed_coordinators(now_ms),
             silent_coordinators: presence
                 .coordinators()
                 .silent(view.registry.gateways(), now_ms),
-            heard: presence.heard_itself(now_ms),
-            stopped: presence.stopped_partly_linked(now_ms),
+            reachable: presence.directly_reachable(now_ms),
+            stopped: presence.stopped_partially_linked(now_ms),
         }
     }
 
-    fn has_news(&self, role: NodeRole, since: LogIndex) -> bool {
+    fn has_update(&self, role: NodeRole, since: LogIndex) -> bool {
         if !self.shared.is_current(self.clock.now_ms()) {
             return false;
         }
@@ -95,7 +97,7 @@
     }
 
     fn update(&self, role: NodeRole, format: Format, since: LogIndex) -> Option<FleetUpdate> {
-        if !self.has_news(role, since) {
+        if !self.has_update(role, since) {
             return None;
         }
         let view = Arc::clone(&self.shared.view.lock());
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -11,16 +11,16 @@
 
 use crate::{
     connection_end::ConnectionEnd,
+    heartbeat::{HeartbeatSession, HeartbeatSource},
     message::{NodeHello, NodeMessage, ReplyBody},
     message_bytes::{Direction, MessageBytes},
-    pulse::{PulseSource, ToldPulses},
 };
 
 /// How often control says that it is there when nothing changes.
-const PULSE_INTERVAL: Duration = Duration::from_millis(500);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// Changes that come closer together than this share a pulse. A start of the whole
 /// fleet brings hundreds of them.
-const SHORTEST_PULSE_INTERVAL: Duration = Duration::from_millis(100);
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A message of another node.
 pub(crate) enum Inbound {
@@ -78,19 +78,19 @@
 pub(crate) async fn accept_all(
     listener: Listener,
     inbox: mpsc::Sender<Inbound>,
-    pulses: Option<PulseSource>,
+    heartbeats: Option<HeartbeatSource>,
     bytes: MessageBytes,
     logger: Logger,
 ) {
     loop {
         let incoming = listener.accept().await;
         let inbox = inbox.clone();
-        let pulses = pulses.clone();
+        let heartbeats = heartbeats.clone();
         let bytes = bytes.clone();
         let logger = logger.clone();
         tokio::spawn(async move {
             if let Ok(connection) = incoming.establish::<NodeMessage, NodeMessage>().await {
-                serve(connection, inbox, pulses, bytes, &logger).await;
+                serve(connection, inbox, heartbeats, bytes, &logger).await;
             }
         });
     }
@@ -99,7 +99,7 @@
 async fn serve(
     connection: Connection<NodeMessage, NodeMessage>,
     inbox: mpsc::Sender<Inbound>,
-    pulses: Option<PulseSource>,
+    heartbeats: Option<HeartbeatSource>,
     bytes: MessageBytes,
     logger: &Logger,
 ) {
@@ -116,7 +116,7 @@
         }
     };
     let mut peer = Peer {
-        told: ToldPulses::new(&hello, format),
+        session: HeartbeatSession::new(&hello, format),
         hello: hello.clone(),
         sender: CountedSender {
             sender,
@@ -125,13 +125,13 @@
         },
         inbox,
     };
-    info!(logger, "node connected"; "node" => &peer.hello.name, "upto" => peer.hello.upto.0,
+    info!(logger, "node connected"; "node" => &peer.hello.name, "upto" => peer.hello.up_to_index.0,
         "format" => format.number(), "newest_format" => peer.hello.newest_format,
         "build" => &peer.hello.build);
-    let end = peer.run(&mut receiver, pulses).await;
+    let end = peer.run(&mut receiver, heartbeats).await;
     let silent_ms = receiver.silent_for().as_millis() as u64;
     info!(logger, "node lost"; "node" => &peer.hello.name, "cause" => end.to_string(),
-        "silent_ms" => silent_ms, "told" => peer.told.upto().0);
+        "silent_ms" => silent_ms, "told" => peer.session.up_to_index().0);
     let closed = Inbound::Closed {
         hello: peer.hello,
         fell_silent: silent_ms > READY_TTL_MS,
@@ -142,7 +142,7 @@
 /// The node at the other end.
 struct Peer {
     hello: NodeHello,
-    told: ToldPulses,
+    session: HeartbeatSession,
     sender: CountedSender,
     inbox: mpsc::Sender<Inbound>,
 }
@@ -152,13 +152,13 @@
     async fn run(
         &mut self,
         receiver: &mut MessageReceiver<NodeMessage>,
-        pulses: Option<PulseSource>,
+        heartbeats: Option<HeartbeatSource>,
     ) -> ConnectionEnd {
         if !self.pass_on(NodeMessage::Hello(self.hello.clone())).await {
             return ConnectionEnd::Stopping;
         }
-        match pulses {
-            Some(pulses) => self.serve_with_pulses(receiver, pulses).await,
+        match heartbeats {
+            Some(heartbeats) => self.serve_with_heartbeats(receiver, heartbeats).await,
             None => self.serve(receiver).await,
         }
     }
@@ -179,13 +179,13 @@
         }
     }
 
-    async fn serve_with_pulses(
+    async fn serve_with_heartbeats(
         &mut self,
         receiver: &mut MessageReceiver<NodeMessage>,
-        mut pulses: PulseSource,
+        mut heartbeats: HeartbeatSource,
     ) -> ConnectionEnd {
-        let mut last = None;
-        let mut next = Instant::now();
+        let mut last_sent = None;
+        let mut next_send = Instant::now();
         // A further change changes nothing until the next pulse: of hundreds a second a
         // connection need not hear each.
         let mut has_changed = false;
@@ -201,27 +201,27 @@
                     Ok(None) => return ConnectionEnd::ByPeer,
                     Err(report) => return ConnectionEnd::Broken(report),
                 },
-                changed = pulses.changes.changed(), if !has_changed => {
+                changed = heartbeats.changes.changed(), if !has_changed => {
                     if changed.is_err() {
                         return ConnectionEnd::Stopping;
                     }
                     has_changed = true;
-                    let earliest = last.map(|last| last + SHORTEST_PULSE_INTERVAL);
-                    next = next.min(earliest.unwrap_or(next)).max(Instant::now());
+                    let earliest = last_sent.map(|last_sent| last_sent + MIN_HEARTBEAT_INTERVAL);
+                    next_send = next_send.min(earliest.unwrap_or(next_send)).max(Instant::now());
                 }
-                () = sleep_until(next) => {
+                () = sleep_until(next_send) => {
                     let now = Instant::now();
-                    pulses.changes.mark_unchanged();
+                    heartbeats.changes.mark_unchanged();
                     has_changed = false;
-                    let is_due = last.is_none_or(|last| now >= last + PULSE_INTERVAL);
-                    match self.send_pulse(&pulses, is_due) {
-                        Ok(true) => last = Some(now),
+                    let is_due = last_sent.is_none_or(|last_sent| now >= last_sent + HEARTBEAT_INTERVAL);
+                    match self.send_heartbeat(&heartbeats, is_due) {
+                        Ok(true) => last_sent = Some(now),
                         Ok(false) => {}
                         Err(refused) => return ConnectionEnd::NotSent(refused),
                     }
-                    let due = last.unwrap_or(now) + PULSE_INTERVAL;
-                    let withheld = self.told.withheld_for();
-                    next = withheld.map_or(due, |left| due.min(now + left));
+                    let due = last_sent.unwrap_or(now) + HEARTBEAT_INTERVAL;
+                    let withheld = self.session.withheld_for();
+                    next_send = withheld.map_or(due, |remaining| due.min(now + remaining));
                 }
             }
         }
@@ -229,14 +229,18 @@
 
     /// Sends a pulse, if it is due or tells anything; false where it was not sent. The
     /// connection is to end where this fails: the pulse counts as told.
-    fn send_pulse(&mut self, pulses: &PulseSource, is_due: bool) -> Result<bool, SendRefused> {
-        let pulse = self.told.next(pulses);
-        let message = match pulse.is_quiet() {
+    fn send_heartbeat(
+        &mut self,
+        heartbeats: &HeartbeatSource,
+        is_due: bool,
+    ) -> Result<bool, SendRefused> {
+        let heartbeat = self.session.next(&heartbeats);
+        let message = match heartbeat.is_empty() {
             true if !is_due => return Ok(false),
-            true => NodeMessage::Beat {
-                current: pulse.current,
+            true => NodeMessage::EmptyControlHeartbeat {
+                current: heartbeat.current,
             },
-            false => NodeMessage::Pulse(Box::new(pulse)),
+            false => NodeMessage::ControlHeartbeat(Box::new(heartbeat)),
         };
         self.sender.try_send(&message)?;
         Ok(true)
@@ -246,16 +250,16 @@
     async fn pass_on(&mut self, message: NodeMessage) -> bool {
         let message = match message {
             NodeMessage::Hello(hello) => {
-                self.told.note_hello(&hello);
+                self.session.record_hello(&hello);
                 self.hello = hello.clone();
                 NodeMessage::Hello(hello)
             }
-            NodeMessage::Alive { upto } => {
-                self.told.note_known(upto);
+            NodeMessage::KeepAlive { up_to_index } => {
+                self.session.record_known(up_to_index);
                 NodeMessage::Hello(self.hello.clone())
             }
-            NodeMessage::TellAll => {
-                self.told.forget();
+            NodeMessage::FullUpdateRequest => {
+                self.session.reset();
                 NodeMessage::Hello(self.hello.clone())
             }
             other => other,
--- a/crates/cluster/src/linked_members.rs
+++ b/crates/cluster/src/linked_members.rs
@@ -8,18 +8,18 @@
 use linnethitch_protocol::{hash::fnv1a, ids::MachineId};
 use linnethitch_registry::Place;
 
-use crate::nearness::Nearness;
+use crate::distance::Distance;
 
 /// Members that a gateway keeps links to: twenty messages a second, and some are left wherever
 /// two are lost at once. A node may spend 2 KB a second; the bytes of these links were not
 /// measured on the platform.
-const MOST_LINKED: usize = 5;
+const MAX_LINKED: usize = 5;
 /// A member that was not heard of for so long is left for another one, in milliseconds: two of
 /// its pulses were missed.
-const HEARD_WITHIN_MS: u64 = 1_200;
+const CONTACT_TIMEOUT_MS: u64 = 1_200;
 /// A link is kept for so long after another one took its place, in milliseconds: its member
 /// learns meanwhile that the end of it tells nothing.
-const KEPT_FOR_MS: u64 = 3_000;
+const LINK_OVERLAP_MS: u64 = 3_000;
 
 /// What a gateway knows of members of control.
 pub(crate) struct KnownMembers<'a> {
@@ -28,10 +28,10 @@
     /// Where they are, as far as it is known.
     pub(crate) places: &'a BTreeMap<MachineId, Place>,
     /// When each was heard of last, in milliseconds.
-    pub(crate) heard_ms: &'a BTreeMap<MachineId, u64>,
+    pub(crate) last_contact_ms: &'a BTreeMap<MachineId, u64>,
     /// Whether one of them speaks a format in which members do not tell each other of the
     /// gateways that they hear: it has to hear each itself.
-    pub(crate) relay_nothing: bool,
+    pub(crate) without_relay: bool,
 }
 
 /// Which links are kept.
@@ -61,21 +61,21 @@
         known: &KnownMembers<'_>,
         now_ms: u64,
     ) -> LinkChoice {
-        if known.machines.len() <= MOST_LINKED || known.relay_nothing {
+        if known.machines.len() <= MAX_LINKED || known.without_relay {
             return LinkChoice {
                 links: known.machines.clone(),
                 linked: Vec::new(),
             };
         }
-        let order = in_order(own, place, known);
-        let chosen = self.hopeful(&order, known, now_ms);
+        let order = by_distance(own, place, known);
+        let chosen = self.candidates(&order, known, now_ms);
         self.chosen_ms
             .extend(chosen.iter().map(|machine| (*machine, now_ms)));
         self.chosen_ms.retain(|machine, at_ms| {
-            known.machines.contains(machine) && now_ms < *at_ms + KEPT_FOR_MS
+            known.machines.contains(machine) && now_ms < *at_ms + LINK_OVERLAP_MS
         });
         // The nearest are tried on, so that they are heard of when they are back.
-        let nearest = order.iter().take(MOST_LINKED);
+        let nearest = order.iter().take(MAX_LINKED);
         let links = nearest.chain(self.chosen_ms.keys()).copied().collect();
         LinkChoice {
             links,
@@ -85,7 +85,7 @@
 
     /// The nearest members that are heard of, or that have not been tried for long. Where all
     /// have, the nearest are tried again.
-    fn hopeful(
+    fn candidates(
         &mut self,
         order: &[MachineId],
         known: &KnownMembers<'_>,
@@ -93,35 +93,37 @@
     ) -> Vec<MachineId> {
         let mut chosen = Vec::new();
         for machine in order {
-            if chosen.len() == MOST_LINKED {
+            if chosen.len() == MAX_LINKED {
                 break;
             }
-            let heard_ms = known.heard_ms.get(machine);
-            if heard_ms.is_some_and(|heard_ms| now_ms < *heard_ms + HEARD_WITHIN_MS) {
+            let last_contact_ms = known.last_contact_ms.get(machine);
+            if last_contact_ms
+                .is_some_and(|last_contact_ms| now_ms < *last_contact_ms + CONTACT_TIMEOUT_MS)
+            {
                 self.tried_ms.remove(machine);
                 chosen.push(*machine);
                 continue;
             }
             let tried_ms = *self.tried_ms.entry(*machine).or_insert(now_ms);
-            if now_ms < tried_ms + HEARD_WITHIN_MS {
+            if now_ms < tried_ms + CONTACT_TIMEOUT_MS {
                 chosen.push(*machine);
             }
         }
         if chosen.is_empty() {
             self.tried_ms.clear();
-            chosen.extend(order.iter().take(MOST_LINKED));
+            chosen.extend(order.iter().take(MAX_LINKED));
         }
         chosen
     }
 }
 
 /// The nearest first; among equally near ones another order for each gateway.
-fn in_order(own: MachineId, place: &Place, known: &KnownMembers<'_>) -> Vec<MachineId> {
+fn by_distance(own: MachineId, place: &Place, known: &KnownMembers<'_>) -> Vec<MachineId> {
     let key = |machine: &MachineId| {
         let at = known.places.get(machine);
-        let nearness = at.map_or(Nearness::Elsewhere, |at| Nearness::between(place, at));
+        let distance = at.map_or(Distance::Elsewhere, |at| Distance::between(place, at));
         let pair = [own.0.to_le_bytes(), machine.0.to_le_bytes()];
-        (nearness, fnv1a(pair.concat()))
+        (distance, fnv1a(pair.concat()))
     };
     let mut order: Vec<MachineId> = known.machines.iter().copied().collect();
     order.sort_by_cached_key(key);
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -25,26 +25,26 @@
 use crate::{
     connection_end::ConnectionEnd,
     incoming::Inbound,
-    message::{CallBody, NodeHello, NodeMessage, Pulse, ReplyBody},
+    message::{CallBody, ControlHeartbeat, NodeHello, NodeMessage, ReplyBody},
     node::{NodeSettings, address_of, connection_options},
 };
 
 /// How often a node says to control that it is there.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
 /// A link to a leader that was opened for a call is kept for further ones.
-const REACHED_FOR: Duration = Duration::from_secs(10);
+const CALL_LINK_TTL: Duration = Duration::from_secs(10);
 const FIRST_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
 /// A link that lasted for so long was of use: the next one is opened at once. One that a peer
 /// closes sooner is opened again after a growing pause.
-const STEADY_AFTER: Duration = Duration::from_secs(1);
+const STABLE_AFTER: Duration = Duration::from_secs(1);
 /// A peer that refuses this node goes on doing so until one of the two is replaced.
 const FIRST_REFUSED_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_REFUSED_PAUSE: Duration = Duration::from_secs(4);
+const MAX_REFUSED_PAUSE: Duration = Duration::from_secs(4);
 
 /// Why a call got no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallLost {
+pub(crate) enum CallFailed {
     /// It never left this machine.
     NotSent,
     /// It was sent before the link broke.
@@ -76,7 +76,7 @@
     calls: HashMap<CallId, oneshot::Sender<ReplyBody>>,
     task: JoinHandle<()>,
     /// Until when it is kept though nobody else wants it.
-    reached_until: Option<Instant>,
+    open_for_calls_until: Option<Instant>,
 }
 
 impl Drop for Link {
@@ -110,14 +110,16 @@
 
     /// Keeps links to exactly these machines and to those that are reached lately, but none
     /// to this one.
-    pub(crate) fn keep(&self, wanted: &BTreeSet<MachineId>) {
+    pub(crate) fn set_targets(&self, targets: &BTreeSet<MachineId>) {
         let now = Instant::now();
         let mut links = self.inner.links.lock();
         links.retain(|machine, link| {
-            let is_reached = link.reached_until.is_some_and(|until| now < until);
-            wanted.contains(machine) || is_reached
+            let is_open_for_calls = link
+                .open_for_calls_until
+                .is_some_and(|deadline| now < deadline);
+            targets.contains(machine) || is_open_for_calls
         });
-        for machine in wanted {
+        for machine in targets {
             if *machine != self.inner.own {
                 self.open(&mut links, *machine);
             }
@@ -125,13 +127,13 @@
     }
 
     /// Opens a link to a machine for the calls of the next seconds, where there is none.
-    pub(crate) fn reach(&self, machine: MachineId) {
+    pub(crate) fn open_for_calls(&self, machine: MachineId) {
         if machine == self.inner.own {
             return;
         }
         let mut links = self.inner.links.lock();
         let link = self.open(&mut links, machine);
-        link.reached_until = Some(Instant::now() + REACHED_FOR);
+        link.open_for_calls_until = Some(Instant::now() + CALL_LINK_TTL);
     }
 
     fn open<'a>(
@@ -142,8 +144,8 @@
         links.entry(machine).or_insert_with(|| Link {
             sender: None,
             calls: HashMap::new(),
-            task: tokio::spawn(keep_link(self.clone(), machine)),
-            reached_until: None,
+            task: tokio::spawn(maintain_link(self.clone(), machine)),
+            open_for_calls_until: None,
         })
     }
 
@@ -157,7 +159,7 @@
     }
 
     /// Changes what this node says of itself and says it at once.
-    pub(crate) fn say(&self, change: impl FnOnce(&mut NodeHello)) {
+    pub(crate) fn update_hello(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             let before = hello.clone();
             change(hello);
@@ -166,7 +168,7 @@
     }
 
     /// Changes what this node says of itself next time.
-    pub(crate) fn note(&self, change: impl FnOnce(&mut NodeHello)) {
+    pub(crate) fn update_hello_later(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             change(hello);
             false
@@ -185,20 +187,24 @@
     ///
     /// # Errors
     /// Whether the call had left this machine when the link was found broken.
-    pub(crate) async fn call(&self, to: MachineId, body: CallBody) -> Result<ReplyBody, CallLost> {
+    pub(crate) async fn call(
+        &self,
+        to: MachineId,
+        body: CallBody,
+    ) -> Result<ReplyBody, CallFailed> {
         let call = self.next_call();
         let (reply, answered) = oneshot::channel();
         {
             let mut links = self.inner.links.lock();
-            let link = links.get_mut(&to).ok_or(CallLost::NotSent)?;
-            let sender = link.sender.as_ref().ok_or(CallLost::NotSent)?;
+            let link = links.get_mut(&to).ok_or(CallFailed::NotSent)?;
+            let sender = link.sender.as_ref().ok_or(CallFailed::NotSent)?;
             sender
                 .try_send(&NodeMessage::Call { call, body })
-                .map_err(|_| CallLost::NotSent)?;
+                .map_err(|_| CallFailed::NotSent)?;
             link.calls.retain(|_, waiting| !waiting.is_closed());
             link.calls.insert(call, reply);
         }
-        answered.await.map_err(|_| CallLost::MayHaveArrived)
+        answered.await.map_err(|_| CallFailed::MayHaveArrived)
     }
 
     /// The newest format that this node may speak.
@@ -235,12 +241,12 @@
     }
 }
 
-async fn keep_link(links: Links, machine: MachineId) {
+async fn maintain_link(links: Links, machine: MachineId) {
     let inner = Arc::clone(&links.inner);
     let address = format!("{}:{}", address_of(machine), inner.port);
     let seed = u64::from(inner.own.0) ^ u64::from(machine.0);
-    let mut backoff = Backoff::new(FIRST_RECONNECT_PAUSE, LONGEST_RECONNECT_PAUSE, seed);
-    let mut refused_backoff = Backoff::new(FIRST_REFUSED_PAUSE, LONGEST_REFUSED_PAUSE, seed);
+    let mut backoff = Backoff::new(FIRST_RECONNECT_PAUSE, MAX_RECONNECT_PAUSE, seed);
+    let mut refused_backoff = Backoff::new(FIRST_REFUSED_PAUSE, MAX_REFUSED_PAUSE, seed);
     let mut is_refused = false;
     loop {
         let traffic = Arc::clone(&inner.traffic);
@@ -273,7 +279,7 @@
             links.set_sender(machine, None);
             info!(inner.logger, "link lost"; "to" => &address, "cause" => end.to_string(),
                 "silent_ms" => receiver.silent_for().as_millis() as u64);
-            if up_since.elapsed() >= STEADY_AFTER {
+            if up_since.elapsed() >= STABLE_AFTER {
                 backoff.reset();
             }
         }
@@ -288,7 +294,7 @@
     receiver: &mut MessageReceiver<NodeMessage>,
 ) -> ConnectionEnd {
     let mut hellos = links.inner.hello.subscribe();
-    let mut said: Option<NodeHello> = None;
+    let mut last_sent: Option<NodeHello> = None;
     let mut next_hello = Instant::now();
     let opened = Instant::now();
     // Control sends pulses; nobody else counts who is there.
@@ -302,8 +308,8 @@
                     }
                 }
                 Ok(Some(message)) => {
-                    let message = as_pulse(message);
-                    is_control |= matches!(message, NodeMessage::Pulse(_));
+                    let message = expand_heartbeat(message);
+                    is_control |= matches!(message, NodeMessage::ControlHeartbeat(_));
                     let inbound = Inbound::Message {
                         from: machine,
                         message,
@@ -325,7 +331,7 @@
             }
             () = sleep_until(next_hello) => {
                 let hello = hellos.borrow_and_update().clone();
-                if let Err(refused) = say_hello(&sender, &mut said, hello, is_control) {
+                if let Err(refused) = send_hello(&sender, &mut last_sent, hello, is_control) {
                     return ConnectionEnd::NotSent(refused);
                 }
                 next_hello = Instant::now() + HELLO_INTERVAL;
@@ -335,33 +341,39 @@
 }
 
 /// A beat is a pulse that tells nothing else.
-fn as_pulse(message: NodeMessage) -> NodeMessage {
+fn expand_heartbeat(message: NodeMessage) -> NodeMessage {
     match message {
-        NodeMessage::Beat { current } => NodeMessage::Pulse(Box::new(Pulse {
-            current,
-            ..Pulse::default()
-        })),
+        NodeMessage::EmptyControlHeartbeat { current } => {
+            NodeMessage::ControlHeartbeat(Box::new(ControlHeartbeat {
+                current,
+                ..ControlHeartbeat::default()
+            }))
+        }
         other => other,
     }
 }
 
 /// Says what this node is where that changed, else to control that it is there.
 /// The link is to end where that cannot be sent.
-fn say_hello(
+fn send_hello(
     sender: &MessageSender<NodeMessage>,
-    said: &mut Option<NodeHello>,
+    last_sent: &mut Option<NodeHello>,
     hello: NodeHello,
     is_control: bool,
 ) -> Result<(), SendRefused> {
-    let is_same = said.as_ref().is_some_and(|said| said.says_the_same(&hello));
+    let is_same = last_sent
+        .as_ref()
+        .is_some_and(|last_sent| last_sent.is_equivalent(&hello));
     if is_same {
-        let alive = NodeMessage::Alive { upto: hello.upto };
+        let alive = NodeMessage::KeepAlive {
+            up_to_index: hello.up_to_index,
+        };
         return if is_control {
             sender.try_send(&alive)
         } else {
             Ok(())
         };
     }
-    *said = Some(hello.clone());
+    *last_sent = Some(hello.clone());
     sender.try_send(&NodeMessage::Hello(hello))
 }
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -13,7 +13,7 @@
 use linnethitch_transport::WireMessage;
 use rkyv::{Archive, Deserialize, Serialize, with::AsBox};
 
-use crate::{first_format::FirstMessage, told_set::SetChange};
+use crate::{first_format::FirstMessage, set_change::SetChange};
 
 /// What a node does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -46,13 +46,13 @@
     /// Whether its disk waits for a first membership.
     pub(crate) forming: bool,
     /// A gateway's address for callers, as IP:PORT.
-    pub(crate) callers: Option<String>,
+    pub(crate) caller_address: Option<String>,
     /// Whether callers may go there.
     pub(crate) ready: bool,
     /// A gateway that coordinates slots: one that does not stop.
     pub(crate) coordinates: bool,
     /// The newest change of the registry that it knows.
-    pub(crate) upto: LogIndex,
+    pub(crate) up_to_index: LogIndex,
     /// Members of control to which it keeps links; empty where it does to all. The end of
     /// another link tells nothing of it.
     pub(crate) linked: Vec<MachineId>,
@@ -80,9 +80,9 @@
 
     /// Whether nothing that others act on differs: how far a node knows the
     /// registry counts at the opening of a connection only.
-    pub(crate) fn says_the_same(&self, other: &NodeHello) -> bool {
+    pub(crate) fn is_equivalent(&self, other: &NodeHello) -> bool {
         let other = NodeHello {
-            upto: self.upto,
+            up_to_index: self.up_to_index,
             ..other.clone()
         };
         *self == other
@@ -108,7 +108,7 @@
 
 /// The newest format that both a node and this build speak, by the number that the node
 /// told; `None` where that is not known.
-pub(crate) fn spoken_format(newest: u16) -> Option<Format> {
+pub(crate) fn common_format(newest: u16) -> Option<Format> {
     Format::from_number(newest.min(Format::NEWEST.number()))
 }
 
@@ -127,17 +127,17 @@
     /// The newest format that both it and this build read.
     #[must_use]
     pub fn common_format(&self) -> Format {
-        spoken_format(self.newest_format).unwrap_or_default()
+        common_format(self.newest_format).unwrap_or_default()
     }
 }
 
 /// A gateway that a control member hears itself and that keeps links to some members only.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
-pub(crate) struct HeardGateway {
+pub(crate) struct ReachableGateway {
     pub(crate) machine: MachineId,
     pub(crate) place: Place,
     /// Its address for callers, as IP:PORT.
-    pub(crate) callers: Option<String>,
+    pub(crate) caller_address: Option<String>,
     pub(crate) ready: bool,
     pub(crate) coordinates: bool,
     /// Members to which it keeps links; empty where it does to all.
@@ -149,7 +149,7 @@
 /// What control tells every node that is connected: that it is there, and what
 /// changed since the last pulse on this connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub(crate) struct Pulse {
+pub(crate) struct ControlHeartbeat {
     /// Machines of control, and where they are.
     pub(crate) control: Option<SetChange<PlacedMachine>>,
     /// Machines with disks for the job store; told to stores.
@@ -164,7 +164,7 @@
     /// gateways.
     pub(crate) silent_coordinators: Option<SetChange<MachineId>>,
     /// Gateways that the sender hears itself; told to other members of control.
-    pub(crate) heard: Option<SetChange<HeardGateway>>,
+    pub(crate) reachable: Option<SetChange<ReachableGateway>>,
     /// Gateways that said to the sender that they stop, or whose connection ended; told to
     /// other members of control.
     pub(crate) stopped: Option<SetChange<MachineId>>,
@@ -174,12 +174,12 @@
     pub(crate) current: Option<LogIndex>,
 }
 
-impl Pulse {
+impl ControlHeartbeat {
     /// Whether it tells nothing but that its sender is there and how far it knows.
-    pub(crate) fn is_quiet(&self) -> bool {
-        let quiet = Pulse {
+    pub(crate) fn is_empty(&self) -> bool {
+        let quiet = ControlHeartbeat {
             current: self.current,
-            ..Pulse::default()
+            ..ControlHeartbeat::default()
         };
         *self == quiet
     }
@@ -193,7 +193,7 @@
     /// Read the document in force.
     Document,
     /// Replicas that were heard of.
-    Alive(Vec<String>),
+    ReplicasAlive(Vec<String>),
 }
 
 /// An answer of the registry.
@@ -202,7 +202,7 @@
     Answer(RegistryAnswer),
     /// The document in force; `None` before the first.
     Document(Option<Vec<u8>>),
-    Noted,
+    Recorded,
     NotLeader(Option<MachineId>),
     /// Nothing was done.
     Refused,
@@ -243,13 +243,13 @@
 pub(crate) enum NodeMessage {
     Hello(#[rkyv(with = AsBox)] NodeHello),
     /// The sender is there and what it said in its last hello holds.
-    Alive {
+    KeepAlive {
         /// The newest change of the registry that it knows.
-        upto: LogIndex,
+        up_to_index: LogIndex,
     },
-    Pulse(Box<Pulse>),
+    ControlHeartbeat(Box<ControlHeartbeat>),
     /// A pulse of a control member that has nothing else to tell.
-    Beat {
+    EmptyControlHeartbeat {
         /// The newest change that the sender knows, where it knows what is in force.
         current: Option<LogIndex>,
     },
@@ -265,7 +265,7 @@
         body: ReplyBody,
     },
     /// The sender lacks what the last pulse builds on: everything is to be told once more.
-    TellAll,
+    FullUpdateRequest,
 }
 
 impl WireMessage for NodeMessage {
--- a/crates/cluster/src/message_bytes.rs
+++ b/crates/cluster/src/message_bytes.rs
@@ -47,11 +47,15 @@
 impl MessageKind {
     fn of(message: &NodeMessage) -> Self {
         match message {
-            NodeMessage::Hello(_) | NodeMessage::Alive { .. } | NodeMessage::TellAll => {
-                MessageKind::Hello
+            NodeMessage::Hello(_)
+            | NodeMessage::KeepAlive { .. }
+            | NodeMessage::FullUpdateRequest => MessageKind::Hello,
+            NodeMessage::ControlHeartbeat(heartbeat) if heartbeat.update.is_some() => {
+                MessageKind::PulseWithUpdate
+            }
+            NodeMessage::ControlHeartbeat(_) | NodeMessage::EmptyControlHeartbeat { .. } => {
+                MessageKind::Pulse
             }
-            NodeMessage::Pulse(pulse) if pulse.update.is_some() => MessageKind::PulseWithUpdate,
-            NodeMessage::Pulse(_) | NodeMessage::Beat { .. } => MessageKind::Pulse,
             NodeMessage::Consensus(_) => MessageKind::Consensus,
             NodeMessage::Call { body, .. } => MessageKind::of_call(body),
             NodeMessage::Reply { body, .. } => match body {
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -12,11 +12,11 @@
 use tokio::sync::mpsc;
 
 use crate::{
+    heartbeat::HeartbeatSource,
     incoming::{self, Inbound},
     links::Links,
     message::{NodeHello, NodeRole},
     message_bytes::MessageBytes,
-    pulse::PulseSource,
     seeds::Seeds,
 };
 
@@ -128,10 +128,10 @@
             region: settings.region.clone(),
             member: None,
             forming: false,
-            callers: None,
+            caller_address: None,
             ready: false,
             coordinates: role == NodeRole::Gateway,
-            upto: Default::default(),
+            up_to_index: Default::default(),
             linked: Vec::new(),
             store_group: None,
             newest_format: settings.newest_format.number(),
@@ -156,7 +156,7 @@
     settings: &NodeSettings,
     inbox: mpsc::Sender<Inbound>,
     traffic: Arc<Traffic>,
-    pulses: Option<PulseSource>,
+    heartbeats: Option<HeartbeatSource>,
 ) -> Result<(), Report<ErrorKind>> {
     let address = format!("{}:{}", settings.address, settings.port);
     let listener = Listener::bind(
@@ -170,6 +170,8 @@
     .await?;
     let logger = settings.logger.clone();
     let bytes = settings.bytes.clone();
-    tokio::spawn(incoming::accept_all(listener, inbox, pulses, bytes, logger));
+    tokio::spawn(incoming::accept_all(
+        listener, inbox, heartbeats, bytes, logger,
+    ));
     Ok(())
 }
--- a/crates/cluster/src/heard_builds.rs
+++ b/crates/cluster/src/node_builds.rs
@@ -7,7 +7,7 @@
 use crate::message::NodeHello;
 
 /// A node that was not heard of for so long is gone, in milliseconds.
-const HEARD_FOR_MS: u64 = 10_000;
+const CONTACT_TTL_MS: u64 = 10_000;
 
 /// A build, and the newest format that its nodes speak.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,15 +19,15 @@
 
 /// The builds of nodes, and when each was heard of last, in milliseconds.
 #[derive(Default)]
-pub(crate) struct HeardBuilds(BTreeMap<MachineId, (NodeBuild, u64)>);
+pub(crate) struct NodeBuilds(BTreeMap<MachineId, (NodeBuild, u64)>);
 
-impl HeardBuilds {
-    pub(crate) fn note(&mut self, hello: &NodeHello, now_ms: u64) {
-        let runs_same = |held: &NodeBuild| {
-            held.build == hello.build && held.newest_format == hello.newest_format
+impl NodeBuilds {
+    pub(crate) fn record(&mut self, hello: &NodeHello, now_ms: u64) {
+        let is_same_build = |known: &NodeBuild| {
+            known.build == hello.build && known.newest_format == hello.newest_format
         };
         match self.0.get_mut(&hello.machine) {
-            Some((held, at_ms)) if runs_same(held) => *at_ms = now_ms,
+            Some((known, at_ms)) if is_same_build(known) => *at_ms = now_ms,
             _ => {
                 let build = NodeBuild {
                     build: hello.build.clone(),
@@ -35,7 +35,7 @@
                 };
                 self.0.insert(hello.machine, (build, now_ms));
                 self.0
-                    .retain(|_, (_, at_ms)| now_ms.saturating_sub(*at_ms) <= HEARD_FOR_MS);
+                    .retain(|_, (_, at_ms)| now_ms.saturating_sub(*at_ms) <= CONTACT_TTL_MS);
             }
         }
     }
@@ -44,7 +44,7 @@
     pub(crate) fn counts(&self, now_ms: u64) -> BTreeMap<NodeBuild, usize> {
         let mut counts = BTreeMap::new();
         for (build, at_ms) in self.0.values() {
-            if now_ms.saturating_sub(*at_ms) <= HEARD_FOR_MS {
+            if now_ms.saturating_sub(*at_ms) <= CONTACT_TTL_MS {
                 *counts.entry(build.clone()).or_default() += 1;
             }
         }
--- a/crates/cluster/src/presence.rs
+++ b/crates/cluster/src/presence.rs
@@ -10,14 +10,14 @@
 
 use crate::{
     coordinators::Coordinators,
-    heard_builds::{HeardBuilds, NodeBuild},
-    heard_formats::HeardFormats,
+    gateway_formats::GatewayFormats,
     message::{
-        HeardGateway, NodeHello, NodeRole, PlacedGateway, PlacedMachine, PresentStore,
+        NodeHello, NodeRole, PlacedGateway, PlacedMachine, PresentStore, ReachableGateway,
         StoreGroupView,
     },
+    node_builds::{NodeBuild, NodeBuilds},
     relayed_presence::RelayedPresence,
-    told_set::SetChange,
+    set_change::SetChange,
 };
 
 /// A control member or store counts as present for this long, in milliseconds.
@@ -27,7 +27,7 @@
 /// within this time, and the gateway is listed for as much less after its last word.
 const RELAYED_AGE_MS: u64 = 500;
 
-struct Heard {
+struct StoreContact {
     hello: NodeHello,
     at_ms: u64,
 }
@@ -40,75 +40,76 @@
     /// Where gateways are that coordinate slots.
     places: BTreeMap<MachineId, Place>,
     /// Gateways that this member hears itself, and when it heard them last.
-    itself: BTreeMap<MachineId, (HeardGateway, u64)>,
+    direct: BTreeMap<MachineId, (ReachableGateway, u64)>,
     relayed: RelayedPresence,
     /// Gateways that keep links to some members only, as this member or another one heard.
-    partly_linked: BTreeSet<MachineId>,
+    partially_linked: BTreeSet<MachineId>,
     /// What gateways speak.
-    formats: HeardFormats,
+    formats: GatewayFormats,
     /// What every node that is heard runs.
-    builds: HeardBuilds,
-    stores: BTreeMap<MachineId, Heard>,
+    builds: NodeBuilds,
+    stores: BTreeMap<MachineId, StoreContact>,
     /// Control members: where they are and when they said so.
     control: BTreeMap<MachineId, (Place, u64)>,
     /// When the newest store appeared.
     newest_store_ms: u64,
     store_group: Option<StoreGroupView>,
     /// Counts what was said that is to be told.
-    news: u64,
+    change_count: u64,
 }
 
 impl Presence {
     /// Notes what a node says of itself; true when others should learn of it at once.
-    pub(crate) fn note(&mut self, hello: NodeHello, now_ms: u64) -> bool {
-        self.builds.note(&hello, now_ms);
+    pub(crate) fn record(&mut self, hello: NodeHello, now_ms: u64) -> bool {
+        self.builds.record(&hello, now_ms);
         let is_urgent = match hello.role {
             NodeRole::Gateway => {
-                let gateway = heard_gateway(&hello);
+                let gateway = reachable_gateway(&hello);
                 if gateway.linked.is_empty() {
-                    self.partly_linked.remove(&gateway.machine);
+                    self.partially_linked.remove(&gateway.machine);
                 } else {
-                    self.partly_linked.insert(gateway.machine);
+                    self.partially_linked.insert(gateway.machine);
                 }
-                let is_urgent = self.note_gateway(&gateway, now_ms);
-                let said = (gateway, now_ms);
-                let before = self.itself.insert(hello.machine, said);
-                let heard = self.itself.get(&hello.machine).map(|(heard, _)| heard);
-                self.news += u64::from(before.as_ref().map(|(heard, _)| heard) != heard);
+                let is_urgent = self.record_gateway(&gateway, now_ms);
+                let contact = (gateway, now_ms);
+                let before = self.direct.insert(hello.machine, contact);
+                let contact = self.direct.get(&hello.machine).map(|(contact, _)| contact);
+                self.change_count +=
+                    u64::from(before.as_ref().map(|(contact, _)| contact) != contact);
                 is_urgent
             }
             NodeRole::Control => {
-                let heard = (hello.place(), now_ms);
-                self.control.insert(hello.machine, heard).is_none()
+                let contact = (hello.place(), now_ms);
+                self.control.insert(hello.machine, contact).is_none()
             }
-            NodeRole::Store => self.note_store(hello, now_ms),
+            NodeRole::Store => self.record_store(hello, now_ms),
         };
-        self.news += u64::from(is_urgent);
+        self.change_count += u64::from(is_urgent);
         is_urgent
     }
 
     /// Counts what nodes said, and connections that ended: who is present may differ where
     /// this does, or where a node fell silent.
-    pub(crate) fn news(&self) -> u64 {
-        self.news
+    pub(crate) fn change_count(&self) -> u64 {
+        self.change_count
     }
 
     /// Notes that a node's connection ended. One that had fallen silent may be cut off and
     /// go on; any other has stopped.
-    pub(crate) fn lose(
+    pub(crate) fn record_closed(
         &mut self,
         hello: &NodeHello,
         is_linked: bool,
         fell_silent: bool,
         now_ms: u64,
     ) {
-        self.news += 1;
-        self.itself.remove(&hello.machine);
+        self.change_count += 1;
+        self.direct.remove(&hello.machine);
         if !is_linked {
             // It keeps links to other members: the end of this one tells nothing of it.
             return;
         }
-        if let Some(address) = &hello.callers {
+        if let Some(address) = &hello.caller_address {
             self.gateways.remove(address);
         }
         if hello.coordinates && !fell_silent {
@@ -120,55 +121,58 @@
     /// Takes what another member hears of gateways that keep no link to this one; true when
     /// others should learn of it at once. Of all others this member goes by what it hears
     /// itself: a word of another one would bring those back for a moment that have just ended.
-    pub(crate) fn note_relayed(
+    pub(crate) fn record_relayed(
         &mut self,
         own: MachineId,
         member: MachineId,
-        heard: Option<SetChange<HeardGateway>>,
+        reachable: Option<SetChange<ReachableGateway>>,
         stopped: Option<SetChange<MachineId>>,
         now_ms: u64,
     ) -> bool {
-        let is_news = self.relayed.take(member, heard, stopped, now_ms);
-        self.news += u64::from(is_news);
-        let heard: Vec<HeardGateway> = self
+        let is_change = self.relayed.apply(member, reachable, stopped, now_ms);
+        self.change_count += u64::from(is_change);
+        let reachable: Vec<ReachableGateway> = self
             .relayed
-            .heard_by(member)
+            .reachable_from(member)
             .filter(|gateway| !gateway.linked.is_empty() && !gateway.linked.contains(&own))
-            .filter(|gateway| !self.hears_itself(gateway.machine, now_ms))
+            .filter(|gateway| !self.is_directly_reachable(gateway.machine, now_ms))
             .cloned()
             .collect();
         let mut is_urgent = false;
-        for gateway in heard {
-            self.partly_linked.insert(gateway.machine);
-            is_urgent |= self.note_gateway(&gateway, now_ms.saturating_sub(RELAYED_AGE_MS));
+        for gateway in reachable {
+            self.partially_linked.insert(gateway.machine);
+            is_urgent |= self.record_gateway(&gateway, now_ms.saturating_sub(RELAYED_AGE_MS));
         }
-        for machine in self.relayed.stopped_by(member, now_ms) {
-            let is_relayed =
-                self.partly_linked.contains(&machine) && !self.hears_itself(machine, now_ms);
-            if is_relayed && self.coordinators.was_heard(machine) {
+        for machine in self.relayed.stopped_reported_by(member, now_ms) {
+            let is_relayed = self.partially_linked.contains(&machine)
+                && !self.is_directly_reachable(machine, now_ms);
+            if is_relayed && self.coordinators.had_contact(machine) {
                 is_urgent |= self.coordinators.stop(machine, now_ms);
                 self.places.remove(&machine);
             }
         }
-        self.news += u64::from(is_urgent);
+        self.change_count += u64::from(is_urgent);
         is_urgent
     }
 
-    fn hears_itself(&self, machine: MachineId, now_ms: u64) -> bool {
-        let heard = self.itself.get(&machine);
-        heard.is_some_and(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
+    fn is_directly_reachable(&self, machine: MachineId, now_ms: u64) -> bool {
+        let contact = self.direct.get(&machine);
+        contact.is_some_and(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
     }
 
     /// Gateways that stopped lately and kept links to some members only.
-    pub(crate) fn stopped_partly_linked(&self, now_ms: u64) -> BTreeSet<MachineId> {
+    pub(crate) fn stopped_partially_linked(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let stopped = self.coordinators.stopped(now_ms);
-        stopped.intersection(&self.partly_linked).copied().collect()
+        stopped
+            .intersection(&self.partially_linked)
+            .copied()
+            .collect()
     }
 
     /// Gateways that this member hears itself and that keep links to some members only.
-    pub(crate) fn heard_itself(&self, now_ms: u64) -> BTreeSet<HeardGateway> {
-        let heard = self.itself.values();
-        heard
+    pub(crate) fn directly_reachable(&self, now_ms: u64) -> BTreeSet<ReachableGateway> {
+        let contact = self.direct.values();
+        contact
             .filter(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
             .map(|(gateway, _)| gateway)
             .filter(|gateway| !gateway.linked.is_empty())
@@ -221,8 +225,8 @@
 
     /// Control machines that are present, and where they are.
     pub(crate) fn control(&self, now_ms: u64) -> impl Iterator<Item = (MachineId, &Place)> {
-        let heard = self.control.iter();
-        heard
+        let contact = self.control.iter();
+        contact
             .filter(move |(_, (_, at_ms))| is_present(*at_ms, now_ms))
             .map(|(machine, (place, _))| (*machine, place))
     }
@@ -236,7 +240,7 @@
             place: self
                 .stores
                 .get(machine)
-                .map(|heard| heard.hello.place())
+                .map(|contact| contact.hello.place())
                 .unwrap_or_default(),
         });
         placed.collect()
@@ -256,51 +260,51 @@
         let forming = self.present_stores(now_ms).filter(|hello| hello.forming);
         let members = forming.filter_map(|hello| Some((hello.member?, hello.place())));
         let members: Vec<(MemberId, Place)> = members.collect();
-        let is_quiet = now_ms >= self.newest_store_ms + quiet_ms;
-        (is_quiet && !members.is_empty()).then_some(members)
+        let is_empty = now_ms >= self.newest_store_ms + quiet_ms;
+        (is_empty && !members.is_empty()).then_some(members)
     }
 
     /// Notes a gateway; true when others should learn of it at once.
-    fn note_gateway(&mut self, gateway: &HeardGateway, now_ms: u64) -> bool {
+    fn record_gateway(&mut self, gateway: &ReachableGateway, now_ms: u64) -> bool {
         let (machine, format) = (gateway.machine, gateway.newest_format);
-        let speaks_other = self.formats.note(machine, format, now_ms);
-        self.news += u64::from(speaks_other);
-        if let Some(address) = &gateway.callers {
+        let format_changed = self.formats.record(machine, format, now_ms);
+        self.change_count += u64::from(format_changed);
+        if let Some(address) = &gateway.caller_address {
             let node = DirectoryNode {
                 address: address.clone(),
                 zone: gateway.place.zone.clone(),
                 region: gateway.place.region.clone(),
             };
-            let is_news = self.gateways.record(node, gateway.ready, now_ms);
-            self.news += u64::from(is_news);
+            let is_change = self.gateways.record(node, gateway.ready, now_ms);
+            self.change_count += u64::from(is_change);
         }
-        self.note_coordinator(gateway, now_ms)
+        self.record_coordinator(gateway, now_ms)
     }
 
-    fn note_coordinator(&mut self, gateway: &HeardGateway, now_ms: u64) -> bool {
+    fn record_coordinator(&mut self, gateway: &ReachableGateway, now_ms: u64) -> bool {
         if !gateway.coordinates {
             self.places.remove(&gateway.machine);
             return self.coordinators.stop(gateway.machine, now_ms);
         }
         self.places.insert(gateway.machine, gateway.place.clone());
-        let is_new = self.coordinators.note(gateway.machine, now_ms);
+        let is_new = self.coordinators.record(gateway.machine, now_ms);
         if is_new {
             let coordinators = &self.coordinators;
             self.places
-                .retain(|machine, _| coordinators.was_heard(*machine));
+                .retain(|machine, _| coordinators.had_contact(*machine));
         }
         is_new
     }
 
-    fn note_store(&mut self, hello: NodeHello, now_ms: u64) -> bool {
-        let has_new_members = self.note_store_group(hello.store_group.as_ref());
+    fn record_store(&mut self, hello: NodeHello, now_ms: u64) -> bool {
+        let has_new_members = self.record_store_group(hello.store_group.as_ref());
         let machine = hello.machine;
         let member = hello.member;
-        let heard = Heard {
+        let contact = StoreContact {
             hello,
             at_ms: now_ms,
         };
-        let before = self.stores.insert(machine, heard);
+        let before = self.stores.insert(machine, contact);
         if before.is_none() {
             self.newest_store_ms = now_ms;
         }
@@ -308,30 +312,30 @@
     }
 
     /// True when the job store has other members than were known.
-    fn note_store_group(&mut self, group: Option<&StoreGroupView>) -> bool {
-        let held = self.store_group.as_ref();
-        let newer = group.filter(|group| held.is_none_or(|held| held.term <= group.term));
+    fn record_store_group(&mut self, group: Option<&StoreGroupView>) -> bool {
+        let known = self.store_group.as_ref();
+        let newer = group.filter(|group| known.is_none_or(|known| known.term <= group.term));
         let Some(newer) = newer else {
             return false;
         };
-        let is_news = held.is_none_or(|held| held.machines != newer.machines);
+        let is_change = known.is_none_or(|known| known.machines != newer.machines);
         self.store_group = Some(newer.clone());
-        is_news
+        is_change
     }
 
     fn present_stores(&self, now_ms: u64) -> impl Iterator<Item = &NodeHello> {
         let stores = self.stores.values();
         stores
-            .filter(move |heard| is_present(heard.at_ms, now_ms))
-            .map(|heard| &heard.hello)
+            .filter(move |contact| is_present(contact.at_ms, now_ms))
+            .map(|contact| &contact.hello)
     }
 }
 
-fn heard_gateway(hello: &NodeHello) -> HeardGateway {
-    HeardGateway {
+fn reachable_gateway(hello: &NodeHello) -> ReachableGateway {
+    ReachableGateway {
         machine: hello.machine,
         place: hello.place(),
-        callers: hello.callers.clone(),
+        caller_address: hello.caller_address.clone(),
         ready: hello.ready,
         coordinates: hello.coordinates,
         linked: hello.linked.clone(),
--- a/crates/cluster/src/present_fleet.rs
+++ b/crates/cluster/src/present_fleet.rs
@@ -14,19 +14,19 @@
 use linnethitch_registry::{DirectoryNode, Place};
 
 use crate::{
-    message::{HeardGateway, PlacedGateway, PlacedMachine, PresentStore},
-    told_set::{SetChange, set_change},
+    message::{PlacedGateway, PlacedMachine, PresentStore, ReachableGateway},
+    set_change::{SetChange, set_change},
 };
 
 /// Connections share one view of who is present that is no older than this where a node said
 /// something new since.
-const SHARED_FOR: Duration = Duration::from_millis(20);
+const SHARED_MAX_AGE: Duration = Duration::from_millis(20);
 /// Where none did, a node may have fallen silent since: so long after it counts as silent the
 /// others learn of it at most.
-const SHARED_WITHOUT_NEWS_FOR: Duration = Duration::from_millis(100);
+const SHARED_MAX_AGE_UNCHANGED: Duration = Duration::from_millis(100);
 /// Earlier moments whose difference to now is kept: connections are told every 100 ms while
 /// much happens, which is five moments.
-const KEPT_CHANGES: usize = 16;
+const MAX_CACHED_CHANGES: usize = 16;
 
 /// Who is present.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Machines of control, and where they are.
     pub(crate) control: BTreeSet<PlacedMachine>,
     /// Where those of them are that were heard of lately, this one too.
-    pub(crate) tellers: BTreeMap<MachineId, Place>,
+    pub(crate) senders: BTreeMap<MachineId, Place>,
     /// Machines with disks for the job store.
     pub(crate) stores: BTreeSet<PresentStore>,
     /// Voters and learners of the job store.
@@ -46,7 +46,7 @@
     /// Gateways that did and fell silent.
     pub(crate) silent_coordinators: BTreeSet<MachineId>,
     /// Gateways that this member hears itself and that keep links to some members only.
-    pub(crate) heard: BTreeSet<HeardGateway>,
+    pub(crate) reachable: BTreeSet<ReachableGateway>,
     /// Those of them that stopped, as it heard itself.
     pub(crate) stopped: BTreeSet<MachineId>,
 }
@@ -60,29 +60,38 @@
     pub(crate) gateways: Option<SetChange<DirectoryNode>>,
     pub(crate) coordinators: Option<SetChange<PlacedGateway>>,
     pub(crate) silent_coordinators: Option<SetChange<MachineId>>,
-    pub(crate) heard: Option<SetChange<HeardGateway>>,
+    pub(crate) reachable: Option<SetChange<ReachableGateway>>,
     pub(crate) stopped: Option<SetChange<MachineId>>,
 }
 
 impl PresenceChange {
     /// From what was told last; `None` where nothing was.
-    fn between(told: Option<&PresentFleet>, now: &PresentFleet) -> Self {
-        let told_gateways = told.and_then(|told| told.gateways.as_ref());
+    fn between(last_sent: Option<&PresentFleet>, now: &PresentFleet) -> Self {
+        let last_sent_gateways = last_sent.and_then(|last_sent| last_sent.gateways.as_ref());
         PresenceChange {
-            control: set_change(told.map(|told| &told.control), &now.control),
-            stores: set_change(told.map(|told| &told.stores), &now.stores),
-            store_members: set_change(told.map(|told| &told.store_members), &now.store_members),
+            control: set_change(last_sent.map(|last_sent| &last_sent.control), &now.control),
+            stores: set_change(last_sent.map(|last_sent| &last_sent.stores), &now.stores),
+            store_members: set_change(
+                last_sent.map(|last_sent| &last_sent.store_members),
+                &now.store_members,
+            ),
             gateways: now
                 .gateways
                 .as_ref()
-                .and_then(|now| set_change(told_gateways, now)),
-            coordinators: set_change(told.map(|told| &told.coordinators), &now.coordinators),
+                .and_then(|now| set_change(last_sent_gateways, now)),
+            coordinators: set_change(
+                last_sent.map(|last_sent| &last_sent.coordinators),
+                &now.coordinators,
+            ),
             silent_coordinators: set_change(
-                told.map(|told| &told.silent_coordinators),
+                last_sent.map(|last_sent| &last_sent.silent_coordinators),
                 &now.silent_coordinators,
             ),
-            heard: set_change(told.map(|told| &told.heard), &now.heard),
-            stopped: set_change(told.map(|told| &told.stopped), &now.stopped),
+            reachable: set_change(
+                last_sent.map(|last_sent| &last_sent.reachable),
+                &now.reachable,
+            ),
+            stopped: set_change(last_sent.map(|last_sent| &last_sent.stopped), &now.stopped),
         }
     }
 }
@@ -90,14 +99,14 @@
 /// Who was present at the last look, and what changed since earlier ones.
 #[derive(Default)]
 pub(crate) struct SharedPresence {
-    taken: Option<Taken>,
+    taken: Option<PresenceSnapshot>,
     changes: Vec<(Option<Arc<PresentFleet>>, Arc<PresenceChange>)>,
 }
 
-struct Taken {
+struct PresenceSnapshot {
     at: Instant,
     /// The number of news by then.
-    news: u64,
+    change_count: u64,
     fleet: Arc<PresentFleet>,
 }
 
@@ -106,62 +115,62 @@
     /// changed.
     pub(crate) fn now(
         &mut self,
-        news: u64,
-        look: impl FnOnce() -> PresentFleet,
+        change_count: u64,
+        observe: impl FnOnce() -> PresentFleet,
     ) -> Arc<PresentFleet> {
         let now = Instant::now();
         if let Some(taken) = &self.taken {
             let age = now.saturating_duration_since(taken.at);
-            let holds_for = if taken.news == news {
-                SHARED_WITHOUT_NEWS_FOR
+            let holds_for = if taken.change_count == change_count {
+                SHARED_MAX_AGE_UNCHANGED
             } else {
-                SHARED_FOR
+                SHARED_MAX_AGE
             };
             if age < holds_for {
                 return Arc::clone(&taken.fleet);
             }
         }
-        let fleet = look();
-        let held = self.taken.take().map(|taken| taken.fleet);
-        let fleet = match held {
-            Some(held) if *held == fleet => held,
+        let fleet = observe();
+        let previous = self.taken.take().map(|taken| taken.fleet);
+        let fleet = match previous {
+            Some(previous) if *previous == fleet => previous,
             _ => {
                 self.changes.clear();
                 Arc::new(fleet)
             }
         };
-        self.taken = Some(Taken {
+        self.taken = Some(PresenceSnapshot {
             at: now,
-            news,
+            change_count,
             fleet: Arc::clone(&fleet),
         });
         fleet
     }
 
-    /// What is to be told of who is present now to one who was told `told` last.
+    /// What is to be told of who is present now to one who was told `last_sent` last.
     pub(crate) fn change(
         &mut self,
-        told: Option<&Arc<PresentFleet>>,
+        last_sent: Option<&Arc<PresentFleet>>,
         now: &Arc<PresentFleet>,
     ) -> Arc<PresenceChange> {
-        let is_same = |from: &Option<Arc<PresentFleet>>| match (from, told) {
+        let is_same = |from: &Option<Arc<PresentFleet>>| match (from, last_sent) {
             (None, None) => true,
-            (Some(from), Some(told)) => Arc::ptr_eq(from, told),
+            (Some(from), Some(last_sent)) => Arc::ptr_eq(from, last_sent),
             _ => false,
         };
-        let is_newest = |taken: &Taken| Arc::ptr_eq(&taken.fleet, now);
+        let is_newest = |taken: &PresenceSnapshot| Arc::ptr_eq(&taken.fleet, now);
         if !self.taken.as_ref().is_some_and(is_newest) {
             // Another look came between.
-            return Arc::new(PresenceChange::between(told.map(AsRef::as_ref), now));
+            return Arc::new(PresenceChange::between(last_sent.map(AsRef::as_ref), now));
         }
         if let Some((_, change)) = self.changes.iter().find(|(from, _)| is_same(from)) {
             return Arc::clone(change);
         }
-        let change = Arc::new(PresenceChange::between(told.map(AsRef::as_ref), now));
-        if self.changes.len() == KEPT_CHANGES {
+        let change = Arc::new(PresenceChange::between(last_sent.map(AsRef::as_ref), now));
+        if self.changes.len() == MAX_CACHED_CHANGES {
             self.changes.remove(0);
         }
-        self.changes.push((told.cloned(), Arc::clone(&change)));
+        self.changes.push((last_sent.cloned(), Arc::clone(&change)));
         change
     }
 }
--- a/crates/cluster/src/registry_service.rs
+++ b/crates/cluster/src/registry_service.rs
@@ -26,16 +26,16 @@
     message::{RegistryCall, RegistryReply},
     node::address_of,
     presence::Presence,
-    replica_silence::ReplicaSilence,
+    replica_liveness::ReplicaLiveness,
 };
 
 /// A request under which replicas ended is tried again, or no longer suspected, when
 /// nothing was heard of it for so long, in milliseconds: ten minutes, so that one that
 /// callers send for hours costs six replicas an hour at most.
-const SUSPICION_HELD_MS: u64 = 600_000;
+const SUSPICION_TTL_MS: u64 = 600_000;
 /// What the group said of its view counts for so long, in milliseconds: it says it with
 /// every tick of its clock, and the leader is heard of within a second by then.
-const NOTED_FOR_MS: u64 = 1_000;
+const CURRENT_TTL_MS: u64 = 1_000;
 /// The record of gateways is changed this often at most, in milliseconds: a start of the
 /// whole fleet is a few commits, not one for each gateway.
 const GATEWAYS_INTERVAL_MS: u64 = 200;
@@ -60,14 +60,14 @@
     pub(crate) changes: watch::Sender<u64>,
     pub(crate) presence: Mutex<Presence>,
     /// When the group last said whether the view is current, in milliseconds.
-    pub(crate) noted_ms: AtomicU64,
+    pub(crate) current_checked_ms: AtomicU64,
 }
 
 impl RegistryShared {
     /// Whether the view is what is in force. A group whose disk hangs says nothing new.
     pub(crate) fn is_current(&self, now_ms: u64) -> bool {
-        let noted_ms = self.noted_ms.load(Ordering::Relaxed);
-        self.view.lock().is_current && now_ms < noted_ms + NOTED_FOR_MS
+        let current_checked_ms = self.current_checked_ms.load(Ordering::Relaxed);
+        self.view.lock().is_current && now_ms < current_checked_ms + CURRENT_TTL_MS
     }
 }
 
@@ -75,12 +75,12 @@
 pub(crate) struct RegistryService {
     shared: Arc<RegistryShared>,
     /// Which replicas were heard of, as far as this leader knows.
-    silence: ReplicaSilence,
+    liveness: ReplicaLiveness,
     /// Entries that changed suspicions last, and when this leader first saw them.
     suspected: BTreeMap<RequestFingerprint, (LogIndex, u64)>,
     /// When this leader last proposed another record of gateways.
     gateways_proposed_ms: u64,
-    led: bool,
+    is_leading: bool,
     is_current: bool,
     store_voters: usize,
     logger: Logger,
@@ -90,10 +90,10 @@
     pub(crate) fn new(shared: Arc<RegistryShared>, store_voters: usize, logger: Logger) -> Self {
         RegistryService {
             shared,
-            silence: ReplicaSilence::default(),
+            liveness: ReplicaLiveness::default(),
             suspected: BTreeMap::new(),
             gateways_proposed_ms: 0,
-            led: false,
+            is_leading: false,
             is_current: false,
             store_voters,
             logger,
@@ -101,7 +101,7 @@
     }
 
     /// Finds out whether the member holds what is in force.
-    fn note_current(&mut self, member: &GroupMember<Registry>) {
+    fn update_current(&mut self, member: &GroupMember<Registry>) {
         let is_current = member.is_current();
         if is_current == self.is_current {
             return;
@@ -115,26 +115,27 @@
     }
 
     /// Begins to lead, if it does not yet: what was heard of before counts for nothing.
-    fn lead(&mut self) {
-        if !self.led {
-            self.led = true;
-            self.silence = ReplicaSilence::default();
+    fn begin_leading(&mut self) {
+        if !self.is_leading {
+            self.is_leading = true;
+            self.liveness = ReplicaLiveness::default();
             self.suspected.clear();
         }
     }
 
-    /// Suspicions that nothing has changed for [`SUSPICION_HELD_MS`].
-    fn old_suspicions(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
+    /// Suspicions that nothing has changed for [`SUSPICION_TTL_MS`].
+    fn expired_suspicions(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         let suspicions = registry.suspicions();
         self.suspected.retain(|fingerprint, (changed_at, _)| {
-            let held = suspicions.get(fingerprint);
-            held.is_some_and(|held| held.is_open() && held.changed_at == *changed_at)
+            let previous = suspicions.get(fingerprint);
+            previous
+                .is_some_and(|previous| previous.is_open() && previous.changed_at == *changed_at)
         });
         let mut old = Vec::new();
         for record in suspicions.open() {
-            let seen = self.suspected.entry(record.fingerprint);
-            let (_, since_ms) = *seen.or_insert((record.changed_at, now_ms));
-            if now_ms.saturating_sub(since_ms) > SUSPICION_HELD_MS {
+            let first_seen = self.suspected.entry(record.fingerprint);
+            let (_, since_ms) = *first_seen.or_insert((record.changed_at, now_ms));
+            if now_ms.saturating_sub(since_ms) > SUSPICION_TTL_MS {
                 old.push(record.fingerprint);
             }
         }
@@ -142,17 +143,17 @@
     }
 
     /// Gateways that came, and that stopped or were silent for long.
-    fn other_gateways(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
+    fn gateways_change(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         if now_ms < self.gateways_proposed_ms + GATEWAYS_INTERVAL_MS {
             return None;
         }
         let presence = self.shared.presence.lock();
         let coordinators = presence.coordinators();
-        let change = coordinators.change_of(registry.gateways(), now_ms)?;
+        let change = coordinators.change_from(registry.gateways(), now_ms)?;
         self.gateways_proposed_ms = now_ms;
         Some(RegistryCommand::GatewaysChanged {
             joined: change.joined,
-            left: change.left,
+            left: change.departed,
         })
     }
 
@@ -184,9 +185,9 @@
 
     fn log_gateways(&self, before: &KnownGateways, now: &KnownGateways) {
         let joined = now.machines().filter(|machine| !before.contains(*machine));
-        let left = before.machines().filter(|machine| !now.contains(*machine));
+        let departed = before.machines().filter(|machine| !now.contains(*machine));
         info!(self.logger, "known gateways changed"; "joined" => addresses(joined),
-            "left" => addresses(left), "known" => now.machines().count());
+            "left" => addresses(departed), "known" => now.machines().count());
     }
 
     fn store_to_form(&self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
@@ -213,16 +214,16 @@
     ) -> Begin<RegistryReply> {
         match call {
             RegistryCall::Document => Begin::Read,
-            RegistryCall::Propose(_) | RegistryCall::Alive(_) if !member.is_leader() => {
+            RegistryCall::Propose(_) | RegistryCall::ReplicasAlive(_) if !member.is_leader() => {
                 let leader = member.leader().map(|leader| leader.machine);
                 Begin::Reply(RegistryReply::NotLeader(leader))
             }
             RegistryCall::Propose(command) => self.begin_proposal(command, now),
-            RegistryCall::Alive(replicas) => {
+            RegistryCall::ReplicasAlive(replicas) => {
                 for start in replicas {
-                    self.silence.note_heard(start, now.steady_ms);
+                    self.liveness.record_contact(start, now.steady_ms);
                 }
-                Begin::Reply(RegistryReply::Noted)
+                Begin::Reply(RegistryReply::Recorded)
             }
         }
     }
@@ -235,9 +236,9 @@
         now: Now,
     ) -> RegistryReply {
         if let RegistryCall::Propose(RegistryCommand::Replica(change)) = call {
-            let held = change.clone().reduced_to(registry.format());
-            self.silence
-                .note_heard(&held.incarnation_key(), now.steady_ms);
+            let previous = change.clone().reduced_to(registry.format());
+            self.liveness
+                .record_contact(&previous.incarnation_key(), now.steady_ms);
         }
         RegistryReply::Answer(answer)
     }
@@ -259,16 +260,16 @@
         }
     }
 
-    fn upkeep(&mut self, member: &GroupMember<Registry>, now: Now) -> Vec<Vec<u8>> {
+    fn run_maintenance(&mut self, member: &GroupMember<Registry>, now: Now) -> Vec<Vec<u8>> {
         let registry = member.state();
-        self.lead();
-        let mut commands = self.silence.look(registry, now.steady_ms);
+        self.begin_leading();
+        let mut commands = self.liveness.maintenance_commands(registry, now.steady_ms);
         if !self.all_gateways_read(Format::Second, now.steady_ms) {
             // A gateway that does not would keep what it missed the end of.
             commands.retain(|command| !matches!(command, RegistryCommand::ForgetEnded { .. }));
         }
-        commands.extend(self.old_suspicions(registry, now.steady_ms));
-        commands.extend(self.other_gateways(registry, now.steady_ms));
+        commands.extend(self.expired_suspicions(registry, now.steady_ms));
+        commands.extend(self.gateways_change(registry, now.steady_ms));
         commands.extend(self.store_to_form(registry, now.steady_ms));
         // What members cannot read yet waits until they can.
         let encoded = commands
@@ -282,27 +283,29 @@
     }
 
     fn flushed(&mut self, member: &GroupMember<Registry>, now: Now) {
-        self.shared.noted_ms.store(now.steady_ms, Ordering::Relaxed);
+        self.shared
+            .current_checked_ms
+            .store(now.steady_ms, Ordering::Relaxed);
         if !member.is_leader() {
-            self.led = false;
+            self.is_leading = false;
         }
-        self.note_current(member);
+        self.update_current(member);
         let is_current = self.is_current;
-        let held = Arc::clone(&self.shared.view.lock());
+        let previous = Arc::clone(&self.shared.view.lock());
         let membership = member.membership();
         let all = membership.voters.iter().chain(&membership.learners);
         let members: Vec<MachineId> = all.map(|member| member.machine).collect();
         let registry = member.state();
-        let tells_same = held.registry.changed_at() == registry.changed_at()
-            && held.members == members
-            && held.is_current == is_current;
-        let has_other_gateways = held.registry.gateways() != registry.gateways();
-        let has_other_format = held.registry.format() != registry.format();
-        if tells_same && !has_other_gateways && !has_other_format {
+        let reports_same = previous.registry.changed_at() == registry.changed_at()
+            && previous.members == members
+            && previous.is_current == is_current;
+        let gateways_changed = previous.registry.gateways() != registry.gateways();
+        let format_changed = previous.registry.format() != registry.format();
+        if reports_same && !gateways_changed && !format_changed {
             return;
         }
-        if has_other_gateways {
-            self.log_gateways(held.registry.gateways(), registry.gateways());
+        if gateways_changed {
+            self.log_gateways(previous.registry.gateways(), registry.gateways());
         }
         let view = RegistryView {
             registry: registry.clone(),
@@ -310,7 +313,7 @@
             is_current,
         };
         *self.shared.view.lock() = Arc::new(view);
-        if !tells_same {
+        if !reports_same {
             self.shared.changes.send_modify(|count| *count += 1);
         }
     }
--- a/crates/cluster/src/replica_silence.rs
+++ b/crates/cluster/src/replica_liveness.rs
@@ -15,62 +15,66 @@
 /// there, in milliseconds. Heartbeats come about every 1.2 s and are told every 2 s.
 const DISPLACED_SILENCE_MS: u64 = 6_000;
 /// What was proposed is proposed again after this where it was not committed, in milliseconds.
-const PROPOSE_AGAIN_MS: u64 = 1_000;
+const REPROPOSE_AFTER_MS: u64 = 1_000;
 /// Gone replicas are held for so long, in milliseconds: no node in touch lacks news that are
 /// two minutes old, and no heartbeat comes that late, since connections end within seconds.
 /// A node that was cut off for longer is told every replica that there is.
-const GONE_KEPT_MS: u64 = 120_000;
+const ENDED_RETENTION_MS: u64 = 120_000;
 /// How far the registry is, is noted this often, in milliseconds.
 const MARK_INTERVAL_MS: u64 = 10_000;
 
 /// What a leader knows of replicas. Times are steady, in milliseconds.
 #[derive(Default)]
-pub(crate) struct ReplicaSilence {
+pub(crate) struct ReplicaLiveness {
     /// When each start that is held and not gone was heard of last.
-    heard: HashMap<String, u64>,
+    last_contact: HashMap<String, u64>,
     /// When live ones are looked at next.
     due: BTreeSet<(u64, String)>,
     /// The registry at the last look.
-    seen: Registry,
+    last_registry: Registry,
     /// How far the registry was at some earlier times, the latest last.
     marks: VecDeque<(u64, LogIndex)>,
 }
 
-impl ReplicaSilence {
+impl ReplicaLiveness {
     /// A start of a replica was heard of.
-    pub(crate) fn note_heard(&mut self, start: &str, now_ms: u64) {
+    pub(crate) fn record_contact(&mut self, start: &str, now_ms: u64) {
         // One that is not held yet counts as heard of when it is.
-        if let Some(heard_ms) = self.heard.get_mut(start) {
-            *heard_ms = now_ms;
+        if let Some(last_contact_ms) = self.last_contact.get_mut(start) {
+            *last_contact_ms = now_ms;
         }
     }
 
     /// What is to be changed by now.
-    pub(crate) fn look(&mut self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
-        self.take_changes(registry, now_ms);
-        let mut commands = self.silent_ones(registry, now_ms);
-        commands.extend(self.settle_addresses(registry, now_ms));
-        commands.extend(self.forget_gone(registry, now_ms));
+    pub(crate) fn maintenance_commands(
+        &mut self,
+        registry: &Registry,
+        now_ms: u64,
+    ) -> Vec<RegistryCommand> {
+        self.apply_changes(registry, now_ms);
+        let mut commands = self.remove_silent(registry, now_ms);
+        commands.extend(self.resolve_addresses(registry, now_ms));
+        commands.extend(self.forget_ended(registry, now_ms));
         commands
     }
 
-    fn take_changes(&mut self, registry: &Registry, now_ms: u64) {
-        let seen = std::mem::replace(&mut self.seen, registry.clone());
+    fn apply_changes(&mut self, registry: &Registry, now_ms: u64) {
+        let last_registry = std::mem::replace(&mut self.last_registry, registry.clone());
         let is_held = |record: &&ReplicaRecord| record.reported.state != ReplicaState::Ended;
-        for difference in registry.differences(&seen) {
+        for difference in registry.differences(&last_registry) {
             let before = difference.before.filter(is_held);
             let now = difference.now.filter(is_held);
             let key = now.map(|now| now.reported.incarnation_key());
             if let Some(before) = before.map(|before| before.reported.incarnation_key())
                 && key.as_ref() != Some(&before)
             {
-                self.heard.remove(&before);
+                self.last_contact.remove(&before);
             }
             let (Some(now), Some(key)) = (now, key) else {
                 continue;
             };
             // What changed it was said by itself, or by one that tried to reach it.
-            self.heard.entry(key.clone()).or_insert(now_ms);
+            self.last_contact.entry(key.clone()).or_insert(now_ms);
             if now.reported.state.is_live() {
                 self.due.insert((now_ms + REPLICA_SILENCE_MS, key));
             }
@@ -78,7 +82,7 @@
     }
 
     /// Live ones that were silent for too long.
-    fn silent_ones(&mut self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
+    fn remove_silent(&mut self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
         let mut silent = Vec::new();
         while let Some((due_ms, _)) = self.due.first()
             && *due_ms < now_ms
@@ -86,15 +90,15 @@
             let Some((_, key)) = self.due.pop_first() else {
                 break;
             };
-            let Some(heard_ms) = self.heard.get(&key).copied() else {
+            let Some(last_contact_ms) = self.last_contact.get(&key).copied() else {
                 continue;
             };
             if !is_live(registry, &key) {
                 continue;
             }
-            let silent_at_ms = heard_ms + REPLICA_SILENCE_MS;
+            let silent_at_ms = last_contact_ms + REPLICA_SILENCE_MS;
             if silent_at_ms < now_ms {
-                self.due.insert((now_ms + PROPOSE_AGAIN_MS, key.clone()));
+                self.due.insert((now_ms + REPROPOSE_AFTER_MS, key.clone()));
                 silent.push(RegistryCommand::RemoveReplica(key));
             } else {
                 self.due.insert((silent_at_ms, key));
@@ -105,7 +109,7 @@
 
     /// Finds out which of two incarnations at one address is there, where no request
     /// has shown it: the one that is still heard of.
-    fn settle_addresses(&self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
+    fn resolve_addresses(&self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
         let mut settled = Vec::new();
         for displaced in registry.displaced_replicas() {
             let others = registry.at_address(&displaced.reported.address);
@@ -125,30 +129,36 @@
     }
 
     fn is_silent(&self, start: &str, now_ms: u64) -> bool {
-        let heard_ms = self.heard.get(start).copied().unwrap_or(now_ms);
-        now_ms.saturating_sub(heard_ms) > DISPLACED_SILENCE_MS
+        let last_contact_ms = self.last_contact.get(start).copied().unwrap_or(now_ms);
+        now_ms.saturating_sub(last_contact_ms) > DISPLACED_SILENCE_MS
     }
 
-    fn forget_gone(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
+    fn forget_ended(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         let last = self.marks.back();
         if last.is_none_or(|(at_ms, _)| *at_ms + MARK_INTERVAL_MS <= now_ms) {
             self.marks.push_back((now_ms, registry.changed_at()));
         }
-        let mut upto = None;
+        let mut newest_index = None;
         while let Some((at_ms, mark)) = self.marks.front()
-            && *at_ms + GONE_KEPT_MS <= now_ms
+            && *at_ms + ENDED_RETENTION_MS <= now_ms
         {
-            upto = Some(*mark);
+            newest_index = Some(*mark);
             self.marks.pop_front();
         }
-        let upto = upto?;
-        let has_gone = registry.first_ended_at().is_some_and(|at| at <= upto);
-        has_gone.then_some(RegistryCommand::ForgetEnded { up_to_index: upto })
+        let newest_index = newest_index?;
+        let has_ended = registry
+            .first_ended_at()
+            .is_some_and(|at| at <= newest_index);
+        has_ended.then_some(RegistryCommand::ForgetEnded {
+            up_to_index: newest_index,
+        })
     }
 }
 
 fn is_live(registry: &Registry, start: &str) -> bool {
     let (id, _) = linnethitch_registry::parse_incarnation_key(start);
-    let held = registry.replica(id);
-    held.is_some_and(|held| held.reported.state.is_live() && held.reported.is_of_incarnation(start))
+    let record = registry.replica(id);
+    record.is_some_and(|record| {
+        record.reported.state.is_live() && record.reported.is_of_incarnation(start)
+    })
 }
--- a/crates/cluster/src/told_fleet.rs
+++ b/crates/cluster/src/reported_fleet.rs
@@ -9,17 +9,17 @@
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_registry::{DirectoryNode, Place};
 
-use crate::message::{PlacedGateway, PlacedMachine, PresentStore, Pulse};
+use crate::message::{ControlHeartbeat, PlacedGateway, PlacedMachine, PresentStore};
 
 /// What a control member told counts for this long after it was last heard of,
 /// compared with the one that was heard of last, in milliseconds.
-const TOLD_VALID_MS: u64 = 3_000;
+const REPORT_VALID_MS: u64 = 3_000;
 /// A machine that no pulse has named for so long is no longer linked to, in milliseconds.
-const FORGOTTEN_MS: u64 = 10_000;
+const LINK_EXPIRY_MS: u64 = 10_000;
 
 /// What one control member told.
 #[derive(Clone, Debug, Default)]
-struct Told {
+struct MemberReport {
     /// When it was last heard of.
     at_ms: u64,
     control: BTreeSet<PlacedMachine>,
@@ -32,8 +32,8 @@
 
 /// What all control members told.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct ToldFleet {
-    by_control: BTreeMap<MachineId, Told>,
+pub(crate) struct ReportedFleet {
+    by_control: BTreeMap<MachineId, MemberReport>,
     /// Machines of control, and when one was last named.
     control: BTreeMap<MachineId, u64>,
     /// Members of the job store, and when one was last named.
@@ -46,58 +46,63 @@
 #[derive(Clone, Debug, Default)]
 struct Merged {
     /// Those who told it; empty where it is to be merged anew.
-    tellers: Vec<MachineId>,
+    senders: Vec<MachineId>,
     gateways: Arc<Vec<DirectoryNode>>,
     coordinators: Arc<Vec<PlacedGateway>>,
     silent_coordinators: Arc<Vec<MachineId>>,
 }
 
-impl ToldFleet {
+impl ReportedFleet {
     /// Takes a pulse of a control member; true when it named a machine that was
     /// not known before.
-    pub(crate) fn take(&mut self, from: MachineId, pulse: &mut Pulse, now_ms: u64) -> bool {
-        let told = self.by_control.entry(from).or_default();
-        told.at_ms = now_ms;
-        let tells_gateways = pulse.gateways.is_some()
-            || pulse.coordinators.is_some()
-            || pulse.silent_coordinators.is_some();
-        if tells_gateways {
-            self.merged.tellers.clear();
+    pub(crate) fn apply(
+        &mut self,
+        from: MachineId,
+        heartbeat: &mut ControlHeartbeat,
+        now_ms: u64,
+    ) -> bool {
+        let reported = self.by_control.entry(from).or_default();
+        reported.at_ms = now_ms;
+        let has_gateways = heartbeat.gateways.is_some()
+            || heartbeat.coordinators.is_some()
+            || heartbeat.silent_coordinators.is_some();
+        if has_gateways {
+            self.merged.senders.clear();
         }
-        if let Some(change) = pulse.control.take() {
-            change.apply_to(&mut told.control);
+        if let Some(change) = heartbeat.control.take() {
+            change.apply_to(&mut reported.control);
         }
-        if let Some(change) = pulse.stores.take() {
-            change.apply_to(&mut told.stores);
+        if let Some(change) = heartbeat.stores.take() {
+            change.apply_to(&mut reported.stores);
         }
-        if let Some(change) = pulse.store_members.take() {
-            change.apply_to(&mut told.store_members);
+        if let Some(change) = heartbeat.store_members.take() {
+            change.apply_to(&mut reported.store_members);
         }
-        if let Some(change) = pulse.gateways.take() {
-            change.apply_to(&mut told.gateways);
+        if let Some(change) = heartbeat.gateways.take() {
+            change.apply_to(&mut reported.gateways);
         }
-        if let Some(change) = pulse.coordinators.take() {
-            change.apply_to(&mut told.coordinators);
+        if let Some(change) = heartbeat.coordinators.take() {
+            change.apply_to(&mut reported.coordinators);
         }
-        if let Some(change) = pulse.silent_coordinators.take() {
-            change.apply_to(&mut told.silent_coordinators);
+        if let Some(change) = heartbeat.silent_coordinators.take() {
+            change.apply_to(&mut reported.silent_coordinators);
         }
         let machines = |placed: &BTreeSet<PlacedMachine>| {
             let machines = placed.iter().map(|placed| placed.machine);
             machines.collect::<BTreeSet<MachineId>>()
         };
-        let new_control = note_named(&mut self.control, &machines(&told.control), now_ms);
-        let members = machines(&told.store_members);
-        let new_store = note_named(&mut self.store_members, &members, now_ms);
+        let new_control = record_named(&mut self.control, &machines(&reported.control), now_ms);
+        let members = machines(&reported.store_members);
+        let new_store = record_named(&mut self.store_members, &members, now_ms);
         self.by_control
-            .retain(|_, told| now_ms.saturating_sub(told.at_ms) < FORGOTTEN_MS);
+            .retain(|_, reported| now_ms.saturating_sub(reported.at_ms) < LINK_EXPIRY_MS);
         new_control || new_store
     }
 
     /// Machines of control to link to; the seeds too where none was heard of lately.
     pub(crate) fn control(&self, seeds: &[MachineId], now_ms: u64) -> BTreeSet<MachineId> {
         let mut machines: BTreeSet<MachineId> = self.control.keys().copied().collect();
-        if self.silent_ms(now_ms) >= TOLD_VALID_MS || machines.is_empty() {
+        if self.silent_ms(now_ms) >= REPORT_VALID_MS || machines.is_empty() {
             machines.extend(seeds);
         }
         machines
@@ -105,13 +110,18 @@
 
     /// Where machines of control are, as far as any of them knows.
     pub(crate) fn control_places(&self) -> BTreeMap<MachineId, Place> {
-        places(self.recent().flat_map(|(_, told)| &told.control))
+        places(
+            self.recent_reports()
+                .flat_map(|(_, reported)| &reported.control),
+        )
     }
 
     /// When each machine of control was heard of last.
-    pub(crate) fn control_heard(&self) -> BTreeMap<MachineId, u64> {
-        let told = self.by_control.iter();
-        told.map(|(machine, told)| (*machine, told.at_ms)).collect()
+    pub(crate) fn control_last_contact_ms(&self) -> BTreeMap<MachineId, u64> {
+        let reported = self.by_control.iter();
+        reported
+            .map(|(machine, reported)| (*machine, reported.at_ms))
+            .collect()
     }
 
     /// Members of the job store to link to.
@@ -121,13 +131,19 @@
 
     /// Where members of the job store are, as far as any control member knows.
     pub(crate) fn store_places(&self) -> BTreeMap<MachineId, Place> {
-        places(self.recent().flat_map(|(_, told)| &told.store_members))
+        places(
+            self.recent_reports()
+                .flat_map(|(_, reported)| &reported.store_members),
+        )
     }
 
     /// Machines with disks for the job store that any control member sees.
     pub(crate) fn stores(&self) -> BTreeSet<PresentStore> {
-        let told = self.recent();
-        told.flat_map(|(_, told)| &told.stores).cloned().collect()
+        let reported = self.recent_reports();
+        reported
+            .flat_map(|(_, reported)| &reported.stores)
+            .cloned()
+            .collect()
     }
 
     /// Ready gateways that any control member sees; one that is cut off from some
@@ -149,23 +165,25 @@
     }
 
     fn merged(&mut self) -> &Merged {
-        let tellers: Vec<MachineId> = self.recent().map(|(teller, _)| teller).collect();
-        if self.merged.tellers != tellers {
-            self.merge(tellers);
+        let senders: Vec<MachineId> = self.recent_reports().map(|(sender, _)| sender).collect();
+        if self.merged.senders != senders {
+            self.merge(senders);
         }
         &self.merged
     }
 
-    fn merge(&mut self, tellers: Vec<MachineId>) {
-        let told = || self.recent().map(|(_, told)| told);
-        let gateways: BTreeSet<&DirectoryNode> = told().flat_map(|told| &told.gateways).collect();
-        let told_coordinators = told().flat_map(|told| &told.coordinators);
-        let coordinators = told_best(told_coordinators);
-        let heard: BTreeSet<MachineId> = coordinators.iter().map(|known| known.machine).collect();
-        let silent: BTreeSet<MachineId> = told()
-            .flat_map(|told| &told.silent_coordinators)
+    fn merge(&mut self, senders: Vec<MachineId>) {
+        let reported = || self.recent_reports().map(|(_, reported)| reported);
+        let gateways: BTreeSet<&DirectoryNode> =
+            reported().flat_map(|reported| &reported.gateways).collect();
+        let told_coordinators = reported().flat_map(|reported| &reported.coordinators);
+        let coordinators = best_reported(told_coordinators);
+        let reachable: BTreeSet<MachineId> =
+            coordinators.iter().map(|known| known.machine).collect();
+        let silent: BTreeSet<MachineId> = reported()
+            .flat_map(|reported| &reported.silent_coordinators)
             .copied()
-            .filter(|machine| !heard.contains(machine))
+            .filter(|machine| !reachable.contains(machine))
             .collect();
         let coordinators = if self
             .merged
@@ -178,7 +196,7 @@
             Arc::new(coordinators.into_iter().cloned().collect())
         };
         self.merged = Merged {
-            tellers,
+            senders,
             gateways: Arc::new(gateways.into_iter().cloned().collect()),
             coordinators,
             silent_coordinators: Arc::new(silent.into_iter().collect()),
@@ -191,46 +209,47 @@
     }
 
     fn newest_ms(&self) -> u64 {
-        let told = self.by_control.values();
-        told.map(|told| told.at_ms).max().unwrap_or(0)
+        let reported = self.by_control.values();
+        reported.map(|reported| reported.at_ms).max().unwrap_or(0)
     }
 
     /// What was told lately and by whom, as of the newest pulse.
-    fn recent(&self) -> impl Iterator<Item = (MachineId, &Told)> {
-        let valid_from = self.newest_ms().saturating_sub(TOLD_VALID_MS);
-        let told = self.by_control.iter();
-        told.filter(move |(_, told)| told.at_ms >= valid_from)
-            .map(|(teller, told)| (*teller, told))
+    fn recent_reports(&self) -> impl Iterator<Item = (MachineId, &MemberReport)> {
+        let valid_from = self.newest_ms().saturating_sub(REPORT_VALID_MS);
+        let reported = self.by_control.iter();
+        reported
+            .filter(move |(_, reported)| reported.at_ms >= valid_from)
+            .map(|(sender, reported)| (*sender, reported))
     }
 }
 
 /// Notes what was named just now, and forgets what was not named for long; true
 /// when there is a new name.
-fn note_named(
-    named: &mut BTreeMap<MachineId, u64>,
+fn record_named(
+    recent_gateways: &mut BTreeMap<MachineId, u64>,
     now_named: &BTreeSet<MachineId>,
     now_ms: u64,
 ) -> bool {
-    let mut is_news = false;
+    let mut has_new = false;
     for machine in now_named {
-        is_news |= named.insert(*machine, now_ms).is_none();
+        has_new |= recent_gateways.insert(*machine, now_ms).is_none();
     }
-    named.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < FORGOTTEN_MS);
-    is_news
+    recent_gateways.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LINK_EXPIRY_MS);
+    has_new
 }
 
 /// Each gateway once, by machine: as a member told it that knows where it is, which one that
 /// speaks an older format does not.
-fn told_best<'a>(told: impl Iterator<Item = &'a PlacedGateway>) -> Vec<&'a PlacedGateway> {
+fn best_reported<'a>(reported: impl Iterator<Item = &'a PlacedGateway>) -> Vec<&'a PlacedGateway> {
     let mut best: BTreeMap<MachineId, &PlacedGateway> = BTreeMap::new();
-    for gateway in told {
-        let held = best.entry(gateway.machine).or_insert(gateway);
+    for gateway in reported {
+        let best_known = best.entry(gateway.machine).or_insert(gateway);
         let rank = |gateway: &PlacedGateway| {
             let is_placed = !gateway.place.zone.is_empty();
             (is_placed, gateway.newest_format)
         };
-        if rank(gateway) > rank(held) {
-            *held = gateway;
+        if rank(gateway) > rank(best_known) {
+            *best_known = gateway;
         }
     }
     best.into_values().collect()
--- a/crates/cluster/src/results_query.rs
+++ b/crates/cluster/src/results_query.rs
@@ -6,11 +6,11 @@
 use linnethitch_job_store::{ResultsPage, StoreCall, StoreReply};
 use linnethitch_protocol::{format::Format, ids::MachineId};
 
-use crate::{gateway::GatewayNode, nearness::Nearness};
+use crate::{distance::Distance, gateway::GatewayNode};
 
 /// Longest wait for a near member's texts before the leader is asked for them. Several times a
 /// round trip within a region.
-const HELD_LIMIT: Duration = Duration::from_millis(100);
+const NEARBY_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
 /// Which results of which job are wanted.
 #[derive(Clone, Debug)]
@@ -35,7 +35,7 @@
     }
 
     /// Asks a member for them that holds as many as there are.
-    pub(crate) fn held(&self, listed: u32) -> StoreCall {
+    pub(crate) fn local(&self, listed: u32) -> StoreCall {
         StoreCall::ResultsHeld {
             job: self.job.clone(),
             tenant: self.tenant.clone(),
@@ -46,7 +46,7 @@
     }
 
     /// Asks the leader for them.
-    pub(crate) fn whole(self) -> StoreCall {
+    pub(crate) fn from_leader(self) -> StoreCall {
         StoreCall::Results {
             job: self.job,
             tenant: self.tenant,
@@ -59,41 +59,41 @@
 impl GatewayNode {
     /// Reads results of a job: how many there are from the job store's leader, and their
     /// texts from a member that is nearer, where there is one.
-    pub async fn results(&self, wanted: ResultsQuery, limit: Duration) -> StoreReply {
-        let until = Instant::now() + limit;
-        if let Some(member) = self.nearer_member() {
-            let listed = self.call_store(wanted.listed(), limit).await;
+    pub async fn results(&self, query: ResultsQuery, limit: Duration) -> StoreReply {
+        let deadline = Instant::now() + limit;
+        if let Some(member) = self.nearest_member() {
+            let listed = self.call_store(query.listed(), limit).await;
             let StoreReply::Listed { total, listed } = listed else {
                 return listed;
             };
-            if listed <= wanted.since {
+            if listed <= query.since {
                 let results = Vec::new();
                 return StoreReply::Results(ResultsPage { total, results });
             }
-            let call = wanted.held(listed);
-            let held = timeout(HELD_LIMIT, self.store.ask(member, &call)).await;
-            if let Ok(Ok(StoreReply::Results(page))) = held {
+            let call = query.local(listed);
+            let local = timeout(NEARBY_READ_TIMEOUT, self.store.ask(member, &call)).await;
+            if let Ok(Ok(StoreReply::Results(page))) = local {
                 return StoreReply::Results(page);
             }
         }
-        let left = until.saturating_duration_since(Instant::now());
-        self.call_store(wanted.whole(), left).await
+        let remaining = deadline.saturating_duration_since(Instant::now());
+        self.call_store(query.from_leader(), remaining).await
     }
 
     /// The nearest member of the job store that is nearer than its leader.
-    fn nearer_member(&self) -> Option<MachineId> {
-        let places = self.told.lock().store_places();
+    fn nearest_member(&self) -> Option<MachineId> {
+        let places = self.reported.lock().store_places();
         let distance = |machine: &MachineId| {
             let place = places.get(machine);
-            place.map_or(Nearness::Elsewhere, |place| {
-                Nearness::between(&self.place, place)
+            place.map_or(Distance::Elsewhere, |place| {
+                Distance::between(&self.place, place)
             })
         };
         let leader = self.store.leader()?;
         // Only the second format counts results and reads them of any member.
-        let counts = |machine| self.links.format_with(machine) >= Some(Format::Second);
+        let supports_counts = |machine| self.links.format_with(machine) >= Some(Format::Second);
         let nearest = places.keys().copied().min_by_key(&distance)?;
         let is_nearer = distance(&nearest) < distance(&leader);
-        (is_nearer && counts(nearest) && counts(leader)).then_some(nearest)
+        (is_nearer && supports_counts(nearest) && supports_counts(leader)).then_some(nearest)
     }
 }
--- a/crates/cluster/src/seeds.rs
+++ b/crates/cluster/src/seeds.rs
@@ -21,10 +21,10 @@
 
     /// Replaces them; true when they are other ones.
     pub fn set(&self, addresses: Vec<Ipv4Addr>) -> bool {
-        let mut held = self.0.lock();
-        let are_others = *held != addresses;
-        *held = addresses;
-        are_others
+        let mut current = self.0.lock();
+        let is_changed = *current != addresses;
+        *current = addresses;
+        is_changed
     }
 
     /// The machines now.
--- a/crates/cluster/src/told_set.rs
+++ b/crates/cluster/src/set_change.rs
@@ -16,40 +16,40 @@
 
 impl<T: Ord> SetChange<T> {
     /// Puts the change into the receiver's set.
-    pub(crate) fn apply_to(self, held: &mut BTreeSet<T>) {
+    pub(crate) fn apply_to(self, known: &mut BTreeSet<T>) {
         if self.is_first {
-            held.clear();
+            known.clear();
         }
         for entry in &self.removed {
-            held.remove(entry);
+            known.remove(entry);
         }
-        held.extend(self.added);
+        known.extend(self.added);
     }
 
     /// The same where the receiver holds them by a key.
-    pub(crate) fn apply_to_map<K: Ord>(self, held: &mut BTreeMap<K, T>, key: impl Fn(&T) -> K) {
+    pub(crate) fn apply_to_map<K: Ord>(self, known: &mut BTreeMap<K, T>, key: impl Fn(&T) -> K) {
         if self.is_first {
-            held.clear();
+            known.clear();
         }
         for entry in &self.removed {
-            held.remove(&key(entry));
+            known.remove(&key(entry));
         }
-        held.extend(self.added.into_iter().map(|entry| (key(&entry), entry)));
+        known.extend(self.added.into_iter().map(|entry| (key(&entry), entry)));
     }
 }
 
-/// What is to be told so that a receiver who was told `told` holds `now`; `None` when it does.
+/// What is to be told so that a receiver who was told `last_sent` holds `now`; `None` when it does.
 /// One that was told nothing yet is told all.
 pub(crate) fn set_change<T: Ord + Clone>(
-    told: Option<&BTreeSet<T>>,
+    last_sent: Option<&BTreeSet<T>>,
     now: &BTreeSet<T>,
 ) -> Option<SetChange<T>> {
-    match told {
-        Some(told) if told == now => None,
-        Some(told) => Some(SetChange {
+    match last_sent {
+        Some(last_sent) if last_sent == now => None,
+        Some(last_sent) => Some(SetChange {
             is_first: false,
-            added: now.difference(told).cloned().collect(),
-            removed: told.difference(now).cloned().collect(),
+            added: now.difference(last_sent).cloned().collect(),
+            removed: last_sent.difference(now).cloned().collect(),
         }),
         None => Some(SetChange {
             is_first: true,
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -19,10 +19,10 @@
     control::random_disk,
     driver::{self, GroupDriver, GroupHandle},
     incoming::Inbound,
-    message::{CallBody, NodeMessage, NodeRole, ReplyBody, spoken_format},
+    message::{CallBody, NodeMessage, NodeRole, ReplyBody, common_format},
     node::{self, NodeBase, NodeSettings},
-    store_service::{GroupSeen, StoreService},
-    told_fleet::ToldFleet,
+    reported_fleet::ReportedFleet,
+    store_service::{LocalGroupView, StoreService},
 };
 
 /// The cluster that the data folder names.
@@ -33,9 +33,9 @@
 /// Bytes of a segment of the log, the unit in which space is given back.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
 /// Texts make a snapshot as large as everything that is kept, so only the newest stays.
-const KEPT_SNAPSHOTS: usize = 1;
+const RETAINED_SNAPSHOTS: usize = 1;
 /// How often links and members are looked at.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of a store member.
 #[derive(Clone)]
@@ -55,9 +55,9 @@
     settings: StoreSettings,
     base: NodeBase,
     fleet: FleetView,
-    told: ToldFleet,
+    reported: ReportedFleet,
     /// The group as this member sees it.
-    seen: watch::Sender<GroupSeen>,
+    group_view: watch::Sender<LocalGroupView>,
     handle: Option<GroupHandle<StoreCall, StoreReply>>,
 }
 
@@ -76,8 +76,8 @@
             settings,
             base,
             fleet: FleetView::default(),
-            told: ToldFleet::default(),
-            seen: watch::channel(GroupSeen::default()).0,
+            reported: ReportedFleet::default(),
+            group_view: watch::channel(LocalGroupView::default()).0,
             handle: None,
         };
         let driver = store.wait_for_group().await?;
@@ -107,19 +107,19 @@
             return self.open(None);
         }
         if is_reserved {
-            self.base.links.say(|hello| {
+            self.base.links.update_hello(|hello| {
                 hello.member = Some(first_member);
                 hello.forming = true;
             });
         }
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         while self.fleet.store().first.is_empty() {
             tokio::select! {
-                _ = ticks.tick() => self.keep_links(),
-                Some(inbound) = self.base.inbox.recv() => self.take(inbound).await,
+                _ = ticks.tick() => self.update_links(),
+                Some(inbound) = self.base.inbox.recv() => self.handle(inbound).await,
             }
         }
-        self.base.links.say(|hello| hello.forming = false);
+        self.base.links.update_hello(|hello| hello.forming = false);
         let first = self.fleet.store().first.clone();
         let forms = is_reserved && first.contains(&first_member);
         self.open(forms.then_some(first))
@@ -158,10 +158,10 @@
         group.max_voters = self.settings.voters;
         group.snapshot_log_bytes = SNAPSHOT_LOG_BYTES;
         group.log_limits.segment_bytes = SEGMENT_BYTES;
-        group.retained_snapshots = KEPT_SNAPSHOTS;
+        group.retained_snapshots = RETAINED_SNAPSHOTS;
         group.seed ^= u64::from(own.0);
-        let kept_ms = self.settings.retention.as_millis() as u64;
-        let service = StoreService::new(kept_ms, self.seen.clone());
+        let retention_ms = self.settings.retention.as_millis() as u64;
+        let service = StoreService::new(retention_ms, self.group_view.clone());
         let (driver, handle) = driver::open(
             group,
             &self.settings.data_dir,
@@ -172,31 +172,33 @@
         )?;
         let member = driver.id();
         info!(self.settings.node.logger, "store opened"; "disk" => member.disk.0);
-        self.base.links.say(|hello| hello.member = Some(member));
+        self.base
+            .links
+            .update_hello(|hello| hello.member = Some(member));
         self.handle = Some(handle);
         Ok(driver)
     }
 
     async fn serve(&mut self) {
-        let mut ticks = interval(UPKEEP_INTERVAL);
-        let mut seen = self.seen.subscribe();
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
+        let mut group_view = self.group_view.subscribe();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    self.keep_links();
-                    self.tell_members().await;
+                    self.update_links();
+                    self.report_members().await;
                 }
                 // The sender is this node's own and stays.
-                Ok(()) = seen.changed() => self.keep_links(),
+                Ok(()) = group_view.changed() => self.update_links(),
                 inbound = self.base.inbox.recv() => match inbound {
-                    Some(inbound) => self.take(inbound).await,
+                    Some(inbound) => self.handle(inbound).await,
                     None => return,
                 },
             }
         }
     }
 
-    async fn take(&mut self, inbound: Inbound) {
+    async fn handle(&mut self, inbound: Inbound) {
         let Inbound::Message {
             from,
             message,
@@ -212,18 +214,20 @@
                     handle.message(message).await;
                 }
             }
-            NodeMessage::Pulse(mut pulse) => {
+            NodeMessage::ControlHeartbeat(mut heartbeat) => {
                 let now_ms = self.base.clock.now_ms();
-                let names_others = self.told.take(from, &mut pulse, now_ms);
-                if names_others {
-                    self.keep_links();
+                let has_new_machines = self.reported.apply(from, &mut heartbeat, now_ms);
+                if has_new_machines {
+                    self.update_links();
                 }
-                if let Some(update) = pulse.update {
+                if let Some(update) = heartbeat.update {
                     self.fleet.apply(update);
-                    let upto = self.fleet.up_to_index();
-                    self.base.links.say(|hello| hello.upto = upto);
+                    let up_to_index = self.fleet.up_to_index();
+                    self.base
+                        .links
+                        .update_hello(|hello| hello.up_to_index = up_to_index);
                     if self.fleet.needs_full_update() {
-                        self.base.links.send(from, &NodeMessage::TellAll);
+                        self.base.links.send(from, &NodeMessage::FullUpdateRequest);
                     }
                 }
             }
@@ -244,29 +248,31 @@
         }
     }
 
-    fn keep_links(&self) {
+    fn update_links(&self) {
         let now_ms = self.base.clock.now_ms();
         let seeds = self.settings.node.seeds.machines();
-        let mut wanted = self.told.control(&seeds, now_ms);
-        wanted.extend(self.told.store_members());
+        let mut targets = self.reported.control(&seeds, now_ms);
+        targets.extend(self.reported.store_members());
         let first = self.fleet.store().first.iter();
-        wanted.extend(first.map(|member| member.machine));
-        let seen = self.seen.borrow().clone();
-        wanted.extend(&seen.members);
-        self.base.links.keep(&wanted);
-        self.base.links.say(|hello| hello.store_group = seen.led);
+        targets.extend(first.map(|member| member.machine));
+        let group_view = self.group_view.borrow().clone();
+        targets.extend(&group_view.members);
+        self.base.links.set_targets(&targets);
+        self.base
+            .links
+            .update_hello(|hello| hello.store_group = group_view.leader_report);
     }
 
-    async fn tell_members(&self) {
+    async fn report_members(&self) {
         let Some(handle) = &self.handle else {
             return;
         };
         let own = self.settings.node.machine();
-        for store in self.told.stores() {
+        for store in self.reported.stores() {
             if let Some(member) = store.member
                 && store.machine != own
             {
-                let speaks = spoken_format(store.newest_format);
+                let speaks = common_format(store.newest_format);
                 handle.present(member, speaks).await;
             }
         }
--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -16,33 +16,33 @@
 
 /// The group as a member sees it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub(crate) struct GroupSeen {
+pub(crate) struct LocalGroupView {
     /// Voters and learners by this member's log.
     pub(crate) members: Vec<MachineId>,
     /// What a leader tells control; `None` on others.
-    pub(crate) led: Option<StoreGroupView>,
+    pub(crate) leader_report: Option<StoreGroupView>,
 }
 
 /// Carries out the job store's calls.
 pub(crate) struct StoreService {
     dispatcher: Dispatcher,
     gate: QueueGate,
-    led: bool,
+    is_leading: bool,
     age_clock: AgeClock,
     /// Jobs stay for this long after they were accepted, in milliseconds.
-    kept_ms: u64,
-    seen: watch::Sender<GroupSeen>,
+    retention_ms: u64,
+    group_view: watch::Sender<LocalGroupView>,
 }
 
 impl StoreService {
-    pub(crate) fn new(kept_ms: u64, seen: watch::Sender<GroupSeen>) -> Self {
+    pub(crate) fn new(retention_ms: u64, group_view: watch::Sender<LocalGroupView>) -> Self {
         StoreService {
             dispatcher: Dispatcher::default(),
             gate: QueueGate::default(),
-            led: false,
+            is_leading: false,
             age_clock: AgeClock::default(),
-            kept_ms,
-            seen,
+            retention_ms,
+            group_view,
         }
     }
 
@@ -60,7 +60,7 @@
         if !member.is_leader() {
             return not_leader(member);
         }
-        self.lead(now);
+        self.begin_leading(now);
         let store = member.state();
         let stop = self
             .dispatcher
@@ -73,28 +73,32 @@
     }
 
     /// The command that counts a part of the time.
-    fn pass(&self, elapsed_ms: u64) -> Option<Vec<u8>> {
+    fn age_command(&self, elapsed_ms: u64) -> Option<Vec<u8>> {
         let command = StoreCommand::Pass {
             elapsed_ms,
-            kept_ms: self.kept_ms,
+            kept_ms: self.retention_ms,
         };
         // A part that is not counted makes jobs younger than they are, which is safe.
         command.to_stored().ok()
     }
 
     /// The time that has to be counted before a job is accepted.
-    fn pass_before_job(&mut self, member: &GroupMember<JobStore>, now: Now) -> Option<Vec<u8>> {
+    fn age_command_before_job(
+        &mut self,
+        member: &GroupMember<JobStore>,
+        now: Now,
+    ) -> Option<Vec<u8>> {
         let is_empty = member.state().is_empty();
         let part_ms = self
             .age_clock
             .interval_before_job(now.steady_ms, is_empty)?;
-        self.pass(part_ms)
+        self.age_command(part_ms)
     }
 
     /// Begins to lead, if it does not yet.
-    fn lead(&mut self, now: Now) {
-        if !self.led {
-            self.led = true;
+    fn begin_leading(&mut self, now: Now) {
+        if !self.is_leading {
+            self.is_leading = true;
             self.dispatcher = Dispatcher::for_new_leader(now.steady_ms);
             self.gate = QueueGate::default();
         }
@@ -110,7 +114,7 @@
 
 /// Results as this member holds them, whether it leads or not; refused where it lacks some
 /// that there are.
-fn results_held(store: &JobStore, call: &StoreCall, there_are: u32) -> StoreReply {
+fn local_results(store: &JobStore, call: &StoreCall, required_count: u32) -> StoreReply {
     let StoreCall::ResultsHeld {
         job,
         tenant,
@@ -121,8 +125,8 @@
     else {
         return StoreReply::Refused;
     };
-    let held = store.listed(job).map_or(0, |(_, listed)| listed);
-    if held < there_are || !store.is_visible(job, tenant.as_deref()) {
+    let stored = store.listed(job).map_or(0, |(_, listed)| listed);
+    if stored < required_count || !store.is_visible(job, tenant.as_deref()) {
         return StoreReply::Refused;
     }
     results(store, job, *since, *most_bytes)
@@ -161,7 +165,7 @@
         let command = match call {
             StoreCall::Work { .. } => return Begin::Reply(self.work(member, call, now)),
             StoreCall::ResultsHeld { listed, .. } => {
-                return Begin::Reply(results_held(member.state(), call, *listed));
+                return Begin::Reply(local_results(member.state(), call, *listed));
             }
             StoreCall::Results { .. } | StoreCall::Listed { .. } | StoreCall::Body { .. } => {
                 return Begin::Read;
@@ -173,7 +177,7 @@
                     return Begin::Reply(StoreReply::QueueFull);
                 }
                 let first = is_leader
-                    .then(|| self.pass_before_job(member, now))
+                    .then(|| self.age_command_before_job(member, now))
                     .flatten();
                 let command = submission(job.clone(), tenant.clone());
                 return begin(first, &command, now.format);
@@ -258,12 +262,12 @@
         }
     }
 
-    fn upkeep(&mut self, member: &GroupMember<JobStore>, now: Now) -> Vec<Vec<u8>> {
-        self.lead(now);
+    fn run_maintenance(&mut self, member: &GroupMember<JobStore>, now: Now) -> Vec<Vec<u8>> {
+        self.begin_leading(now);
         let is_empty = member.state().is_empty();
         let part_ms = self.age_clock.interval_due(now.steady_ms, is_empty);
         part_ms
-            .and_then(|part_ms| self.pass(part_ms))
+            .and_then(|part_ms| self.age_command(part_ms))
             .into_iter()
             .collect()
     }
@@ -274,23 +278,23 @@
 
     fn flushed(&mut self, member: &GroupMember<JobStore>, _: Now) {
         if !member.is_leader() {
-            self.led = false;
+            self.is_leading = false;
             self.age_clock.stop();
         }
-        let seen = group_seen(member);
-        self.seen.send_if_modified(|held| {
-            let is_news = *held != seen;
-            *held = seen;
-            is_news
+        let group_view = local_group_view(member);
+        self.group_view.send_if_modified(|stored| {
+            let is_change = *stored != group_view;
+            *stored = group_view;
+            is_change
         });
     }
 }
 
-fn group_seen(member: &GroupMember<JobStore>) -> GroupSeen {
+fn local_group_view(member: &GroupMember<JobStore>) -> LocalGroupView {
     let membership = member.membership();
     let all = membership.voters.iter().chain(&membership.learners);
     let members: Vec<MachineId> = all.map(|member| member.machine).collect();
-    let led = member.is_leader().then(|| {
+    let leader_report = member.is_leader().then(|| {
         let status = member.status();
         let healthy = status.peers.iter().filter(|peer| {
             peer.voter && peer.member != status.id && peer.ticks_since_contact < HEALTHY_TICKS
@@ -301,7 +305,10 @@
             healthy_voters: healthy.count() as u32 + 1,
         }
     });
-    GroupSeen { members, led }
+    LocalGroupView {
+        members,
+        leader_report,
+    }
 }
 
 /// A voter heard of within so many ticks is healthy.
--- a/crates/cluster/src/stored_format.rs
+++ b/crates/cluster/src/stored_format.rs
@@ -10,7 +10,7 @@
 use crate::control::ControlNode;
 
 /// Pause before it is seen again in which format control stores.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(20);
+const FORMAT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ControlNode {
     /// The format in which control stores, as this member knows it.
@@ -21,8 +21,8 @@
     /// Whether a member of control is known to be of a build before the newest format.
     pub(crate) fn has_older_member(&self) -> bool {
         let is_older = |member| {
-            let spoken = self.links.format_with(member);
-            spoken.is_some_and(|spoken| spoken < Format::NEWEST)
+            let link_format = self.links.format_with(member);
+            link_format.is_some_and(|link_format| link_format < Format::NEWEST)
         };
         self.view().members.iter().copied().any(is_older)
     }
@@ -36,12 +36,12 @@
 
     /// Waits until control stores in the newest format, which it does soon after its start,
     /// or is known not to; false where it did not within the time.
-    pub(crate) async fn wait_for_newest_format(&self, until: Instant) -> bool {
+    pub(crate) async fn wait_for_newest_format(&self, deadline: Instant) -> bool {
         while self.stored_format() < Format::NEWEST && !self.has_older_member() {
-            if Instant::now() + LOOK_AGAIN_AFTER > until {
+            if Instant::now() + FORMAT_POLL_INTERVAL > deadline {
                 return false;
             }
-            sleep(LOOK_AGAIN_AFTER).await;
+            sleep(FORMAT_POLL_INTERVAL).await;
         }
         self.stored_format() == Format::NEWEST
     }
