--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the leader of a group, wherever it is.
+//! Calls to the current leader of a group.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -13,33 +13,33 @@
     message::{CallBody, RegistryCall, RegistryReply, ReplyBody},
 };
 
-/// Longest wait for one machine before another is asked.
+/// Time limit for one machine before another is asked.
 const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause when no leader is known.
 const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
-/// Pause after a leader refused: it has too much to do, or waits for other members.
+/// Pause after a leader refused a call because it is overloaded or waits for other members.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 
-/// What an answer means for the caller's search for the leader.
+/// What a reply means for the search for the leader.
 pub(crate) enum Verdict {
-    /// It is the answer.
+    /// This is the result of the call.
     Final,
-    /// Another machine leads, perhaps this one.
+    /// Another machine is the leader, perhaps this one.
     NotLeader(Option<MachineId>),
-    /// Nothing was done; it is worth trying again.
+    /// Nothing was done; the call should be retried.
     Refused,
-    /// It may have been done; repeating it does no harm.
+    /// The call may have been carried out; repeating it is safe.
     Unknown,
 }
 
-/// Calls of one group and their answers.
+/// Calls of one group and their replies.
 pub(crate) trait GroupCalls: Clone + Send + Sync + 'static {
     type Reply: Send;
 
     fn to_body(&self) -> CallBody;
     fn from_body(body: ReplyBody) -> Option<Self::Reply>;
     fn verdict(reply: &Self::Reply) -> Verdict;
-    /// The answer when time is up: `sent` when it may have been done.
+    /// The reply after a time-out; `sent` if the call may have been carried out.
     fn timed_out(sent: bool) -> Self::Reply;
 }
 
@@ -119,7 +119,7 @@
 struct LeaderSearch {
     machines: BTreeSet<MachineId>,
     leader: Option<MachineId>,
-    /// The machine asked last when no leader was known.
+    /// The machine that was asked last while no leader was known.
     last_asked: Option<MachineId>,
 }
 
@@ -142,18 +142,18 @@
         }
     }
 
-    /// Replaces the machines that may lead.
+    /// Replaces the machines that may be the leader.
     pub(crate) fn set_machines(&self, machines: BTreeSet<MachineId>) {
         self.known.lock().machines = machines;
     }
 
-    /// The machines that may lead.
+    /// The machines that may be the leader.
     pub(crate) fn machines(&self) -> BTreeSet<MachineId> {
         self.known.lock().machines.clone()
     }
 
-    /// Calls the leader until it answers or time is up. A call may be carried
-    /// out more than once, so it must do no harm when repeated.
+    /// Calls the leader until it answers or the time limit is reached. A call may be carried out
+    /// more than once, so it must be safe to repeat.
     pub(crate) async fn call(&self, call: C, limit: Duration) -> C::Reply {
         let deadline = Instant::now() + limit;
         let mut may_be_done = false;
@@ -195,10 +195,10 @@
         }
     }
 
-    /// Asks one machine, whether it leads or not.
+    /// Calls one machine, whether it is the leader or not.
     ///
     /// # Errors
-    /// [`CallFailed`] where no answer came.
+    /// [`CallFailed`] if no reply arrived.
     pub(crate) async fn ask(&self, target: MachineId, call: &C) -> Result<C::Reply, CallFailed> {
         if let Some((own, handle)) = &self.local
             && *own == target
@@ -214,7 +214,7 @@
         C::from_body(reply).ok_or(CallFailed::MayHaveArrived)
     }
 
-    /// The leader, else the known machines in turn.
+    /// The leader, or else the known machines in turn.
     fn target(&self) -> Option<MachineId> {
         let mut known = self.known.lock();
         if let Some(leader) = known.leader {
@@ -229,7 +229,7 @@
         next
     }
 
-    /// The leader, as far as is known.
+    /// The leader, if known.
     pub(crate) fn leader(&self) -> Option<MachineId> {
         self.known.lock().leader
     }
--- a/crates/cluster/src/cold_times.rs
+++ b/crates/cluster/src/cold_times.rs
@@ -1,35 +1,34 @@
-//! Until when starts of replicas are cold by what this control member proposed last.
+//! Until when replicas are cold, according to the last proposals of this control member.
 
 use std::collections::BTreeMap;
 
 use linnethitch_registry::ReplicaChange;
 
-/// A heartbeat that was longer under way than the one before it seems to say that more of
-/// the cold time is left, in milliseconds: by less than this it says nothing new. A cold
-/// time may thus be taken for this much too short, about as long as news of a replica takes
-/// to reach the gateways.
+/// Smaller increases of a cold time, in milliseconds, are ignored: a heartbeat that was longer in
+/// transit than the one before seems to announce a longer cold time. A cold time may thus be too
+/// short by this much, about as long as an update of a replica takes to reach the gateways.
 const SLACK_MS: u64 = 100;
 
-/// When starts that are held grow warm, by their keys. Times are steady, in milliseconds.
+/// When the stored incarnations become warm, by key. Times are steady, in milliseconds.
 #[derive(Default)]
 pub(crate) struct ColdTimes {
     until_ms: BTreeMap<String, u64>,
-    /// Starts that are no longer held are looked for once there are so many: a look at all for
-    /// each commit would cost the square of a fleet that starts cold.
+    /// Number of entries at which those of removed incarnations are pruned. Checking all entries at
+    /// each commit would cost quadratic time when a fleet starts cold.
     prune_at: usize,
 }
 
-/// So few are kept without a look.
+/// Below this number of entries nothing is pruned.
 const MIN_PRUNE_SIZE: usize = 64;
 
 impl ColdTimes {
-    /// Whether a heartbeat says that its start is cold for longer than was proposed here.
+    /// Whether a heartbeat announces a longer cold time than this member has proposed.
     ///
-    /// So does each of a start of which this member has proposed no cold time: heartbeats
-    /// may go to another member each time, and how old the record is that is held is not
-    /// known here. The first that each member hears is thus committed, once for each member.
-    /// A spare commit costs one entry of the log; after a missed one gateways would send a
-    /// cold replica what a warm one bears.
+    /// This is also the case if this member has proposed no cold time for the incarnation:
+    /// heartbeats may go to a different member each time, and the age of the stored record is not
+    /// known here. The first heartbeat that each member receives is thus committed, once for each
+    /// member. An unnecessary commit costs one log entry; after a missing one gateways would send a
+    /// cold replica the load of a warm one.
     pub(crate) fn is_cold_longer(&self, key: &str, change: &ReplicaChange, now_ms: u64) -> bool {
         if change.cold_ms == 0 {
             return false;
@@ -38,8 +37,8 @@
         proposed.is_none_or(|until_ms| now_ms + change.cold_ms > until_ms + SLACK_MS)
     }
 
-    /// What a start said at this time was committed. Starts that are no longer held are
-    /// forgotten.
+    /// Records that the cold time of an incarnation, announced at this time, was committed. Entries
+    /// of incarnations that are no longer stored are pruned.
     pub(crate) fn committed(
         &mut self,
         key: String,
--- a/crates/cluster/src/connection_end.rs
+++ b/crates/cluster/src/connection_end.rs
@@ -1,4 +1,4 @@
-//! Why a connection between two nodes ended.
+//! Reasons for the end of a connection between two nodes.
 
 use std::fmt;
 
@@ -9,13 +9,13 @@
 /// Why a connection between two nodes ended.
 #[derive(Debug)]
 pub(crate) enum ConnectionEnd {
-    /// The peer closed it between two messages.
+    /// The peer closed the connection between two messages.
     ByPeer,
-    /// It broke, fell silent, or the peer sent something else than messages.
+    /// The connection broke, was silent for too long, or the peer sent invalid data.
     Broken(Report<ErrorKind>),
-    /// A message was refused by the send queue.
+    /// The send queue refused a message.
     NotSent(SendRefused),
-    /// This node stops.
+    /// This node is stopping.
     Stopping,
 }
 
@@ -25,7 +25,7 @@
             ConnectionEnd::ByPeer => formatter.write_str("closed by the peer"),
             ConnectionEnd::Broken(report) => write!(formatter, "{report:?}"),
             ConnectionEnd::NotSent(refused) => write!(formatter, "not sent: {refused:?}"),
-            ConnectionEnd::Stopping => formatter.write_str("this node stops"),
+            ConnectionEnd::Stopping => formatter.write_str("this node is stopping"),
         }
     }
 }
--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -1,4 +1,4 @@
-//! A control member: registry, directory, and what operators and replicas ask.
+//! A control member: registry, directory, and the calls of operators and replicas.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -39,42 +39,42 @@
     seeds::Seeds,
 };
 
-/// Most voters of control.
+/// Maximum number of voters of control.
 const MAX_VOTERS: usize = 7;
-/// How often links and links' targets are looked at.
+/// Interval of link maintenance.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the leader is told which replicas were heard of.
+/// How often the leader is sent the list of replicas that sent heartbeats.
 const ALIVE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time to tell it.
+/// Time limit of that call.
 const ALIVE_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
-/// A control machine that is not heard of for so long is no longer linked to.
+/// A control member is no longer linked to this long after the last contact, in milliseconds.
 const LINK_EXPIRY_MS: u64 = 30_000;
 
 /// Settings of a control member.
 #[derive(Clone)]
 pub struct ControlSettings {
-    /// Who it is.
+    /// Identity and addresses of the node.
     pub node: NodeSettings,
-    /// Where it keeps its state.
+    /// Folder of the stored state.
     pub data_dir: String,
-    /// Most voters of the job store.
+    /// Maximum number of voters of the job store.
     pub store_voters: usize,
 }
 
-/// Nothing was done, or it is not known whether it was: the caller asks again.
+/// Nothing was done, or the outcome is unknown: the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// How far the emptying of a store machine is.
+/// Progress of emptying a store machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireState {
-    /// It still holds what others may need.
+    /// The machine still stores data that other members may need.
     Running,
-    /// It holds nothing that others need.
+    /// The machine stores nothing that other members need.
     Done,
-    /// No such machine.
+    /// There is no such machine.
     Unknown,
-    /// Too few would be left.
+    /// Too few machines would remain.
     TooFew,
 }
 
@@ -87,7 +87,7 @@
     handle: GroupHandle<RegistryCall, RegistryReply>,
     pub(crate) links: Links,
     pub(crate) clock: Clock,
-    /// Keys of starts that were heard of since the leader was last told.
+    /// Keys of the replica incarnations that sent heartbeats since the last report to the leader.
     pub(crate) alive_replicas: Arc<Mutex<BTreeSet<String>>>,
     pub(crate) cold_times: Arc<Mutex<ColdTimes>>,
     store_voters: usize,
@@ -97,8 +97,8 @@
 }
 
 impl ControlNode {
-    /// Opens the data folder, listens and joins or forms control. The second
-    /// value ends when the member fails.
+    /// Opens the data folder, listens, and joins or forms control. The second value ends when the
+    /// member fails.
     ///
     /// # Errors
     /// `DataFolderRefused`, `StorageFull`, `Io`.
@@ -150,11 +150,11 @@
         Ok((control, driver.run()))
     }
 
-    /// Puts a checked configuration in force if its version is above the one held. The
-    /// document is what the operator sent.
+    /// Puts a validated configuration in force if its version is higher than the stored one. The
+    /// document is the text that the operator sent.
     ///
     /// # Errors
-    /// [`Unavailable`] when it is not known to be held by a quorum in time.
+    /// [`Unavailable`] if it is not known to be stored by a quorum in time.
     pub async fn put_configuration(
         &self,
         configuration: Configuration,
@@ -172,7 +172,7 @@
         if self.has_older_member()
             && let Err(report) = command.to_stored_in(format)
         {
-            warn!(self.logger, "configuration cannot be kept"; "stored_format" => format.number(),
+            warn!(self.logger, "configuration cannot be stored in the current format"; "stored_format" => format.number(),
                 "cause" => format!("{report:?}"));
             return Err(Unavailable);
         }
@@ -185,7 +185,7 @@
     /// The newest document; `None` before the first. A linearizable read.
     ///
     /// # Errors
-    /// [`Unavailable`] when the newest cannot be known in time.
+    /// [`Unavailable`] if the newest document cannot be determined in time.
     pub async fn document(&self, limit: Duration) -> Result<Option<Vec<u8>>, Unavailable> {
         match self.client.call(RegistryCall::Document, limit).await {
             RegistryReply::Document(document) => Ok(document),
@@ -193,14 +193,14 @@
         }
     }
 
-    /// Number of gateways that share the counts of tenants' limits, as control keeps them.
+    /// Number of gateways on control's record of those that share the counts of tenants' limits.
     #[must_use]
     pub fn known_gateways(&self) -> usize {
         self.view().registry.gateways().machines().count()
     }
 
-    /// Number of gateways that this member does not hear though they may go on: their parts
-    /// of limits are kept back.
+    /// Number of gateways that this member cannot reach although they may still be running: their
+    /// shares of limits are reserved.
     #[must_use]
     pub fn silent_gateways(&self) -> usize {
         let view = self.view();
@@ -210,7 +210,7 @@
         coordinators.silent(known, self.clock.now_ms()).len()
     }
 
-    /// Figures since the start, as Prometheus text.
+    /// Metrics since the start, as Prometheus text.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let builds = {
@@ -236,10 +236,10 @@
         gateways.near(question, homes.as_ref(), self.clock.now_ms())
     }
 
-    /// Asks that a store machine be emptied.
+    /// Requests that a store machine be emptied.
     ///
     /// # Errors
-    /// [`Unavailable`] when this cannot be committed in time.
+    /// [`Unavailable`] if this cannot be committed in time.
     pub async fn retire_store(
         &self,
         name: &str,
@@ -266,7 +266,7 @@
         Ok(RetireState::Running)
     }
 
-    /// How far the emptying of a store machine is.
+    /// Progress of emptying a store machine.
     #[must_use]
     pub fn retire_state(&self, name: &str) -> RetireState {
         let presence = self.shared.presence.lock();
@@ -289,7 +289,7 @@
         }
     }
 
-    /// Lets leadership pass on before a planned stop.
+    /// Transfers leadership to another member before a planned stop.
     pub async fn stop(&self) {
         self.handle.stop().await;
     }
@@ -423,7 +423,7 @@
     }
 }
 
-/// On the first start of the cluster the seeds are its first members.
+/// On the first start of the cluster its seeds are the first members.
 fn group_settings(node: &NodeSettings) -> GroupSettings {
     let own = node.machine();
     let seeds = node.seeds.machines();
@@ -446,7 +446,7 @@
     group
 }
 
-/// An id for a disk that was never used before.
+/// A random id for a disk that was never used before.
 pub(crate) fn random_disk() -> DiskId {
     DiskId(getrandom::u64().unwrap_or_default() | 1)
 }
--- a/crates/cluster/src/control_metrics.rs
+++ b/crates/cluster/src/control_metrics.rs
@@ -1,5 +1,5 @@
-//! Figures of a control member: the gateways that share the counts of tenants' limits, the
-//! format that is stored, and the builds of nodes.
+//! Metrics of a control member: the gateways that share the counts of tenants' limits, the stored
+//! format, and the builds of nodes.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -13,12 +13,12 @@
 
 use crate::{message_bytes::MessageBytes, node_builds::NodeBuild};
 
-/// What the gauges are set to.
+/// The values of the gauges.
 pub(crate) struct MetricValues<'a> {
     pub(crate) known_gateways: usize,
     pub(crate) silent_gateways: usize,
     pub(crate) stored_format: Format,
-    /// How many nodes run each build.
+    /// Number of nodes by build.
     pub(crate) builds: &'a BTreeMap<NodeBuild, usize>,
 }
 
@@ -43,14 +43,14 @@
     pub(crate) fn new(bytes: MessageBytes) -> Self {
         let (known, silent) = (Gauge::default(), Gauge::default());
         let mut registry = Registry::with_prefix("linnethitch");
-        let help = "Gateways on the record of those that share the counts of limits";
+        let help = "Gateways on the record of gateways that share the counts of limits";
         registry.register("control_known_gateways", help, known.clone());
-        let help = "Known gateways that this member does not hear and that may go on";
+        let help = "Known gateways that this member cannot reach and that may still be running";
         registry.register("control_silent_gateways", help, silent.clone());
         let (stored_format, nodes) = (Gauge::default(), Family::default());
-        let help = "Number of the format in which control stores";
+        let help = "Number of the format that control stores in";
         registry.register("control_stored_format", help, stored_format.clone());
-        let help = "Nodes that this member hears, by build and the newest format that they speak";
+        let help = "Nodes that this member can reach, by build and newest supported format";
         registry.register("control_nodes", help, nodes.clone());
         ControlMetrics {
             stored_format,
@@ -62,7 +62,7 @@
         }
     }
 
-    /// These and the counts of messages as Prometheus text.
+    /// The gauges and the message counters as Prometheus text.
     pub(crate) fn to_text(&self, now: &MetricValues<'_>) -> String {
         self.known.set(now.known_gateways as i64);
         self.silent.set(now.silent_gateways as i64);
@@ -77,7 +77,7 @@
             self.nodes.get_or_create(&labels).set(*count as i64);
         }
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode_registry(&mut text, &self.registry.lock());
         text + &self.bytes.to_text()
     }
--- a/crates/cluster/src/coordinators.rs
+++ b/crates/cluster/src/coordinators.rs
@@ -1,41 +1,41 @@
 //! Gateways that coordinate slots and share the counts of tenants' limits: those that are
-//! heard of, those that fell silent and may go on, and those that stopped.
+//! reachable, those that are silent but may still be running, and those that stopped.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethitch_protocol::ids::MachineId;
 use linnethitch_registry::{KnownGateways, READY_TTL_MS};
 
-/// A coordinating gateway that fell silent without its connection ending may be cut off and
-/// go on, for so long, in milliseconds. A cut lasts seconds.
+/// A coordinating gateway that became silent while its connection did not end may be partitioned
+/// and still running for this long, in milliseconds. A partition lasts seconds.
 const CUT_OFF_MS: u64 = 10_000;
-/// A gateway that stopped is taken off the registry's record after this, in milliseconds:
-/// one that is restarted in its place is back by then, and costs no commit.
+/// A stopped gateway is removed from the registry's record after this time, in milliseconds: a
+/// gateway that is restarted at the same machine is back by then and costs no commit.
 const STOPPED_RETENTION_MS: u64 = 2_000;
-/// Old ones are looked for this often, in milliseconds: each gateway speaks twice a second,
-/// and a look at all of them for each would cost their square.
+/// Minimum time between two removals of expired entries, in milliseconds. Each gateway sends two
+/// messages a second, and checking all gateways for each message would cost quadratic time.
 const PRUNE_INTERVAL_MS: u64 = 500;
 
-/// How the registry's record of gateways is to change.
+/// A change of the registry's record of gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct GatewaysChange {
     pub(crate) joined: Vec<MachineId>,
     pub(crate) departed: Vec<MachineId>,
 }
 
-/// Gateways as one control member hears them. Times are in milliseconds since its start.
+/// Gateways as seen by one control member. Times are in milliseconds since its start.
 #[derive(Default)]
 pub(crate) struct Coordinators {
-    /// When each was last heard of.
+    /// Time of the last contact with each gateway.
     last_contact: BTreeMap<MachineId, u64>,
-    /// Those that said that they stop, or whose connection ended, and when.
+    /// Gateways that reported that they are stopping or whose connection ended, and when.
     stopped: BTreeMap<MachineId, u64>,
-    /// When old ones were forgotten last.
+    /// When expired entries were last removed.
     last_prune_ms: u64,
 }
 
 impl Coordinators {
-    /// Notes that a gateway coordinates; true when it did not before.
+    /// Records that a gateway coordinates; true if it did not before.
     pub(crate) fn record(&mut self, machine: MachineId, now_ms: u64) -> bool {
         self.prune_expired(now_ms);
         self.stopped.remove(&machine);
@@ -43,7 +43,7 @@
         before.is_none_or(|last_contact_ms| now_ms.saturating_sub(last_contact_ms) > CUT_OFF_MS)
     }
 
-    /// Notes that a gateway no longer coordinates; true when it did before.
+    /// Records that a gateway no longer coordinates; true if it did before.
     pub(crate) fn stop(&mut self, machine: MachineId, now_ms: u64) -> bool {
         self.prune_expired(now_ms);
         self.stopped.entry(machine).or_insert(now_ms);
@@ -51,19 +51,19 @@
         before.is_some_and(|last_contact_ms| now_ms.saturating_sub(last_contact_ms) <= CUT_OFF_MS)
     }
 
-    /// Those that stopped lately.
+    /// Gateways that stopped recently.
     pub(crate) fn stopped(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let stopped = self.stopped.iter();
         let recent = stopped.filter(|(_, at_ms)| now_ms.saturating_sub(**at_ms) <= CUT_OFF_MS);
         recent.map(|(machine, _)| *machine).collect()
     }
 
-    /// Whether a gateway was heard of lately and has not stopped since.
+    /// Whether there was recent contact with a gateway that has not stopped since.
     pub(crate) fn had_contact(&self, machine: MachineId) -> bool {
         self.last_contact.contains_key(&machine)
     }
 
-    /// Those that are heard of.
+    /// Gateways that are reachable.
     pub(crate) fn present(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let last_contact = self.last_contact.iter();
         last_contact
@@ -72,8 +72,8 @@
             .collect()
     }
 
-    /// Those that fell silent, and known ones that have not been heard of since this
-    /// member's start: they may be cut off and go on.
+    /// Gateways that became silent, and recorded gateways without contact since this member's
+    /// start: they may be partitioned and still running.
     pub(crate) fn silent(&self, known: &KnownGateways, now_ms: u64) -> BTreeSet<MachineId> {
         let present = self.present(now_ms);
         let last_contact = self.last_contact.keys().copied();
@@ -84,7 +84,8 @@
             .collect()
     }
 
-    /// What the registry's record lacks, and what it is to forget; `None` where it holds.
+    /// The difference between the registry's record and the gateways seen here; `None` if there is
+    /// none.
     pub(crate) fn change_from(&self, known: &KnownGateways, now_ms: u64) -> Option<GatewaysChange> {
         let present = self.present(now_ms).into_iter();
         let change = GatewaysChange {
@@ -107,13 +108,13 @@
         }
     }
 
-    /// How long a gateway has been silent: since this member's start at most.
+    /// Time since the last contact with a gateway, or since this member's start if there was none.
     fn silent_ms(&self, machine: MachineId, now_ms: u64) -> u64 {
         let last_contact_ms = self.last_contact.get(&machine).copied().unwrap_or(0);
         now_ms.saturating_sub(last_contact_ms)
     }
 
-    /// Drops those that counted neither as silent nor as stopped any more.
+    /// Removes entries that no longer count as silent or stopped.
     fn prune_expired(&mut self, now_ms: u64) {
         if now_ms < self.last_prune_ms + PRUNE_INTERVAL_MS {
             return;
--- a/crates/cluster/src/datagram_bytes.rs
+++ b/crates/cluster/src/datagram_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes of the datagrams that a gateway sends to others, by the other's zone.
+//! Bytes of the datagrams that a gateway sends to others, by zone of the receiver.
 
 use prometheus_client::{
     encoding::EncodeLabelSet,
@@ -11,12 +11,12 @@
     peer_zone: String,
 }
 
-/// Counts of one gateway since its start, without headers of UDP and IP. Clones share them.
+/// Counters of one gateway since its start, without UDP and IP headers. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct DatagramBytes(Family<DatagramLabels, Counter>);
 
 impl DatagramBytes {
-    /// Lets a registry show them under a name.
+    /// Registers the counters under a name.
     pub fn register(&self, registry: &mut Registry, name: &str) {
         let help = "Bytes of datagrams sent to other gateways, by their zone";
         registry.register(name, help, self.0.clone());
--- a/crates/cluster/src/distance.rs
+++ b/crates/cluster/src/distance.rs
@@ -1,20 +1,20 @@
-//! How far places are from each other.
+//! The distance between places.
 
 use linnethitch_registry::Place;
 
 /// How far one place is from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Distance {
-    /// In its zone.
+    /// Same zone.
     Zone,
-    /// In another zone of its region.
+    /// Same region, different zone.
     Region,
-    /// In another region.
+    /// Different region.
     Elsewhere,
 }
 
 impl Distance {
-    /// How far two places are from each other.
+    /// The distance between two places.
     pub(crate) fn between(one: &Place, other: &Place) -> Self {
         if one.zone == other.zone {
             Distance::Zone
--- a/crates/cluster/src/driver/formats.rs
+++ b/crates/cluster/src/driver/formats.rs
@@ -1,5 +1,5 @@
-//! A driver's part in which format its group stores in: it asks the rules by what its links
-//! speak, and carries out what they say.
+//! The driver's part in choosing the format in which its group stores: passes the formats of its
+//! links to the rules and carries out their decisions.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -16,7 +16,7 @@
 
 impl<S: GroupService> GroupDriver<S> {
     /// # Errors
-    /// `DataFolderRefused` where the group stores in a newer format than this program may speak.
+    /// `DataFolderRefused` if the group stores in a newer format than this program may use.
     pub(super) fn check_format(&self) -> Result<(), Report<ErrorKind>> {
         let stored = self.member.state().format();
         if self.stored_format.is_supported(stored) {
@@ -24,7 +24,7 @@
         }
         let newest = self.links.newest_format();
         Err(Report::new(ErrorKind::DataFolderRefused).attach(format!(
-            "the group stores in format {stored}, this program is held to {newest}"
+            "the group stores in format {stored}, but this program supports formats up to {newest}"
         )))
     }
 
@@ -46,13 +46,13 @@
         self.propose_own(command);
     }
 
-    /// The format in which this member writes if it leads.
+    /// The format in which this member writes if it is the leader.
     pub(super) fn format(&self) -> Format {
         self.stored_format
             .write_format(self.member.state().format())
     }
 
-    /// Whether what the format lacks cannot wait for a newer one.
+    /// Whether commands that the format cannot express should not wait for a newer format.
     pub(super) fn is_format_settled(&self, now_ms: u64) -> bool {
         if self.format() >= self.links.newest_format() {
             return true;
@@ -67,7 +67,7 @@
         )
     }
 
-    /// What the links to all other members speak.
+    /// The formats of the links to all other members.
     fn link_formats_of_others(&self) -> Vec<Option<Format>> {
         let own = self.member.id().machine;
         let membership = self.member.status().membership;
@@ -80,8 +80,8 @@
             .collect()
     }
 
-    /// Whether a machine reads what the group stores. Where nobody told what it speaks, it is
-    /// asked over a link, and counts when it is heard of next.
+    /// Whether a machine can read what the group stores. If its format was not reported, a link is
+    /// opened to ask it, and the answer counts at the next contact.
     pub(super) fn may_join(&self, machine: MachineId, reported: Option<Format>) -> bool {
         let supported = reported.or_else(|| self.links.format_with(machine));
         let may_join = self
@@ -93,8 +93,8 @@
         may_join
     }
 
-    /// Whether a member can take a message: entries and snapshots that it cannot read would
-    /// stop it and stay on its disk.
+    /// Whether a member can read a message: entries and snapshots that it cannot read would stop it
+    /// and would stay on its disk.
     pub(super) fn can_read(&mut self, message: &ConsensusMessage) -> bool {
         let stores = matches!(
             message.body,
@@ -108,7 +108,7 @@
             return true;
         }
         if self.outdated_members.insert(to) {
-            warn!(self.logger, "member cannot read what is stored";
+            warn!(self.logger, "member cannot read the stored format";
                 "member" => address_of(to).to_string(),
                 "reads" => link_format.map(Format::number), "stored" => self.format().number());
         }
--- a/crates/cluster/src/driver/mod.rs
+++ b/crates/cluster/src/driver/mod.rs
@@ -1,4 +1,4 @@
-//! The task that owns a group member, and how others reach it.
+//! The task that owns a group member, and the handle that reaches it.
 
 mod formats;
 
@@ -21,39 +21,40 @@
 
 use crate::{links::Links, message::NodeMessage, node::address_of};
 
-/// Inputs that may wait for the member.
+/// Maximum number of inputs that wait for the member.
 const MAX_QUEUED_INPUTS: usize = 4_096;
-/// Inputs taken before the next sync.
+/// Maximum number of inputs handled before the next sync.
 const MAX_INPUT_BATCH: usize = 256;
-/// Longest time for leadership to pass on before a planned stop.
+/// Time limit for the transfer of leadership before a planned stop.
 const LEADER_TRANSFER_TIMEOUT: Duration = Duration::from_millis(800);
 
-/// What a service goes by at one moment.
+/// Time and format at the moment of a call to a service.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Now {
-    /// The steady clock, in milliseconds. Nothing decides by the time of day, which may jump.
+    /// The steady clock, in milliseconds. No decision uses the time of day, which may jump.
     pub(crate) steady_ms: u64,
-    /// The format in which this member writes if it leads.
+    /// The format in which this member writes if it is the leader.
     pub(crate) format: Format,
-    /// Whether that will stay so for a while: what it lacks cannot wait for a newer one.
+    /// Whether the format will stay the same for a while, so that commands it cannot express should
+    /// not wait for a newer format.
     pub(crate) is_format_settled: bool,
 }
 
 /// How a call begins.
 pub(crate) enum Begin<Reply> {
-    /// With a proposal of this command.
+    /// By proposing this command.
     Propose {
-        /// A command of the leader's own that goes before it.
+        /// A command of the leader itself that precedes it.
         first: Option<Vec<u8>>,
         command: Vec<u8>,
     },
-    /// With a linearizable read.
+    /// By a linearizable read.
     Read,
-    /// It has ended already.
+    /// The call has already ended.
     Reply(Reply),
 }
 
-/// What a group is for: how its calls are carried out.
+/// The purpose of a group: how its calls are carried out.
 pub(crate) trait GroupService: Send + 'static {
     type State: StateMachine<Answer: Send> + Default + Send;
     type Call: Send;
@@ -82,13 +83,13 @@
     /// Answers a call that failed.
     fn failed(&self, failure: CallFailure) -> Self::Reply;
 
-    /// Commands that the leader proposes by itself.
+    /// Commands that the leader proposes on its own.
     fn run_maintenance(&mut self, member: &GroupMember<Self::State>, now: Now) -> Vec<Vec<u8>>;
 
-    /// The first entry in the newest format; proposed once all members read that.
+    /// The first entry in the newest format; proposed once all members can read that format.
     fn raise_format(&self) -> Option<Vec<u8>>;
 
-    /// Looks at the member after each flush.
+    /// Inspects the member after each flush.
     fn flushed(&mut self, member: &GroupMember<Self::State>, now: Now);
 }
 
@@ -102,14 +103,14 @@
     },
     Present {
         member: MemberId,
-        /// The newest format that it speaks, as far as that was told.
+        /// The newest format that the member supports, if reported.
         supported: Option<Format>,
     },
     Retiring(BTreeSet<MachineId>),
     Stop(tokio::sync::oneshot::Sender<()>),
 }
 
-/// Reaches a group member. Clones share it.
+/// Sends inputs to a group member. Clones share it.
 pub(crate) struct GroupHandle<Call, Reply> {
     inputs: mpsc::Sender<Input<Call, Reply>>,
 }
@@ -139,7 +140,7 @@
         let _ = self.inputs.send(Input::Retiring(machines)).await;
     }
 
-    /// Lets leadership pass on, within a limit.
+    /// Transfers leadership to another member, within a time limit.
     pub(crate) async fn stop(&self) {
         let (done, stopped) = tokio::sync::oneshot::channel();
         if self.inputs.send(Input::Stop(done)).await.is_ok() {
@@ -148,7 +149,7 @@
     }
 }
 
-/// A call under way.
+/// A call in progress.
 struct OpenCall<Call, Reply> {
     call: Call,
     reply: ReplyTo<Reply>,
@@ -167,17 +168,17 @@
     open: std::collections::HashMap<u64, OpenCall<S::Call, S::Reply>>,
     stopping: Option<tokio::sync::oneshot::Sender<()>>,
     stored_format: StoredFormat,
-    /// Members that are sent nothing which is stored, since they could not read it.
+    /// Members that are sent no stored data, because they could not read its format.
     outdated_members: BTreeSet<MachineId>,
 }
 
-/// A driver, and the handle that reaches it.
+/// A driver and its handle.
 pub(crate) type OpenedGroup<S> = (
     GroupDriver<S>,
     GroupHandle<<S as GroupService>::Call, <S as GroupService>::Reply>,
 );
 
-/// Opens the member; the driver runs by [`GroupDriver::run`].
+/// Opens the member. [`GroupDriver::run`] runs the driver.
 ///
 /// # Errors
 /// Those of [`GroupMember::open`].
@@ -217,11 +218,11 @@
         self.member.id()
     }
 
-    /// Runs until the disk fails or every handle is gone.
+    /// Runs until the disk fails or every handle is dropped.
     ///
     /// # Errors
-    /// Those of [`GroupMember::flush`]; `DataFolderRefused` where the group stores in a newer
-    /// format than this program may speak.
+    /// Those of [`GroupMember::flush`]; `DataFolderRefused` if the group stores in a newer format
+    /// than this program may use.
     pub(crate) async fn run(mut self) -> Result<(), Report<ErrorKind>> {
         let mut next_tick = Instant::now();
         loop {
@@ -242,7 +243,7 @@
             self.member.flush()?;
             self.check_format()?;
             self.process_outputs();
-            // What the outputs began is written before anything else is awaited.
+            // Writes that the outputs began are flushed before the next wait.
             self.member.flush()?;
             self.process_outputs();
             let now = self.now();
@@ -313,7 +314,7 @@
         }
     }
 
-    /// Proposes a command that nobody waits for.
+    /// Proposes a command that no caller waits for.
     fn propose_own(&mut self, command: Vec<u8>) {
         self.next_call += 1;
         self.member.propose(self.next_call, command);
@@ -385,6 +386,6 @@
         GroupNotice::DamageSetAside(damage) => {
             warn!(logger, "damaged state set aside"; "damage" => damage);
         }
-        GroupNotice::DiskFull(full) => warn!(logger, "disk space"; "full" => *full),
+        GroupNotice::DiskFull(full) => warn!(logger, "disk space state changed"; "full" => *full),
     }
 }
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders of operators to evacuate a zone, and to take that back.
+//! Operator orders to evacuate a zone and to take an evacuation back.
 
 use std::time::Duration;
 
@@ -8,23 +8,24 @@
 
 use crate::control::{ControlNode, Unavailable};
 
-/// What came of an order about a zone.
+/// The outcome of an order about a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZoneOrderOutcome {
-    /// The zone is as was asked, since this entry; 0 where it always was.
+    /// The zone is in the requested state since this log entry; 0 if it always was.
     Held(LogIndex),
     /// There is no such zone.
     Unknown,
-    /// A node of a build that knows no evacuations would go on sending there; nothing was done.
+    /// Nothing was done, because a node runs a build that does not support evacuations and would
+    /// continue to send requests there.
     NotYet,
 }
 
 impl ControlNode {
-    /// Asks that nothing more be sent to the replicas of a zone. A quorum holds that
-    /// before this returns; a repeat is answered likewise.
+    /// Orders that no more requests be sent to the replicas of a zone. A quorum has stored the
+    /// order before this returns; a repeated order gets the same answer.
     ///
     /// # Errors
-    /// [`Unavailable`] when it is not known to be held by a quorum in time.
+    /// [`Unavailable`] if it is not known to be stored by a quorum in time.
     pub async fn evacuate_zone(
         &self,
         zone: &str,
@@ -45,8 +46,8 @@
         self.order_evacuation(zone, false, limit).await
     }
 
-    /// The log decides, also whether the zone is as asked already: what this member knows
-    /// may be old. It only names the record upon which the order is given.
+    /// The log decides, including whether the zone is already in the requested state, because this
+    /// member's view may be outdated. This member only names the record that the order is based on.
     async fn order_evacuation(
         &self,
         zone: &str,
@@ -67,7 +68,7 @@
             return Ok(ZoneOrderOutcome::NotYet);
         }
         if !is_stored {
-            // A member that is cut off does not know.
+            // A partitioned member does not know the stored format.
             return Err(Unavailable);
         }
         loop {
@@ -91,7 +92,7 @@
             if is_evacuated == evacuated {
                 return Ok(ZoneOrderOutcome::Held(changed_at));
             }
-            // Another order was given since what this member knew.
+            // Another order was committed after the state that this member knew.
             seen = changed_at;
         }
     }
--- a/crates/cluster/src/first_format.rs
+++ b/crates/cluster/src/first_format.rs
@@ -1,5 +1,6 @@
-//! Messages between nodes in the first format. Frozen: a build that production runs writes
-//! them. Nodes kept links to every member of control and said nothing of where others are.
+//! Messages between nodes in the first format. Frozen, because the build in production writes them.
+//! In this format nodes keep links to every control member and do not report the places of other
+//! nodes.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -339,9 +340,9 @@
                 call,
                 body: body.try_into()?,
             },
-            // What it tells builds on nothing that the receiver may lack.
+            // Updates in the first format do not build on earlier ones, so nothing can be missing.
             NodeMessage::FullUpdateRequest => {
-                return Err(not_in_first_format("request to tell all"));
+                return Err(not_in_first_format("request for a full update"));
             }
         })
     }
--- a/crates/cluster/src/gateway/fleet_updater.rs
+++ b/crates/cluster/src/gateway/fleet_updater.rs
@@ -1,4 +1,4 @@
-//! What a gateway takes of control's pulses, and the links that it keeps.
+//! Applies control's heartbeats to a gateway's view of the fleet and maintains the gateway's links.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -24,28 +24,29 @@
     seeds::Seeds,
 };
 
-/// How often links are looked at.
+/// Interval of link maintenance.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
-/// A member that was asked for everything is asked again after this: everything is a few
-/// hundred kilobytes, and takes that long over a narrow link.
+/// Minimum time between two requests for a full update to the same member: a full update has a few
+/// hundred kilobytes and takes about this long over a slow link.
 const FULL_UPDATE_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// A gateway that control named is told what ends replicas for so long, in milliseconds: one
-/// that control does not hear, or that stops, may serve on.
+/// A gateway that control listed receives reports of requests that end replicas for this long
+/// after, in milliseconds: a gateway that control cannot reach or that is stopping may still serve
+/// requests.
 const GATEWAY_RETENTION_MS: u64 = 60_000;
 
-/// Takes what control tells.
+/// Applies control's updates.
 pub(super) struct FleetUpdater {
     pub(super) gateway: GatewayNode,
     pub(super) seeds: Seeds,
     pub(super) fleet: FleetView,
     pub(super) publisher: watch::Sender<Arc<FleetView>>,
-    /// No control member was heard of for [`super::CONTROL_LOST_MS`].
+    /// Whether no control member has been reachable for [`super::CONTROL_LOST_MS`].
     pub(super) control_lost: bool,
-    /// Members are heard of, but for [`super::CONTROL_LOST_MS`] none that told all that is in
-    /// force.
+    /// Whether control members are reachable, but none has sent the complete state in force for
+    /// [`super::CONTROL_LOST_MS`].
     pub(super) is_behind: bool,
     pub(super) linked: LinkedMembers,
-    /// When each member was asked for everything last.
+    /// When a full update was last requested from each member.
     pub(super) full_update_requested: BTreeMap<MachineId, Instant>,
     pub(super) logger: Logger,
 }
@@ -108,8 +109,8 @@
         }
     }
 
-    /// A member told all that is in force. A process that has just woken up learns by this
-    /// that it stood still, before it takes what had waited for news.
+    /// Records that a member has sent the complete state in force. A process that has just resumed
+    /// detects its pause here, before it processes the messages that waited for this update.
     fn record_update(&self, link_opened: Option<Instant>) {
         self.gateway.record_running();
         if let Some(opened) = link_opened {
@@ -136,8 +137,8 @@
         }
     }
 
-    /// What this control member told builds on something that is not known here, such as
-    /// when another group took the place of the one that told before.
+    /// Requests everything from a member whose update builds on a state that this gateway does not
+    /// have, for example because another group replaced the previous control group.
     fn request_full_update(&mut self, from: MachineId) {
         let now = Instant::now();
         let last_requested = self.full_update_requested.get(&from);
@@ -148,7 +149,7 @@
         }
         self.full_update_requested.insert(from, now);
         let up_to_index = self.fleet.up_to_index();
-        warn!(self.logger, "fleet not known"; "upto" => up_to_index.0,
+        warn!(self.logger, "full fleet update requested"; "upto" => up_to_index.0,
             "from" => address_of(from).to_string());
         self.gateway
             .links
@@ -158,8 +159,8 @@
             .send(from, &NodeMessage::FullUpdateRequest);
     }
 
-    /// Says once that members are heard of, but none that knows what is in force: it may be
-    /// newer than what this gateway acts on.
+    /// Logs once when control members are reachable but none knows the state in force, which may be
+    /// newer than the state this gateway uses.
     fn log_staleness(&mut self) {
         let age_ms = self.gateway.knowledge_age_ms();
         let is_behind = age_ms >= super::CONTROL_LOST_MS && !self.gateway.is_control_lost();
@@ -168,15 +169,15 @@
         }
         let version = self.fleet.table().map(|table| table.version);
         if is_behind {
-            warn!(self.logger, "no member knows what is in force"; "age_ms" => age_ms,
+            warn!(self.logger, "no reachable control member knows the state in force"; "age_ms" => age_ms,
                 "upto" => self.fleet.up_to_index().0, "version" => version);
         } else {
-            info!(self.logger, "what is in force is known again"; "age_ms" => age_ms,
+            info!(self.logger, "state in force is known again"; "age_ms" => age_ms,
                 "upto" => self.fleet.up_to_index().0, "version" => version);
         }
     }
 
-    /// Says once that control is away: what is in force here may be old from now on.
+    /// Logs once when control is unreachable: the state in force here may be outdated from now on.
     fn log_control_loss(&mut self) {
         let silent_ms = self.gateway.control_silent_ms();
         if self.control_lost || !self.gateway.is_control_lost() {
@@ -193,7 +194,7 @@
             return;
         }
         let silent_ms = self.gateway.reported.lock().silent_ms(now_ms);
-        info!(self.logger, "control heard of again"; "silent_ms" => silent_ms,
+        info!(self.logger, "control reachable again"; "silent_ms" => silent_ms,
             "from" => address_of(from).to_string());
     }
 
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -1,5 +1,5 @@
-//! A gateway as the other nodes see it: it learns the fleet from control and
-//! calls the job store.
+//! A gateway as a node of the fleet: receives the state of the fleet from control and calls the job
+//! store.
 
 mod fleet_updater;
 
@@ -36,8 +36,8 @@
     reported_fleet::ReportedFleet,
 };
 
-/// Control counts as lost when none of its members was heard of for so long, in
-/// milliseconds: three of its pulses were missed.
+/// Control counts as lost when no member has been reachable for this long, in milliseconds: three
+/// heartbeats were missed.
 const CONTROL_LOST_MS: u64 = 1_800;
 /// A running gateway. Clones share it.
 #[derive(Clone)]
@@ -54,22 +54,22 @@
     pub(crate) reported: Arc<Mutex<ReportedFleet>>,
     /// Gateways that coordinate slots, in a fixed order.
     coordinators: Arc<Mutex<Arc<Vec<MachineId>>>>,
-    /// Those of them that read the format in which there are witnesses of limits.
+    /// The coordinators that can read the first format with limit witnesses.
     witnesses: Arc<Mutex<Arc<Vec<MachineId>>>>,
-    /// The same ones, and where each is.
+    /// The coordinators and their places.
     placed: Arc<Mutex<Arc<Vec<PlacedGateway>>>>,
-    /// Gateways that control named lately, also as silent.
+    /// Gateways that control listed recently, including as silent.
     recent_gateways: Arc<Mutex<BTreeMap<MachineId, RecentGateway>>>,
     zones: Arc<ZoneMap>,
     clock: Clock,
-    /// When this gateway last knew all that a control member knew to be in force.
+    /// When this gateway last knew everything that a control member knew to be in force.
     current_at_ms: Arc<AtomicU64>,
     process_pause: Arc<PauseTracker>,
     logger: Logger,
 }
 
 impl GatewayNode {
-    /// Starts to learn the fleet.
+    /// Starts the gateway's links and the updates of its view of the fleet.
     #[must_use]
     pub fn start(settings: &NodeSettings, caller_address: String) -> Self {
         let (base, _) = NodeBase::start(settings, NodeRole::Gateway);
@@ -118,7 +118,7 @@
         Arc::clone(&self.fleet.borrow())
     }
 
-    /// Follows the fleet.
+    /// Subscribes to changes of the fleet.
     #[must_use]
     pub fn follow(&self) -> watch::Receiver<Arc<FleetView>> {
         self.fleet.clone()
@@ -130,19 +130,19 @@
         self.own
     }
 
-    /// Gateways that coordinate slots, in a fixed order, as control told lately.
+    /// Gateways that coordinate slots, in a fixed order, as last reported by control.
     #[must_use]
     pub fn coordinators(&self) -> Arc<Vec<MachineId>> {
         Arc::clone(&self.coordinators.lock())
     }
 
-    /// Gateways that can be witnesses of who counts a tenant's requests.
+    /// Gateways that can act as witnesses for the gateway that counts a tenant's requests.
     #[must_use]
     pub fn witnesses(&self) -> Arc<Vec<MachineId>> {
         Arc::clone(&self.witnesses.lock())
     }
 
-    /// The gateways that coordinate slots, and where each is.
+    /// The gateways that coordinate slots, and their places.
     #[must_use]
     pub fn placed_coordinators(&self) -> Arc<Vec<PlacedGateway>> {
         Arc::clone(&self.placed.lock())
@@ -154,40 +154,41 @@
         &self.zones
     }
 
-    /// Number of members of control to which this gateway keeps links.
+    /// Number of control members that this gateway keeps links to.
     #[must_use]
     pub fn control_links(&self) -> usize {
         self.links.count(&self.control.machines())
     }
 
-    /// Gateways that control no longer hears though it did lately: they may be cut off and go
-    /// on.
+    /// Gateways that control can no longer reach although it could recently: they may be
+    /// partitioned and still running.
     #[must_use]
     pub fn silent_coordinators(&self) -> Vec<MachineId> {
         self.reported.lock().silent_coordinators().to_vec()
     }
 
-    /// Tells control that this gateway stops: others coordinate its slots.
+    /// Reports to control that this gateway is stopping, so that other gateways coordinate its
+    /// slots.
     pub fn stop_coordinating(&self) {
         self.links.update_hello(|hello| hello.coordinates = false);
     }
 
-    /// Datagrams to and from other gateways; `None` where their port is taken.
+    /// Datagrams to and from other gateways; `None` if their port is in use.
     #[must_use]
     pub fn datagrams(&self) -> Option<Datagrams<GatewayDatagram>> {
         self.datagrams.clone()
     }
 
-    /// Sends a datagram to another gateway; it may not arrive.
+    /// Sends a datagram to another gateway; it may be lost.
     pub fn send_datagram(&self, to: MachineId, message: &GatewayDatagram) {
         let Some(datagrams) = &self.datagrams else {
             return;
         };
         let address = SocketAddrV4::new(address_of(to), self.port);
-        // By machine, as control's set of them is.
+        // Sorted by machine, like the set that control sends.
         let placed = self.placed_coordinators();
         let found = placed.binary_search_by_key(&to, |gateway| gateway.machine);
-        // One that is not known any more has no zone.
+        // A gateway that is no longer known has no zone.
         let zone = found.map_or("", |at| placed[at].place.zone.as_str());
         for format in self.formats_for(to, message) {
             for part in message.parts_in(format) {
@@ -197,9 +198,9 @@
         }
     }
 
-    /// The formats in which a gateway is sent a message: the newest that both know. One that
-    /// control never heard while this gateway ran may be of any build: it is sent the newest
-    /// first, and the oldest after it.
+    /// The formats for a message to a gateway: the newest that both sides support. A gateway that
+    /// control has not reached since this gateway started may run any build: it is sent the newest
+    /// format first and the oldest after it.
     fn formats_for(&self, to: MachineId, message: &GatewayDatagram) -> Vec<Format> {
         let newest = self.links.newest_format();
         let known = self
@@ -222,8 +223,8 @@
         &self.datagram_bytes
     }
 
-    /// Addresses of ready gateways near a caller. While control is away, those
-    /// that it told last.
+    /// Addresses of ready gateways near a caller. While control is unreachable, the addresses from
+    /// its last report.
     #[must_use]
     pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
         let fleet = self.fleet();
@@ -233,45 +234,45 @@
         near(&known, question, homes.as_ref())
     }
 
-    /// How long no control member has been heard of, in milliseconds: what is in
-    /// force here is at least so old.
+    /// Time since the last contact with any control member, in milliseconds: the state in force
+    /// here is at least this old.
     #[must_use]
     pub fn control_silent_ms(&self) -> u64 {
         self.reported.lock().silent_ms(self.clock.now_ms())
     }
 
-    /// Whether no control member was heard of for so long that three pulses were missed.
+    /// Whether no control member has been reachable for the time of three heartbeats.
     #[must_use]
     pub fn is_control_lost(&self) -> bool {
         self.control_silent_ms() >= CONTROL_LOST_MS
     }
 
-    /// How old what is known here may be, in milliseconds: the time since a control
-    /// member that knew what is in force told no more than is known here. Such a member
-    /// has heard the leader within a second.
+    /// Maximum age of the state known here, in milliseconds: the time since a control member that
+    /// knew the state in force reported nothing newer. Such a member had contact with the leader
+    /// within the last second.
     #[must_use]
     pub fn knowledge_age_ms(&self) -> u64 {
         let current_at_ms = self.current_at_ms.load(Ordering::Relaxed);
         self.clock.now_ms().saturating_sub(current_at_ms)
     }
 
-    /// Waits, after this process stood still, until control has said what is in force now,
-    /// or counts as lost. At any other time it returns at once.
+    /// After a pause of this process, waits until control has sent the state in force or counts as
+    /// lost. Without a pause it returns at once.
     pub async fn wait_for_update_after_pause(&self) {
         let mut updates = self.process_pause.subscribe();
         loop {
-            // One that stood still again while it waited wants news of after that.
+            // A pause during the wait requires an update that follows it.
             self.record_running();
             let Some(remaining) = self.process_pause.remaining_update_wait() else {
                 return;
             };
-            // Where time is over it looks again, and goes on by what it knows.
+            // After a time-out the loop checks again and ends with the last known state.
             let _ = timeout(remaining, updates.changed()).await;
         }
     }
 
-    /// How long this process stood still since its start, up to now. What it measured meanwhile
-    /// looks longer by that.
+    /// Total time for which this process was paused since its start, up to now. Durations measured
+    /// across a pause are too long by the length of the pause.
     #[must_use]
     pub fn total_pause(&self) -> Duration {
         self.record_running();
@@ -280,22 +281,22 @@
 
     fn record_running(&self) {
         if let Some(pause) = self.process_pause.record_running() {
-            warn!(self.logger, "stood still"; "still_ms" => pause.as_millis() as u64,
+            warn!(self.logger, "process pause detected"; "still_ms" => pause.as_millis() as u64,
                 "upto" => self.fleet().up_to_index().0);
         }
     }
 
-    /// Tells control whether callers may come here.
+    /// Reports to control whether this gateway accepts callers.
     pub fn set_ready(&self, ready: bool) {
         self.links.update_hello(|hello| hello.ready = ready);
     }
 
-    /// Calls the job store's leader, until it answers or time is up.
+    /// Calls the leader of the job store until it answers or the time limit is reached.
     pub async fn call_store(&self, call: StoreCall, limit: Duration) -> StoreReply {
         self.store.call(call, limit).await
     }
 
-    /// Every other gateway that control named within the last minute, in a fixed order.
+    /// All other gateways that control listed within the last minute, in a fixed order.
     #[must_use]
     pub fn other_gateways(&self) -> Vec<MachineId> {
         let recent_gateways = self.recent_gateways.lock();
@@ -305,15 +306,15 @@
         others.copied().collect()
     }
 
-    /// Sends a datagram to other gateways; it may not arrive.
+    /// Sends a datagram to other gateways; it may be lost.
     pub fn send_to_gateways(&self, gateways: &[MachineId], message: &GatewayDatagram) {
         for gateway in gateways {
             self.send_datagram(*gateway, message);
         }
     }
 
-    /// Tells control that the start of a replica, by its key, ended under runs of this
-    /// gateway; false when that was not held within the limit.
+    /// Reports to control that an incarnation of a replica, given by its key, ended while it ran
+    /// requests of this gateway; false if this was not committed within the limit.
     pub async fn report_replica_ended(
         &self,
         replica: &str,
@@ -327,15 +328,15 @@
         self.propose_to_control(command, limit).await
     }
 
-    /// Tells control that a copy of a suspected request came to a whole answer; false
-    /// when that was not held within the limit.
+    /// Reports to control that a copy of a suspected request completed its response; false if this
+    /// was not committed within the limit.
     pub async fn report_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
         let command = RegistryCommand::ClearSuspicions(vec![cleared]);
         self.propose_to_control(command, limit).await
     }
 
-    /// Tells control that another incarnation answers in the place of this start; false when
-    /// that was not held within the limit.
+    /// Reports to control that another incarnation answers at the address of this one; false if
+    /// this was not committed within the limit.
     pub async fn report_not_at_address(&self, replica: &str, limit: Duration) -> bool {
         let command = RegistryCommand::NotAtAddress(replica.to_owned());
         self.propose_to_control(command, limit).await
@@ -353,24 +354,25 @@
     }
 }
 
-/// What control told of another gateway.
+/// What control reported about another gateway.
 #[derive(Clone, Copy, Debug, Default)]
 struct RecentGateway {
-    /// When it was named last, in milliseconds.
+    /// When control last listed it, in milliseconds.
     at_ms: u64,
-    /// The newest format that it and this build read, as control heard it last. It holds while
-    /// control does not hear the gateway: such a one learns from datagrams alone. `None` where
-    /// control has only told that it is silent.
+    /// The newest format that both the gateway and this build can read, as last reported by
+    /// control. It stays valid while control cannot reach the gateway, because such a gateway
+    /// receives updates only by datagrams. `None` if control has only reported the gateway as
+    /// silent.
     format: Option<Format>,
 }
 
-/// Without datagrams a gateway serves all the same, blind to the others' work.
+/// Without datagrams a gateway still serves requests, but does not know the work of other gateways.
 fn bind_datagrams(settings: &NodeSettings) -> Option<Datagrams<GatewayDatagram>> {
     let address = SocketAddrV4::new(settings.address, settings.port);
     match Datagrams::bind(address, settings.identity.clone()) {
         Ok(datagrams) => Some(datagrams),
         Err(report) => {
-            error!(settings.logger, "no datagrams"; "cause" => format!("{report:?}"));
+            error!(settings.logger, "datagram socket not available"; "cause" => format!("{report:?}"));
             None
         }
     }
--- a/crates/cluster/src/heartbeat.rs
+++ b/crates/cluster/src/heartbeat.rs
@@ -1,5 +1,5 @@
-//! What control tells the nodes that are connected to it: each role learns what
-//! it needs, and only what changed since it was told last.
+//! Heartbeats that control sends to connected nodes. Each role receives what it needs, and only
+//! what changed since the last heartbeat.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -17,46 +17,45 @@
     present_fleet::{PresentFleet, SharedPresence},
 };
 
-/// A node is told of a change of the registry by the nearest control member at once. Each
-/// further one tells it so much later than the one before, should it not have said meanwhile
-/// that it knows: its word comes back over a link between regions that carries traffic.
+/// The nearest control member sends a registry change to a node at once. Each further member waits
+/// this much longer than the one before, unless the node acknowledges the change meanwhile: the
+/// acknowledgement travels over a link between regions that carries other traffic.
 const BACKUP_DELAY: Duration = Duration::from_millis(300);
-/// Members after this one tell together with it, so that a node whose nearest members are all
-/// gone is told 1.2 s late at most.
+/// Members with a higher rank send together with the member of this rank, so that a node whose
+/// nearest members have all failed receives a change at most 1.2 s late.
 const MAX_RANK: u32 = 4;
 
-/// Where pulses come from. Clones share it.
+/// Creates the heartbeats of a control member. Clones share it.
 #[derive(Clone)]
 pub(crate) struct HeartbeatSource {
-    /// Changes whenever a pulse is worth sending at once.
+    /// Changes whenever a heartbeat should be sent at once.
     pub(crate) changes: watch::Receiver<u64>,
     own: MachineId,
     registry: Arc<dyn HeartbeatRegistry>,
     present: Arc<Mutex<SharedPresence>>,
 }
 
-/// What a control member knows that pulses tell.
+/// The state of a control member that heartbeats carry.
 pub(crate) trait HeartbeatRegistry: Send + Sync {
-    /// Counts what nodes said that others should learn.
+    /// Number of changes reported by nodes that other nodes should learn.
     fn presence_change_count(&self) -> u64;
 
-    /// Who is present now.
+    /// The nodes that are present now.
     fn present(&self) -> PresentFleet;
 
-    /// Whether anything that a role needs of the registry changed after an entry, as far as
-    /// this member knows what is in force.
+    /// Whether anything that a role needs changed in the registry after an entry; false if this
+    /// member does not know the state in force.
     fn has_update(&self, role: NodeRole, since: LogIndex) -> bool;
 
-    /// What changed after an entry of what a role needs of the registry, as a format can tell
-    /// it; `None` where this member does not know what is in force.
+    /// The registry changes after an entry that a role needs, as far as a format can express them;
+    /// `None` if this member does not know the state in force.
     fn update(&self, role: NodeRole, format: Format, since: LogIndex) -> Option<FleetUpdate>;
 
-    /// The newest change, where this member knows what is in force.
+    /// The newest change; `None` if this member does not know the state in force.
     fn current(&self) -> Option<LogIndex>;
 }
 
 impl HeartbeatSource {
-    /// The source of a control member.
     pub(crate) fn new(
         own: MachineId,
         changes: watch::Receiver<u64>,
@@ -70,7 +69,7 @@
         }
     }
 
-    /// Who is present now. The same value is returned as long as nothing changed.
+    /// The nodes that are present now. The same value is returned until something changes.
     fn present(&self) -> Arc<PresentFleet> {
         let mut present = self.present.lock();
         let change_count = self.registry.presence_change_count();
@@ -78,27 +77,27 @@
     }
 }
 
-/// What one connection was told.
+/// What was sent on one connection.
 pub(crate) struct HeartbeatSession {
     /// The format of the connection.
     format: Format,
     machine: MachineId,
     place: Place,
     role: NodeRole,
-    /// Members to which the node keeps links; empty where it does to all.
+    /// Control members that the node keeps links to; empty if it keeps links to all.
     linked: Vec<MachineId>,
-    /// The newest change of the registry that the node was told or knows.
+    /// The newest registry change that was sent to the node or that the node knows.
     up_to_index: LogIndex,
-    /// Since when a change is withheld that another control member tells.
+    /// Since when a change is withheld because another control member should send it.
     withheld_since: Option<Instant>,
-    /// How long it is withheld.
+    /// How long the change is withheld.
     withheld: Duration,
-    /// Who was present when it was told last.
+    /// The nodes that were present at the last heartbeat.
     last_sent: Option<Arc<PresentFleet>>,
 }
 
 impl HeartbeatSession {
-    /// Nothing was told yet to a node.
+    /// A session in which nothing was sent yet.
     pub(crate) fn new(hello: &NodeHello, format: Format) -> Self {
         HeartbeatSession {
             format,
@@ -113,37 +112,38 @@
         }
     }
 
-    /// Notes what the node says of itself by now.
+    /// Records the node's latest description of itself.
     pub(crate) fn record_hello(&mut self, hello: &NodeHello) {
         self.linked.clone_from(&hello.linked);
     }
 
-    /// Notes that the node knows the registry up to an entry, whoever told it.
+    /// Records that the node knows the registry up to an entry, whichever member sent it.
     pub(crate) fn record_known(&mut self, up_to_index: LogIndex) {
         if up_to_index > self.up_to_index {
             self.up_to_index = up_to_index;
-            // Somebody tells it: what is still missing is on its way.
+            // Another member sends the updates, so the missing ones are on their way.
             self.withheld_since = None;
         }
     }
 
-    /// Notes that the node lacks what it was told before: everything is told once more.
+    /// Makes the next heartbeat send everything, because the node lacks the state that earlier
+    /// updates build on.
     pub(crate) fn reset(&mut self) {
         self.up_to_index = LogIndex(0);
     }
 
-    /// The newest change of the registry that the node was told or knows.
+    /// The newest registry change that was sent to the node or that the node knows.
     pub(crate) fn up_to_index(&self) -> LogIndex {
         self.up_to_index
     }
 
-    /// How long a change is still withheld; `None` where none is.
+    /// The remaining time for which a change is withheld; `None` if no change is.
     pub(crate) fn withheld_for(&self) -> Option<Duration> {
         let since = self.withheld_since?;
         Some(self.withheld.saturating_sub(since.elapsed()))
     }
 
-    /// What changed in the registry, if this member is to tell it now.
+    /// The registry change that this member has to send now, if any.
     fn update(
         &mut self,
         source: &HeartbeatSource,
@@ -171,7 +171,7 @@
         Some(update)
     }
 
-    /// The next pulse. It counts as told: the connection ends if it is not sent.
+    /// The next heartbeat. Its content counts as sent: the connection is closed if sending fails.
     pub(crate) fn next(&mut self, source: &HeartbeatSource) -> ControlHeartbeat {
         let fleet = source.present();
         let mut heartbeat = ControlHeartbeat {
--- a/crates/cluster/src/heartbeat_registry.rs
+++ b/crates/cluster/src/heartbeat_registry.rs
@@ -1,5 +1,5 @@
-//! What a control member's pulses tell: who is present, and the registry where this member
-//! knows what is in force.
+//! The content of a control member's heartbeats: the nodes that are present, and the registry if
+//! this member knows the state in force.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -20,10 +20,10 @@
     registry_service::RegistryShared,
 };
 
-/// A control member has heard of every gateway by this time after its start.
+/// A control member has had contact with every gateway this long after its start, in milliseconds.
 const ALL_CONTACTED_MS: u64 = 1_200;
 
-/// Where the pulses of a control member at a place come from.
+/// The source of the heartbeats of a control member at a place.
 pub(crate) fn heartbeat_source(
     shared: &Arc<RegistryShared>,
     own: MachineId,
@@ -39,7 +39,7 @@
     HeartbeatSource::new(own, shared.changes.subscribe(), registry)
 }
 
-/// What a control member knows.
+/// The state that heartbeats are made from.
 struct ControlHeartbeatRegistry {
     shared: Arc<RegistryShared>,
     own: MachineId,
@@ -91,7 +91,7 @@
         match role {
             NodeRole::Gateway => view.registry.changed_at() > since,
             NodeRole::Store => view.registry.store_changed_at() > since,
-            // Members have the registry by their log.
+            // Control members have the registry in their log.
             NodeRole::Control => false,
         }
     }
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -16,28 +16,29 @@
     message_bytes::{Direction, MessageBytes},
 };
 
-/// How often control says that it is there when nothing changes.
+/// How often control sends a heartbeat when nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
-/// Changes that come closer together than this share a pulse. A start of the whole
-/// fleet brings hundreds of them.
+/// Minimum time between two heartbeats; changes that are closer together share one. A start of the
+/// complete fleet brings hundreds of changes.
 const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A message of another node.
+/// A message from another node.
 pub(crate) enum Inbound {
-    /// From the node at the other end of a connection.
+    /// A message from the node at the other end of a connection.
     Message {
         from: MachineId,
         message: NodeMessage,
         /// Answers calls; `None` on a link that this node opened.
         answers: Option<Answers>,
-        /// When this node opened the link that it came over; `None` where it did not.
+        /// When this node opened the link of the message; `None` if the other node opened it.
         link_opened: Option<Instant>,
     },
     /// A connection that another node opened has ended.
     Closed {
-        /// What the node said last.
+        /// The node's last description of itself.
         hello: NodeHello,
-        /// It had not been heard of for a while: it may be cut off and go on.
+        /// The connection was silent for a while before its end: the node may be partitioned and
+        /// still running.
         fell_silent: bool,
     },
 }
@@ -48,12 +49,12 @@
 
 impl Answers {
     pub(crate) fn answer(&self, call: CallId, body: ReplyBody) {
-        // A caller that is gone asks again elsewhere.
+        // If the caller has disconnected, it retries at another member.
         let _ = self.0.try_send(&NodeMessage::Reply { call, body });
     }
 }
 
-/// Sends to the node at the other end and counts its bytes.
+/// Sends to the node at the other end and counts the bytes.
 #[derive(Clone)]
 struct CountedSender {
     sender: MessageSender<NodeMessage>,
@@ -110,7 +111,7 @@
         Ok(None) => return,
         other => {
             let cause = other.err().map(|report| format!("{report:?}"));
-            warn!(logger, "node not understood"; "peer" => %address,
+            warn!(logger, "invalid first message from a node"; "peer" => %address,
                 "format" => format.number(), "cause" => cause);
             return;
         }
@@ -148,7 +149,7 @@
 }
 
 impl Peer {
-    /// Serves the connection to its end.
+    /// Serves the connection until it ends.
     async fn run(
         &mut self,
         receiver: &mut MessageReceiver<NodeMessage>,
@@ -186,8 +187,8 @@
     ) -> ConnectionEnd {
         let mut last_sent = None;
         let mut next_send = Instant::now();
-        // A further change changes nothing until the next pulse: of hundreds a second a
-        // connection need not hear each.
+        // Once a change is pending, further changes make no difference until the next heartbeat.
+        // This saves waking up for each of hundreds of changes a second.
         let mut has_changed = false;
         loop {
             tokio::select! {
@@ -227,14 +228,14 @@
         }
     }
 
-    /// Sends a pulse, if it is due or tells anything; false where it was not sent. The
-    /// connection is to end where this fails: the pulse counts as told.
+    /// Sends a heartbeat if it is due or has content; false if it was not sent. The connection must
+    /// be closed on failure, because the content counts as sent.
     fn send_heartbeat(
         &mut self,
         heartbeats: &HeartbeatSource,
         is_due: bool,
     ) -> Result<bool, SendRefused> {
-        let heartbeat = self.session.next(&heartbeats);
+        let heartbeat = self.session.next(heartbeats);
         let message = match heartbeat.is_empty() {
             true if !is_due => return Ok(false),
             true => NodeMessage::EmptyControlHeartbeat {
@@ -246,7 +247,7 @@
         Ok(true)
     }
 
-    /// False when the node has stopped.
+    /// False if this node is stopping.
     async fn pass_on(&mut self, message: NodeMessage) -> bool {
         let message = match message {
             NodeMessage::Hello(hello) => {
--- a/crates/cluster/src/lib.rs
+++ b/crates/cluster/src/lib.rs
@@ -1,10 +1,9 @@
-//! The nodes of a fleet whose callers ask a directory where to go: gateways
-//! without disks, control members and members of the job store, the messages
-//! between them, and how they find each other from a few seeds.
+//! The nodes of a fleet whose callers ask a directory where to send requests: gateways without
+//! disks, control members and members of the job store, the messages between nodes, and how nodes
+//! find each other from a few seeds.
 //!
-//! A machine is named by its IPv4 address ([`MachineId`]), and every node
-//! listens for others on the same port, so that an address is all that a node
-//! has to learn.
+//! A machine is identified by its IPv4 address ([`MachineId`]). Every node listens for other nodes
+//! on the same port, so a node only has to learn addresses.
 //!
 //! [`MachineId`]: linnethitch_protocol::ids::MachineId
 
--- a/crates/cluster/src/linked_members.rs
+++ b/crates/cluster/src/linked_members.rs
@@ -1,7 +1,7 @@
-//! Which members of control a gateway keeps links to.
+//! Selects the control members that a gateway keeps links to.
 //!
-//! Each link costs four messages a second. A gateway keeps as many as its budget allows,
-//! however many members there are: the nearest that it hears.
+//! Each link costs four messages a second. However many members there are, a gateway keeps only as
+//! many links as its budget allows, to the nearest reachable members.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,50 +10,50 @@
 
 use crate::distance::Distance;
 
-/// Members that a gateway keeps links to: twenty messages a second, and some are left wherever
-/// two are lost at once. A node may spend 2 KB a second; the bytes of these links were not
-/// measured on the platform.
+/// Maximum number of members that a gateway keeps links to. Five links cost twenty messages a
+/// second, within a budget of 2 KB a second for each node, and some remain when two members are
+/// lost at once.
 const MAX_LINKED: usize = 5;
-/// A member that was not heard of for so long is left for another one, in milliseconds: two of
-/// its pulses were missed.
+/// A member is replaced by another one this long after the last contact, in milliseconds: two of
+/// its heartbeats were missed.
 const CONTACT_TIMEOUT_MS: u64 = 1_200;
-/// A link is kept for so long after another one took its place, in milliseconds: its member
-/// learns meanwhile that the end of it tells nothing.
+/// A link stays open for this long after another one has replaced it, in milliseconds. Meanwhile
+/// its member learns that the end of the link does not mean the end of the gateway.
 const LINK_OVERLAP_MS: u64 = 3_000;
 
-/// What a gateway knows of members of control.
+/// What a gateway knows about control members.
 pub(crate) struct KnownMembers<'a> {
-    /// All of them.
+    /// All known members.
     pub(crate) machines: &'a BTreeSet<MachineId>,
-    /// Where they are, as far as it is known.
+    /// Places of the members, where known.
     pub(crate) places: &'a BTreeMap<MachineId, Place>,
-    /// When each was heard of last, in milliseconds.
+    /// Time of the last contact with each member, in milliseconds.
     pub(crate) last_contact_ms: &'a BTreeMap<MachineId, u64>,
-    /// Whether one of them speaks a format in which members do not tell each other of the
-    /// gateways that they hear: it has to hear each itself.
+    /// Whether a member uses a format in which members do not relay which gateways they can reach.
+    /// Such a member needs a link from every gateway.
     pub(crate) without_relay: bool,
 }
 
-/// Which links are kept.
+/// The selected links.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct LinkChoice {
-    /// Every link.
+    /// All links to keep.
     pub(crate) links: BTreeSet<MachineId>,
-    /// Those to members that are to hear this gateway; empty where they are all.
+    /// The members that should list this gateway; empty if these are all members.
     pub(crate) linked: Vec<MachineId>,
 }
 
-/// The choice so far. Times are in milliseconds.
+/// The selection so far. Times are in milliseconds.
 #[derive(Default)]
 pub(crate) struct LinkedMembers {
-    /// Since when each one is tried that was not heard of lately.
+    /// When attempts to reach each member without recent contact began.
     tried_ms: BTreeMap<MachineId, u64>,
-    /// When each was chosen last.
+    /// When each member was last selected.
     chosen_ms: BTreeMap<MachineId, u64>,
 }
 
 impl LinkedMembers {
-    /// Chooses anew.
+    /// Selects the links again.
     pub(crate) fn choose(
         &mut self,
         own: MachineId,
@@ -74,7 +74,8 @@
         self.chosen_ms.retain(|machine, at_ms| {
             known.machines.contains(machine) && now_ms < *at_ms + LINK_OVERLAP_MS
         });
-        // The nearest are tried on, so that they are heard of when they are back.
+        // Links to the nearest members are kept even while they are unreachable, to detect their
+        // return.
         let nearest = order.iter().take(MAX_LINKED);
         let links = nearest.chain(self.chosen_ms.keys()).copied().collect();
         LinkChoice {
@@ -83,8 +84,8 @@
         }
     }
 
-    /// The nearest members that are heard of, or that have not been tried for long. Where all
-    /// have, the nearest are tried again.
+    /// The nearest members that are reachable or have not been tried for [`CONTACT_TIMEOUT_MS`]
+    /// yet. If all have been tried without success, the nearest are tried again.
     fn candidates(
         &mut self,
         order: &[MachineId],
@@ -117,7 +118,7 @@
     }
 }
 
-/// The nearest first; among equally near ones another order for each gateway.
+/// Members by distance. The order of members at the same distance differs between gateways.
 fn by_distance(own: MachineId, place: &Place, known: &KnownMembers<'_>) -> Vec<MachineId> {
     let key = |machine: &MachineId| {
         let at = known.places.get(machine);
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections that this node keeps to others, opened again when they break.
+//! Connections that this node opens to others and reopens when they break.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -29,25 +29,26 @@
     node::{NodeSettings, address_of, connection_options},
 };
 
-/// How often a node says to control that it is there.
+/// How often a node reports to control that it is alive.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
-/// A link to a leader that was opened for a call is kept for further ones.
+/// A link to a leader that was opened for a call stays open for further calls.
 const CALL_LINK_TTL: Duration = Duration::from_secs(10);
 const FIRST_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
 const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
-/// A link that lasted for so long was of use: the next one is opened at once. One that a peer
-/// closes sooner is opened again after a growing pause.
+/// After a link that lasted this long, the next one is opened at once. If a peer closes the link
+/// sooner, it is reopened after a growing pause.
 const STABLE_AFTER: Duration = Duration::from_secs(1);
-/// A peer that refuses this node goes on doing so until one of the two is replaced.
+/// A peer that refuses this node continues to do so until one of the two is replaced, so the pause
+/// between attempts is longer.
 const FIRST_REFUSED_PAUSE: Duration = Duration::from_millis(500);
 const MAX_REFUSED_PAUSE: Duration = Duration::from_secs(4);
 
-/// Why a call got no answer.
+/// Why a call got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallFailed {
-    /// It never left this machine.
+    /// The call was never sent.
     NotSent,
-    /// It was sent before the link broke.
+    /// The call was sent before the link broke.
     MayHaveArrived,
 }
 
@@ -70,12 +71,12 @@
     next_call: Mutex<u64>,
 }
 
-/// One link; without a sender while it is down.
+/// One link; it has no sender while it is down.
 struct Link {
     sender: Option<MessageSender<NodeMessage>>,
     calls: HashMap<CallId, oneshot::Sender<ReplyBody>>,
     task: JoinHandle<()>,
-    /// Until when it is kept though nobody else wants it.
+    /// Until when the link is kept open even if it is no target.
     open_for_calls_until: Option<Instant>,
 }
 
@@ -108,8 +109,8 @@
         }
     }
 
-    /// Keeps links to exactly these machines and to those that are reached lately, but none
-    /// to this one.
+    /// Keeps links to exactly these machines and to those that were opened for calls recently, but
+    /// never to this machine.
     pub(crate) fn set_targets(&self, targets: &BTreeSet<MachineId>) {
         let now = Instant::now();
         let mut links = self.inner.links.lock();
@@ -126,7 +127,7 @@
         }
     }
 
-    /// Opens a link to a machine for the calls of the next seconds, where there is none.
+    /// Opens a link to a machine for the calls of the next seconds, if there is none.
     pub(crate) fn open_for_calls(&self, machine: MachineId) {
         if machine == self.inner.own {
             return;
@@ -149,7 +150,7 @@
         })
     }
 
-    /// Number of links that are kept to some machines.
+    /// Number of open or reconnecting links to the given machines.
     pub(crate) fn count(&self, machines: &BTreeSet<MachineId>) -> usize {
         let links = self.inner.links.lock();
         links
@@ -158,7 +159,7 @@
             .count()
     }
 
-    /// Changes what this node says of itself and says it at once.
+    /// Changes this node's description of itself and sends it at once.
     pub(crate) fn update_hello(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             let before = hello.clone();
@@ -167,7 +168,7 @@
         });
     }
 
-    /// Changes what this node says of itself next time.
+    /// Changes this node's description of itself without sending it at once.
     pub(crate) fn update_hello_later(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             change(hello);
@@ -175,7 +176,7 @@
         });
     }
 
-    /// Sends a message if the link is up and has room; else it is lost.
+    /// Sends a message if the link is up and has queue space; otherwise the message is dropped.
     pub(crate) fn send(&self, to: MachineId, message: &NodeMessage) {
         let sender = self.sender(to);
         if let Some(sender) = sender {
@@ -186,7 +187,7 @@
     /// Calls another machine.
     ///
     /// # Errors
-    /// Whether the call had left this machine when the link was found broken.
+    /// Whether the call was sent before the link broke.
     pub(crate) async fn call(
         &self,
         to: MachineId,
@@ -207,12 +208,12 @@
         answered.await.map_err(|_| CallFailed::MayHaveArrived)
     }
 
-    /// The newest format that this node may speak.
+    /// The newest format that this node may use.
     pub(crate) fn newest_format(&self) -> Format {
         self.inner.newest_format
     }
 
-    /// The format that is spoken with a machine; `None` while the link to it is down.
+    /// The format of the link to a machine; `None` while the link is down.
     pub(crate) fn format_with(&self, machine: MachineId) -> Option<Format> {
         self.sender(machine).map(|sender| sender.format())
     }
@@ -297,7 +298,7 @@
     let mut last_sent: Option<NodeHello> = None;
     let mut next_hello = Instant::now();
     let opened = Instant::now();
-    // Control sends pulses; nobody else counts who is there.
+    // Only control sends heartbeats, and only control needs the node's keep-alive messages.
     let mut is_control = false;
     loop {
         tokio::select! {
@@ -340,7 +341,7 @@
     }
 }
 
-/// A beat is a pulse that tells nothing else.
+/// Turns the short form of a heartbeat, which has no other content, into the full form.
 fn expand_heartbeat(message: NodeMessage) -> NodeMessage {
     match message {
         NodeMessage::EmptyControlHeartbeat { current } => {
@@ -353,8 +354,8 @@
     }
 }
 
-/// Says what this node is where that changed, else to control that it is there.
-/// The link is to end where that cannot be sent.
+/// Sends this node's description of itself if it changed, or else a keep-alive message to control.
+/// The link must be closed if sending fails.
 fn send_hello(
     sender: &MessageSender<NodeMessage>,
     last_sent: &mut Option<NodeHello>,
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -15,7 +15,7 @@
 
 use crate::{first_format::FirstMessage, set_change::SetChange};
 
-/// What a node does.
+/// The role of a node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum NodeRole {
     Gateway,
@@ -23,17 +23,17 @@
     Store,
 }
 
-/// The job store as its leader sees it.
+/// The job store as seen by its leader.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct StoreGroupView {
     pub(crate) term: Term,
     /// Voters and learners.
     pub(crate) machines: Vec<MachineId>,
-    /// Voters that were heard of lately, the leader among them.
+    /// Voters with recent contact, including the leader.
     pub(crate) healthy_voters: u32,
 }
 
-/// What a node says of itself: first on a connection, then whenever it changes.
+/// A node's description of itself: the first message on a connection, sent again when it changes.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct NodeHello {
     pub(crate) role: NodeRole,
@@ -41,31 +41,31 @@
     pub(crate) name: String,
     pub(crate) zone: String,
     pub(crate) region: String,
-    /// Its disk, once it is open.
+    /// The identity of the group member on the node's disk, once the disk is open.
     pub(crate) member: Option<MemberId>,
-    /// Whether its disk waits for a first membership.
+    /// Whether the disk waits for a first membership.
     pub(crate) forming: bool,
     /// A gateway's address for callers, as IP:PORT.
     pub(crate) caller_address: Option<String>,
-    /// Whether callers may go there.
+    /// Whether the gateway accepts callers.
     pub(crate) ready: bool,
-    /// A gateway that coordinates slots: one that does not stop.
+    /// Whether a gateway coordinates slots, which it does until it begins to stop.
     pub(crate) coordinates: bool,
-    /// The newest change of the registry that it knows.
+    /// The newest registry change that the node knows.
     pub(crate) up_to_index: LogIndex,
-    /// Members of control to which it keeps links; empty where it does to all. The end of
-    /// another link tells nothing of it.
+    /// Control members that the node keeps links to; empty if it keeps links to all. The end of a
+    /// link to any other member says nothing about the node.
     pub(crate) linked: Vec<MachineId>,
-    /// The job store, told by its leader.
+    /// The job store, as reported by its leader.
     pub(crate) store_group: Option<StoreGroupView>,
-    /// The number of the newest format that it speaks.
+    /// Number of the newest format that the node supports.
     pub(crate) newest_format: u16,
-    /// The build that it runs; empty where it does not tell.
+    /// The build of the node; empty if not reported.
     pub(crate) build: String,
 }
 
 impl NodeHello {
-    /// Where it is.
+    /// The node's place.
     pub(crate) fn place(&self) -> Place {
         Place {
             zone: self.zone.clone(),
@@ -73,13 +73,13 @@
         }
     }
 
-    /// Whether it keeps a link to a member of control.
+    /// Whether the node keeps a link to a control member.
     pub(crate) fn is_linked_to(&self, member: MachineId) -> bool {
         self.linked.is_empty() || self.linked.contains(&member)
     }
 
-    /// Whether nothing that others act on differs: how far a node knows the
-    /// registry counts at the opening of a connection only.
+    /// Whether both descriptions are the same for other nodes. The known registry index is ignored,
+    /// because it matters only when a connection is opened.
     pub(crate) fn is_equivalent(&self, other: &NodeHello) -> bool {
         let other = NodeHello {
             up_to_index: self.up_to_index,
@@ -95,87 +95,87 @@
     pub(crate) name: String,
     pub(crate) machine: MachineId,
     pub(crate) member: Option<MemberId>,
-    /// The number of the newest format that it speaks; 0 where the teller does not know.
+    /// Number of the newest format that the member supports; 0 if the sender does not know it.
     pub(crate) newest_format: u16,
 }
 
-/// A machine, and where it is as far as the sender knows.
+/// A machine and its place, as far as the sender knows it.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub(crate) struct PlacedMachine {
     pub(crate) machine: MachineId,
     pub(crate) place: Place,
 }
 
-/// The newest format that both a node and this build speak, by the number that the node
-/// told; `None` where that is not known.
+/// The newest format that both a node and this build support, given the number that the node
+/// reported; `None` if that is not known.
 pub(crate) fn common_format(newest: u16) -> Option<Format> {
     Format::from_number(newest.min(Format::NEWEST.number()))
 }
 
-/// A gateway and where it is.
+/// A gateway and its place.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub struct PlacedGateway {
-    /// Its machine.
+    /// The gateway's machine.
     pub machine: MachineId,
-    /// Where it is.
+    /// The gateway's place.
     pub place: Place,
-    /// The number of the newest format that it reads.
+    /// Number of the newest format that the gateway can read.
     pub newest_format: u16,
 }
 
 impl PlacedGateway {
-    /// The newest format that both it and this build read.
+    /// The newest format that both the gateway and this build can read.
     #[must_use]
     pub fn common_format(&self) -> Format {
         common_format(self.newest_format).unwrap_or_default()
     }
 }
 
-/// A gateway that a control member hears itself and that keeps links to some members only.
+/// A gateway that a control member reaches directly and that keeps links to some members only.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Archive, Serialize, Deserialize)]
 pub(crate) struct ReachableGateway {
     pub(crate) machine: MachineId,
     pub(crate) place: Place,
-    /// Its address for callers, as IP:PORT.
+    /// The gateway's address for callers, as IP:PORT.
     pub(crate) caller_address: Option<String>,
     pub(crate) ready: bool,
     pub(crate) coordinates: bool,
-    /// Members to which it keeps links; empty where it does to all.
+    /// Members that the gateway keeps links to; empty if it keeps links to all.
     pub(crate) linked: Vec<MachineId>,
-    /// The number of the newest format that it speaks.
+    /// Number of the newest format that the gateway supports.
     pub(crate) newest_format: u16,
 }
 
-/// What control tells every node that is connected: that it is there, and what
-/// changed since the last pulse on this connection.
+/// What control sends to every connected node: that it is alive, and what changed since the last
+/// heartbeat on this connection.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct ControlHeartbeat {
-    /// Machines of control, and where they are.
+    /// Control members and their places.
     pub(crate) control: Option<SetChange<PlacedMachine>>,
-    /// Machines with disks for the job store; told to stores.
+    /// Machines with disks for the job store; sent to stores.
     pub(crate) stores: Option<SetChange<PresentStore>>,
-    /// Voters and learners of the job store, and where they are.
+    /// Voters and learners of the job store and their places.
     pub(crate) store_members: Option<SetChange<PlacedMachine>>,
-    /// Gateways that are ready; told to gateways, not before control has heard of all.
+    /// Ready gateways; sent to gateways, but not before control has had contact with all.
     pub(crate) gateways: Option<SetChange<DirectoryNode>>,
-    /// Gateways that coordinate slots; told to gateways.
+    /// Gateways that coordinate slots; sent to gateways.
     pub(crate) coordinators: Option<SetChange<PlacedGateway>>,
-    /// Gateways that did and fell silent, so that they may be cut off and go on; told to
+    /// Former coordinators that are silent and may be partitioned but still running; sent to
     /// gateways.
     pub(crate) silent_coordinators: Option<SetChange<MachineId>>,
-    /// Gateways that the sender hears itself; told to other members of control.
+    /// Gateways that the sender reaches directly; sent to other control members.
     pub(crate) reachable: Option<SetChange<ReachableGateway>>,
-    /// Gateways that said to the sender that they stop, or whose connection ended; told to
-    /// other members of control.
+    /// Gateways that reported to the sender that they are stopping, or whose connection ended; sent
+    /// to other control members.
     pub(crate) stopped: Option<SetChange<MachineId>>,
-    /// The registry.
+    /// Changes of the registry.
     pub(crate) update: Option<FleetUpdate>,
-    /// The newest change that the sender knows, where it knows what is in force.
+    /// The newest change that the sender knows, if it knows the state in force.
     pub(crate) current: Option<LogIndex>,
 }
 
 impl ControlHeartbeat {
-    /// Whether it tells nothing but that its sender is there and how far it knows.
+    /// Whether the heartbeat contains only how far its sender knows the registry.
     pub(crate) fn is_empty(&self) -> bool {
         let quiet = ControlHeartbeat {
             current: self.current,
@@ -192,11 +192,11 @@
     Propose(RegistryCommand),
     /// Read the document in force.
     Document,
-    /// Replicas that were heard of.
+    /// Keys of replicas that sent heartbeats.
     ReplicasAlive(Vec<String>),
 }
 
-/// An answer of the registry.
+/// A reply of the registry.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum RegistryReply {
     Answer(RegistryAnswer),
@@ -206,7 +206,7 @@
     NotLeader(Option<MachineId>),
     /// Nothing was done.
     Refused,
-    /// It may or may not have been done.
+    /// It is unknown whether anything was done.
     Unknown,
 }
 
@@ -217,40 +217,41 @@
     Store(StoreCall),
 }
 
-/// Its answer.
+/// A reply of any group.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum ReplyBody {
     Registry(RegistryReply),
     Store(StoreReply),
 }
 
-/// Reads a frame of a message between nodes and writes it again in its format: what recorded
-/// frames are checked with.
+/// Decodes a frame with a message between nodes and encodes it again in the same format. Used to
+/// check recorded frames.
 ///
 /// # Errors
-/// `MalformedRequest` or `Corrupted` when it is no such frame.
+/// `MalformedRequest` or `Corrupted` if the bytes are no such frame.
 pub fn rewrite_node_frame(bytes: &[u8]) -> Result<Vec<u8>, Report<ErrorKind>> {
-    let cut = || Report::new(ErrorKind::MalformedRequest).attach("a frame without a header");
+    let cut =
+        || Report::new(ErrorKind::MalformedRequest).attach("frame is shorter than its header");
     let (header, payload) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or_else(cut)?;
     let header = frame::read_header(header)?;
     let format = header.format;
     NodeMessage::from_payload(&header, payload)?.to_frame(format)
 }
 
-/// A message between two nodes. What is long lies apart, so that what is sent all the time
-/// stays short.
+/// A message between two nodes. Large variants are boxed, so that the frequent small messages stay
+/// short on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) enum NodeMessage {
     Hello(#[rkyv(with = AsBox)] NodeHello),
-    /// The sender is there and what it said in its last hello holds.
+    /// The sender is alive and its last hello is still valid.
     KeepAlive {
-        /// The newest change of the registry that it knows.
+        /// The newest registry change that the sender knows.
         up_to_index: LogIndex,
     },
     ControlHeartbeat(Box<ControlHeartbeat>),
-    /// A pulse of a control member that has nothing else to tell.
+    /// A heartbeat of a control member without other content.
     EmptyControlHeartbeat {
-        /// The newest change that the sender knows, where it knows what is in force.
+        /// The newest change that the sender knows, if it knows the state in force.
         current: Option<LogIndex>,
     },
     Consensus(#[rkyv(with = AsBox)] ConsensusMessage),
@@ -264,7 +265,7 @@
         #[rkyv(with = AsBox)]
         body: ReplyBody,
     },
-    /// The sender lacks what the last pulse builds on: everything is to be told once more.
+    /// The sender lacks the state that the last heartbeat builds on and requests everything again.
     FullUpdateRequest,
 }
 
--- a/crates/cluster/src/message_bytes.rs
+++ b/crates/cluster/src/message_bytes.rs
@@ -1,5 +1,5 @@
-//! Bytes of the messages between nodes, by kind of message and the other node's zone.
-//! Counted where a link was opened to, both ways, so that each message counts once.
+//! Bytes of messages between nodes, by kind of message and zone of the other node. Only the node
+//! that accepted a link counts, in both directions, so that each message is counted once.
 
 use std::sync::Arc;
 
@@ -13,21 +13,21 @@
 
 use crate::message::{CallBody, NodeMessage, ReplyBody};
 
-/// Which way bytes went, as the node that counts them sees it.
+/// The direction of a message, as seen by the counting node.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Direction {
-    /// From the other one.
+    /// From the other node.
     Received,
-    /// To the other one.
+    /// To the other node.
     Sent,
 }
 
-/// What a message is for.
+/// The purpose of a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 enum MessageKind {
     Hello,
     Pulse,
-    /// A pulse that tells of a change of the registry.
+    /// A heartbeat with a change of the registry.
     PulseWithUpdate,
     Consensus,
     RegistryCall,
@@ -37,7 +37,7 @@
     StoreFinish,
     StoreProgress,
     StoreWork,
-    /// Ends of jobs, and reads of results and bodies.
+    /// Cancellations of jobs, and reads of results and bodies.
     StoreOther,
     /// Leases, with the bodies of their items.
     StoreWorkReply,
@@ -92,7 +92,7 @@
     way: Direction,
 }
 
-/// Counts of one node since its start. Clones share them.
+/// Counters of one node since its start. Clones share them.
 #[derive(Clone)]
 pub struct MessageBytes {
     registry: Arc<Mutex<Registry>>,
@@ -118,11 +118,11 @@
 }
 
 impl MessageBytes {
-    /// All of it as Prometheus text.
+    /// The counters as Prometheus text.
     #[must_use]
     pub fn to_text(&self) -> String {
         let mut text = String::new();
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = encode(&mut text, &self.registry.lock());
         text
     }
--- a/crates/cluster/src/node.rs
+++ b/crates/cluster/src/node.rs
@@ -1,4 +1,4 @@
-//! What every node needs: who it is, where it listens, its links.
+//! What every node needs: its identity, its listener and its links.
 
 use std::{net::Ipv4Addr, sync::Arc, time::Duration};
 
@@ -20,43 +20,43 @@
     seeds::Seeds,
 };
 
-/// Messages that may wait for a node; senders wait when it is full.
+/// Maximum number of messages that wait for a node; senders wait when the queue is full.
 const INBOX_MESSAGES: usize = 4_096;
-/// A link on which nothing came for so long is given up, at both ends.
+/// A link is closed by both ends after this time without any message.
 pub(crate) const LINK_SILENCE_LIMIT: Duration = Duration::from_secs(2);
 
-/// Who a node is and where it finds others.
+/// The identity of a node and how it finds others.
 #[derive(Clone)]
 pub struct NodeSettings {
-    /// Its name.
+    /// The node's name.
     pub name: String,
-    /// Its zone.
+    /// The node's zone.
     pub zone: String,
-    /// Its region.
+    /// The node's region.
     pub region: String,
     /// All zones of the deployment.
     pub zones: ZoneMap,
-    /// Its address.
+    /// The node's address.
     pub address: Ipv4Addr,
     /// The port on which every node listens for others.
     pub port: u16,
-    /// Control machines to begin with.
+    /// The control members to contact first.
     pub seeds: Seeds,
-    /// Most connections of other nodes at once.
+    /// Maximum number of simultaneous connections from other nodes.
     pub max_connections: usize,
-    /// Whether the whole cluster starts for the first time.
+    /// Whether the complete cluster starts for the first time.
     pub bootstrap: bool,
-    /// Machines that may be lost at once.
+    /// Number of machines that may be lost at once.
     pub tolerated_losses: usize,
     /// Name and key of the cluster.
     pub identity: ClusterIdentity,
-    /// The newest format that it speaks and that its groups store in.
+    /// The newest format that the node supports and that its groups store in.
     pub newest_format: Format,
-    /// The build that it runs, as it tells others.
+    /// The build that the node reports to others.
     pub build: String,
     /// Counts the bytes of messages.
     pub bytes: MessageBytes,
-    /// Where it logs.
+    /// The node's logger.
     pub logger: Logger,
 }
 
@@ -67,7 +67,7 @@
         machine_of(self.address)
     }
 
-    /// Where it is.
+    /// The node's place.
     pub(crate) fn place(&self) -> Place {
         Place {
             zone: self.zone.clone(),
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Voters that survive the tolerated losses.
+    /// Number of voters needed so that a quorum survives the tolerated losses.
     #[must_use]
     pub fn full_voters(&self) -> usize {
         2 * self.tolerated_losses + 1
@@ -94,7 +94,7 @@
     Ipv4Addr::from(machine.0)
 }
 
-/// Limits of connections between nodes: silence shows within two seconds.
+/// Options of connections between nodes: a silent peer is detected within two seconds.
 pub(crate) fn connection_options(newest_format: Format) -> ConnectionOptions {
     ConnectionOptions {
         open_timeout: Duration::from_millis(300),
@@ -116,7 +116,7 @@
 }
 
 impl NodeBase {
-    /// Starts links to others; nothing listens yet.
+    /// Starts the links to other nodes, without listening yet.
     pub(crate) fn start(settings: &NodeSettings, role: NodeRole) -> (Self, mpsc::Sender<Inbound>) {
         let (sender, inbox) = mpsc::channel(INBOX_MESSAGES);
         let traffic = Arc::new(Traffic::default());
@@ -151,7 +151,7 @@
 /// Listens for other nodes.
 ///
 /// # Errors
-/// `Io` when the address cannot be used.
+/// `Io` if the address cannot be used.
 pub(crate) async fn listen(
     settings: &NodeSettings,
     inbox: mpsc::Sender<Inbound>,
--- a/crates/cluster/src/node_builds.rs
+++ b/crates/cluster/src/node_builds.rs
@@ -1,4 +1,4 @@
-//! Which builds nodes run, as a control member hears it from them.
+//! The builds of nodes, as reported by the nodes to a control member.
 
 use std::collections::BTreeMap;
 
@@ -6,18 +6,18 @@
 
 use crate::message::NodeHello;
 
-/// A node that was not heard of for so long is gone, in milliseconds.
+/// A node counts as removed this long after the last contact, in milliseconds.
 const CONTACT_TTL_MS: u64 = 10_000;
 
-/// A build, and the newest format that its nodes speak.
+/// A build, and the newest format that its nodes support.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NodeBuild {
-    /// The commit; empty for builds that do not tell it.
+    /// The commit; empty for builds that don't report it.
     pub(crate) build: String,
     pub(crate) newest_format: u16,
 }
 
-/// The builds of nodes, and when each was heard of last, in milliseconds.
+/// The builds of nodes and the time of the last contact with each, in milliseconds.
 #[derive(Default)]
 pub(crate) struct NodeBuilds(BTreeMap<MachineId, (NodeBuild, u64)>);
 
@@ -40,7 +40,7 @@
         }
     }
 
-    /// How many nodes run each build.
+    /// Number of nodes by build.
     pub(crate) fn counts(&self, now_ms: u64) -> BTreeMap<NodeBuild, usize> {
         let mut counts = BTreeMap::new();
         for (build, at_ms) in self.0.values() {
--- a/crates/cluster/src/presence.rs
+++ b/crates/cluster/src/presence.rs
@@ -1,4 +1,4 @@
-//! Which nodes are present, as control hears it from them.
+//! The nodes that are present, as reported by the nodes to a control member.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,11 +20,12 @@
     set_change::SetChange,
 };
 
-/// A control member or store counts as present for this long, in milliseconds.
+/// A control member or store counts as present for this long after the last contact, in
+/// milliseconds.
 const PRESENT_MS: u64 = 2_500;
 
-/// What another member says of a gateway counts as so old, in milliseconds: it says it anew
-/// within this time, and the gateway is listed for as much less after its last word.
+/// Assumed age of another member's report on a gateway, in milliseconds: members repeat their
+/// reports within this time, and the gateway is listed for this much less time after the report.
 const RELAYED_AGE_MS: u64 = 500;
 
 struct StoreContact {
@@ -32,34 +33,34 @@
     at_ms: u64,
 }
 
-/// Gateways, stores and control members that were heard of.
+/// Gateways, stores and control members that had contact with this member.
 #[derive(Default)]
 pub(crate) struct Presence {
     gateways: NodeList,
     coordinators: Coordinators,
-    /// Where gateways are that coordinate slots.
+    /// Places of the gateways that coordinate slots.
     places: BTreeMap<MachineId, Place>,
-    /// Gateways that this member hears itself, and when it heard them last.
+    /// Gateways that this member reaches directly, and the time of the last contact.
     direct: BTreeMap<MachineId, (ReachableGateway, u64)>,
     relayed: RelayedPresence,
-    /// Gateways that keep links to some members only, as this member or another one heard.
+    /// Gateways that keep links to some members only, as reported to this or another member.
     partially_linked: BTreeSet<MachineId>,
-    /// What gateways speak.
+    /// The formats that gateways support.
     formats: GatewayFormats,
-    /// What every node that is heard runs.
+    /// The builds of all nodes that this member reaches.
     builds: NodeBuilds,
     stores: BTreeMap<MachineId, StoreContact>,
-    /// Control members: where they are and when they said so.
+    /// Places of control members and the time of the last contact.
     control: BTreeMap<MachineId, (Place, u64)>,
     /// When the newest store appeared.
     newest_store_ms: u64,
     store_group: Option<StoreGroupView>,
-    /// Counts what was said that is to be told.
+    /// Number of reported changes that other nodes should learn.
     change_count: u64,
 }
 
 impl Presence {
-    /// Notes what a node says of itself; true when others should learn of it at once.
+    /// Records a node's description of itself; true if other nodes should learn of it at once.
     pub(crate) fn record(&mut self, hello: NodeHello, now_ms: u64) -> bool {
         self.builds.record(&hello, now_ms);
         let is_urgent = match hello.role {
@@ -88,14 +89,14 @@
         is_urgent
     }
 
-    /// Counts what nodes said, and connections that ended: who is present may differ where
-    /// this does, or where a node fell silent.
+    /// Number of reports and ended connections that changed the state. The present nodes may differ
+    /// when this number changes or when a node becomes silent.
     pub(crate) fn change_count(&self) -> u64 {
         self.change_count
     }
 
-    /// Notes that a node's connection ended. One that had fallen silent may be cut off and
-    /// go on; any other has stopped.
+    /// Records the end of a node's connection. A node that was silent before may be partitioned and
+    /// still running; any other node has stopped.
     pub(crate) fn record_closed(
         &mut self,
         hello: &NodeHello,
@@ -106,7 +107,8 @@
         self.change_count += 1;
         self.direct.remove(&hello.machine);
         if !is_linked {
-            // It keeps links to other members: the end of this one tells nothing of it.
+            // The node keeps links to other members, so the end of this link says nothing about the
+            // node.
             return;
         }
         if let Some(address) = &hello.caller_address {
@@ -118,9 +120,9 @@
         }
     }
 
-    /// Takes what another member hears of gateways that keep no link to this one; true when
-    /// others should learn of it at once. Of all others this member goes by what it hears
-    /// itself: a word of another one would bring those back for a moment that have just ended.
+    /// Applies another member's report on gateways without a link to this member; true if other
+    /// nodes should learn of it at once. For all other gateways only direct contact counts: a
+    /// report would briefly restore a gateway that has just ended.
     pub(crate) fn record_relayed(
         &mut self,
         own: MachineId,
@@ -160,7 +162,7 @@
         contact.is_some_and(|(_, at_ms)| now_ms.saturating_sub(*at_ms) <= READY_TTL_MS)
     }
 
-    /// Gateways that stopped lately and kept links to some members only.
+    /// Gateways that stopped recently and kept links to some members only.
     pub(crate) fn stopped_partially_linked(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let stopped = self.coordinators.stopped(now_ms);
         stopped
@@ -169,7 +171,7 @@
             .collect()
     }
 
-    /// Gateways that this member hears itself and that keep links to some members only.
+    /// Gateways that this member reaches directly and that keep links to some members only.
     pub(crate) fn directly_reachable(&self, now_ms: u64) -> BTreeSet<ReachableGateway> {
         let contact = self.direct.values();
         contact
@@ -185,7 +187,7 @@
         &self.coordinators
     }
 
-    /// Gateways that coordinate slots and are heard of, and where they are.
+    /// Reachable gateways that coordinate slots, and their places.
     pub(crate) fn placed_coordinators(&self, now_ms: u64) -> BTreeSet<PlacedGateway> {
         let present = self.coordinators.present(now_ms).into_iter();
         let placed = present.map(|machine| PlacedGateway {
@@ -196,12 +198,12 @@
         placed.collect()
     }
 
-    /// How many nodes that this member hears run each build.
+    /// Number of nodes that this member reaches, by build.
     pub(crate) fn builds(&self, now_ms: u64) -> BTreeMap<NodeBuild, usize> {
         self.builds.counts(now_ms)
     }
 
-    /// Whether every gateway that was heard of lately, and may still be there, reads a format.
+    /// Whether every gateway that had recent contact, and may still be running, can read a format.
     pub(crate) fn gateways_read(&self, format: Format, now_ms: u64) -> bool {
         self.formats.all_read(format, now_ms)
     }
@@ -223,7 +225,7 @@
             .collect()
     }
 
-    /// Control machines that are present, and where they are.
+    /// Control members that are present, and their places.
     pub(crate) fn control(&self, now_ms: u64) -> impl Iterator<Item = (MachineId, &Place)> {
         let contact = self.control.iter();
         contact
@@ -231,7 +233,7 @@
             .map(|(machine, (place, _))| (*machine, place))
     }
 
-    /// Members of the job store, and where those are that were heard of.
+    /// Members of the job store and, where known, their places.
     pub(crate) fn store_members(&self) -> BTreeSet<PlacedMachine> {
         let group = self.store_group.iter();
         let machines = group.flat_map(|group| &group.machines);
@@ -246,12 +248,12 @@
         placed.collect()
     }
 
-    /// The job store as its leader told last.
+    /// The job store as last reported by its leader.
     pub(crate) fn store_group(&self) -> Option<&StoreGroupView> {
         self.store_group.as_ref()
     }
 
-    /// Disks that wait for a first membership, once none has appeared for a while.
+    /// Disks that wait for a first membership, once no new one has appeared for a while.
     pub(crate) fn forming_stores(
         &self,
         now_ms: u64,
@@ -264,7 +266,7 @@
         (is_empty && !members.is_empty()).then_some(members)
     }
 
-    /// Notes a gateway; true when others should learn of it at once.
+    /// Records a gateway; true if other nodes should learn of it at once.
     fn record_gateway(&mut self, gateway: &ReachableGateway, now_ms: u64) -> bool {
         let (machine, format) = (gateway.machine, gateway.newest_format);
         let format_changed = self.formats.record(machine, format, now_ms);
@@ -311,7 +313,7 @@
         has_new_members || before.is_none_or(|before| before.hello.member != member)
     }
 
-    /// True when the job store has other members than were known.
+    /// Records the group of the job store; true if its members changed.
     fn record_store_group(&mut self, group: Option<&StoreGroupView>) -> bool {
         let known = self.store_group.as_ref();
         let newer = group.filter(|group| known.is_none_or(|known| known.term <= group.term));
--- a/crates/cluster/src/present_fleet.rs
+++ b/crates/cluster/src/present_fleet.rs
@@ -1,7 +1,8 @@
-//! Who is present, as a control member sees it, and what changed between two moments.
+//! The nodes that are present, as seen by a control member, and what changed between two points in
+//! time.
 //!
-//! Both are worked out once for all connections: what a connection costs is what it is told,
-//! and it holds no list of its own.
+//! Both are computed once for all connections: the cost of a connection depends on what is sent on
+//! it, and it stores no list of its own.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -18,40 +19,40 @@
     set_change::{SetChange, set_change},
 };
 
-/// Connections share one view of who is present that is no older than this where a node said
-/// something new since.
+/// Maximum age of the presence snapshot shared by connections when a node has reported something
+/// new since.
 const SHARED_MAX_AGE: Duration = Duration::from_millis(20);
-/// Where none did, a node may have fallen silent since: so long after it counts as silent the
-/// others learn of it at most.
+/// Maximum age of the snapshot when no node has reported anything new. A node may have become
+/// silent since, which others learn at most this much later.
 const SHARED_MAX_AGE_UNCHANGED: Duration = Duration::from_millis(100);
-/// Earlier moments whose difference to now is kept: connections are told every 100 ms while
-/// much happens, which is five moments.
+/// Maximum number of earlier snapshots whose difference to the current one is cached. Under
+/// frequent changes connections send every 100 ms, which is five snapshots.
 const MAX_CACHED_CHANGES: usize = 16;
 
-/// Who is present.
+/// The nodes that are present.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct PresentFleet {
-    /// Machines of control, and where they are.
+    /// Control members and their places.
     pub(crate) control: BTreeSet<PlacedMachine>,
-    /// Where those of them are that were heard of lately, this one too.
+    /// Places of the control members that are reachable, including this one.
     pub(crate) senders: BTreeMap<MachineId, Place>,
     /// Machines with disks for the job store.
     pub(crate) stores: BTreeSet<PresentStore>,
     /// Voters and learners of the job store.
     pub(crate) store_members: BTreeSet<PlacedMachine>,
-    /// Gateways that are ready; `None` while control has not yet heard of all.
+    /// Ready gateways; `None` until control has had contact with all.
     pub(crate) gateways: Option<BTreeSet<DirectoryNode>>,
     /// Gateways that coordinate slots.
     pub(crate) coordinators: BTreeSet<PlacedGateway>,
-    /// Gateways that did and fell silent.
+    /// Former coordinators that are silent.
     pub(crate) silent_coordinators: BTreeSet<MachineId>,
-    /// Gateways that this member hears itself and that keep links to some members only.
+    /// Gateways that this member reaches directly and that keep links to some members only.
     pub(crate) reachable: BTreeSet<ReachableGateway>,
-    /// Those of them that stopped, as it heard itself.
+    /// Those of them that stopped, as reported to this member directly.
     pub(crate) stopped: BTreeSet<MachineId>,
 }
 
-/// What changed between two moments.
+/// The changes between two points in time.
 #[derive(Debug)]
 pub(crate) struct PresenceChange {
     pub(crate) control: Option<SetChange<PlacedMachine>>,
@@ -65,7 +66,7 @@
 }
 
 impl PresenceChange {
-    /// From what was told last; `None` where nothing was.
+    /// Changes since the last sent state; `None` if nothing was sent yet.
     fn between(last_sent: Option<&PresentFleet>, now: &PresentFleet) -> Self {
         let last_sent_gateways = last_sent.and_then(|last_sent| last_sent.gateways.as_ref());
         PresenceChange {
@@ -96,7 +97,7 @@
     }
 }
 
-/// Who was present at the last look, and what changed since earlier ones.
+/// The last presence snapshot, and the changes from earlier ones.
 #[derive(Default)]
 pub(crate) struct SharedPresence {
     taken: Option<PresenceSnapshot>,
@@ -105,14 +106,14 @@
 
 struct PresenceSnapshot {
     at: Instant,
-    /// The number of news by then.
+    /// The change count at the time of the snapshot.
     change_count: u64,
     fleet: Arc<PresentFleet>,
 }
 
 impl SharedPresence {
-    /// Who is present now, after so many news. The same value is returned as long as nothing
-    /// changed.
+    /// The nodes that are present, given the current change count. The same value is returned until
+    /// something changes.
     pub(crate) fn now(
         &mut self,
         change_count: u64,
@@ -147,7 +148,7 @@
         fleet
     }
 
-    /// What is to be told of who is present now to one who was told `last_sent` last.
+    /// The changes to send to a node that was last sent `last_sent`.
     pub(crate) fn change(
         &mut self,
         last_sent: Option<&Arc<PresentFleet>>,
@@ -160,7 +161,7 @@
         };
         let is_newest = |taken: &PresenceSnapshot| Arc::ptr_eq(&taken.fleet, now);
         if !self.taken.as_ref().is_some_and(is_newest) {
-            // Another look came between.
+            // Another snapshot was taken meanwhile.
             return Arc::new(PresenceChange::between(last_sent.map(AsRef::as_ref), now));
         }
         if let Some((_, change)) = self.changes.iter().find(|(from, _)| is_same(from)) {
--- a/crates/cluster/src/process_pause.rs
+++ b/crates/cluster/src/process_pause.rs
@@ -1,9 +1,9 @@
-//! Whether this process stood still, as a suspended or frozen machine makes it, and
-//! whether control has spoken to it since.
+//! Detects pauses of this process, such as a suspended machine or a frozen virtual machine, and
+//! tracks whether control has sent an update since the last pause.
 //!
-//! A process that wakes up first reads what had come before or while it stood still, and
-//! knows only later that it is old. Links that fell silent meanwhile are opened anew, and
-//! what control says on a new link is said after the wake.
+//! After a pause a process first reads messages that were received before or during the pause, and
+//! only later notices that they are old. Links that were silent during the pause are opened again,
+//! and messages on a new link were sent after the pause.
 
 use std::time::Duration;
 
@@ -13,32 +13,33 @@
 
 use crate::node::LINK_SILENCE_LIMIT;
 
-/// A process that notes every 250 ms that it runs stood still if it did not for so long.
+/// The process records every 250 ms that it is running. A longer gap between two records counts as
+/// a pause.
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
-/// On a link that outlived a short standstill, what is read after this was said since: what
-/// waited there is read within milliseconds. Links do not outlive one as long as
-/// [`LINK_SILENCE_LIMIT`], and what is read of them then is old, however late.
+/// On a link that outlived a short pause, messages read this long after the pause were sent after
+/// it: the backlog of the link is read within milliseconds. Links don't outlive a pause of
+/// [`LINK_SILENCE_LIMIT`] or more; messages read from such a link are old at any time.
 const BACKLOG_READ_LIMIT: Duration = Duration::from_millis(150);
-/// News are waited for no longer than this: by then control counts as lost, and the
-/// process goes on by what it knows, like any that is cut off.
+/// The longest wait for an update. After this time control counts as lost, and the process
+/// continues with the last known state, like any partitioned process.
 const UPDATE_WAIT_LIMIT: Duration = Duration::from_millis(1_800);
 
-/// When this process woke up last, and whether control has spoken since.
+/// Time of the last pause, and whether control has sent an update since.
 #[derive(Debug)]
 pub(crate) struct PauseTracker {
     state: Mutex<State>,
-    /// Changes with news.
+    /// Changes when an update from control arrives.
     updates: watch::Sender<()>,
 }
 
 #[derive(Debug)]
 struct State {
     last_run: Instant,
-    /// How long it stood still since its start.
+    /// Total time of all pauses since the start.
     total: Duration,
-    /// When it woke up, while it waits for news.
+    /// End of the last pause; `None` once an update has arrived since.
     woke_at: Option<Instant>,
-    /// Whether it stood still so long that no link outlived it.
+    /// Whether a pause was too long for any link to outlive it.
     lost_links: bool,
 }
 
@@ -57,7 +58,7 @@
 }
 
 impl PauseTracker {
-    /// The process runs now; how long it stood still before, where it did.
+    /// Records that the process is running. Returns the length of the pause that ended now, if any.
     pub(crate) fn record_running(&self) -> Option<Duration> {
         let now = Instant::now();
         let mut state = self.state.lock();
@@ -67,19 +68,18 @@
             return None;
         }
         state.total += pause;
-        // One that stands still again before it had news has those of neither.
+        // Two pauses without an update between them count together: an update must follow both.
         let waited = state.woke_at.replace(now).is_some();
         state.lost_links = pause >= LINK_SILENCE_LIMIT || (waited && state.lost_links);
         Some(pause)
     }
 
-    /// How long the process stood still since its start, standstills below
-    /// [`PAUSE_THRESHOLD`] left out.
+    /// Total time of all pauses since the start, without those below [`PAUSE_THRESHOLD`].
     pub(crate) fn total(&self) -> Duration {
         self.state.lock().total
     }
 
-    /// Control told over a link that was opened then what is in force.
+    /// Records that control sent the state in force over a link that was opened at the given time.
     pub(crate) fn record_update(&self, link_opened: Instant) {
         let mut state = self.state.lock();
         let has_read_backlog =
@@ -92,13 +92,13 @@
         }
     }
 
-    /// Follows news; those from now on are a change.
+    /// Subscribes to updates that arrive from now on.
     pub(crate) fn subscribe(&self) -> watch::Receiver<()> {
         self.updates.subscribe()
     }
 
-    /// How long news are to be waited for at most; `None` where none are wanted, or it was
-    /// long enough.
+    /// The remaining time to wait for an update; `None` if no update is pending or the time is
+    /// over.
     pub(crate) fn remaining_update_wait(&self) -> Option<Duration> {
         let woke_at = self.state.lock().woke_at?;
         let remaining = UPDATE_WAIT_LIMIT.saturating_sub(woke_at.elapsed());
--- a/crates/cluster/src/registry_service.rs
+++ b/crates/cluster/src/registry_service.rs
@@ -1,4 +1,4 @@
-//! The registry as control's group serves it.
+//! The service of control's group, which holds the registry.
 
 use std::{
     collections::BTreeMap,
@@ -29,42 +29,42 @@
     replica_liveness::ReplicaLiveness,
 };
 
-/// A request under which replicas ended is tried again, or no longer suspected, when
-/// nothing was heard of it for so long, in milliseconds: ten minutes, so that one that
-/// callers send for hours costs six replicas an hour at most.
+/// After this time without reports, in milliseconds, a request that ended replicas is tried again
+/// or is no longer suspected. With ten minutes, a request that callers repeat for hours ends at
+/// most six replicas an hour.
 const SUSPICION_TTL_MS: u64 = 600_000;
-/// What the group said of its view counts for so long, in milliseconds: it says it with
-/// every tick of its clock, and the leader is heard of within a second by then.
+/// How long the group's statement that its view is current stays valid, in milliseconds. The group
+/// renews it with every tick, and by then had contact with the leader within the last second.
 const CURRENT_TTL_MS: u64 = 1_000;
-/// The record of gateways is changed this often at most, in milliseconds: a start of the
-/// whole fleet is a few commits, not one for each gateway.
+/// Minimum time between two changes of the record of gateways, in milliseconds: a start of the
+/// complete fleet takes a few commits and not one for each gateway.
 const GATEWAYS_INTERVAL_MS: u64 = 200;
-/// The job store is formed once no further member has appeared for this long.
+/// The job store is formed once no further member has appeared for this long, in milliseconds.
 const STORE_FORMING_MS: u64 = 400;
 
-/// What the rest of the node sees of the group.
+/// The group as seen by the other parts of the node.
 #[derive(Clone, Default)]
 pub(crate) struct RegistryView {
     pub(crate) registry: Registry,
     /// Voters and learners.
     pub(crate) members: Vec<MachineId>,
-    /// Whether this holds what the leader, which is heard, told to be committed. A
-    /// member that is cut off or catches up may hold something older, and tells nobody.
+    /// Whether this is the state that a reachable leader reported as committed. A member that is
+    /// partitioned or catching up may have an older state and sends it to no node.
     pub(crate) is_current: bool,
 }
 
-/// Shared by the group and the node around it.
+/// Shared by the group and the other parts of the node.
 pub(crate) struct RegistryShared {
     pub(crate) view: Mutex<Arc<RegistryView>>,
-    /// Counts changes that are worth a pulse.
+    /// Counts changes for which a heartbeat should be sent at once.
     pub(crate) changes: watch::Sender<u64>,
     pub(crate) presence: Mutex<Presence>,
-    /// When the group last said whether the view is current, in milliseconds.
+    /// When the group last checked whether the view is current, in milliseconds.
     pub(crate) current_checked_ms: AtomicU64,
 }
 
 impl RegistryShared {
-    /// Whether the view is what is in force. A group whose disk hangs says nothing new.
+    /// Whether the view is the state in force. A group whose disk hangs stops renewing this.
     pub(crate) fn is_current(&self, now_ms: u64) -> bool {
         let current_checked_ms = self.current_checked_ms.load(Ordering::Relaxed);
         self.view.lock().is_current && now_ms < current_checked_ms + CURRENT_TTL_MS
@@ -74,11 +74,11 @@
 /// Carries out the registry's calls.
 pub(crate) struct RegistryService {
     shared: Arc<RegistryShared>,
-    /// Which replicas were heard of, as far as this leader knows.
+    /// When each replica was last reported alive, as far as this leader knows.
     liveness: ReplicaLiveness,
-    /// Entries that changed suspicions last, and when this leader first saw them.
+    /// The entries that last changed suspicions, and when this leader first saw them.
     suspected: BTreeMap<RequestFingerprint, (LogIndex, u64)>,
-    /// When this leader last proposed another record of gateways.
+    /// When this leader last proposed a change of the record of gateways.
     gateways_proposed_ms: u64,
     is_leading: bool,
     is_current: bool,
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Finds out whether the member holds what is in force.
+    /// Updates whether the member has the state in force.
     fn update_current(&mut self, member: &GroupMember<Registry>) {
         let is_current = member.is_current();
         if is_current == self.is_current {
@@ -114,7 +114,8 @@
             "ticks_since_leader" => status.ticks_since_leader, "term" => status.term.0);
     }
 
-    /// Begins to lead, if it does not yet: what was heard of before counts for nothing.
+    /// Resets the leader's state if this member has just become the leader: contacts from before do
+    /// not count.
     fn begin_leading(&mut self) {
         if !self.is_leading {
             self.is_leading = true;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Suspicions that nothing has changed for [`SUSPICION_TTL_MS`].
+    /// Decays suspicions that have not changed for [`SUSPICION_TTL_MS`].
     fn expired_suspicions(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         let suspicions = registry.suspicions();
         self.suspected.retain(|fingerprint, (changed_at, _)| {
@@ -142,7 +143,7 @@
         (!old.is_empty()).then_some(RegistryCommand::DecaySuspicions(old))
     }
 
-    /// Gateways that came, and that stopped or were silent for long.
+    /// Gateways that joined, and gateways that stopped or were silent for too long.
     fn gateways_change(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         if now_ms < self.gateways_proposed_ms + GATEWAYS_INTERVAL_MS {
             return None;
@@ -161,8 +162,8 @@
         self.shared.presence.lock().gateways_read(format, now_ms)
     }
 
-    /// Begins a proposal. Only the leader knows in which format it may write: what a member
-    /// knows that has just started, or lags behind, may be older.
+    /// Begins a proposal. Only the leader knows in which format it may write: a member that has
+    /// just started or lags behind may know an older format.
     fn begin_proposal(&self, command: &RegistryCommand, now: Now) -> Begin<RegistryReply> {
         if !now.is_format_settled
             && command.requires_lossless_format()
@@ -265,13 +266,13 @@
         self.begin_leading();
         let mut commands = self.liveness.maintenance_commands(registry, now.steady_ms);
         if !self.all_gateways_read(Format::Second, now.steady_ms) {
-            // A gateway that does not would keep what it missed the end of.
+            // A gateway on the first format would keep a replica whose end it missed.
             commands.retain(|command| !matches!(command, RegistryCommand::ForgetEnded { .. }));
         }
         commands.extend(self.expired_suspicions(registry, now.steady_ms));
         commands.extend(self.gateways_change(registry, now.steady_ms));
         commands.extend(self.store_to_form(registry, now.steady_ms));
-        // What members cannot read yet waits until they can.
+        // Commands that members cannot read yet wait until they can.
         let encoded = commands
             .iter()
             .filter_map(|command| command.to_stored_in(now.format).ok());
--- a/crates/cluster/src/relayed_presence.rs
+++ b/crates/cluster/src/relayed_presence.rs
@@ -1,7 +1,7 @@
-//! What other members of control hear of gateways.
+//! Gateways that other control members can reach.
 //!
-//! A gateway keeps links to a few members only. The others name it all the same, by the word
-//! of those that hear it.
+//! A gateway keeps links to a few control members only. The other members list it too, based on
+//! reports from the members that can reach it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,23 +10,23 @@
 
 use crate::{message::ReachableGateway, set_change::SetChange};
 
-/// What one member tells.
+/// The report of one member.
 #[derive(Default)]
 struct MemberReport {
-    /// When it was last heard of, in milliseconds.
+    /// Time of the last contact, in milliseconds.
     at_ms: u64,
     reachable: BTreeMap<MachineId, ReachableGateway>,
     stopped: BTreeSet<MachineId>,
 }
 
-/// What each other member tells.
+/// The reports of all other members.
 #[derive(Default)]
 pub(crate) struct RelayedPresence {
     by_member: BTreeMap<MachineId, MemberReport>,
 }
 
 impl RelayedPresence {
-    /// Takes a pulse of a member; true where it tells something else than before.
+    /// Applies the report in a member's heartbeat; true if it changes anything.
     pub(crate) fn apply(
         &mut self,
         member: MachineId,
@@ -46,7 +46,7 @@
         is_change
     }
 
-    /// Gateways that a member hears.
+    /// Gateways that a member can reach.
     pub(crate) fn reachable_from(
         &self,
         member: MachineId,
@@ -55,7 +55,7 @@
         reports.flat_map(|reports| reports.reachable.values())
     }
 
-    /// Gateways that stopped, by the word of a member, and that no member hears.
+    /// Gateways that stopped according to a member and that no member can reach.
     pub(crate) fn stopped_reported_by(&self, member: MachineId, now_ms: u64) -> Vec<MachineId> {
         let reports = self.by_member.get(&member).into_iter();
         let stopped = reports.flat_map(|reports| &reports.stopped).copied();
--- a/crates/cluster/src/replica_heartbeats.rs
+++ b/crates/cluster/src/replica_heartbeats.rs
@@ -1,4 +1,4 @@
-//! What replicas say of themselves at a control member.
+//! Heartbeats of replicas at a control member.
 
 use std::{cmp::Ordering, time::Duration};
 
@@ -15,10 +15,10 @@
 };
 
 impl ControlNode {
-    /// Takes a heartbeat. What it changes is committed before this returns.
+    /// Handles a heartbeat. Any change is committed before this returns.
     ///
     /// # Errors
-    /// [`Unavailable`] when a change cannot be committed in time.
+    /// [`Unavailable`] if a change cannot be committed in time.
     pub async fn heartbeat(
         &self,
         change: ReplicaChange,
@@ -26,7 +26,7 @@
     ) -> Result<(), Unavailable> {
         let began = Instant::now();
         if stored_form(&change, &self.view()) != change {
-            // At the start of control it waits for the format that keeps all of it.
+            // Soon after the start of control this waits for the format that stores all fields.
             self.wait_for_newest_format(began + limit / 2).await;
         }
         let limit = limit.saturating_sub(began.elapsed());
@@ -45,7 +45,7 @@
         {
             return Ok(());
         }
-        // Whole: this member may not know yet that the leader keeps all of it.
+        // Proposes all fields: this member may not know yet that the leader can store them.
         let command = RegistryCommand::Replica(Box::new(change.clone()));
         self.propose(command, limit).await?;
         let view = self.view();
@@ -61,11 +61,10 @@
         Ok(())
     }
 
-    /// Notes that a replica ends: the start of it that is known here.
+    /// Records the end of a replica, in the incarnation that is known here.
     ///
     /// # Errors
-    /// [`Unavailable`] when this cannot be committed in time, or when another start is in
-    /// force than is known here.
+    /// [`Unavailable`] if this cannot be committed in time, or if another incarnation is in force.
     pub async fn remove_replica(&self, id: &str, limit: Duration) -> Result<(), Unavailable> {
         let view = self.view();
         let stored = view.registry.replica(id).map(|stored| &stored.reported);
@@ -74,12 +73,12 @@
         if stored.is_some_and(is_over) {
             return Ok(());
         }
-        // Where starts are told, a later one may have registered at another member.
+        // If incarnations are reported, a later one may have registered at another member.
         let key = stored.map_or_else(|| id.to_owned(), ReplicaChange::incarnation_key);
         let command = RegistryCommand::RemoveReplica(key);
         match self.propose(command, limit).await? {
             RegistryAnswer::OtherIncarnation => {
-                info!(self.logger, "end of a replica concerns another start"; "replica" => id);
+                info!(self.logger, "removal of a replica refused: another incarnation is in force"; "replica" => id);
                 Err(Unavailable)
             }
             _ => Ok(()),
@@ -98,24 +97,24 @@
         let (logger, stored_key) = (&self.logger, stored.incarnation_key());
         match change.incarnation.cmp(&stored.incarnation) {
             Ordering::Greater => {
-                info!(logger, "replica starts again"; "replica" => key, "held" => stored_key);
+                info!(logger, "new incarnation of a replica"; "replica" => key, "held" => stored_key);
             }
             Ordering::Less => {
-                info!(logger, "heartbeat of an earlier start"; "replica" => key, "held" => stored_key);
+                info!(logger, "heartbeat of an earlier incarnation"; "replica" => key, "held" => stored_key);
             }
             Ordering::Equal => {}
         }
     }
 }
 
-/// What is held of a heartbeat as far as a member knows, which is compared with what was held
-/// before.
+/// The part of a heartbeat that would be stored as far as this member knows, for comparison with
+/// the stored record.
 fn stored_form(change: &ReplicaChange, view: &RegistryView) -> ReplicaChange {
     change.clone().reduced_to(view.registry.format())
 }
 
-/// Whether a heartbeat changes what is held of its replica, or says that it is cold for
-/// longer than was proposed. Others are not committed.
+/// Whether a heartbeat changes the stored record of its replica or announces a longer cold time
+/// than was proposed. Other heartbeats are not committed.
 fn is_change(stored: &ReplicaChange, change: &ReplicaChange, is_longer_cold: bool) -> bool {
     match change.incarnation.cmp(&stored.incarnation) {
         Ordering::Less => return false,
--- a/crates/cluster/src/replica_liveness.rs
+++ b/crates/cluster/src/replica_liveness.rs
@@ -1,51 +1,52 @@
-//! Which replicas the leader of control has not heard of, and which gone ones it forgets.
+//! Replicas without recent contact, and removed replicas whose records the leader of control
+//! deletes.
 //!
-//! A replica is looked at when its time is up, not each time that another one is heard of:
-//! a look costs what is due, and what changed since the last one.
+//! A replica is checked when its time-out is due, not at each contact with another replica: a check
+//! costs what is due and what changed since the last check.
 
 use std::collections::{BTreeSet, HashMap, VecDeque};
 
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_registry::{Registry, RegistryCommand, ReplicaRecord, ReplicaState};
 
-/// A replica that is silent for this long is taken off the list, in milliseconds.
-/// Gateways notice a failed one far earlier by their own requests.
+/// A replica is removed from the list after this time without contact, in milliseconds. Gateways
+/// detect a failed replica far earlier by their own requests.
 const REPLICA_SILENCE_MS: u64 = 20_000;
-/// Of two incarnations at one address the one that has been silent for this long is not
-/// there, in milliseconds. Heartbeats come about every 1.2 s and are told every 2 s.
+/// Of two incarnations at one address, the one without contact for this long has ended, in
+/// milliseconds. Heartbeats arrive about every 1.2 s and are reported to the leader every 2 s.
 const DISPLACED_SILENCE_MS: u64 = 6_000;
-/// What was proposed is proposed again after this where it was not committed, in milliseconds.
+/// A proposal that was not committed is repeated after this time, in milliseconds.
 const REPROPOSE_AFTER_MS: u64 = 1_000;
-/// Gone replicas are held for so long, in milliseconds: no node in touch lacks news that are
-/// two minutes old, and no heartbeat comes that late, since connections end within seconds.
-/// A node that was cut off for longer is told every replica that there is.
+/// Records of ended replicas are retained for this long, in milliseconds: no reachable node lacks
+/// updates that are two minutes old, and no heartbeat arrives that late, because connections end
+/// within seconds. A node that was partitioned for longer receives all replicas again.
 const ENDED_RETENTION_MS: u64 = 120_000;
-/// How far the registry is, is noted this often, in milliseconds.
+/// Interval at which the registry's index is recorded, in milliseconds.
 const MARK_INTERVAL_MS: u64 = 10_000;
 
-/// What a leader knows of replicas. Times are steady, in milliseconds.
+/// The leader's knowledge of replicas. Times are steady, in milliseconds.
 #[derive(Default)]
 pub(crate) struct ReplicaLiveness {
-    /// When each start that is held and not gone was heard of last.
+    /// Time of the last contact with each stored incarnation that has not ended.
     last_contact: HashMap<String, u64>,
-    /// When live ones are looked at next.
+    /// When each live incarnation is checked next.
     due: BTreeSet<(u64, String)>,
-    /// The registry at the last look.
+    /// The registry at the last check.
     last_registry: Registry,
-    /// How far the registry was at some earlier times, the latest last.
+    /// The registry's index at some earlier times, the latest last.
     marks: VecDeque<(u64, LogIndex)>,
 }
 
 impl ReplicaLiveness {
-    /// A start of a replica was heard of.
+    /// Records contact with an incarnation of a replica.
     pub(crate) fn record_contact(&mut self, start: &str, now_ms: u64) {
-        // One that is not held yet counts as heard of when it is.
+        // An incarnation that is not stored yet gets its first contact time when it is stored.
         if let Some(last_contact_ms) = self.last_contact.get_mut(start) {
             *last_contact_ms = now_ms;
         }
     }
 
-    /// What is to be changed by now.
+    /// The commands that are due now.
     pub(crate) fn maintenance_commands(
         &mut self,
         registry: &Registry,
@@ -73,7 +74,8 @@
             let (Some(now), Some(key)) = (now, key) else {
                 continue;
             };
-            // What changed it was said by itself, or by one that tried to reach it.
+            // The change was reported by the incarnation itself or by a node that tried to reach
+            // it.
             self.last_contact.entry(key.clone()).or_insert(now_ms);
             if now.reported.state.is_live() {
                 self.due.insert((now_ms + REPLICA_SILENCE_MS, key));
@@ -81,7 +83,7 @@
         }
     }
 
-    /// Live ones that were silent for too long.
+    /// Removes live incarnations without contact for too long.
     fn remove_silent(&mut self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
         let mut silent = Vec::new();
         while let Some((due_ms, _)) = self.due.first()
@@ -107,8 +109,8 @@
         silent
     }
 
-    /// Finds out which of two incarnations at one address is there, where no request
-    /// has shown it: the one that is still heard of.
+    /// Determines which of two incarnations at one address is running, if no request has shown it:
+    /// the one with recent contact.
     fn resolve_addresses(&self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
         let mut settled = Vec::new();
         for displaced in registry.displaced_replicas() {
--- a/crates/cluster/src/reported_fleet.rs
+++ b/crates/cluster/src/reported_fleet.rs
@@ -1,5 +1,5 @@
-//! Who is present, as a node without a part in control learned it from control's
-//! members. While control is away, what it told last holds.
+//! The nodes that are present, as reported by control members to a node that is not one of them.
+//! While control is unreachable, its last reports stay in force.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -11,16 +11,16 @@
 
 use crate::message::{ControlHeartbeat, PlacedGateway, PlacedMachine, PresentStore};
 
-/// What a control member told counts for this long after it was last heard of,
-/// compared with the one that was heard of last, in milliseconds.
+/// The report of a control member is valid until its last contact is this much older than the
+/// latest contact with any control member, in milliseconds.
 const REPORT_VALID_MS: u64 = 3_000;
-/// A machine that no pulse has named for so long is no longer linked to, in milliseconds.
+/// A machine that no heartbeat has listed for this long is no longer linked to, in milliseconds.
 const LINK_EXPIRY_MS: u64 = 10_000;
 
-/// What one control member told.
+/// The report of one control member.
 #[derive(Clone, Debug, Default)]
 struct MemberReport {
-    /// When it was last heard of.
+    /// Time of the last contact.
     at_ms: u64,
     control: BTreeSet<PlacedMachine>,
     stores: BTreeSet<PresentStore>,
@@ -30,22 +30,22 @@
     silent_coordinators: BTreeSet<MachineId>,
 }
 
-/// What all control members told.
+/// The reports of all control members.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct ReportedFleet {
     by_control: BTreeMap<MachineId, MemberReport>,
-    /// Machines of control, and when one was last named.
+    /// Control members, and when each was last listed.
     control: BTreeMap<MachineId, u64>,
-    /// Members of the job store, and when one was last named.
+    /// Members of the job store, and when each was last listed.
     store_members: BTreeMap<MachineId, u64>,
     merged: Merged,
 }
 
-/// What all that were heard of lately told of gateways. It is merged where one of them told
-/// something else, and shared: it is asked for many times a second.
+/// The merged reports on gateways from all control members with a valid report. They are merged
+/// again only when a report changes, and shared, because they are read many times a second.
 #[derive(Clone, Debug, Default)]
 struct Merged {
-    /// Those who told it; empty where it is to be merged anew.
+    /// Members whose reports are merged; empty if the reports have to be merged again.
     senders: Vec<MachineId>,
     gateways: Arc<Vec<DirectoryNode>>,
     coordinators: Arc<Vec<PlacedGateway>>,
@@ -53,8 +53,8 @@
 }
 
 impl ReportedFleet {
-    /// Takes a pulse of a control member; true when it named a machine that was
-    /// not known before.
+    /// Applies a heartbeat of a control member. True if the heartbeat listed a machine that was not
+    /// known before.
     pub(crate) fn apply(
         &mut self,
         from: MachineId,
@@ -99,7 +99,7 @@
         new_control || new_store
     }
 
-    /// Machines of control to link to; the seeds too where none was heard of lately.
+    /// Control members to link to; includes the seeds if no control member was reachable recently.
     pub(crate) fn control(&self, seeds: &[MachineId], now_ms: u64) -> BTreeSet<MachineId> {
         let mut machines: BTreeSet<MachineId> = self.control.keys().copied().collect();
         if self.silent_ms(now_ms) >= REPORT_VALID_MS || machines.is_empty() {
@@ -108,7 +108,7 @@
         machines
     }
 
-    /// Where machines of control are, as far as any of them knows.
+    /// Places of the control members, as far as any of them knows.
     pub(crate) fn control_places(&self) -> BTreeMap<MachineId, Place> {
         places(
             self.recent_reports()
@@ -116,7 +116,7 @@
         )
     }
 
-    /// When each machine of control was heard of last.
+    /// Time of the last contact with each control member.
     pub(crate) fn control_last_contact_ms(&self) -> BTreeMap<MachineId, u64> {
         let reported = self.by_control.iter();
         reported
@@ -129,7 +129,7 @@
         self.store_members.keys().copied().collect()
     }
 
-    /// Where members of the job store are, as far as any control member knows.
+    /// Places of the members of the job store, as far as any control member knows.
     pub(crate) fn store_places(&self) -> BTreeMap<MachineId, Place> {
         places(
             self.recent_reports()
@@ -137,7 +137,7 @@
         )
     }
 
-    /// Machines with disks for the job store that any control member sees.
+    /// Machines with disks for the job store that any control member can reach.
     pub(crate) fn stores(&self) -> BTreeSet<PresentStore> {
         let reported = self.recent_reports();
         reported
@@ -146,20 +146,20 @@
             .collect()
     }
 
-    /// Ready gateways that any control member sees; one that is cut off from some
-    /// gateways does not know all.
+    /// Ready gateways that any control member can reach. A member that is partitioned from some
+    /// gateways does not know all of them.
     pub(crate) fn gateways(&mut self) -> Arc<Vec<DirectoryNode>> {
         Arc::clone(&self.merged().gateways)
     }
 
-    /// Gateways that coordinate slots, in a fixed order. The same value is returned as long
-    /// as they are the same.
+    /// Gateways that coordinate slots, in a fixed order. The same value is returned until something
+    /// changes.
     pub(crate) fn coordinators(&mut self) -> Arc<Vec<PlacedGateway>> {
         Arc::clone(&self.merged().coordinators)
     }
 
-    /// Gateways that no control member hears though some did lately: they may be cut off
-    /// and go on.
+    /// Gateways that no control member can reach although some could recently: they may be
+    /// partitioned and still running.
     pub(crate) fn silent_coordinators(&mut self) -> Arc<Vec<MachineId>> {
         Arc::clone(&self.merged().silent_coordinators)
     }
@@ -203,7 +203,7 @@
         };
     }
 
-    /// How long no control member has been heard of, in milliseconds.
+    /// Time since the last contact with any control member, in milliseconds.
     pub(crate) fn silent_ms(&self, now_ms: u64) -> u64 {
         now_ms.saturating_sub(self.newest_ms())
     }
@@ -213,7 +213,7 @@
         reported.map(|reported| reported.at_ms).max().unwrap_or(0)
     }
 
-    /// What was told lately and by whom, as of the newest pulse.
+    /// The valid reports and their senders, relative to the newest heartbeat.
     fn recent_reports(&self) -> impl Iterator<Item = (MachineId, &MemberReport)> {
         let valid_from = self.newest_ms().saturating_sub(REPORT_VALID_MS);
         let reported = self.by_control.iter();
@@ -223,8 +223,8 @@
     }
 }
 
-/// Notes what was named just now, and forgets what was not named for long; true
-/// when there is a new name.
+/// Records the machines that were just listed and removes those not listed for [`LINK_EXPIRY_MS`].
+/// True if one of them is new.
 fn record_named(
     recent_gateways: &mut BTreeMap<MachineId, u64>,
     now_named: &BTreeSet<MachineId>,
@@ -238,8 +238,8 @@
     has_new
 }
 
-/// Each gateway once, by machine: as a member told it that knows where it is, which one that
-/// speaks an older format does not.
+/// Each gateway once, by machine, preferring reports that contain its place. Members that use an
+/// older format don't know the place.
 fn best_reported<'a>(reported: impl Iterator<Item = &'a PlacedGateway>) -> Vec<&'a PlacedGateway> {
     let mut best: BTreeMap<MachineId, &PlacedGateway> = BTreeMap::new();
     for gateway in reported {
@@ -255,7 +255,7 @@
     best.into_values().collect()
 }
 
-/// Where machines are, as far as it is known.
+/// The places of machines, where known.
 fn places<'a>(machines: impl Iterator<Item = &'a PlacedMachine>) -> BTreeMap<MachineId, Place> {
     let placed = machines.filter(|placed| !placed.place.zone.is_empty());
     placed
--- a/crates/cluster/src/results_query.rs
+++ b/crates/cluster/src/results_query.rs
@@ -1,4 +1,4 @@
-//! Results that a caller asks for, and how a gateway reads them.
+//! Queries for the results of a job, and how a gateway reads them.
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 
 use crate::{distance::Distance, gateway::GatewayNode};
 
-/// Longest wait for a near member's texts before the leader is asked for them. Several times a
-/// round trip within a region.
+/// Time limit for reading from a nearby member before the leader is asked. Several round trips
+/// within a region.
 const NEARBY_READ_TIMEOUT: Duration = Duration::from_millis(100);
 
-/// Which results of which job are wanted.
+/// Which results of which job to read.
 #[derive(Clone, Debug)]
 pub struct ResultsQuery {
     /// The job.
     pub job: String,
-    /// Who reads.
+    /// The tenant that reads.
     pub tenant: Option<String>,
-    /// The first position wanted, from 0.
+    /// The first position to read, from 0.
     pub since: u32,
     /// Bytes of text after which the page ends.
     pub most_bytes: u32,
 }
 
 impl ResultsQuery {
-    /// Asks the leader how many there are.
+    /// Asks the leader for the number of results.
     pub(crate) fn listed(&self) -> StoreCall {
         StoreCall::Listed {
             job: self.job.clone(),
@@ -34,7 +34,7 @@
         }
     }
 
-    /// Asks a member for them that holds as many as there are.
+    /// Asks a member that has stored at least this many results for them.
     pub(crate) fn local(&self, listed: u32) -> StoreCall {
         StoreCall::ResultsHeld {
             job: self.job.clone(),
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Asks the leader for them.
+    /// Asks the leader for the results.
     pub(crate) fn from_leader(self) -> StoreCall {
         StoreCall::Results {
             job: self.job,
@@ -57,11 +57,11 @@
 }
 
 impl GatewayNode {
-    /// Reads results of a job: how many there are from the job store's leader, and their
-    /// texts from a member that is nearer, where there is one.
+    /// Reads results of a job: their number from the job store's leader, and their texts from a
+    /// nearer member if there is one.
     pub async fn results(&self, query: ResultsQuery, limit: Duration) -> StoreReply {
         let deadline = Instant::now() + limit;
-        if let Some(member) = self.nearest_member() {
+        if let Some(member) = self.nearer_member() {
             let listed = self.call_store(query.listed(), limit).await;
             let StoreReply::Listed { total, listed } = listed else {
                 return listed;
@@ -80,8 +80,8 @@
         self.call_store(query.from_leader(), remaining).await
     }
 
-    /// The nearest member of the job store that is nearer than its leader.
-    fn nearest_member(&self) -> Option<MachineId> {
+    /// The nearest member of the job store that is nearer than the leader.
+    fn nearer_member(&self) -> Option<MachineId> {
         let places = self.reported.lock().store_places();
         let distance = |machine: &MachineId| {
             let place = places.get(machine);
@@ -90,7 +90,7 @@
             })
         };
         let leader = self.store.leader()?;
-        // Only the second format counts results and reads them of any member.
+        // Only the second format counts results and reads them from any member.
         let supports_counts = |machine| self.links.format_with(machine) >= Some(Format::Second);
         let nearest = places.keys().copied().min_by_key(&distance)?;
         let is_nearer = distance(&nearest) < distance(&leader);
--- a/crates/cluster/src/seeds.rs
+++ b/crates/cluster/src/seeds.rs
@@ -1,4 +1,4 @@
-//! The control machines that a node begins with.
+//! The control members that a node contacts first.
 
 use std::{net::Ipv4Addr, sync::Arc};
 
@@ -7,7 +7,7 @@
 
 use crate::node::machine_of;
 
-/// Control machines to begin with, and to go back to when no other one is heard of.
+/// The control members that a node contacts first, and again when no other member is reachable.
 /// They may change while the node runs. Clones share them.
 #[derive(Clone, Debug, Default)]
 pub struct Seeds(Arc<Mutex<Vec<Ipv4Addr>>>);
@@ -19,7 +19,7 @@
         Seeds(Arc::new(Mutex::new(addresses)))
     }
 
-    /// Replaces them; true when they are other ones.
+    /// Replaces the seeds; true if they changed.
     pub fn set(&self, addresses: Vec<Ipv4Addr>) -> bool {
         let mut current = self.0.lock();
         let is_changed = *current != addresses;
@@ -27,7 +27,7 @@
         is_changed
     }
 
-    /// The machines now.
+    /// The current seeds.
     #[must_use]
     pub fn machines(&self) -> Vec<MachineId> {
         let addresses = self.0.lock();
--- a/crates/cluster/src/set_change.rs
+++ b/crates/cluster/src/set_change.rs
@@ -1,21 +1,21 @@
-//! A set that one node tells another as changes since it told last, so that
-//! telling costs what changed and not what there is.
+//! A set that one node sends to another as changes since the last message, so that the cost depends
+//! on what changed and not on the size of the set.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-/// What changed in a set since it was told last on a connection.
+/// The change of a set since it was last sent on a connection.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub(crate) struct SetChange<T> {
-    /// The first one on a connection: it replaces what the receiver held.
+    /// Whether this is the first change on a connection, which replaces the receiver's set.
     pub(crate) is_first: bool,
     pub(crate) added: Vec<T>,
     pub(crate) removed: Vec<T>,
 }
 
 impl<T: Ord> SetChange<T> {
-    /// Puts the change into the receiver's set.
+    /// Applies the change to the receiver's set.
     pub(crate) fn apply_to(self, known: &mut BTreeSet<T>) {
         if self.is_first {
             known.clear();
@@ -26,7 +26,7 @@
         known.extend(self.added);
     }
 
-    /// The same where the receiver holds them by a key.
+    /// Applies the change to a map of the entries by key.
     pub(crate) fn apply_to_map<K: Ord>(self, known: &mut BTreeMap<K, T>, key: impl Fn(&T) -> K) {
         if self.is_first {
             known.clear();
@@ -38,8 +38,8 @@
     }
 }
 
-/// What is to be told so that a receiver who was told `last_sent` holds `now`; `None` when it does.
-/// One that was told nothing yet is told all.
+/// The change that turns `last_sent`, which the receiver has, into `now`; `None` if both are equal.
+/// A receiver that was sent nothing yet gets the complete set.
 pub(crate) fn set_change<T: Ord + Clone>(
     last_sent: Option<&BTreeSet<T>>,
     now: &BTreeSet<T>,
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -25,28 +25,28 @@
     store_service::{LocalGroupView, StoreService},
 };
 
-/// The cluster that the data folder names.
+/// The cluster name in the identity of the data folder.
 const CLUSTER: &str = "linnethitch";
-/// A snapshot is taken when the log has grown by this many bytes. Texts that came
-/// since are in memory, so this bounds what a member holds of them.
+/// A snapshot is taken when the log has grown by this many bytes. Texts added since the last
+/// snapshot are in memory, so this also bounds the memory for them.
 const SNAPSHOT_LOG_BYTES: u64 = 6 * 1024 * 1024;
-/// Bytes of a segment of the log, the unit in which space is given back.
+/// Bytes of a log segment, the unit in which disk space is released.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
-/// Texts make a snapshot as large as everything that is kept, so only the newest stays.
+/// Texts make a snapshot as large as all retained data, so only the newest is retained.
 const RETAINED_SNAPSHOTS: usize = 1;
-/// How often links and members are looked at.
+/// Interval of the maintenance of links and members.
 const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of a store member.
 #[derive(Clone)]
 pub struct StoreSettings {
-    /// Who it is.
+    /// Identity and addresses of the node.
     pub node: NodeSettings,
-    /// Where it keeps its state.
+    /// Folder of the stored state.
     pub data_dir: String,
-    /// Most voters of the group.
+    /// Maximum number of voters of the group.
     pub voters: usize,
-    /// Time for which jobs are kept after they were accepted.
+    /// How long jobs are retained after they were accepted.
     pub retention: Duration,
 }
 
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Opens what the disk holds; on a first start waits for the first membership.
+    /// Opens the data on the disk; on a first start waits for the first membership.
     async fn wait_for_group(&mut self) -> Result<GroupDriver<StoreService>, Report<ErrorKind>> {
         let own = self.settings.node.machine();
         let first_member = MemberId {
@@ -125,9 +125,10 @@
         self.open(forms.then_some(first))
     }
 
-    /// Whether this disk may be one of the group's first members. It was set aside for that
-    /// before control heard of it, so that a process that ends meanwhile takes its place
-    /// again; else one more lost disk could leave the group without a quorum for ever.
+    /// Whether this disk may belong to one of the group's first members. The disk is reserved
+    /// before control is contacted, so that a process that ends meanwhile becomes the same member
+    /// again. Otherwise the loss of one more disk could leave the group without a quorum
+    /// permanently.
     fn is_reserved(&self) -> Result<bool, Report<ErrorKind>> {
         let file_system = Arc::new(RealFileSystem::new(&self.settings.data_dir)?);
         let identity = FolderIdentity {
@@ -188,7 +189,7 @@
                     self.update_links();
                     self.report_members().await;
                 }
-                // The sender is this node's own and stays.
+                // The sender belongs to this node and is never dropped.
                 Ok(()) = group_view.changed() => self.update_links(),
                 inbound = self.base.inbox.recv() => match inbound {
                     Some(inbound) => self.handle(inbound).await,
--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -1,4 +1,4 @@
-//! The job store as its group serves it.
+//! The service of the job store's group.
 
 use linnethitch_group::{CallFailure, GroupMember};
 use linnethitch_job_store::{
@@ -14,12 +14,12 @@
     message::StoreGroupView,
 };
 
-/// The group as a member sees it.
+/// The group as seen by one of its members.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LocalGroupView {
-    /// Voters and learners by this member's log.
+    /// Voters and learners in this member's log.
     pub(crate) members: Vec<MachineId>,
-    /// What a leader tells control; `None` on others.
+    /// What a leader reports to control; `None` on other members.
     pub(crate) leader_report: Option<StoreGroupView>,
 }
 
@@ -29,7 +29,7 @@
     gate: QueueGate,
     is_leading: bool,
     age_clock: AgeClock,
-    /// Jobs stay for this long after they were accepted, in milliseconds.
+    /// Jobs are retained for this long after they were accepted, in milliseconds.
     retention_ms: u64,
     group_view: watch::Sender<LocalGroupView>,
 }
@@ -72,17 +72,17 @@
         StoreReply::Work { begin, stop }
     }
 
-    /// The command that counts a part of the time.
+    /// The command that adds elapsed time to the age of jobs.
     fn age_command(&self, elapsed_ms: u64) -> Option<Vec<u8>> {
         let command = StoreCommand::Pass {
             elapsed_ms,
             kept_ms: self.retention_ms,
         };
-        // A part that is not counted makes jobs younger than they are, which is safe.
+        // Time that is not counted makes jobs younger than they are, which is safe.
         command.to_stored().ok()
     }
 
-    /// The time that has to be counted before a job is accepted.
+    /// The command for the time that must be counted before a job is accepted.
     fn age_command_before_job(
         &mut self,
         member: &GroupMember<JobStore>,
@@ -95,7 +95,7 @@
         self.age_command(part_ms)
     }
 
-    /// Begins to lead, if it does not yet.
+    /// Resets the leader's state if this member has just become the leader.
     fn begin_leading(&mut self, now: Now) {
         if !self.is_leading {
             self.is_leading = true;
@@ -112,8 +112,8 @@
     }
 }
 
-/// Results as this member holds them, whether it leads or not; refused where it lacks some
-/// that there are.
+/// Results that this member has stored, whether it is the leader or not; refused if fewer than the
+/// required number are stored.
 fn local_results(store: &JobStore, call: &StoreCall, required_count: u32) -> StoreReply {
     let StoreCall::ResultsHeld {
         job,
@@ -132,7 +132,7 @@
     results(store, job, *since, *most_bytes)
 }
 
-/// Begins a call by its command, after one that goes first, in the format that is stored.
+/// Begins a call with its command in the stored format, after an optional command that precedes it.
 fn begin(first: Option<Vec<u8>>, command: &StoreCommand, format: Format) -> Begin<StoreReply> {
     match command.to_stored_in(format) {
         Ok(command) => Begin::Propose { first, command },
@@ -311,5 +311,5 @@
     }
 }
 
-/// A voter heard of within so many ticks is healthy.
+/// A voter that had contact within this many ticks is healthy.
 const HEALTHY_TICKS: u32 = 12;
--- a/crates/cluster/src/stored_format.rs
+++ b/crates/cluster/src/stored_format.rs
@@ -1,5 +1,5 @@
-//! What a control member knows of the format that its group stores in, and of nodes of the
-//! build before.
+//! What a control member knows about the format that its group stores in, and about nodes of older
+//! builds.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::control::ControlNode;
 
-/// Pause before it is seen again in which format control stores.
+/// Interval at which the stored format is checked.
 const FORMAT_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 impl ControlNode {
@@ -18,7 +18,7 @@
         self.view().registry.format()
     }
 
-    /// Whether a member of control is known to be of a build before the newest format.
+    /// Whether a control member is known to run a build that does not support the newest format.
     pub(crate) fn has_older_member(&self) -> bool {
         let is_older = |member| {
             let link_format = self.links.format_with(member);
@@ -27,15 +27,15 @@
         self.view().members.iter().copied().any(is_older)
     }
 
-    /// Whether a gateway is of a build before the newest format.
+    /// Whether a gateway runs a build that does not support the newest format.
     pub(crate) fn has_older_gateway(&self) -> bool {
         let now_ms = self.clock.now_ms();
         let presence = self.shared.presence.lock();
         !presence.gateways_read(Format::NEWEST, now_ms)
     }
 
-    /// Waits until control stores in the newest format, which it does soon after its start,
-    /// or is known not to; false where it did not within the time.
+    /// Waits until control stores in the newest format, which happens soon after its start, or is
+    /// known not to. False if it does not store in the newest format by the deadline.
     pub(crate) async fn wait_for_newest_format(&self, deadline: Instant) -> bool {
         while self.stored_format() < Format::NEWEST && !self.has_older_member() {
             if Instant::now() + FORMAT_POLL_INTERVAL > deadline {
--- a/crates/cluster/tests/all/builds.rs
+++ b/crates/cluster/tests/all/builds.rs
@@ -1,12 +1,11 @@
 //! Nodes of two builds in one fleet.
 //!
-//! While machines were replaced one after the other, gateways of the build in production
-//! served by an older configuration for as long as they ran, and sent requests to a replica
-//! that had said it leaves. Their links to members of the new build were closed as soon as
-//! they opened: both called their format version 1, and neither could read the other's
-//! messages. The members of their own build, a minority by then, went on saying that they
-//! were there. Recorded messages of the build in production show it with one process: a
-//! control member closes the connection of a gateway that says who it is.
+//! Guards against a failure during a rolling upgrade: both builds called their format version 1,
+//! and neither could read the other's messages. Members of the new build closed the links of
+//! gateways of the old build as soon as they opened. Members of the old build, by then a minority,
+//! continued to send heartbeats, so these gateways served by an outdated configuration and sent
+//! requests to a replica that was draining. Recorded messages of the old build reproduce this with
+//! one process: a control member closes the connection of a gateway after its first message.
 
 use std::time::Duration;
 
@@ -29,12 +28,12 @@
 
 use crate::support::{LIMIT, configuration, free_port, host, node, start_control, until};
 
-/// Messages that the build of commit 4f0dab2 wrote, by name.
+/// Messages written by the build of commit 4f0dab2, by name.
 const RECORDED: &str = include_str!("../recorded/format-1.txt");
-/// What the table in force is known by on the wire.
+/// A text that identifies the table in force on the wire.
 const ROUTE_HOST: &str = "quotes.example";
 
-/// A frame as it is on the wire.
+/// A frame as sent on the wire.
 struct Recorded(Vec<u8>);
 
 impl WireMessage for Recorded {
@@ -51,11 +50,13 @@
 
 fn recorded(name: &str) -> Recorded {
     let mut lines = records();
-    let (_, bytes) = lines.find(|(found, _)| *found == name).expect("recorded");
+    let (_, bytes) = lines
+        .find(|(found, _)| *found == name)
+        .expect("a record of this name");
     Recorded(bytes)
 }
 
-/// Every recorded message and its name.
+/// All recorded messages with their names.
 fn records() -> impl Iterator<Item = (&'static str, Vec<u8>)> {
     let lines = RECORDED.lines().filter_map(|line| line.split_once(' '));
     lines.map(|(name, hex)| (name, from_hex(hex)))
@@ -64,14 +65,14 @@
 fn from_hex(hex: &str) -> Vec<u8> {
     let digits = hex.as_bytes().chunks(2);
     let bytes = digits.map(|pair| {
-        let pair = std::str::from_utf8(pair).expect("text");
-        u8::from_str_radix(pair, 16).expect("hex")
+        let pair = std::str::from_utf8(pair).expect("ASCII digits");
+        u8::from_str_radix(pair, 16).expect("hex digits")
     });
     bytes.collect()
 }
 
-/// Reads what the build before wrote, and writes it again as this build does for it.
-fn rewritten(name: &str, bytes: &[u8]) -> Option<Result<Vec<u8>, Report<ErrorKind>>> {
+/// Decodes a message of the previous build and encodes it again for that build.
+fn reencoded(name: &str, bytes: &[u8]) -> Option<Result<Vec<u8>, Report<ErrorKind>>> {
     if name.ends_with("snapshot") {
         return None;
     }
@@ -92,13 +93,13 @@
     Some(rewrite_node_frame(bytes))
 }
 
-/// Two builds understand each other where one writes what the other did, to the byte: this
-/// fails where a message or stored command changes without a new format.
+/// Two builds understand each other if each writes the same bytes as the other. This fails if a
+/// message or stored command changes without a new format.
 #[test]
-fn what_the_build_before_wrote_is_written_again_byte_for_byte() {
+fn messages_of_the_previous_build_are_reencoded_byte_for_byte() {
     let mut differs = Vec::new();
     for (name, bytes) in records() {
-        match rewritten(name, &bytes) {
+        match reencoded(name, &bytes) {
             None => {}
             Some(Ok(written)) if written == bytes => {}
             Some(Ok(_)) => differs.push(format!("{name}: other bytes")),
@@ -136,7 +137,7 @@
     let port = free_port(address);
     let (control, folder) = start_control(node(address, &[address], port)).await;
     let put = control.put_configuration(with_route(31), b"{}".to_vec(), LIMIT);
-    put.await.expect("it is held");
+    put.await.expect("the configuration is stored");
     (control, folder, format!("{address}:{port}"))
 }
 
@@ -153,16 +154,16 @@
 }
 
 #[tokio::test]
-async fn a_gateway_of_the_build_before_is_told_what_is_in_force() {
+async fn a_gateway_of_the_previous_build_receives_the_state_in_force() {
     let (_control, _folder, address) = control_with_a_route().await;
     let identity = node(host(60), &[], 0).identity;
     let opened = connect::<Recorded, Recorded>(&address, &identity, options(), Default::default());
-    let (sender, mut receiver) = opened.await.expect("it opens").split();
+    let (sender, mut receiver) = opened.await.expect("the connection opens").split();
     sender
         .send(&recorded("hello-gateway-blank"))
         .await
-        .expect("sent");
-    let told = async {
+        .expect("the hello is sent");
+    let received = async {
         while let Ok(Some(Recorded(payload))) = receiver.receive().await {
             if payload
                 .windows(ROUTE_HOST.len())
@@ -173,12 +174,15 @@
         }
         false
     };
-    let told = timeout(LIMIT, told).await.unwrap_or(false);
-    assert!(told, "the link ends before the table in force is told");
+    let received = timeout(LIMIT, received).await.unwrap_or(false);
+    assert!(
+        received,
+        "the link ended before the table in force was received"
+    );
 }
 
-/// A configuration whose only service says what its cold replicas bear: the first format
-/// leaves that out.
+/// A configuration whose only service declares the load that its cold replicas can take. The first
+/// format leaves that out.
 fn with_cold_replicas(version: u64) -> Configuration {
     let mut configuration = configuration(version);
     configuration.table.services.push(ServiceTraits {
@@ -194,12 +198,12 @@
     configuration
 }
 
-/// At the start of a fleet beside much other work, a configuration was acknowledged before
-/// all members of control were linked to each other. It was stored in the first format, and
-/// cold replicas got what warm ones bear until the next configuration came: 126 requests in a
-/// second where 10 are borne. Now it is refused until its leader may store all of it.
+/// Guards against a configuration that is acknowledged at the start of a busy fleet, before all
+/// control members are linked to each other, and is therefore stored in the first format. Cold
+/// replicas then got the load of warm ones until the next configuration: 126 requests a second
+/// instead of 10. Now it is refused until the leader may store all of it.
 #[tokio::test]
-async fn what_is_acknowledged_at_the_start_is_held_whole() {
+async fn a_configuration_acknowledged_at_the_start_is_stored_completely() {
     let seeds = [62, 63, 64].map(host);
     let port = free_port(seeds[0]);
     let first = start_control(node(seeds[0], &seeds, port)).await;
@@ -208,7 +212,7 @@
     let put = |version, limit| {
         control.put_configuration(with_cold_replicas(version), b"{}".to_vec(), limit)
     };
-    // What the format has is held meanwhile: two of three are a quorum.
+    // Meanwhile a configuration that the format can express is stored: two of three are a quorum.
     let plain = control.put_configuration(configuration(1), b"{}".to_vec(), LIMIT);
     assert_eq!(plain.await, Ok(1));
     assert_eq!(put(2, Duration::from_secs(2)).await, Err(Unavailable));
@@ -220,14 +224,14 @@
         let services = fleet.table().map(|table| table.services.clone());
         services.is_some_and(|services| services.iter().all(|service| service.cold.is_some()))
     };
-    until("a table is told", || gateway.fleet().table().is_some()).await;
+    until("a table is received", || gateway.fleet().table().is_some()).await;
     assert!(declares_cold());
 }
 
-/// A process that is held to an older format than its disk was written in says so and leaves
-/// the disk as it is.
+/// A process limited to an older format than that of its disk reports this and leaves the disk
+/// unchanged.
 #[test]
-fn a_program_held_to_an_older_format_refuses_the_disk_of_a_newer_one() {
+fn a_program_limited_to_an_older_format_refuses_the_disk_of_a_newer_one() {
     let folder = tempfile::tempdir().expect("a folder");
     let address = host(61);
     let settings = |newest_format| ControlSettings {
@@ -244,19 +248,22 @@
         let started = ControlNode::start(settings(Format::NEWEST)).await;
         let (control, running) = started.expect("it starts");
         tokio::spawn(running);
-        until("it is raised", || control.metrics_text().contains(&raised)).await;
+        until("the stored format is raised", || {
+            control.metrics_text().contains(&raised)
+        })
+        .await;
     });
     let refused = runtime().block_on(async {
         let (_control, running) = ControlNode::start(settings(Format::First)).await?;
-        timeout(LIMIT, running).await.expect("it ends")
+        timeout(LIMIT, running).await.expect("the member ends")
     });
-    let refused = refused.expect_err("refused");
+    let refused = refused.expect_err("the folder is refused");
     assert_eq!(*refused.current_context(), ErrorKind::DataFolderRefused);
     runtime().block_on(async {
         let again = ControlNode::start(settings(Format::NEWEST)).await;
         let (control, running) = again.expect("it starts");
         tokio::spawn(running);
-        until("it is as it was", || {
+        until("the stored format is unchanged", || {
             control.metrics_text().contains(&raised)
         })
         .await;
--- a/crates/cluster/tests/all/evacuations.rs
+++ b/crates/cluster/tests/all/evacuations.rs
@@ -1,5 +1,5 @@
-//! Orders to evacuate a zone: held by a quorum before they are acknowledged, and told
-//! to gateways like configurations.
+//! Orders to evacuate a zone: stored by a quorum before they are acknowledged, and sent to gateways
+//! like configurations.
 
 use std::{net::Ipv4Addr, time::Duration};
 
@@ -12,10 +12,10 @@
 
 use crate::support::{LIMIT, ZONE, configuration, free_port, host, node, until};
 
-/// A caller's patience in a test where nobody can answer.
-const SHORT: Duration = Duration::from_millis(500);
+/// Time limit for calls that nobody can answer.
+const SHORT_LIMIT: Duration = Duration::from_millis(500);
 
-/// A control member that can be ended.
+/// A control member that can be stopped.
 struct Member {
     control: ControlNode,
     running: AbortHandle,
@@ -38,13 +38,13 @@
         }
     }
 
-    /// Ends the member's part in the group: what it has not synced is lost.
+    /// Ends the member's part in the group; unsynced data is lost.
     fn end(&self) {
         self.running.abort();
     }
 }
 
-/// Three members with a first configuration in force, and a gateway of them.
+/// Three members with a first configuration in force, and the addresses for gateways.
 struct Fleet {
     members: Vec<Member>,
     seeds: Vec<Ipv4Addr>,
@@ -59,11 +59,11 @@
         for address in &seeds {
             members.push(Member::start(node(*address, &seeds, port)).await);
         }
-        let held = members[0]
+        let accepted = members[0]
             .control
             .put_configuration(configuration(1), Vec::new(), LIMIT)
             .await;
-        assert_eq!(held, Ok(1));
+        assert_eq!(accepted, Ok(1));
         Fleet {
             members,
             seeds,
@@ -92,12 +92,12 @@
 }
 
 #[tokio::test]
-async fn an_order_reaches_gateways_and_so_does_its_end() {
+async fn an_evacuation_and_its_end_reach_gateways() {
     let fleet = Fleet::start(100).await;
     let gateway = fleet.gateway(104);
     fleet.evacuate(0).await;
-    until("it is evacuated", || knows_evacuated(&gateway)).await;
-    // Each member acknowledges a repeat, upon the entry that changed the zone.
+    until("the zone is evacuated", || knows_evacuated(&gateway)).await;
+    // Each member acknowledges a repeated order with the entry that changed the zone.
     let first = fleet.members[0].control.evacuate_zone(ZONE, LIMIT).await;
     for member in &fleet.members {
         assert_eq!(member.control.evacuate_zone(ZONE, LIMIT).await, first);
@@ -108,7 +108,7 @@
         matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
         "{restored:?}"
     );
-    until("it is not", || !knows_evacuated(&gateway)).await;
+    until("the zone is restored", || !knows_evacuated(&gateway)).await;
     assert_eq!(last.restore_zone(ZONE, LIMIT).await, restored);
 }
 
@@ -128,10 +128,10 @@
     }
 }
 
-/// The order is given at a member that is right behind the opposite one: whatever it
-/// knows by then, the acknowledged order is the one in force.
+/// Each order is given to a member right after the opposite order was given to another. Whatever
+/// the member knows by then, the last acknowledged order must be in force.
 #[tokio::test]
-async fn the_order_that_was_acknowledged_last_is_in_force_whichever_member_took_it() {
+async fn the_last_acknowledged_order_is_in_force_whichever_member_received_it() {
     let fleet = Fleet::start(120).await;
     let gateway = fleet.gateway(124);
     for round in 0..30 {
@@ -144,10 +144,10 @@
         );
     }
     fleet.evacuate(0).await;
-    until("it is evacuated", || knows_evacuated(&gateway)).await;
+    until("the zone is evacuated", || knows_evacuated(&gateway)).await;
 }
 
-/// Two operators at once: both are acknowledged, and all gateways agree.
+/// Two simultaneous operators: both orders are acknowledged, and all gateways agree on the result.
 #[tokio::test]
 async fn orders_of_two_operators_at_once_are_both_acknowledged() {
     let fleet = Fleet::start(130).await;
@@ -163,12 +163,12 @@
         matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
         "{restored:?}"
     );
-    let held = fleet.members[0]
+    let accepted = fleet.members[0]
         .control
         .put_configuration(configuration(2), Vec::new(), LIMIT)
         .await;
-    assert_eq!(held, Ok(2));
-    until("both know it all", || {
+    assert_eq!(accepted, Ok(2));
+    until("both gateways have the second version", || {
         let versions = gateways
             .iter()
             .map(|gateway| gateway.fleet().table().map(|t| t.version));
@@ -178,33 +178,39 @@
     assert_eq!(knows_evacuated(&gateways[0]), knows_evacuated(&gateways[1]));
 }
 
-/// Whichever member ends, the leader among them: a gateway that starts then learns the
-/// evacuation, and a repeat is acknowledged upon the same entry.
+/// Whichever member ends, including the leader: a gateway that starts afterwards learns of the
+/// evacuation, and a repeated order is acknowledged with the same entry.
 #[rstest]
 #[tokio::test]
 async fn an_acknowledged_evacuation_outlives_a_member(#[values(0, 1, 2)] ended: usize) {
     let fleet = Fleet::start(140 + 10 * ended as u8).await;
-    let held = fleet.members[0].control.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(held, Ok(ZoneOrderOutcome::Held(_))), "{held:?}");
+    let accepted = fleet.members[0].control.evacuate_zone(ZONE, LIMIT).await;
+    assert!(
+        matches!(accepted, Ok(ZoneOrderOutcome::Held(_))),
+        "{accepted:?}"
+    );
     fleet.members[ended].end();
     let gateway = fleet.gateway(144 + 10 * ended as u8);
-    until("it is evacuated", || knows_evacuated(&gateway)).await;
+    until("the zone is evacuated", || knows_evacuated(&gateway)).await;
     let other = &fleet.members[(ended + 1) % 3].control;
-    assert_eq!(other.evacuate_zone(ZONE, LIMIT).await, held);
+    assert_eq!(other.evacuate_zone(ZONE, LIMIT).await, accepted);
     let restored = other.restore_zone(ZONE, LIMIT).await;
     assert!(
         matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
         "{restored:?}"
     );
-    until("it is not evacuated", || !knows_evacuated(&gateway)).await;
+    until("the zone is restored", || !knows_evacuated(&gateway)).await;
 }
 
-/// No quorum: the order is neither acknowledged nor refused for good.
+/// Without a quorum the order is neither acknowledged nor permanently refused.
 #[tokio::test]
-async fn a_member_without_a_quorum_says_that_it_cannot() {
+async fn a_member_without_a_quorum_is_unavailable() {
     let fleet = Fleet::start(170).await;
     fleet.members[1].end();
     fleet.members[2].end();
     let control = &fleet.members[0].control;
-    assert_eq!(control.evacuate_zone(ZONE, SHORT).await, Err(Unavailable));
+    assert_eq!(
+        control.evacuate_zone(ZONE, SHORT_LIMIT).await,
+        Err(Unavailable)
+    );
 }
--- a/crates/cluster/tests/all/gateways.rs
+++ b/crates/cluster/tests/all/gateways.rs
@@ -6,7 +6,7 @@
 
 use crate::support::{LIMIT, free_port, host, node, question, start_control, until};
 
-/// A control member, and two gateways that learn of each other from it.
+/// A control member and two gateways that learn of each other from it.
 struct Fleet {
     _control: ControlNode,
     _folder: tempfile::TempDir,
@@ -14,7 +14,7 @@
 }
 
 impl Fleet {
-    /// A fleet at three addresses of this process, from the given number on.
+    /// A fleet at three consecutive addresses of this process, starting with the given number.
     async fn start(first_host: u8) -> Self {
         let seed = host(first_host);
         let port = free_port(seed);
@@ -30,7 +30,7 @@
     }
 }
 
-/// What is ready is told as changes: one that comes, and one that goes.
+/// Ready gateways are sent as changes: one is added, then one is removed.
 #[tokio::test]
 async fn a_gateway_learns_who_becomes_ready_and_who_no_longer_is() {
     let fleet = Fleet::start(10).await;
@@ -71,7 +71,7 @@
         .datagram_bytes()
         .register(&mut figures, "datagram_bytes");
     let mut text = String::new();
-    encode(&mut text, &figures).expect("text");
+    encode(&mut text, &figures).expect("writing to a string succeeds");
     let zone = "datagram_bytes_total{peer_zone=\"zone\"} ";
     let bytes = text.lines().find_map(|line| line.strip_prefix(zone));
     let bytes: u64 = bytes.expect(&text).parse().expect("a number");
--- a/crates/cluster/tests/all/starts.rs
+++ b/crates/cluster/tests/all/incarnations.rs
@@ -1,4 +1,4 @@
-//! Heartbeats and ends of a replica that starts again under its id, at a control member.
+//! Heartbeats and the end of a replica that restarts under its id, at a control member.
 
 use std::time::Duration;
 
@@ -9,10 +9,10 @@
 
 use crate::support::{LIMIT, free_port, host, node, start_control, until};
 
-/// The replica that starts again.
+/// The replica that restarts.
 const ID: &str = "i-1";
 
-/// A control member, and a gateway that follows it.
+/// A control member and a gateway that receives its updates.
 struct Fleet {
     control: ControlNode,
     gateway: GatewayNode,
@@ -26,7 +26,7 @@
         let (control, folder) = start_control(node(seed, &[seed], port)).await;
         let address = host(first_host + 1);
         let gateway = GatewayNode::start(&node(address, &[seed], port), format!("{address}:80"));
-        // Control commits that it knows the gateway: that is not what tests here count.
+        // Control commits the new gateway to its record; the tests here must not count that entry.
         until("the gateway is known", || control.known_gateways() == 1).await;
         Fleet {
             control,
@@ -35,14 +35,14 @@
         }
     }
 
-    async fn beat(&self, id: &str, born: u64, sequence: u64, state: ReplicaState) {
-        self.beat_cold(id, born, sequence, state, 0).await;
+    async fn beat(&self, id: &str, incarnation: u64, sequence: u64, state: ReplicaState) {
+        self.beat_cold(id, incarnation, sequence, state, 0).await;
     }
 
     async fn beat_cold(
         &self,
         id: &str,
-        born: u64,
+        incarnation: u64,
         sequence: u64,
         state: ReplicaState,
         cold_ms: u64,
@@ -55,25 +55,25 @@
             slots: 4,
             state,
             sequence,
-            incarnation: born,
+            incarnation: incarnation,
             cold_ms,
         };
-        let beaten = self.control.heartbeat(change, LIMIT).await;
-        beaten.expect("it is acknowledged");
+        let acknowledged = self.control.heartbeat(change, LIMIT).await;
+        acknowledged.expect("the heartbeat is acknowledged");
     }
 
-    fn held(&self) -> Option<(u64, ReplicaState)> {
+    fn stored(&self) -> Option<(u64, ReplicaState)> {
         let fleet = self.gateway.fleet();
-        let told = &fleet.replica(ID)?.reported;
-        Some((told.incarnation, told.state))
+        let reported = &fleet.replica(ID)?.reported;
+        Some((reported.incarnation, reported.state))
     }
 
-    async fn until_held(&self, born: u64, state: ReplicaState) {
-        let what = format!("start {born} is {state:?}");
-        until(&what, || self.held() == Some((born, state))).await;
+    async fn until_stored(&self, incarnation: u64, state: ReplicaState) {
+        let what = format!("incarnation {incarnation} is {state:?}");
+        until(&what, || self.stored() == Some((incarnation, state))).await;
     }
 
-    /// Waits until the gateway knows all that was committed by now.
+    /// Waits until the gateway knows everything that was committed by now.
     async fn settle(&self, marker: &str) {
         self.beat(marker, 0, 1, ReplicaState::Ready).await;
         until("the marker is known", || {
@@ -83,36 +83,35 @@
     }
 }
 
-/// The failure this is for: heartbeats of a new start count from one again and were
-/// taken for late ones of the start before.
+/// Guards against heartbeats of a new incarnation, whose sequence starts again at one, being
+/// treated as late heartbeats of the earlier incarnation.
 #[tokio::test]
-async fn a_replica_that_starts_again_is_known_and_its_earlier_start_stays_away() {
+async fn a_new_incarnation_replaces_the_earlier_one() {
     let fleet = Fleet::start(40).await;
     fleet.beat(ID, 1, 50, ReplicaState::Ready).await;
-    fleet.until_held(1, ReplicaState::Ready).await;
+    fleet.until_stored(1, ReplicaState::Ready).await;
     fleet.beat(ID, 2, 1, ReplicaState::Ready).await;
-    fleet.until_held(2, ReplicaState::Ready).await;
+    fleet.until_stored(2, ReplicaState::Ready).await;
     fleet.beat(ID, 1, 51, ReplicaState::Draining).await;
     fleet.settle("marker-1").await;
-    assert_eq!(fleet.held(), Some((2, ReplicaState::Ready)));
+    assert_eq!(fleet.stored(), Some((2, ReplicaState::Ready)));
     let removed = fleet.control.remove_replica(ID, LIMIT).await;
-    removed.expect("it is acknowledged");
-    fleet.until_held(2, ReplicaState::Ended).await;
+    removed.expect("the removal is acknowledged");
+    fleet.until_stored(2, ReplicaState::Ended).await;
     fleet.beat(ID, 1, 99, ReplicaState::Ready).await;
     fleet.beat(ID, 2, 99, ReplicaState::Ready).await;
     fleet.settle("marker-2").await;
-    assert_eq!(fleet.held(), Some((2, ReplicaState::Ended)));
+    assert_eq!(fleet.stored(), Some((2, ReplicaState::Ended)));
     fleet.beat(ID, 3, 1, ReplicaState::Ready).await;
-    fleet.until_held(3, ReplicaState::Ready).await;
+    fleet.until_stored(3, ReplicaState::Ready).await;
 }
 
-/// Heartbeats that say nothing new are not committed, late ones of an earlier start
-/// neither.
+/// Heartbeats without changes are not committed, nor are late ones of an earlier incarnation.
 #[tokio::test]
-async fn what_says_nothing_new_is_not_committed() {
+async fn heartbeats_without_changes_are_not_committed() {
     let fleet = Fleet::start(50).await;
     fleet.beat(ID, 2, 1, ReplicaState::Ready).await;
-    fleet.until_held(2, ReplicaState::Ready).await;
+    fleet.until_stored(2, ReplicaState::Ready).await;
     let committed = fleet.gateway.fleet().up_to_index();
     for sequence in 2..30 {
         fleet.beat(ID, 2, sequence, ReplicaState::Ready).await;
@@ -122,10 +121,10 @@
     assert_eq!(fleet.gateway.fleet().up_to_index().0, committed.0 + 1);
 }
 
-/// The failure this is for: a replica that said for the second time that it is cold for
-/// as long as the first time was not heard, and counted as warm while it was cold.
+/// Guards against ignoring a replica that announces the same cold time a second time, and counting
+/// it as warm while it is cold.
 #[tokio::test]
-async fn a_replica_that_is_cold_again_while_it_is_cold_is_heard() {
+async fn a_renewed_cold_time_is_committed() {
     const COLD_MS: u64 = 10_000;
     let fleet = Fleet::start(60).await;
     fleet
@@ -133,7 +132,7 @@
         .await;
     fleet.settle("marker-1").await;
     let committed = fleet.gateway.fleet().up_to_index();
-    // Less is left, as of a replica that only grows warm.
+    // A shorter remaining time, as from a replica that is only becoming warm.
     for sequence in 2..10 {
         fleet
             .beat_cold(ID, 0, sequence, ReplicaState::Ready, COLD_MS / 2)
@@ -148,9 +147,9 @@
     fleet.settle("marker-3").await;
     assert_eq!(fleet.gateway.fleet().up_to_index().0, committed.0 + 3);
     let fleet = fleet.gateway.fleet();
-    let held = fleet.replica(ID).expect("it is held");
+    let stored = fleet.replica(ID).expect("the replica is stored");
     assert_eq!(
-        (held.reported.sequence, held.reported.cold_ms),
+        (stored.reported.sequence, stored.reported.cold_ms),
         (10, COLD_MS)
     );
 }
