--- a/crates/cluster/tests/all/known_gateways.rs
+++ b/crates/cluster/tests/all/known_gateways.rs
@@ -1,5 +1,5 @@
-//! Control keeps which gateways share the counts of tenants' limits, so that one which is cut
-//! off is counted as silent by the others, whatever happens to control meanwhile.
+//! Control records which gateways share the counts of tenants' limits, so that the others count a
+//! partitioned gateway as silent even if control restarts meanwhile.
 
 use std::{
     net::{Ipv4Addr, SocketAddrV4},
@@ -23,10 +23,10 @@
 
 use crate::support::{LIMIT, configuration, free_port, host, node, until};
 
-/// Longest time that a process which ends is waited for.
-const ENDS_WITHIN: Duration = Duration::from_secs(5);
+/// Time limit for a process to end.
+const SHUTDOWN_LIMIT: Duration = Duration::from_secs(5);
 
-/// What a node has logged, without fields.
+/// The messages that a node has logged, without fields.
 #[derive(Clone, Default)]
 struct Lines(Arc<Mutex<Vec<String>>>);
 
@@ -48,11 +48,11 @@
     }
 }
 
-/// A control member with a runtime of its own, which ends as a process does.
+/// A control member with a runtime of its own, which ends like a process.
 struct ControlProcess {
     control: ControlNode,
     lines: Lines,
-    /// There until it ends.
+    /// `None` once the process has ended.
     runtime: Option<Runtime>,
 }
 
@@ -81,9 +81,9 @@
     }
 
     async fn end(mut self) {
-        let runtime = self.runtime.take().expect("it runs");
-        let ended = tokio::task::spawn_blocking(|| runtime.shutdown_timeout(ENDS_WITHIN));
-        ended.await.expect("it ends");
+        let runtime = self.runtime.take().expect("the process runs");
+        let ended = tokio::task::spawn_blocking(|| runtime.shutdown_timeout(SHUTDOWN_LIMIT));
+        ended.await.expect("the process ends");
     }
 }
 
@@ -107,7 +107,7 @@
 }
 
 impl Fleet {
-    /// A fleet of which control knows both gateways.
+    /// A fleet whose control member knows both gateways.
     async fn start(first_host: u8) -> Self {
         let seed = host(first_host);
         let port = free_port(seed);
@@ -119,10 +119,10 @@
             .streams((seed, 0).into(), (seed, port).into())
             .expect("a port");
         let near = gateway(host(first_host + 1), seed, port);
-        let noted = || process.lines.count("known gateways changed");
-        until("the first is noted", || noted() == 1).await;
+        let recorded = || process.lines.count("known gateways changed");
+        until("the first is recorded", || recorded() == 1).await;
         let far = gateway(host(first_host + 2), seed, proxy.address.port());
-        until("the second is noted", || noted() == 2).await;
+        until("the second is recorded", || recorded() == 2).await;
         until("both are known", || near.coordinators().len() == 2).await;
         Fleet {
             process,
@@ -135,27 +135,27 @@
         }
     }
 
-    /// Nothing gets to or from the second gateway any more, whatever link it opens.
-    fn cut_off_second(&self) {
+    /// Blocks all traffic to and from the second gateway, on open and new links.
+    fn partition_second(&self) {
         self.proxy.set(Mode::Silent(Way::Both));
     }
 
-    /// Cuts the second gateway off and lets control end and start again on its folder.
-    async fn with_control_started_again(self) -> Self {
-        self.cut_off_second();
+    /// Partitions the second gateway and restarts control on its folder.
+    async fn with_control_restarted(self) -> Self {
+        self.partition_second();
         self.process.end().await;
         let process = ControlProcess::start(self.settings.clone(), self.folder.path()).await;
         Fleet { process, ..self }
     }
 
-    /// Puts a version in force and waits until the first gateway has taken it, with whatever
-    /// else control says by then.
-    async fn tell(&self, version: u64) {
+    /// Puts a version in force and waits until the first gateway has applied it, together with the
+    /// rest of control's heartbeat.
+    async fn put_and_apply(&self, version: u64) {
         let control = &self.process.control;
         let put = control.put_configuration(configuration(version), Vec::new(), LIMIT);
         assert_eq!(put.await, Ok(version));
-        let told = || self.near.fleet().table().map(|table| table.version);
-        until("the version is told", || told() == Some(version)).await;
+        let sent = || self.near.fleet().table().map(|table| table.version);
+        until("the version is applied", || sent() == Some(version)).await;
     }
 }
 
@@ -163,32 +163,38 @@
     GatewayNode::start(&node(own, &[seed], port), format!("{own}:80"))
 }
 
-/// Control gives the link up; the gateway may go on all the same.
+/// Control closes the silent link, but the gateway may still be running.
 #[tokio::test]
-async fn a_gateway_whose_link_fell_silent_is_silent_after_its_link_was_given_up() {
+async fn a_gateway_whose_link_fell_silent_is_silent_after_its_link_was_closed() {
     let fleet = Fleet::start(100).await;
-    fleet.cut_off_second();
+    fleet.partition_second();
     let lines = &fleet.process.lines;
-    until("its link is given up", || lines.count("node lost") == 1).await;
-    fleet.tell(1).await;
-    fleet.tell(2).await;
+    until("its link is closed", || lines.count("node lost") == 1).await;
+    fleet.put_and_apply(1).await;
+    fleet.put_and_apply(2).await;
     assert_eq!(fleet.near.coordinators().len(), 1);
     assert_eq!(fleet.near.silent_coordinators().len(), 1);
     let figures = fleet.process.control.metrics_text();
-    let tells = |line: &str| figures.lines().any(|told| told == line);
-    assert!(tells("linnethitch_control_known_gateways 2"), "{figures}");
-    assert!(tells("linnethitch_control_silent_gateways 1"), "{figures}");
+    let has_line = |line: &str| figures.lines().any(|sent| sent == line);
+    assert!(
+        has_line("linnethitch_control_known_gateways 2"),
+        "{figures}"
+    );
+    assert!(
+        has_line("linnethitch_control_silent_gateways 1"),
+        "{figures}"
+    );
     assert_eq!(figures.matches("# EOF").count(), 1, "{figures}");
 }
 
-/// A gateway that control does not hear learns from datagrams alone. It was sent the format
-/// that every build reads, which tells of no request that was cleared and of no witness, as
-/// soon as control did not name it any more.
+/// A gateway that control cannot reach receives updates only by datagrams. Guards against sending
+/// it the oldest format as soon as control no longer lists it: that format has no cleared requests
+/// and no witnesses.
 #[rstest]
 #[case::known_before(false)]
 #[case::only_known_as_silent(true)]
 #[tokio::test]
-async fn a_silent_gateway_is_told_all_that_it_reads(#[case] only_as_silent: bool) {
+async fn a_silent_gateway_is_sent_the_newest_format_that_it_reads(#[case] only_as_silent: bool) {
     let first_host = 108 + 4 * u8::from(only_as_silent);
     let fleet = Fleet::start(first_host).await;
     let settings = &fleet.settings;
@@ -197,16 +203,16 @@
     let received =
         Datagrams::<GatewayDatagram>::bind(SocketAddrV4::new(far, port), settings.identity.clone());
     let received = received.expect("a free port");
-    fleet.cut_off_second();
+    fleet.partition_second();
     let lines = &fleet.process.lines;
-    until("its link is given up", || lines.count("node lost") == 1).await;
+    until("its link is closed", || lines.count("node lost") == 1).await;
     let started = only_as_silent.then(|| gateway(host(first_host + 3), seed, port));
-    let teller = started.as_ref().unwrap_or(&fleet.near);
-    let silent = || teller.silent_coordinators().len();
+    let sender = started.as_ref().unwrap_or(&fleet.near);
+    let silent = || sender.silent_coordinators().len();
     until("it is known as silent", || silent() == 1).await;
     let is_other = |gateway: &MachineId| *gateway == machine_of(far);
-    until("it is named", || {
-        teller.other_gateways().iter().any(is_other)
+    until("it is listed", || {
+        sender.other_gateways().iter().any(is_other)
     })
     .await;
     let cleared = ToldSuspicion {
@@ -217,21 +223,21 @@
             lengths_ms: Vec::new(),
         },
     };
-    let told = GatewayDatagram::Suspicions(vec![cleared]);
-    teller.send_to_gateways(&[machine_of(far)], &told);
+    let sent = GatewayDatagram::Suspicions(vec![cleared]);
+    sender.send_to_gateways(&[machine_of(far)], &sent);
     let (_, message) = timeout(LIMIT, received.receive())
         .await
-        .expect("it is told")
+        .expect("the datagram arrives in time")
         .expect("a socket");
-    assert_eq!(message, told);
+    assert_eq!(message, sent);
 }
 
-/// All of control starts again while a gateway is cut off: it has never heard of that one,
-/// and counts it as silent all the same.
+/// All of control restarts while a gateway is partitioned: the new process never had contact with
+/// the gateway, but counts it as silent all the same.
 #[tokio::test]
-async fn a_gateway_that_is_cut_off_is_silent_after_control_started_again() {
-    let fleet = Fleet::start(104).await.with_control_started_again().await;
-    fleet.tell(1).await;
+async fn a_partitioned_gateway_is_silent_after_control_restarted() {
+    let fleet = Fleet::start(104).await.with_control_restarted().await;
+    fleet.put_and_apply(1).await;
     let listed = || fleet.near.coordinators().len();
     until("only the first is listed", || listed() == 1).await;
     assert_eq!(fleet.near.silent_coordinators().len(), 1);
--- a/crates/cluster/tests/all/links.rs
+++ b/crates/cluster/tests/all/links.rs
@@ -1,5 +1,5 @@
-//! A gateway keeps links to a few members of control however many there are, and every member
-//! names every gateway all the same.
+//! A gateway keeps links to a few control members, however many there are, and still every member
+//! lists every gateway.
 
 use std::net::Ipv4Addr;
 
@@ -9,17 +9,18 @@
 
 use crate::support::{LIMIT, configuration, free_port, host, node, question, start_control, until};
 
-/// Links that the budget of a node bears: four messages a second each, 2 KB a second in all.
-const MOST_LINKS: usize = 5;
+/// Maximum number of links within the budget of a node: four messages a second for each link, 2 KB
+/// a second in total.
+const MAX_LINKS: usize = 5;
 
-/// Members of control and gateways.
+/// Control members and gateways.
 struct Fleet {
     members: Vec<(ControlNode, TempDir)>,
     gateways: Vec<GatewayNode>,
 }
 
 impl Fleet {
-    /// A fleet of which every member of control knows every gateway.
+    /// A fleet in which every control member knows every gateway.
     async fn start(first_host: u8, members: u8, gateways: u8) -> Self {
         let seeds: Vec<Ipv4Addr> = (0..members)
             .map(|number| host(first_host + number))
@@ -51,14 +52,14 @@
     }
 
     async fn put(&self, version: u64) {
-        let (control, _) = self.members.last().expect("one is left");
-        let mut held = Err(linnethitch_cluster::Unavailable);
-        while held.is_err() {
-            held = control
+        let (control, _) = self.members.last().expect("at least one member");
+        let mut accepted = Err(linnethitch_cluster::Unavailable);
+        while accepted.is_err() {
+            accepted = control
                 .put_configuration(configuration(version), Vec::new(), LIMIT)
                 .await;
         }
-        assert_eq!(held, Ok(version));
+        assert_eq!(accepted, Ok(version));
         until("every gateway has it", || {
             let mut gateways = self.gateways.iter();
             gateways.all(|gateway| {
@@ -70,11 +71,12 @@
     }
 }
 
-/// Before, links and messages grew with the members: six and twelve for each gateway.
+/// Guards against links and messages that grow with the number of members, to six and twelve links
+/// for each gateway.
 #[rstest]
 #[case::few(100, 3, 3)]
-#[case::more(110, 6, MOST_LINKS)]
-#[case::twice_as_many(130, 12, MOST_LINKS)]
+#[case::more(110, 6, MAX_LINKS)]
+#[case::twice_as_many(130, 12, MAX_LINKS)]
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_gateway_keeps_a_few_links_however_many_members_there_are(
     #[case] first_host: u8,
@@ -83,7 +85,7 @@
 ) {
     let fleet = Fleet::start(first_host, members, 6).await;
     fleet.put(1).await;
-    until("no link is kept beyond the few", || {
+    until("no gateway keeps further links", || {
         fleet
             .gateways
             .iter()
@@ -100,18 +102,18 @@
     .await;
 }
 
-/// Members end one after the other: gateways turn to those that are left, and are named and
-/// told changes by them.
+/// A gateway stops: members without a link to it learn this from others, all gateways remove it as
+/// coordinator, and the remaining gateways still receive changes.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn gateways_turn_to_other_members_when_theirs_say_that_one_stops() {
+async fn a_stopping_gateway_is_removed_by_members_without_a_link_to_it() {
     let mut fleet = Fleet::start(160, 7, 5).await;
     fleet.put(1).await;
-    // A planned stop is known at members that the gateway keeps no link to.
-    let stopping = fleet.gateways.pop().expect("one is there");
+    // A planned stop is also known to members that the gateway keeps no link to.
+    let stopping = fleet.gateways.pop().expect("at least one gateway");
     stopping.set_ready(false);
     stopping.stop_coordinating();
     until("no member lists it", || fleet.all_list(4)).await;
-    until("no gateway counts on it", || {
+    until("no gateway lists it as coordinator", || {
         fleet
             .gateways
             .iter()
--- a/crates/cluster/tests/all/main.rs
+++ b/crates/cluster/tests/all/main.rs
@@ -3,10 +3,10 @@
 mod builds;
 mod evacuations;
 mod gateways;
+mod incarnations;
 mod known_gateways;
 mod links;
 mod regions;
 mod results;
 mod silence;
-mod starts;
 mod support;
--- a/crates/cluster/tests/all/regions.rs
+++ b/crates/cluster/tests/all/regions.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration told by the control member of the same region.
+//! Configuration changes are sent by the control member in the gateway's region.
 
 use linnethitch_cluster::{ControlNode, GatewayNode, NodeSettings};
 use rstest::rstest;
@@ -6,12 +6,12 @@
 
 use crate::support::{LIMIT, configuration, free_port, host, node, start_control, until};
 
-/// Versions put in force one after the other.
+/// Number of versions put in force one after the other.
 const VERSIONS: u64 = 12;
-/// Gateways of the far region.
+/// Number of gateways in the far region.
 const GATEWAYS: u8 = 6;
-/// A busy machine may be told a change a second time, but one of so many at most.
-const TOLD_TWICE: u64 = 4;
+/// On a busy machine a gateway may receive a change twice, but at most one of this many changes.
+const CHANGES_PER_DUPLICATE: u64 = 4;
 
 fn at(settings: NodeSettings, region: &str) -> NodeSettings {
     NodeSettings {
@@ -21,8 +21,8 @@
     }
 }
 
-/// A figure of what a member told nodes of a zone, or heard of them.
-fn figure(settings: &NodeSettings, name: &str, message: &str, zone: &str, way: &str) -> u64 {
+/// A counter of the messages that a member exchanged with nodes of a zone.
+fn counter(settings: &NodeSettings, name: &str, message: &str, zone: &str, way: &str) -> u64 {
     let start = format!(
         r#"linnethitch_{name}_total{{message="{message}",peer_zone="{zone}",way="{way}"}} "#
     );
@@ -31,10 +31,10 @@
     value.map_or(0, |value| value.parse().expect("a number"))
 }
 
-/// Bytes of changes of the registry that a member told nodes of a zone.
-fn told_bytes(settings: &NodeSettings, zone: &str) -> u64 {
+/// Bytes of registry changes that a member sent to nodes of a zone.
+fn sent_update_bytes(settings: &NodeSettings, zone: &str) -> u64 {
     let name = "node_message_bytes";
-    figure(settings, name, "PulseWithUpdate", zone, "Sent")
+    counter(settings, name, "PulseWithUpdate", zone, "Sent")
 }
 
 struct Member {
@@ -55,7 +55,7 @@
 }
 
 #[tokio::test]
-async fn gateways_are_told_by_the_member_of_their_region() {
+async fn gateways_are_updated_by_the_member_of_their_region() {
     let seeds = [host(70), host(71)];
     let port = free_port(seeds[0]);
     let north = Member::start(at(node(seeds[0], &seeds, port), "north")).await;
@@ -68,8 +68,9 @@
         })
         .collect();
     let all_know = |version: u64| {
-        let held = gateways.iter().map(|gateway| gateway.fleet());
-        held.into_iter()
+        let fleets = gateways.iter().map(|gateway| gateway.fleet());
+        fleets
+            .into_iter()
             .all(|fleet| fleet.table().is_some_and(|table| table.version == version))
     };
     let put = |version| {
@@ -80,29 +81,32 @@
     };
     put(1).await;
     until("the first version", || all_know(1)).await;
-    let before = told_bytes(&north.settings, "south-a");
-    let near_before = told_bytes(&south.settings, "south-a");
+    let before = sent_update_bytes(&north.settings, "south-a");
+    let near_before = sent_update_bytes(&south.settings, "south-a");
     for version in 2..=VERSIONS {
         put(version).await;
         until("the next version", || all_know(version)).await;
     }
-    let far = told_bytes(&north.settings, "south-a") - before;
-    let near = told_bytes(&south.settings, "south-a") - near_before;
-    assert!(far * TOLD_TWICE <= near, "far {far}, near {near} bytes");
+    let far = sent_update_bytes(&north.settings, "south-a") - before;
+    let near = sent_update_bytes(&south.settings, "south-a") - near_before;
+    assert!(
+        far * CHANGES_PER_DUPLICATE <= near,
+        "far {far}, near {near} bytes"
+    );
 }
 
-/// Control and a gateway say all the time that they are there, in a few bytes.
+/// The periodic messages of control and of a gateway have only a few bytes.
 #[rstest]
 #[case::control("Pulse", "Sent", 80)]
 #[case::the_gateway("Hello", "Received", 90)]
 #[tokio::test]
-async fn what_is_said_all_the_time_is_short(
+async fn periodic_messages_are_short(
     #[case] message: &str,
     #[case] way: &str,
     #[case] first_host: u8,
 ) {
     const MESSAGES: u64 = 4;
-    const MOST_BYTES: u64 = 64;
+    const MAX_BYTES: u64 = 64;
     let (seed, own) = (host(first_host), host(first_host + 1));
     let port = free_port(seed);
     let member = Member::start(at(node(seed, &[seed], port), "north")).await;
@@ -111,13 +115,19 @@
         .control
         .put_configuration(configuration(1), Vec::new(), LIMIT);
     assert_eq!(put.await, Ok(1));
-    until("it knows", || gateway.fleet().table().is_some()).await;
-    let said = |name| figure(&member.settings, name, message, "north-a", way);
-    let quiet = said("node_messages") + 2;
-    until("all is told", || said("node_messages") >= quiet).await;
-    let before = (said("node_messages"), said("node_message_bytes"));
-    until("more", || said("node_messages") >= before.0 + MESSAGES).await;
-    let messages = said("node_messages") - before.0;
-    let bytes = said("node_message_bytes") - before.1;
-    assert!(bytes <= messages * MOST_BYTES, "{bytes} for {messages}");
+    until("the gateway has a table", || {
+        gateway.fleet().table().is_some()
+    })
+    .await;
+    let count = |name| counter(&member.settings, name, message, "north-a", way);
+    let settled = count("node_messages") + 2;
+    until("all changes are sent", || count("node_messages") >= settled).await;
+    let before = (count("node_messages"), count("node_message_bytes"));
+    until("further messages", || {
+        count("node_messages") >= before.0 + MESSAGES
+    })
+    .await;
+    let messages = count("node_messages") - before.0;
+    let bytes = count("node_message_bytes") - before.1;
+    assert!(bytes <= messages * MAX_BYTES, "{bytes} for {messages}");
 }
--- a/crates/cluster/tests/all/results.rs
+++ b/crates/cluster/tests/all/results.rs
@@ -1,4 +1,4 @@
-//! Results of a job are read of the nearest member that holds them.
+//! Results of a job are read from the nearest member that has stored them.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 use crate::support::{LIMIT, free_port, host, node};
 
-/// Members of the job store, each in a zone of its own.
+/// Members of the job store, each in its own zone.
 const STORES: usize = 3;
 const TEXT_BYTES: usize = 100_000;
 
@@ -21,7 +21,7 @@
     _control: ControlNode,
     _folders: Vec<TempDir>,
     stores: Vec<NodeSettings>,
-    /// One in the zone of each member.
+    /// One gateway in the zone of each member.
     gateways: Vec<GatewayNode>,
 }
 
@@ -74,8 +74,8 @@
         }
     }
 
-    /// Bytes of answers that each member sent to callers.
-    fn answered(&self) -> Vec<usize> {
+    /// Bytes of replies that each member sent to callers.
+    fn reply_bytes(&self) -> Vec<usize> {
         let of = |store: &NodeSettings| {
             let text = store.bytes.to_text();
             let name = "linnethitch_node_message_bytes_total{message=\"StoreReply\"";
@@ -108,20 +108,20 @@
 }
 
 async fn results(gateway: &GatewayNode, since: u32) -> ResultsPage {
-    let wanted = ResultsQuery {
+    let query = ResultsQuery {
         job: "job".to_owned(),
         tenant: None,
         since,
         most_bytes: 1_000_000,
     };
-    match gateway.results(wanted, LIMIT).await {
+    match gateway.results(query, LIMIT).await {
         StoreReply::Results(page) => page,
         other => panic!("{other:?}"),
     }
 }
 
 #[tokio::test]
-async fn texts_come_from_the_member_in_the_zone_and_are_never_behind() {
+async fn results_come_from_the_member_in_the_zone_and_are_never_outdated() {
     let fleet = Fleet::start().await;
     let gateway = &fleet.gateways[0];
     let submit = StoreCall::Submit {
@@ -140,20 +140,20 @@
         outcome: ItemOutcome::Succeeded(text.clone()),
     };
     assert_eq!(gateway.call_store(report, LIMIT).await, StoreReply::Done);
-    // Whoever asks now is told of it, also by a member that does not hold it yet.
+    // From now on every gateway gets the result, also if its nearest member has not stored it yet.
     for gateway in &fleet.gateways {
         let page = results(gateway, 0).await;
         assert_eq!((page.total, page.results.len()), (1, 1));
         assert_eq!(page.results[0].text, text);
         assert_eq!(results(gateway, 1).await.results, []);
     }
-    let each_by_its_own = async {
+    let each_from_nearest = async {
         loop {
-            let before = fleet.answered();
+            let before = fleet.reply_bytes();
             for gateway in &fleet.gateways {
                 results(gateway, 0).await;
             }
-            let after = fleet.answered();
+            let after = fleet.reply_bytes();
             let mut sent = before
                 .iter()
                 .zip(&after)
@@ -164,6 +164,6 @@
             sleep(Duration::from_millis(50)).await;
         }
     };
-    let found = timeout(LIMIT, each_by_its_own).await;
-    found.unwrap_or_else(|_| panic!("answers of each member: {:?}", fleet.answered()));
+    let found = timeout(LIMIT, each_from_nearest).await;
+    found.unwrap_or_else(|_| panic!("reply bytes of each member: {:?}", fleet.reply_bytes()));
 }
--- a/crates/cluster/tests/all/silence.rs
+++ b/crates/cluster/tests/all/silence.rs
@@ -1,8 +1,8 @@
-//! Links between nodes that fall silent without a word, while new ones work: what
-//! is in force must reach every node all the same.
+//! Open links between nodes become silent without an error while new links work: the state in force
+//! must still reach every node.
 //!
-//! Nodes reach each other at their own port, so that a proxy at a peer's address
-//! and that port stands between the two.
+//! Nodes reach each other at their own port, so a proxy at a peer's address and that port
+//! intercepts the link.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -20,15 +20,15 @@
     LIMIT, ZONE, configuration, free_port, host, node, question, start_control, until,
 };
 
-/// Long enough for a member that is cut off to find that it hears no leader.
-const CUT_FOR: Duration = Duration::from_millis(2_500);
+/// Long enough for a partitioned member to notice that it has no contact with a leader.
+const PARTITION_TIME: Duration = Duration::from_millis(2_500);
 
 /// Puts a version in force, which may take a while after a start.
 async fn put(control: &ControlNode, version: u64) {
-    let held = control
+    let accepted = control
         .put_configuration(configuration(version), Vec::new(), LIMIT)
         .await;
-    assert_eq!(held, Ok(version));
+    assert_eq!(accepted, Ok(version));
 }
 
 fn version(gateway: &GatewayNode) -> u64 {
@@ -75,8 +75,8 @@
     }
 }
 
-/// Control lists a gateway that it hears; one whose messages are lost is listed
-/// again once it has opened a new link.
+/// Control lists a gateway that it can reach. A gateway whose messages are lost is listed again
+/// once it has opened a new link.
 #[rstest]
 #[case::neither_way(Way::Both, 20)]
 #[case::nothing_reaches_control(Way::ToTarget, 22)]
@@ -99,10 +99,10 @@
     until("it is listed again", || pair.is_listed()).await;
 }
 
-/// What a gateway was told before its machine was suspended is that old when it wakes
-/// up, and its link is opened anew.
+/// After its machine was suspended, a gateway counts its state as old by the time of the
+/// suspension, and its link is opened again.
 #[tokio::test]
-async fn a_gateway_whose_machine_was_suspended_knows_how_old_its_news_are() {
+async fn a_gateway_whose_machine_was_suspended_knows_how_old_its_state_is() {
     let pair = Pair::start(90).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
@@ -113,9 +113,9 @@
     until("the second version", || version(&pair.gateway) == 2).await;
 }
 
-/// Whoever waits for news after a suspension has them then.
+/// A task that waits for an update after a suspension returns with the state in force.
 #[tokio::test]
-async fn a_gateway_whose_machine_was_suspended_waits_for_news_of_what_is_in_force() {
+async fn a_gateway_whose_machine_was_suspended_waits_for_the_state_in_force() {
     let pair = Pair::start(94).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
@@ -131,10 +131,10 @@
     assert!(pair.gateway.fleet().evacuations().contains(ZONE));
 }
 
-/// It stands still once more before control has spoken, longer than it would have waited:
-/// what it then waits for is news of after that.
+/// A second pause before control has sent an update, longer than the wait would have lasted: the
+/// wait then requires an update from after the second pause.
 #[tokio::test]
-async fn a_gateway_that_stands_still_again_while_it_waits_for_news_waits_for_later_news() {
+async fn a_second_pause_during_the_wait_requires_a_later_update() {
     let pair = Pair::start(98).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
@@ -145,7 +145,7 @@
         gateway.wait_for_update_after_pause().await;
         gateway.fleet().evacuations().contains(ZONE)
     });
-    // It waits by now: everything here runs in one thread.
+    // The task waits by now, because everything here runs in one thread.
     tokio::task::yield_now().await;
     let evacuated = pair.control.evacuate_zone(ZONE, LIMIT).await;
     assert!(
@@ -159,9 +159,9 @@
     assert!(knows.expect("in time").expect("no panic"));
 }
 
-/// It does not wait for long where control does not speak to it.
+/// The wait is short if control is unreachable.
 #[tokio::test]
-async fn a_gateway_that_wakes_up_cut_off_goes_on_by_what_it_knows() {
+async fn a_partitioned_gateway_continues_with_its_last_state_after_a_pause() {
     let pair = Pair::start(96).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
@@ -172,7 +172,7 @@
     assert_eq!(version(&pair.gateway), 1);
 }
 
-/// Three control members, each with a port of its own, and proxies between them.
+/// Three control members, each with its own port, and proxies between them.
 struct Members {
     control: Vec<(ControlNode, TempDir)>,
     /// Proxies of the links from and to the last member.
@@ -204,7 +204,7 @@
         members
     }
 
-    /// A proxy for each ordered pair: at the target's address, on the caller's port.
+    /// A proxy for each ordered pair, at the target's address and the caller's port.
     fn join(&mut self) {
         let last = self.addresses.len() - 1;
         for from in 0..=last {
@@ -228,26 +228,26 @@
         gateway_of(host(number), at, proxy.address.port())
     }
 
-    /// Cuts the last member off from the others: what is open stays silent.
-    fn cut_last_off(&self) {
+    /// Partitions the last member from the others: open connections become silent.
+    fn partition_last(&self) {
         for proxy in &self.around_last {
             proxy.set(Mode::Silent(Way::Both));
         }
     }
 
-    fn join_last_again(&self) {
+    fn reconnect_last(&self) {
         for proxy in &self.around_last {
             proxy.set(Mode::Pass);
         }
     }
 }
 
-/// A gateway that reaches one control member only.
+/// A gateway that reaches only one control member.
 fn gateway_of(own: Ipv4Addr, control: Ipv4Addr, port: u16) -> GatewayNode {
     GatewayNode::start(&node(own, &[control], port), format!("{own}:80"))
 }
 
-/// The version of the first table that a gateway takes.
+/// The version of the first table that a gateway applies.
 async fn first_version(gateway: &GatewayNode) -> u64 {
     let mut fleet = gateway.follow();
     let known = fleet.wait_for(|fleet| fleet.table().is_some());
@@ -256,8 +256,8 @@
     fleet.table().map_or(0, |table| table.version)
 }
 
-/// What the member was told before holds at the gateway; what is put in force while
-/// the member is cut off reaches it through this member only.
+/// The gateway keeps the state that the member sent before. A version that is put in force during
+/// the partition reaches the gateway only through this member.
 #[tokio::test]
 async fn a_control_member_catches_up_after_its_links_fell_silent() {
     let members = Members::start(30).await;
@@ -265,63 +265,69 @@
     put(first, 1).await;
     let gateway = members.gateway_of_last(39);
     until("the first version", || version(&gateway) == 1).await;
-    members.cut_last_off();
+    members.partition_last();
     put(first, 2).await;
-    members.join_last_again();
+    members.reconnect_last();
     until("the second version", || version(&gateway) == 2).await;
 }
 
-/// A control member that is cut off does not know what is in force. A gateway that
-/// starts then and reaches no other one takes nothing, and what is in force later.
+/// A partitioned control member does not know the state in force. A gateway that starts meanwhile
+/// and reaches only this member applies nothing at first, and later the state in force.
 #[tokio::test]
-async fn a_gateway_that_starts_beside_a_member_cut_off_takes_nothing_old() {
+async fn a_gateway_that_starts_beside_a_partitioned_member_applies_no_old_state() {
     let members = Members::start(40).await;
     let (first, _) = &members.control[0];
     let (last, _) = &members.control[2];
     put(first, 1).await;
     assert!(last.document(LIMIT).await.is_ok());
-    members.cut_last_off();
+    members.partition_last();
     put(first, 2).await;
-    // It cannot be sure any more, and says so.
-    assert_eq!(last.document(CUT_FOR).await, Err(Unavailable));
+    // The member cannot be sure any more and reports that.
+    assert_eq!(last.document(PARTITION_TIME).await, Err(Unavailable));
     let gateway = members.gateway_of_last(49);
-    let first_taken = first_version(&gateway);
-    let joined_again = async {
-        sleep(CUT_FOR).await;
-        members.join_last_again();
+    let first_applied = first_version(&gateway);
+    let reconnected = async {
+        sleep(PARTITION_TIME).await;
+        members.reconnect_last();
     };
-    let (taken, ()) = tokio::join!(first_taken, joined_again);
-    assert_eq!(taken, 2);
+    let (applied, ()) = tokio::join!(first_applied, reconnected);
+    assert_eq!(applied, 2);
 }
 
-/// A member that is cut off believes that an evacuation is held which was taken back. It
-/// acknowledges no repeat of it, and once it is joined again an order is given upon what
-/// is in force then.
+/// A partitioned member assumes that an evacuation is in force which was taken back. It
+/// acknowledges no repeat of the order. After the partition a new order is based on the state then
+/// in force.
 #[tokio::test]
-async fn a_member_cut_off_acknowledges_no_evacuation_that_was_taken_back() {
+async fn a_partitioned_member_acknowledges_no_evacuation_that_was_taken_back() {
     let members = Members::start(180).await;
     let (first, _) = &members.control[0];
     let (last, _) = &members.control[2];
     put(first, 1).await;
-    let held = last.evacuate_zone(ZONE, LIMIT).await;
-    assert!(matches!(held, Ok(ZoneOrderOutcome::Held(_))), "{held:?}");
-    members.cut_last_off();
+    let accepted = last.evacuate_zone(ZONE, LIMIT).await;
+    assert!(
+        matches!(accepted, Ok(ZoneOrderOutcome::Held(_))),
+        "{accepted:?}"
+    );
+    members.partition_last();
     let restored = first.restore_zone(ZONE, LIMIT).await;
     assert!(
         matches!(restored, Ok(ZoneOrderOutcome::Held(_))),
         "{restored:?}"
     );
-    assert_eq!(last.evacuate_zone(ZONE, CUT_FOR).await, Err(Unavailable));
-    members.join_last_again();
+    assert_eq!(
+        last.evacuate_zone(ZONE, PARTITION_TIME).await,
+        Err(Unavailable)
+    );
+    members.reconnect_last();
     let again = last.evacuate_zone(ZONE, LIMIT).await;
     assert!(matches!(again, Ok(ZoneOrderOutcome::Held(_))), "{again:?}");
-    assert_ne!(again, held);
+    assert_ne!(again, accepted);
 }
 
-/// A control member with an empty disk learns all that was ever in force, in order.
-/// A gateway that starts beside it takes the last of it only.
+/// A control member with an empty disk receives all earlier versions in order. A gateway that
+/// starts next to it applies only the last one.
 #[tokio::test]
-async fn a_gateway_that_starts_beside_a_member_that_catches_up_takes_nothing_old() {
+async fn a_gateway_that_starts_beside_a_member_that_catches_up_applies_no_old_state() {
     const VERSIONS: u64 = 60;
     const DOCUMENT_BYTES: usize = 300 * 1024;
     let (seed, joining) = (host(50), host(51));
@@ -329,10 +335,10 @@
     let (control, _folder) = start_control(node(seed, &[seed], port)).await;
     for version in 1..=VERSIONS {
         let document = vec![0; DOCUMENT_BYTES];
-        let held = control
+        let accepted = control
             .put_configuration(configuration(version), document, LIMIT)
             .await;
-        assert_eq!(held, Ok(version));
+        assert_eq!(accepted, Ok(version));
     }
     let settings = NodeSettings {
         bootstrap: false,
@@ -346,8 +352,8 @@
     assert_eq!(first_version(&gateway).await, VERSIONS);
 }
 
-/// All control machines that a gateway knows are gone for good and others have taken
-/// their place, as its settings say by now.
+/// All control machines that a gateway knows are permanently lost and replaced by others, which the
+/// gateway's changed settings name.
 #[tokio::test]
 async fn a_gateway_finds_control_by_seeds_that_were_changed_while_it_ran() {
     const NEWEST: u64 = 9;
@@ -365,7 +371,7 @@
     until("the first version", || version(&gateway) == 1).await;
     proxy.set(Mode::Silent(Way::Both));
     let (second, _other_folder) = start_control(node(new, &[new], own_port)).await;
-    // Its log is longer than that of those whose place it takes.
+    // The log of the new group is longer than that of the group it replaces.
     for version in 2..=NEWEST {
         put(&second, version).await;
     }
--- a/crates/cluster/tests/all/support.rs
+++ b/crates/cluster/tests/all/support.rs
@@ -13,7 +13,7 @@
 use tempfile::TempDir;
 use tokio::time::sleep;
 
-/// Longest wait for anything that is to happen.
+/// Time limit for anything that a test waits for.
 pub(crate) const LIMIT: Duration = Duration::from_secs(20);
 
 /// An address of this test process, so that tests never share a port.
@@ -27,7 +27,7 @@
     )
 }
 
-/// A port that is free at an address now.
+/// A port that is currently free at an address.
 pub(crate) fn free_port(address: Ipv4Addr) -> u16 {
     let free = std::net::TcpListener::bind(SocketAddrV4::new(address, 0)).expect("a port");
     free.local_addr().expect("an address").port()
@@ -60,7 +60,7 @@
     }
 }
 
-/// A running control member with a folder of its own.
+/// A running control member with its own folder.
 pub(crate) async fn start_control(node: NodeSettings) -> (ControlNode, TempDir) {
     let folder = tempfile::tempdir().expect("a folder");
     let settings = ControlSettings {
@@ -92,7 +92,7 @@
     }
 }
 
-/// A caller of the only zone.
+/// A query of a caller in the only zone.
 pub(crate) fn question() -> DirectoryQuery<'static> {
     DirectoryQuery {
         host: "desk.example",
@@ -102,7 +102,7 @@
     }
 }
 
-/// Waits until something holds.
+/// Waits until a condition holds.
 pub(crate) async fn until(what: &str, mut holds: impl FnMut() -> bool) {
     let waiting = async {
         while !holds() {
@@ -110,6 +110,6 @@
         }
     };
     if tokio::time::timeout(LIMIT, waiting).await.is_err() {
-        panic!("not in time: {what}");
+        panic!("time-out waiting for: {what}");
     }
 }
