--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -172,8 +172,8 @@
         if self.has_older_member()
             && let Err(report) = command.to_stored_in(format)
         {
-            warn!(self.logger, "configuration cannot be stored in the current format"; "stored_format" => format.number(),
-                "cause" => format!("{report:?}"));
+            warn!(self.logger, "configuration cannot be stored in the current format";
+                "stored_format" => format.number(), "cause" => format!("{report:?}"));
             return Err(Unavailable);
         }
         match self.propose(command, limit).await? {
@@ -227,13 +227,13 @@
 
     /// Addresses of ready gateways near a caller.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, query: &DirectoryQuery<'_>) -> Vec<String> {
         let view = self.view();
         let table = view.registry.table();
-        let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
+        let homes = table.and_then(|table| table.host_homes(query.host, &self.zones));
         let presence = self.shared.presence.lock();
         let gateways = presence.gateways();
-        gateways.near(question, homes.as_ref(), self.clock.now_ms())
+        gateways.near(query, homes.as_ref(), self.clock.now_ms())
     }
 
     /// Requests that a store machine be emptied.
@@ -245,7 +245,7 @@
         name: &str,
         limit: Duration,
     ) -> Result<RetireState, Unavailable> {
-        let (machine, staying) = {
+        let (machine, remaining) = {
             let presence = self.shared.presence.lock();
             let stores = presence.stores(self.clock.now_ms());
             let Some(store) = stores.iter().find(|store| store.name == name) else {
@@ -254,11 +254,11 @@
             let machine = store.machine;
             let view = self.view();
             let retiring = &view.registry.store().retiring;
-            let stays = |other: &MachineId| *other != machine && !retiring.contains(other);
+            let remains = |other: &MachineId| *other != machine && !retiring.contains(other);
             let machines = stores.iter().map(|store| store.machine);
-            (machine, machines.filter(stays).count())
+            (machine, machines.filter(remains).count())
         };
-        if staying < self.store_voters {
+        if remaining < self.store_voters {
             return Ok(RetireState::TooFew);
         }
         self.propose(RegistryCommand::RetireStore(machine), limit)
@@ -345,8 +345,8 @@
             }
             NodeMessage::Hello(hello) => {
                 if let (NodeRole::Control, Some(member)) = (hello.role, hello.member) {
-                    let speaks = common_format(hello.newest_format);
-                    self.handle.present(member, speaks).await;
+                    let supported = common_format(hello.newest_format);
+                    self.handle.present(member, supported).await;
                 }
                 let now_ms = self.clock.now_ms();
                 if self.shared.presence.lock().record(hello, now_ms) {
--- a/crates/cluster/src/coordinators.rs
+++ b/crates/cluster/src/coordinators.rs
@@ -8,7 +8,7 @@
 
 /// A coordinating gateway that became silent while its connection did not end may be partitioned
 /// and still running for this long, in milliseconds. A partition lasts seconds.
-const CUT_OFF_MS: u64 = 10_000;
+const PARTITION_LIMIT_MS: u64 = 10_000;
 /// A stopped gateway is removed from the registry's record after this time, in milliseconds: a
 /// gateway that is restarted at the same machine is back by then and costs no commit.
 const STOPPED_RETENTION_MS: u64 = 2_000;
@@ -40,7 +40,9 @@
         self.prune_expired(now_ms);
         self.stopped.remove(&machine);
         let before = self.last_contact.insert(machine, now_ms);
-        before.is_none_or(|last_contact_ms| now_ms.saturating_sub(last_contact_ms) > CUT_OFF_MS)
+        before.is_none_or(|last_contact_ms| {
+            now_ms.saturating_sub(last_contact_ms) > PARTITION_LIMIT_MS
+        })
     }
 
     /// Records that a gateway no longer coordinates; true if it did before.
@@ -48,13 +50,16 @@
         self.prune_expired(now_ms);
         self.stopped.entry(machine).or_insert(now_ms);
         let before = self.last_contact.remove(&machine);
-        before.is_some_and(|last_contact_ms| now_ms.saturating_sub(last_contact_ms) <= CUT_OFF_MS)
+        before.is_some_and(|last_contact_ms| {
+            now_ms.saturating_sub(last_contact_ms) <= PARTITION_LIMIT_MS
+        })
     }
 
     /// Gateways that stopped recently.
     pub(crate) fn stopped(&self, now_ms: u64) -> BTreeSet<MachineId> {
         let stopped = self.stopped.iter();
-        let recent = stopped.filter(|(_, at_ms)| now_ms.saturating_sub(**at_ms) <= CUT_OFF_MS);
+        let recent =
+            stopped.filter(|(_, at_ms)| now_ms.saturating_sub(**at_ms) <= PARTITION_LIMIT_MS);
         recent.map(|(machine, _)| *machine).collect()
     }
 
@@ -80,7 +85,7 @@
         let all = last_contact.chain(known.machines());
         all.filter(|machine| !present.contains(machine))
             .filter(|machine| !self.stopped.contains_key(machine))
-            .filter(|machine| self.silent_ms(*machine, now_ms) <= CUT_OFF_MS)
+            .filter(|machine| self.silent_ms(*machine, now_ms) <= PARTITION_LIMIT_MS)
             .collect()
     }
 
@@ -104,7 +109,7 @@
     fn has_departed(&self, machine: MachineId, now_ms: u64) -> bool {
         match self.stopped.get(&machine) {
             Some(stopped_ms) => now_ms.saturating_sub(*stopped_ms) > STOPPED_RETENTION_MS,
-            None => self.silent_ms(machine, now_ms) > CUT_OFF_MS,
+            None => self.silent_ms(machine, now_ms) > PARTITION_LIMIT_MS,
         }
     }
 
@@ -120,7 +125,7 @@
             return;
         }
         self.last_prune_ms = now_ms;
-        let is_recent = |at_ms: &u64| now_ms.saturating_sub(*at_ms) <= CUT_OFF_MS;
+        let is_recent = |at_ms: &u64| now_ms.saturating_sub(*at_ms) <= PARTITION_LIMIT_MS;
         self.last_contact.retain(|_, at_ms| is_recent(at_ms));
         self.stopped.retain(|_, at_ms| is_recent(at_ms));
     }
--- a/crates/cluster/src/driver/formats.rs
+++ b/crates/cluster/src/driver/formats.rs
@@ -37,8 +37,8 @@
             return;
         };
         let stored = self.member.state().format();
-        let link_format = self.link_formats_of_others();
-        let Some(raised) = self.stored_format.raise(stored, link_format.into_iter()) else {
+        let link_formats = self.link_formats_of_others();
+        let Some(raised) = self.stored_format.raise(stored, link_formats.into_iter()) else {
             return;
         };
         info!(self.logger, "stored format raised"; "format" => raised.number(),
@@ -58,11 +58,11 @@
             return true;
         }
         let stored = self.member.state().format();
-        let link_format = self.link_formats_of_others();
+        let link_formats = self.link_formats_of_others();
         self.stored_format.is_settled(
             stored,
             self.member.is_current(),
-            link_format.into_iter(),
+            link_formats.into_iter(),
             now_ms,
         )
     }
--- a/crates/cluster/src/first_format.rs
+++ b/crates/cluster/src/first_format.rs
@@ -226,8 +226,8 @@
         Ok(match call {
             RegistryCall::Propose(command) => FirstRegistryCall::Propose(command.try_into()?),
             RegistryCall::Document => FirstRegistryCall::Document,
-            RegistryCall::ReplicasAlive(starts) => {
-                let ids = starts
+            RegistryCall::ReplicasAlive(incarnations) => {
+                let ids = incarnations
                     .iter()
                     .map(|key| parse_incarnation_key(key).0.to_owned());
                 FirstRegistryCall::ReplicasAlive(ids.collect())
--- a/crates/cluster/src/gateway/fleet_updater.rs
+++ b/crates/cluster/src/gateway/fleet_updater.rs
@@ -98,7 +98,7 @@
             self.update_coordinators();
         }
         if let Some(update) = heartbeat.update {
-            self.take_update(from, update);
+            self.apply_update(from, update);
         }
         if heartbeat
             .current
@@ -118,7 +118,7 @@
         }
     }
 
-    fn take_update(&mut self, from: MachineId, update: FleetUpdate) {
+    fn apply_update(&mut self, from: MachineId, update: FleetUpdate) {
         if self.fleet.apply(update) {
             let up_to_index = self.fleet.up_to_index();
             self.gateway
@@ -169,8 +169,8 @@
         }
         let version = self.fleet.table().map(|table| table.version);
         if is_behind {
-            warn!(self.logger, "no reachable control member knows the state in force"; "age_ms" => age_ms,
-                "upto" => self.fleet.up_to_index().0, "version" => version);
+            warn!(self.logger, "no reachable control member knows the state in force";
+                "age_ms" => age_ms, "upto" => self.fleet.up_to_index().0, "version" => version);
         } else {
             info!(self.logger, "state in force is known again"; "age_ms" => age_ms,
                 "upto" => self.fleet.up_to_index().0, "version" => version);
@@ -198,7 +198,7 @@
             "from" => address_of(from).to_string());
     }
 
-    fn record_named(&self, reported: &[PlacedGateway]) {
+    fn record_gateways(&self, reported: &[PlacedGateway]) {
         let silent = self.gateway.reported.lock().silent_coordinators();
         let now_ms = self.gateway.clock.now_ms();
         let mut recent_gateways = self.gateway.recent_gateways.lock();
@@ -215,7 +215,7 @@
 
     fn update_coordinators(&self) {
         let reported = self.gateway.reported.lock().coordinators();
-        self.record_named(&reported);
+        self.record_gateways(&reported);
         let mut placed = self.gateway.placed.lock();
         if Arc::ptr_eq(&placed, &reported) {
             return;
@@ -241,12 +241,12 @@
         let last_contact_ms = reported.control_last_contact_ms();
         drop(reported);
         let links = &self.gateway.links;
-        let speaks_first = |machine| links.format_with(machine) == Some(Format::First);
+        let uses_first_format = |machine| links.format_with(machine) == Some(Format::First);
         let known = KnownMembers {
             machines: &machines,
             places: &places,
             last_contact_ms: &last_contact_ms,
-            without_relay: machines.iter().any(|machine| speaks_first(*machine)),
+            without_relay: machines.iter().any(|machine| uses_first_format(*machine)),
         };
         let choice = self
             .linked
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -207,7 +207,7 @@
             .recent_gateways
             .lock()
             .get(&to)
-            .and_then(|recent_gateways| recent_gateways.format);
+            .and_then(|gateway| gateway.format);
         match known {
             Some(format) => vec![format.min(newest)],
             None if newest > Format::OLDEST && message.loses_in(Format::OLDEST) => {
@@ -226,12 +226,12 @@
     /// Addresses of ready gateways near a caller. While control is unreachable, the addresses from
     /// its last report.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, query: &DirectoryQuery<'_>) -> Vec<String> {
         let fleet = self.fleet();
         let table = fleet.table();
-        let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
+        let homes = table.and_then(|table| table.host_homes(query.host, &self.zones));
         let known = self.reported.lock().gateways();
-        near(&known, question, homes.as_ref())
+        near(&known, query, homes.as_ref())
     }
 
     /// Time since the last contact with any control member, in milliseconds: the state in force
@@ -372,7 +372,8 @@
     match Datagrams::bind(address, settings.identity.clone()) {
         Ok(datagrams) => Some(datagrams),
         Err(report) => {
-            error!(settings.logger, "datagram socket not available"; "cause" => format!("{report:?}"));
+            error!(settings.logger, "datagram socket not available";
+                "cause" => format!("{report:?}"));
             None
         }
     }
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -126,7 +126,8 @@
         },
         inbox,
     };
-    info!(logger, "node connected"; "node" => &peer.hello.name, "upto" => peer.hello.up_to_index.0,
+    info!(logger, "node connected"; "node" => &peer.hello.name,
+        "upto" => peer.hello.up_to_index.0,
         "format" => format.number(), "newest_format" => peer.hello.newest_format,
         "build" => &peer.hello.build);
     let end = peer.run(&mut receiver, heartbeats).await;
@@ -214,7 +215,8 @@
                     let now = Instant::now();
                     heartbeats.changes.mark_unchanged();
                     has_changed = false;
-                    let is_due = last_sent.is_none_or(|last_sent| now >= last_sent + HEARTBEAT_INTERVAL);
+                    let is_due =
+                        last_sent.is_none_or(|last_sent| now >= last_sent + HEARTBEAT_INTERVAL);
                     match self.send_heartbeat(&heartbeats, is_due) {
                         Ok(true) => last_sent = Some(now),
                         Ok(false) => {}
--- a/crates/cluster/src/message.rs
+++ b/crates/cluster/src/message.rs
@@ -177,11 +177,11 @@
 impl ControlHeartbeat {
     /// Whether the heartbeat contains only how far its sender knows the registry.
     pub(crate) fn is_empty(&self) -> bool {
-        let quiet = ControlHeartbeat {
+        let empty = ControlHeartbeat {
             current: self.current,
             ..ControlHeartbeat::default()
         };
-        *self == quiet
+        *self == empty
     }
 }
 
@@ -230,9 +230,11 @@
 /// # Errors
 /// `MalformedRequest` or `Corrupted` if the bytes are no such frame.
 pub fn rewrite_node_frame(bytes: &[u8]) -> Result<Vec<u8>, Report<ErrorKind>> {
-    let cut =
+    let too_short =
         || Report::new(ErrorKind::MalformedRequest).attach("frame is shorter than its header");
-    let (header, payload) = bytes.split_first_chunk::<HEADER_BYTES>().ok_or_else(cut)?;
+    let (header, payload) = bytes
+        .split_first_chunk::<HEADER_BYTES>()
+        .ok_or_else(too_short)?;
     let header = frame::read_header(header)?;
     let format = header.format;
     NodeMessage::from_payload(&header, payload)?.to_frame(format)
--- a/crates/cluster/src/process_pause.rs
+++ b/crates/cluster/src/process_pause.rs
@@ -18,7 +18,8 @@
 const PAUSE_THRESHOLD: Duration = Duration::from_secs(1);
 /// On a link that outlived a short pause, messages read this long after the pause were sent after
 /// it: the backlog of the link is read within milliseconds. Links don't outlive a pause of
-/// [`LINK_SILENCE_LIMIT`] or more; messages read from such a link are old at any time.
+/// [`LINK_SILENCE_LIMIT`] or more; messages read from such a link are old, however late they
+/// are read.
 const BACKLOG_READ_LIMIT: Duration = Duration::from_millis(150);
 /// The longest wait for an update. After this time control counts as lost, and the process
 /// continues with the last known state, like any partitioned process.
@@ -38,7 +39,7 @@
     /// Total time of all pauses since the start.
     total: Duration,
     /// End of the last pause; `None` once an update has arrived since.
-    woke_at: Option<Instant>,
+    resumed_at: Option<Instant>,
     /// Whether a pause was too long for any link to outlive it.
     lost_links: bool,
 }
@@ -49,7 +50,7 @@
         let state = Mutex::new(State {
             last_run,
             total: Duration::ZERO,
-            woke_at: None,
+            resumed_at: None,
             lost_links: false,
         });
         let updates = watch::channel(()).0;
@@ -69,7 +70,7 @@
         }
         state.total += pause;
         // Two pauses without an update between them count together: an update must follow both.
-        let waited = state.woke_at.replace(now).is_some();
+        let waited = state.resumed_at.replace(now).is_some();
         state.lost_links = pause >= LINK_SILENCE_LIMIT || (waited && state.lost_links);
         Some(pause)
     }
@@ -83,11 +84,11 @@
     pub(crate) fn record_update(&self, link_opened: Instant) {
         let mut state = self.state.lock();
         let has_read_backlog =
-            |woke_at: Instant| !state.lost_links && woke_at.elapsed() >= BACKLOG_READ_LIMIT;
+            |resumed_at: Instant| !state.lost_links && resumed_at.elapsed() >= BACKLOG_READ_LIMIT;
         let is_new = state
-            .woke_at
-            .is_none_or(|woke_at| link_opened >= woke_at || has_read_backlog(woke_at));
-        if is_new && state.woke_at.take().is_some() {
+            .resumed_at
+            .is_none_or(|resumed_at| link_opened >= resumed_at || has_read_backlog(resumed_at));
+        if is_new && state.resumed_at.take().is_some() {
             self.updates.send_replace(());
         }
     }
@@ -100,8 +101,8 @@
     /// The remaining time to wait for an update; `None` if no update is pending or the time is
     /// over.
     pub(crate) fn remaining_update_wait(&self) -> Option<Duration> {
-        let woke_at = self.state.lock().woke_at?;
-        let remaining = UPDATE_WAIT_LIMIT.saturating_sub(woke_at.elapsed());
+        let resumed_at = self.state.lock().resumed_at?;
+        let remaining = UPDATE_WAIT_LIMIT.saturating_sub(resumed_at.elapsed());
         (!remaining.is_zero()).then_some(remaining)
     }
 }
--- a/crates/cluster/src/registry_service.rs
+++ b/crates/cluster/src/registry_service.rs
@@ -221,8 +221,8 @@
             }
             RegistryCall::Propose(command) => self.begin_proposal(command, now),
             RegistryCall::ReplicasAlive(replicas) => {
-                for start in replicas {
-                    self.liveness.record_contact(start, now.steady_ms);
+                for incarnation in replicas {
+                    self.liveness.record_contact(incarnation, now.steady_ms);
                 }
                 Begin::Reply(RegistryReply::Recorded)
             }
--- a/crates/cluster/src/relayed_presence.rs
+++ b/crates/cluster/src/relayed_presence.rs
@@ -34,14 +34,14 @@
         stopped: Option<SetChange<MachineId>>,
         now_ms: u64,
     ) -> bool {
-        let reports = self.by_member.entry(member).or_default();
-        reports.at_ms = now_ms;
+        let report = self.by_member.entry(member).or_default();
+        report.at_ms = now_ms;
         let is_change = reachable.is_some() || stopped.is_some();
         if let Some(change) = reachable {
-            change.apply_to_map(&mut reports.reachable, |gateway| gateway.machine);
+            change.apply_to_map(&mut report.reachable, |gateway| gateway.machine);
         }
         if let Some(change) = stopped {
-            change.apply_to(&mut reports.stopped);
+            change.apply_to(&mut report.stopped);
         }
         is_change
     }
@@ -51,24 +51,24 @@
         &self,
         member: MachineId,
     ) -> impl Iterator<Item = &ReachableGateway> {
-        let reports = self.by_member.get(&member).into_iter();
-        reports.flat_map(|reports| reports.reachable.values())
+        let report = self.by_member.get(&member).into_iter();
+        report.flat_map(|report| report.reachable.values())
     }
 
     /// Gateways that stopped according to a member and that no member can reach.
     pub(crate) fn stopped_reported_by(&self, member: MachineId, now_ms: u64) -> Vec<MachineId> {
-        let reports = self.by_member.get(&member).into_iter();
-        let stopped = reports.flat_map(|reports| &reports.stopped).copied();
+        let report = self.by_member.get(&member).into_iter();
+        let stopped = report.flat_map(|report| &report.stopped).copied();
         stopped
             .filter(|machine| !self.is_reachable(*machine, now_ms))
             .collect()
     }
 
     fn is_reachable(&self, machine: MachineId, now_ms: u64) -> bool {
-        let mut reports = self.by_member.values();
-        reports.any(|reports| {
-            now_ms.saturating_sub(reports.at_ms) <= READY_TTL_MS
-                && reports.reachable.contains_key(&machine)
+        let mut report = self.by_member.values();
+        report.any(|report| {
+            now_ms.saturating_sub(report.at_ms) <= READY_TTL_MS
+                && report.reachable.contains_key(&machine)
         })
     }
 }
--- a/crates/cluster/src/replica_heartbeats.rs
+++ b/crates/cluster/src/replica_heartbeats.rs
@@ -78,7 +78,8 @@
         let command = RegistryCommand::RemoveReplica(key);
         match self.propose(command, limit).await? {
             RegistryAnswer::OtherIncarnation => {
-                info!(self.logger, "removal of a replica refused: another incarnation is in force"; "replica" => id);
+                info!(self.logger, "removal of a replica refused: another incarnation is in force";
+                    "replica" => id);
                 Err(Unavailable)
             }
             _ => Ok(()),
@@ -97,10 +98,12 @@
         let (logger, stored_key) = (&self.logger, stored.incarnation_key());
         match change.incarnation.cmp(&stored.incarnation) {
             Ordering::Greater => {
-                info!(logger, "new incarnation of a replica"; "replica" => key, "held" => stored_key);
+                info!(logger, "new incarnation of a replica";
+                    "replica" => key, "held" => stored_key);
             }
             Ordering::Less => {
-                info!(logger, "heartbeat of an earlier incarnation"; "replica" => key, "held" => stored_key);
+                info!(logger, "heartbeat of an earlier incarnation";
+                    "replica" => key, "held" => stored_key);
             }
             Ordering::Equal => {}
         }
--- a/crates/cluster/src/replica_liveness.rs
+++ b/crates/cluster/src/replica_liveness.rs
@@ -39,9 +39,9 @@
 
 impl ReplicaLiveness {
     /// Records contact with an incarnation of a replica.
-    pub(crate) fn record_contact(&mut self, start: &str, now_ms: u64) {
+    pub(crate) fn record_contact(&mut self, incarnation: &str, now_ms: u64) {
         // An incarnation that is not stored yet gets its first contact time when it is stored.
-        if let Some(last_contact_ms) = self.last_contact.get_mut(start) {
+        if let Some(last_contact_ms) = self.last_contact.get_mut(incarnation) {
             *last_contact_ms = now_ms;
         }
     }
@@ -61,10 +61,10 @@
 
     fn apply_changes(&mut self, registry: &Registry, now_ms: u64) {
         let last_registry = std::mem::replace(&mut self.last_registry, registry.clone());
-        let is_held = |record: &&ReplicaRecord| record.reported.state != ReplicaState::Ended;
+        let is_not_ended = |record: &&ReplicaRecord| record.reported.state != ReplicaState::Ended;
         for difference in registry.differences(&last_registry) {
-            let before = difference.before.filter(is_held);
-            let now = difference.now.filter(is_held);
+            let before = difference.before.filter(is_not_ended);
+            let now = difference.now.filter(is_not_ended);
             let key = now.map(|now| now.reported.incarnation_key());
             if let Some(before) = before.map(|before| before.reported.incarnation_key())
                 && key.as_ref() != Some(&before)
@@ -112,7 +112,7 @@
     /// Determines which of two incarnations at one address is running, if no request has shown it:
     /// the one with recent contact.
     fn resolve_addresses(&self, registry: &Registry, now_ms: u64) -> Vec<RegistryCommand> {
-        let mut settled = Vec::new();
+        let mut resolved = Vec::new();
         for displaced in registry.displaced_replicas() {
             let others = registry.at_address(&displaced.reported.address);
             let mut others = others.iter().filter_map(|id| registry.replica(id));
@@ -120,18 +120,22 @@
             let other = other.map(|other| other.reported.incarnation_key());
             let displaced = displaced.reported.incarnation_key();
             if self.is_silent(&displaced, now_ms) {
-                settled.push(RegistryCommand::RemoveReplica(displaced));
+                resolved.push(RegistryCommand::RemoveReplica(displaced));
             } else if let Some(other) = other
                 && self.is_silent(&other, now_ms)
             {
-                settled.push(RegistryCommand::NotAtAddress(other));
+                resolved.push(RegistryCommand::NotAtAddress(other));
             }
         }
-        settled
+        resolved
     }
 
-    fn is_silent(&self, start: &str, now_ms: u64) -> bool {
-        let last_contact_ms = self.last_contact.get(start).copied().unwrap_or(now_ms);
+    fn is_silent(&self, incarnation: &str, now_ms: u64) -> bool {
+        let last_contact_ms = self
+            .last_contact
+            .get(incarnation)
+            .copied()
+            .unwrap_or(now_ms);
         now_ms.saturating_sub(last_contact_ms) > DISPLACED_SILENCE_MS
     }
 
@@ -157,10 +161,10 @@
     }
 }
 
-fn is_live(registry: &Registry, start: &str) -> bool {
-    let (id, _) = linnethitch_registry::parse_incarnation_key(start);
+fn is_live(registry: &Registry, incarnation: &str) -> bool {
+    let (id, _) = linnethitch_registry::parse_incarnation_key(incarnation);
     let record = registry.replica(id);
     record.is_some_and(|record| {
-        record.reported.state.is_live() && record.reported.is_of_incarnation(start)
+        record.reported.state.is_live() && record.reported.is_of_incarnation(incarnation)
     })
 }
--- a/crates/cluster/src/reported_fleet.rs
+++ b/crates/cluster/src/reported_fleet.rs
@@ -61,8 +61,8 @@
         heartbeat: &mut ControlHeartbeat,
         now_ms: u64,
     ) -> bool {
-        let reported = self.by_control.entry(from).or_default();
-        reported.at_ms = now_ms;
+        let report = self.by_control.entry(from).or_default();
+        report.at_ms = now_ms;
         let has_gateways = heartbeat.gateways.is_some()
             || heartbeat.coordinators.is_some()
             || heartbeat.silent_coordinators.is_some();
@@ -70,32 +70,32 @@
             self.merged.senders.clear();
         }
         if let Some(change) = heartbeat.control.take() {
-            change.apply_to(&mut reported.control);
+            change.apply_to(&mut report.control);
         }
         if let Some(change) = heartbeat.stores.take() {
-            change.apply_to(&mut reported.stores);
+            change.apply_to(&mut report.stores);
         }
         if let Some(change) = heartbeat.store_members.take() {
-            change.apply_to(&mut reported.store_members);
+            change.apply_to(&mut report.store_members);
         }
         if let Some(change) = heartbeat.gateways.take() {
-            change.apply_to(&mut reported.gateways);
+            change.apply_to(&mut report.gateways);
         }
         if let Some(change) = heartbeat.coordinators.take() {
-            change.apply_to(&mut reported.coordinators);
+            change.apply_to(&mut report.coordinators);
         }
         if let Some(change) = heartbeat.silent_coordinators.take() {
-            change.apply_to(&mut reported.silent_coordinators);
+            change.apply_to(&mut report.silent_coordinators);
         }
         let machines = |placed: &BTreeSet<PlacedMachine>| {
             let machines = placed.iter().map(|placed| placed.machine);
             machines.collect::<BTreeSet<MachineId>>()
         };
-        let new_control = record_named(&mut self.control, &machines(&reported.control), now_ms);
-        let members = machines(&reported.store_members);
-        let new_store = record_named(&mut self.store_members, &members, now_ms);
+        let new_control = record_listed(&mut self.control, &machines(&report.control), now_ms);
+        let members = machines(&report.store_members);
+        let new_store = record_listed(&mut self.store_members, &members, now_ms);
         self.by_control
-            .retain(|_, reported| now_ms.saturating_sub(reported.at_ms) < LINK_EXPIRY_MS);
+            .retain(|_, report| now_ms.saturating_sub(report.at_ms) < LINK_EXPIRY_MS);
         new_control || new_store
     }
 
@@ -112,7 +112,7 @@
     pub(crate) fn control_places(&self) -> BTreeMap<MachineId, Place> {
         places(
             self.recent_reports()
-                .flat_map(|(_, reported)| &reported.control),
+                .flat_map(|(_, report)| &report.control),
         )
     }
 
@@ -120,7 +120,7 @@
     pub(crate) fn control_last_contact_ms(&self) -> BTreeMap<MachineId, u64> {
         let reported = self.by_control.iter();
         reported
-            .map(|(machine, reported)| (*machine, reported.at_ms))
+            .map(|(machine, report)| (*machine, report.at_ms))
             .collect()
     }
 
@@ -133,7 +133,7 @@
     pub(crate) fn store_places(&self) -> BTreeMap<MachineId, Place> {
         places(
             self.recent_reports()
-                .flat_map(|(_, reported)| &reported.store_members),
+                .flat_map(|(_, report)| &report.store_members),
         )
     }
 
@@ -141,7 +141,7 @@
     pub(crate) fn stores(&self) -> BTreeSet<PresentStore> {
         let reported = self.recent_reports();
         reported
-            .flat_map(|(_, reported)| &reported.stores)
+            .flat_map(|(_, report)| &report.stores)
             .cloned()
             .collect()
     }
@@ -173,15 +173,15 @@
     }
 
     fn merge(&mut self, senders: Vec<MachineId>) {
-        let reported = || self.recent_reports().map(|(_, reported)| reported);
+        let reported = || self.recent_reports().map(|(_, report)| report);
         let gateways: BTreeSet<&DirectoryNode> =
-            reported().flat_map(|reported| &reported.gateways).collect();
-        let told_coordinators = reported().flat_map(|reported| &reported.coordinators);
-        let coordinators = best_reported(told_coordinators);
+            reported().flat_map(|report| &report.gateways).collect();
+        let reported_coordinators = reported().flat_map(|report| &report.coordinators);
+        let coordinators = best_reported(reported_coordinators);
         let reachable: BTreeSet<MachineId> =
             coordinators.iter().map(|known| known.machine).collect();
         let silent: BTreeSet<MachineId> = reported()
-            .flat_map(|reported| &reported.silent_coordinators)
+            .flat_map(|report| &report.silent_coordinators)
             .copied()
             .filter(|machine| !reachable.contains(machine))
             .collect();
@@ -210,7 +210,7 @@
 
     fn newest_ms(&self) -> u64 {
         let reported = self.by_control.values();
-        reported.map(|reported| reported.at_ms).max().unwrap_or(0)
+        reported.map(|report| report.at_ms).max().unwrap_or(0)
     }
 
     /// The valid reports and their senders, relative to the newest heartbeat.
@@ -218,23 +218,23 @@
         let valid_from = self.newest_ms().saturating_sub(REPORT_VALID_MS);
         let reported = self.by_control.iter();
         reported
-            .filter(move |(_, reported)| reported.at_ms >= valid_from)
-            .map(|(sender, reported)| (*sender, reported))
+            .filter(move |(_, report)| report.at_ms >= valid_from)
+            .map(|(sender, report)| (*sender, report))
     }
 }
 
 /// Records the machines that were just listed and removes those not listed for [`LINK_EXPIRY_MS`].
 /// True if one of them is new.
-fn record_named(
-    recent_gateways: &mut BTreeMap<MachineId, u64>,
-    now_named: &BTreeSet<MachineId>,
+fn record_listed(
+    listed: &mut BTreeMap<MachineId, u64>,
+    now_listed: &BTreeSet<MachineId>,
     now_ms: u64,
 ) -> bool {
     let mut has_new = false;
-    for machine in now_named {
-        has_new |= recent_gateways.insert(*machine, now_ms).is_none();
+    for machine in now_listed {
+        has_new |= listed.insert(*machine, now_ms).is_none();
     }
-    recent_gateways.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LINK_EXPIRY_MS);
+    listed.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LINK_EXPIRY_MS);
     has_new
 }
 
--- a/crates/cluster/src/results_query.rs
+++ b/crates/cluster/src/results_query.rs
@@ -35,7 +35,7 @@
     }
 
     /// Asks a member that has stored at least this many results for them.
-    pub(crate) fn local(&self, listed: u32) -> StoreCall {
+    pub(crate) fn nearby_call(&self, listed: u32) -> StoreCall {
         StoreCall::ResultsHeld {
             job: self.job.clone(),
             tenant: self.tenant.clone(),
@@ -70,9 +70,9 @@
                 let results = Vec::new();
                 return StoreReply::Results(ResultsPage { total, results });
             }
-            let call = query.local(listed);
-            let local = timeout(NEARBY_READ_TIMEOUT, self.store.ask(member, &call)).await;
-            if let Ok(Ok(StoreReply::Results(page))) = local {
+            let call = query.nearby_call(listed);
+            let nearby = timeout(NEARBY_READ_TIMEOUT, self.store.ask(member, &call)).await;
+            if let Ok(Ok(StoreReply::Results(page))) = nearby {
                 return StoreReply::Results(page);
             }
         }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -273,8 +273,8 @@
             if let Some(member) = store.member
                 && store.machine != own
             {
-                let speaks = common_format(store.newest_format);
-                handle.present(member, speaks).await;
+                let supported = common_format(store.newest_format);
+                handle.present(member, supported).await;
             }
         }
         let retiring: BTreeSet<_> = self.fleet.store().retiring.iter().copied().collect();
--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -89,10 +89,10 @@
         now: Now,
     ) -> Option<Vec<u8>> {
         let is_empty = member.state().is_empty();
-        let part_ms = self
+        let interval_ms = self
             .age_clock
             .interval_before_job(now.steady_ms, is_empty)?;
-        self.age_command(part_ms)
+        self.age_command(interval_ms)
     }
 
     /// Resets the leader's state if this member has just become the leader.
@@ -265,9 +265,9 @@
     fn run_maintenance(&mut self, member: &GroupMember<JobStore>, now: Now) -> Vec<Vec<u8>> {
         self.begin_leading(now);
         let is_empty = member.state().is_empty();
-        let part_ms = self.age_clock.interval_due(now.steady_ms, is_empty);
-        part_ms
-            .and_then(|part_ms| self.age_command(part_ms))
+        let interval_ms = self.age_clock.interval_due(now.steady_ms, is_empty);
+        interval_ms
+            .and_then(|interval_ms| self.age_command(interval_ms))
             .into_iter()
             .collect()
     }
--- a/crates/cluster/tests/all/gateways.rs
+++ b/crates/cluster/tests/all/gateways.rs
@@ -4,7 +4,7 @@
 use linnethitch_protocol::slots::{GatewayDatagram, RunOutcome};
 use prometheus_client::{encoding::text::encode, registry::Registry};
 
-use crate::support::{LIMIT, free_port, host, node, question, start_control, until};
+use crate::support::{LIMIT, free_port, host, node, query, start_control, until};
 
 /// A control member and two gateways that learn of each other from it.
 struct Fleet {
@@ -35,7 +35,7 @@
 async fn a_gateway_learns_who_becomes_ready_and_who_no_longer_is() {
     let fleet = Fleet::start(10).await;
     let [first, second] = &fleet.gateways;
-    let near = || first.gateways_near(&question());
+    let near = || first.gateways_near(&query());
     first.set_ready(true);
     second.set_ready(true);
     until("both are ready", || near().len() == 2).await;
@@ -66,12 +66,12 @@
     let received = tokio::time::timeout(LIMIT, receiver.receive()).await;
     let (from, received) = received.expect("in time").expect("the socket works");
     assert_eq!((*from.ip(), received), (host(1), message));
-    let mut figures = Registry::default();
+    let mut metrics = Registry::default();
     first
         .datagram_bytes()
-        .register(&mut figures, "datagram_bytes");
+        .register(&mut metrics, "datagram_bytes");
     let mut text = String::new();
-    encode(&mut text, &figures).expect("writing to a string succeeds");
+    encode(&mut text, &metrics).expect("writing to a string succeeds");
     let zone = "datagram_bytes_total{peer_zone=\"zone\"} ";
     let bytes = text.lines().find_map(|line| line.strip_prefix(zone));
     let bytes: u64 = bytes.expect(&text).parse().expect("a number");
--- a/crates/cluster/tests/all/known_gateways.rs
+++ b/crates/cluster/tests/all/known_gateways.rs
@@ -174,17 +174,17 @@
     fleet.put_and_apply(2).await;
     assert_eq!(fleet.near.coordinators().len(), 1);
     assert_eq!(fleet.near.silent_coordinators().len(), 1);
-    let figures = fleet.process.control.metrics_text();
-    let has_line = |line: &str| figures.lines().any(|sent| sent == line);
+    let metrics = fleet.process.control.metrics_text();
+    let has_line = |line: &str| metrics.lines().any(|sent| sent == line);
     assert!(
         has_line("linnethitch_control_known_gateways 2"),
-        "{figures}"
+        "{metrics}"
     );
     assert!(
         has_line("linnethitch_control_silent_gateways 1"),
-        "{figures}"
+        "{metrics}"
     );
-    assert_eq!(figures.matches("# EOF").count(), 1, "{figures}");
+    assert_eq!(metrics.matches("# EOF").count(), 1, "{metrics}");
 }
 
 /// A gateway that control cannot reach receives updates only by datagrams. Guards against sending
--- a/crates/cluster/tests/all/links.rs
+++ b/crates/cluster/tests/all/links.rs
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use tempfile::TempDir;
 
-use crate::support::{LIMIT, configuration, free_port, host, node, question, start_control, until};
+use crate::support::{LIMIT, configuration, free_port, host, node, query, start_control, until};
 
 /// Maximum number of links within the budget of a node: four messages a second for each link, 2 KB
 /// a second in total.
@@ -48,7 +48,7 @@
 
     fn all_list(&self, gateways: usize) -> bool {
         let mut members = self.members.iter();
-        members.all(|(control, _)| control.gateways_near(&question()).len() == gateways)
+        members.all(|(control, _)| control.gateways_near(&query()).len() == gateways)
     }
 
     async fn put(&self, version: u64) {
--- a/crates/cluster/tests/all/silence.rs
+++ b/crates/cluster/tests/all/silence.rs
@@ -17,7 +17,7 @@
 use tokio::time::sleep;
 
 use crate::support::{
-    LIMIT, ZONE, configuration, free_port, host, node, question, start_control, until,
+    LIMIT, ZONE, configuration, free_port, host, node, query, start_control, until,
 };
 
 /// Long enough for a partitioned member to notice that it has no contact with a leader.
@@ -71,7 +71,7 @@
     }
 
     fn is_listed(&self) -> bool {
-        !self.control.gateways_near(&question()).is_empty()
+        !self.control.gateways_near(&query()).is_empty()
     }
 }
 
--- a/crates/cluster/tests/all/support.rs
+++ b/crates/cluster/tests/all/support.rs
@@ -93,7 +93,7 @@
 }
 
 /// A query of a caller in the only zone.
-pub(crate) fn question() -> DirectoryQuery<'static> {
+pub(crate) fn query() -> DirectoryQuery<'static> {
     DirectoryQuery {
         host: "desk.example",
         region: "region",
