--- a/crates/cluster/src/registry_service.rs
+++ b/crates/cluster/src/registry_service.rs
@@ -128,9 +128,8 @@
     fn expired_suspicions(&mut self, registry: &Registry, now_ms: u64) -> Option<RegistryCommand> {
         let suspicions = registry.suspicions();
         self.suspected.retain(|fingerprint, (changed_at, _)| {
-            let previous = suspicions.get(fingerprint);
-            previous
-                .is_some_and(|previous| previous.is_open() && previous.changed_at == *changed_at)
+            let record = suspicions.get(fingerprint);
+            record.is_some_and(|record| record.is_open() && record.changed_at == *changed_at)
         });
         let mut old = Vec::new();
         for record in suspicions.open() {
@@ -237,9 +236,9 @@
         now: Now,
     ) -> RegistryReply {
         if let RegistryCall::Propose(RegistryCommand::Replica(change)) = call {
-            let previous = change.clone().reduced_to(registry.format());
+            let stored = change.clone().reduced_to(registry.format());
             self.liveness
-                .record_contact(&previous.incarnation_key(), now.steady_ms);
+                .record_contact(&stored.incarnation_key(), now.steady_ms);
         }
         RegistryReply::Answer(answer)
     }
--- a/crates/cluster/src/results_query.rs
+++ b/crates/cluster/src/results_query.rs
@@ -27,7 +27,7 @@
 
 impl ResultsQuery {
     /// Asks the leader for the number of results.
-    pub(crate) fn listed(&self) -> StoreCall {
+    pub(crate) fn count_call(&self) -> StoreCall {
         StoreCall::Listed {
             job: self.job.clone(),
             tenant: self.tenant.clone(),
@@ -46,7 +46,7 @@
     }
 
     /// Asks the leader for the results.
-    pub(crate) fn from_leader(self) -> StoreCall {
+    pub(crate) fn leader_call(self) -> StoreCall {
         StoreCall::Results {
             job: self.job,
             tenant: self.tenant,
@@ -62,7 +62,7 @@
     pub async fn results(&self, query: ResultsQuery, limit: Duration) -> StoreReply {
         let deadline = Instant::now() + limit;
         if let Some(member) = self.nearer_member() {
-            let listed = self.call_store(query.listed(), limit).await;
+            let listed = self.call_store(query.count_call(), limit).await;
             let StoreReply::Listed { total, listed } = listed else {
                 return listed;
             };
@@ -77,7 +77,7 @@
             }
         }
         let remaining = deadline.saturating_duration_since(Instant::now());
-        self.call_store(query.from_leader(), remaining).await
+        self.call_store(query.leader_call(), remaining).await
     }
 
     /// The nearest member of the job store that is nearer than the leader.
--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -282,9 +282,9 @@
             self.age_clock.stop();
         }
         let group_view = local_group_view(member);
-        self.group_view.send_if_modified(|stored| {
-            let is_change = *stored != group_view;
-            *stored = group_view;
+        self.group_view.send_if_modified(|current| {
+            let is_change = *current != group_view;
+            *current = group_view;
             is_change
         });
     }
