--- a/crates/cluster/tests/all/incarnations.rs
+++ b/crates/cluster/tests/all/incarnations.rs
@@ -35,14 +35,14 @@
         }
     }
 
-    async fn beat(&self, id: &str, incarnation: u64, sequence: u64, state: ReplicaState) {
-        self.beat_cold(id, incarnation, sequence, state, 0).await;
+    async fn beat(&self, id: &str, number: u64, sequence: u64, state: ReplicaState) {
+        self.beat_cold(id, number, sequence, state, 0).await;
     }
 
     async fn beat_cold(
         &self,
         id: &str,
-        incarnation: u64,
+        number: u64,
         sequence: u64,
         state: ReplicaState,
         cold_ms: u64,
@@ -55,7 +55,7 @@
             slots: 4,
             state,
             sequence,
-            incarnation: incarnation,
+            incarnation: number,
             cold_ms,
         };
         let acknowledged = self.control.heartbeat(change, LIMIT).await;
@@ -68,9 +68,9 @@
         Some((reported.incarnation, reported.state))
     }
 
-    async fn until_stored(&self, incarnation: u64, state: ReplicaState) {
-        let what = format!("incarnation {incarnation} is {state:?}");
-        until(&what, || self.stored() == Some((incarnation, state))).await;
+    async fn until_stored(&self, number: u64, state: ReplicaState) {
+        let what = format!("incarnation {number} is {state:?}");
+        until(&what, || self.stored() == Some((number, state))).await;
     }
 
     /// Waits until the gateway knows everything that was committed by now.
