--- a/crates/cluster/src/client.rs
+++ b/crates/cluster/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls to the leader of a group, wherever it is.
+//! Calls to the current leader of a group.
 
 use std::{collections::BTreeSet, sync::Arc, time::Duration};
 
@@ -9,38 +9,38 @@
 
 use crate::{
     driver::GroupHandle,
-    links::{CallLost, Links},
+    links::{CallFailed, Links},
     message::{CallBody, RegistryCall, RegistryReply, ReplyBody},
 };
 
-/// Longest wait for one machine before another is asked.
-const ATTEMPT_LIMIT: Duration = Duration::from_millis(700);
+/// Time limit for one machine before another is asked.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(700);
 /// Pause when no leader is known.
 const NO_LEADER_PAUSE: Duration = Duration::from_millis(60);
-/// Pause after a leader refused: it has too much to do, or waits for other members.
+/// Pause after a leader refused a call because it is overloaded or waits for other members.
 const REFUSED_PAUSE: Duration = Duration::from_millis(20);
 
-/// What an answer means for the caller's search for the leader.
+/// What a reply means for the search for the leader.
 pub(crate) enum Verdict {
-    /// It is the answer.
+    /// This is the result of the call.
     Final,
-    /// Another machine leads, perhaps this one.
+    /// Another machine is the leader, perhaps this one.
     NotLeader(Option<MachineId>),
-    /// Nothing was done; it is worth trying again.
+    /// Nothing was done; the call should be retried.
     Refused,
-    /// It may have been done; repeating it does no harm.
+    /// The call may have been carried out; repeating it is safe.
     Unknown,
 }
 
-/// Calls of one group and their answers.
+/// Calls of one group and their replies.
 pub(crate) trait GroupCalls: Clone + Send + Sync + 'static {
     type Reply: Send;
 
     fn to_body(&self) -> CallBody;
     fn from_body(body: ReplyBody) -> Option<Self::Reply>;
     fn verdict(reply: &Self::Reply) -> Verdict;
-    /// The answer when time is up: `sent` when it may have been done.
-    fn given_up(sent: bool) -> Self::Reply;
+    /// The reply after a time-out; `sent` if the call may have been carried out.
+    fn timed_out(sent: bool) -> Self::Reply;
 }
 
 impl GroupCalls for RegistryCall {
@@ -66,7 +66,7 @@
         }
     }
 
-    fn given_up(sent: bool) -> RegistryReply {
+    fn timed_out(sent: bool) -> RegistryReply {
         if sent {
             RegistryReply::Unknown
         } else {
@@ -98,7 +98,7 @@
         }
     }
 
-    fn given_up(sent: bool) -> StoreReply {
+    fn timed_out(sent: bool) -> StoreReply {
         if sent {
             StoreReply::Unknown
         } else {
@@ -112,15 +112,15 @@
     links: Links,
     /// The member on this machine, if there is one.
     local: Option<(MachineId, GroupHandle<C, C::Reply>)>,
-    known: Arc<Mutex<Known>>,
+    known: Arc<Mutex<LeaderSearch>>,
 }
 
 #[derive(Default)]
-struct Known {
+struct LeaderSearch {
     machines: BTreeSet<MachineId>,
     leader: Option<MachineId>,
-    /// The machine asked last when no leader was known.
-    asked: Option<MachineId>,
+    /// The machine that was asked last while no leader was known.
+    last_asked: Option<MachineId>,
 }
 
 impl<C: GroupCalls> Clone for GroupClient<C> {
@@ -142,31 +142,31 @@
         }
     }
 
-    /// Replaces the machines that may lead.
+    /// Replaces the machines that may be the leader.
     pub(crate) fn set_machines(&self, machines: BTreeSet<MachineId>) {
         self.known.lock().machines = machines;
     }
 
-    /// The machines that may lead.
+    /// The machines that may be the leader.
     pub(crate) fn machines(&self) -> BTreeSet<MachineId> {
         self.known.lock().machines.clone()
     }
 
-    /// Calls the leader until it answers or time is up. A call may be carried
-    /// out more than once, so it must do no harm when repeated.
+    /// Calls the leader until it answers or the time limit is reached. A call may be carried out
+    /// more than once, so it must be safe to repeat.
     pub(crate) async fn call(&self, call: C, limit: Duration) -> C::Reply {
-        let until = Instant::now() + limit;
+        let deadline = Instant::now() + limit;
         let mut may_be_done = false;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            if left.is_zero() {
-                return C::given_up(may_be_done);
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
+                return C::timed_out(may_be_done);
             }
             let Some(target) = self.target() else {
-                sleep(NO_LEADER_PAUSE.min(left)).await;
+                sleep(NO_LEADER_PAUSE.min(remaining)).await;
                 continue;
             };
-            let attempt = timeout(left.min(ATTEMPT_LIMIT), self.ask(target, &call)).await;
+            let attempt = timeout(remaining.min(ATTEMPT_TIMEOUT), self.ask(target, &call)).await;
             match attempt {
                 Ok(Ok(reply)) => match C::verdict(&reply) {
                     Verdict::Final => {
@@ -176,30 +176,30 @@
                     Verdict::NotLeader(leader) => {
                         let leader = leader.filter(|leader| *leader != target);
                         if let Some(leader) = leader {
-                            self.links.reach(leader);
+                            self.links.open_for_calls(leader);
                         }
                         self.note_leader(leader);
                     }
-                    Verdict::Refused => sleep(REFUSED_PAUSE.min(left)).await,
+                    Verdict::Refused => sleep(REFUSED_PAUSE.min(remaining)).await,
                     Verdict::Unknown => may_be_done = true,
                 },
-                Ok(Err(CallLost::NotSent)) => self.note_leader(None),
-                Ok(Err(CallLost::MayHaveArrived)) | Err(_) => {
+                Ok(Err(CallFailed::NotSent)) => self.note_leader(None),
+                Ok(Err(CallFailed::MayHaveArrived)) | Err(_) => {
                     may_be_done = true;
                     self.note_leader(None);
                 }
             }
             if self.known.lock().leader.is_none() {
-                sleep(NO_LEADER_PAUSE.min(left)).await;
+                sleep(NO_LEADER_PAUSE.min(remaining)).await;
             }
         }
     }
 
-    /// Asks one machine, whether it leads or not.
+    /// Calls one machine, whether it is the leader or not.
     ///
     /// # Errors
-    /// [`CallLost`] where no answer came.
-    pub(crate) async fn ask(&self, target: MachineId, call: &C) -> Result<C::Reply, CallLost> {
+    /// [`CallFailed`] if no reply arrived.
+    pub(crate) async fn ask(&self, target: MachineId, call: &C) -> Result<C::Reply, CallFailed> {
         if let Some((own, handle)) = &self.local
             && *own == target
         {
@@ -208,26 +208,28 @@
                 let _ = reply.send(body);
             };
             handle.call(call.clone(), Box::new(send)).await;
-            return answered.await.map_err(|_| CallLost::MayHaveArrived);
+            return answered.await.map_err(|_| CallFailed::MayHaveArrived);
         }
         let reply = self.links.call(target, call.to_body()).await?;
-        C::from_body(reply).ok_or(CallLost::MayHaveArrived)
+        C::from_body(reply).ok_or(CallFailed::MayHaveArrived)
     }
 
-    /// The leader, else the known machines in turn.
+    /// The leader, or else the known machines in turn.
     fn target(&self) -> Option<MachineId> {
         let mut known = self.known.lock();
         if let Some(leader) = known.leader {
             return Some(leader);
         }
-        let after = known.asked.map_or(0, |asked| asked.0.wrapping_add(1));
+        let after = known
+            .last_asked
+            .map_or(0, |last_asked| last_asked.0.wrapping_add(1));
         let next = known.machines.range(MachineId(after)..).next();
         let next = next.or_else(|| known.machines.first()).copied();
-        known.asked = next;
+        known.last_asked = next;
         next
     }
 
-    /// The leader, as far as is known.
+    /// The leader, if known.
     pub(crate) fn leader(&self) -> Option<MachineId> {
         self.known.lock().leader
     }
--- a/crates/cluster/src/control.rs
+++ b/crates/cluster/src/control.rs
@@ -1,4 +1,4 @@
-//! A control member: registry, directory, and what operators and replicas ask.
+//! A control member: registry, directory, and the calls of operators and replicas.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,13 +25,13 @@
 use crate::{
     client::GroupClient,
     cold_times::ColdTimes,
-    control_figures::{ControlFigures, FiguresNow},
-    control_pulses::pulse_source,
+    control_metrics::{ControlMetrics, MetricValues},
     driver::{self, GroupHandle},
+    heartbeat_registry::heartbeat_source,
     incoming::{Answers, Inbound},
     links::Links,
     message::{
-        CallBody, NodeMessage, NodeRole, RegistryCall, RegistryReply, ReplyBody, spoken_format,
+        CallBody, NodeMessage, NodeRole, RegistryCall, RegistryReply, ReplyBody, common_format,
     },
     node::{self, NodeBase, NodeSettings},
     presence::Presence,
@@ -39,42 +39,42 @@
     seeds::Seeds,
 };
 
-/// Most voters of control.
-const MOST_VOTERS: usize = 7;
-/// How often links and links' targets are looked at.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
-/// How often the leader is told which replicas were heard of.
-const ALIVE_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time to tell it.
-const ALIVE_LIMIT: Duration = Duration::from_secs(1);
-/// A control machine that is not heard of for so long is no longer linked to.
-const FORGOTTEN_MS: u64 = 30_000;
+/// Maximum number of voters of control.
+const MAX_VOTERS: usize = 7;
+/// Interval of link maintenance.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
+/// How often the leader is sent the list of replicas that sent heartbeats.
+const ALIVE_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Time limit of that call.
+const ALIVE_REPORT_TIMEOUT: Duration = Duration::from_secs(1);
+/// A control member is no longer linked to this long after the last contact, in milliseconds.
+const LINK_EXPIRY_MS: u64 = 30_000;
 
 /// Settings of a control member.
 #[derive(Clone)]
 pub struct ControlSettings {
-    /// Who it is.
+    /// Identity and addresses of the node.
     pub node: NodeSettings,
-    /// Where it keeps its state.
+    /// Folder of the stored state.
     pub data_dir: String,
-    /// Most voters of the job store.
+    /// Maximum number of voters of the job store.
     pub store_voters: usize,
 }
 
-/// Nothing was done, or it is not known whether it was: the caller asks again.
+/// Nothing was done, or the outcome is unknown: the caller should retry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Unavailable;
 
-/// How far the emptying of a store machine is.
+/// Progress of emptying a store machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetireState {
-    /// It still holds what others may need.
+    /// The machine still stores data that other members may need.
     Running,
-    /// It holds nothing that others need.
+    /// The machine stores nothing that other members need.
     Done,
-    /// No such machine.
+    /// There is no such machine.
     Unknown,
-    /// Too few would be left.
+    /// Too few machines would remain.
     TooFew,
 }
 
@@ -87,18 +87,18 @@
     handle: GroupHandle<RegistryCall, RegistryReply>,
     pub(crate) links: Links,
     pub(crate) clock: Clock,
-    /// Keys of starts that were heard of since the leader was last told.
-    pub(crate) heard: Arc<Mutex<BTreeSet<String>>>,
+    /// Keys of the replica incarnations that sent heartbeats since the last report to the leader.
+    pub(crate) alive_replicas: Arc<Mutex<BTreeSet<String>>>,
     pub(crate) cold_times: Arc<Mutex<ColdTimes>>,
     store_voters: usize,
     pub(crate) logger: Logger,
     zones: Arc<ZoneMap>,
-    figures: ControlFigures,
+    metrics: ControlMetrics,
 }
 
 impl ControlNode {
-    /// Opens the data folder, listens and joins or forms control. The second
-    /// value ends when the member fails.
+    /// Opens the data folder, listens, and joins or forms control. The second value ends when the
+    /// member fails.
     ///
     /// # Errors
     /// `DataFolderRefused`, `StorageFull`, `Io`.
@@ -113,7 +113,7 @@
             view: Mutex::new(Arc::new(RegistryView::default())),
             changes: watch::channel(0).0,
             presence: Mutex::new(Presence::default()),
-            noted_ms: AtomicU64::new(0),
+            current_checked_ms: AtomicU64::new(0),
         });
         let logger = node.logger.clone();
         let service = RegistryService::new(Arc::clone(&shared), settings.store_voters, logger);
@@ -126,7 +126,8 @@
             node.logger.clone(),
         )?;
         let member = driver.id();
-        base.links.note(|hello| hello.member = Some(member));
+        base.links
+            .update_hello_later(|hello| hello.member = Some(member));
         let control = ControlNode {
             own,
             client: GroupClient::new(base.links.clone(), Some((own, handle.clone()))),
@@ -134,26 +135,26 @@
             handle,
             links: base.links.clone(),
             clock: base.clock,
-            heard: Arc::default(),
+            alive_replicas: Arc::default(),
             cold_times: Arc::default(),
             store_voters: settings.store_voters,
             logger: node.logger.clone(),
             zones: Arc::new(node.zones.clone()),
-            figures: ControlFigures::new(node.bytes.clone()),
+            metrics: ControlMetrics::new(node.bytes.clone()),
         };
-        let pulses = pulse_source(&control.shared, own, node.place(), base.clock);
-        node::listen(&node, inbox, Arc::clone(&base.traffic), Some(pulses)).await?;
+        let heartbeats = heartbeat_source(&control.shared, own, node.place(), base.clock);
+        node::listen(&node, inbox, Arc::clone(&base.traffic), Some(heartbeats)).await?;
         tokio::spawn(control.clone().take_messages(base.inbox));
-        tokio::spawn(control.clone().keep_links(node.seeds.clone(), own));
-        tokio::spawn(control.clone().tell_alive());
+        tokio::spawn(control.clone().update_links(node.seeds.clone(), own));
+        tokio::spawn(control.clone().report_alive_replicas());
         Ok((control, driver.run()))
     }
 
-    /// Puts a checked configuration in force if its version is above the one held. The
-    /// document is what the operator sent.
+    /// Puts a validated configuration in force if its version is higher than the stored one. The
+    /// document is the text that the operator sent.
     ///
     /// # Errors
-    /// [`Unavailable`] when it is not known to be held by a quorum in time.
+    /// [`Unavailable`] if it is not known to be stored by a quorum in time.
     pub async fn put_configuration(
         &self,
         configuration: Configuration,
@@ -171,8 +172,8 @@
         if self.has_older_member()
             && let Err(report) = command.to_stored_in(format)
         {
-            warn!(self.logger, "configuration cannot be kept"; "stored_format" => format.number(),
-                "cause" => format!("{report:?}"));
+            warn!(self.logger, "configuration cannot be stored in the current format";
+                "stored_format" => format.number(), "cause" => format!("{report:?}"));
             return Err(Unavailable);
         }
         match self.propose(command, limit).await? {
@@ -184,7 +185,7 @@
     /// The newest document; `None` before the first. A linearizable read.
     ///
     /// # Errors
-    /// [`Unavailable`] when the newest cannot be known in time.
+    /// [`Unavailable`] if the newest document cannot be determined in time.
     pub async fn document(&self, limit: Duration) -> Result<Option<Vec<u8>>, Unavailable> {
         match self.client.call(RegistryCall::Document, limit).await {
             RegistryReply::Document(document) => Ok(document),
@@ -192,14 +193,14 @@
         }
     }
 
-    /// Number of gateways that share the counts of tenants' limits, as control keeps them.
+    /// Number of gateways on control's record of those that share the counts of tenants' limits.
     #[must_use]
     pub fn known_gateways(&self) -> usize {
         self.view().registry.gateways().machines().count()
     }
 
-    /// Number of gateways that this member does not hear though they may go on: their parts
-    /// of limits are kept back.
+    /// Number of gateways that this member cannot reach although they may still be running: their
+    /// shares of limits are reserved.
     #[must_use]
     pub fn silent_gateways(&self) -> usize {
         let view = self.view();
@@ -209,14 +210,14 @@
         coordinators.silent(known, self.clock.now_ms()).len()
     }
 
-    /// Figures since the start, as Prometheus text.
+    /// Metrics since the start, as Prometheus text.
     #[must_use]
-    pub fn figures(&self) -> String {
+    pub fn metrics_text(&self) -> String {
         let builds = {
             let presence = self.shared.presence.lock();
             presence.builds(self.clock.now_ms())
         };
-        self.figures.to_text(&FiguresNow {
+        self.metrics.to_text(&MetricValues {
             known_gateways: self.known_gateways(),
             silent_gateways: self.silent_gateways(),
             stored_format: self.stored_format(),
@@ -226,25 +227,25 @@
 
     /// Addresses of ready gateways near a caller.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, query: &DirectoryQuery<'_>) -> Vec<String> {
         let view = self.view();
         let table = view.registry.table();
-        let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
+        let homes = table.and_then(|table| table.host_homes(query.host, &self.zones));
         let presence = self.shared.presence.lock();
         let gateways = presence.gateways();
-        gateways.near(question, homes.as_ref(), self.clock.now_ms())
+        gateways.near(query, homes.as_ref(), self.clock.now_ms())
     }
 
-    /// Asks that a store machine be emptied.
+    /// Requests that a store machine be emptied.
     ///
     /// # Errors
-    /// [`Unavailable`] when this cannot be committed in time.
+    /// [`Unavailable`] if this cannot be committed in time.
     pub async fn retire_store(
         &self,
         name: &str,
         limit: Duration,
     ) -> Result<RetireState, Unavailable> {
-        let (machine, staying) = {
+        let (machine, remaining) = {
             let presence = self.shared.presence.lock();
             let stores = presence.stores(self.clock.now_ms());
             let Some(store) = stores.iter().find(|store| store.name == name) else {
@@ -253,11 +254,11 @@
             let machine = store.machine;
             let view = self.view();
             let retiring = &view.registry.store().retiring;
-            let stays = |other: &MachineId| *other != machine && !retiring.contains(other);
+            let remains = |other: &MachineId| *other != machine && !retiring.contains(other);
             let machines = stores.iter().map(|store| store.machine);
-            (machine, machines.filter(stays).count())
+            (machine, machines.filter(remains).count())
         };
-        if staying < self.store_voters {
+        if remaining < self.store_voters {
             return Ok(RetireState::TooFew);
         }
         self.propose(RegistryCommand::RetireStore(machine), limit)
@@ -265,7 +266,7 @@
         Ok(RetireState::Running)
     }
 
-    /// How far the emptying of a store machine is.
+    /// Progress of emptying a store machine.
     #[must_use]
     pub fn retire_state(&self, name: &str) -> RetireState {
         let presence = self.shared.presence.lock();
@@ -288,7 +289,7 @@
         }
     }
 
-    /// Lets leadership pass on before a planned stop.
+    /// Transfers leadership to another member before a planned stop.
     pub async fn stop(&self) {
         self.handle.stop().await;
     }
@@ -325,7 +326,7 @@
                     let now_ms = self.clock.now_ms();
                     let mut presence = self.shared.presence.lock();
                     let is_linked = hello.is_linked_to(self.own);
-                    presence.lose(&hello, is_linked, fell_silent, now_ms);
+                    presence.record_closed(&hello, is_linked, fell_silent, now_ms);
                 }
                 Inbound::Message {
                     from,
@@ -344,19 +345,24 @@
             }
             NodeMessage::Hello(hello) => {
                 if let (NodeRole::Control, Some(member)) = (hello.role, hello.member) {
-                    let speaks = spoken_format(hello.newest_format);
-                    self.handle.present(member, speaks).await;
+                    let supported = common_format(hello.newest_format);
+                    self.handle.present(member, supported).await;
                 }
                 let now_ms = self.clock.now_ms();
-                if self.shared.presence.lock().note(hello, now_ms) {
+                if self.shared.presence.lock().record(hello, now_ms) {
                     self.shared.changes.send_modify(|count| *count += 1);
                 }
             }
-            NodeMessage::Pulse(pulse) => {
+            NodeMessage::ControlHeartbeat(heartbeat) => {
                 let now_ms = self.clock.now_ms();
                 let mut presence = self.shared.presence.lock();
-                let is_urgent =
-                    presence.note_relayed(self.own, from, pulse.heard, pulse.stopped, now_ms);
+                let is_urgent = presence.record_relayed(
+                    self.own,
+                    from,
+                    heartbeat.reachable,
+                    heartbeat.stopped,
+                    now_ms,
+                );
                 drop(presence);
                 if is_urgent {
                     self.shared.changes.send_modify(|count| *count += 1);
@@ -376,9 +382,9 @@
         }
     }
 
-    async fn keep_links(self, seeds: Seeds, own: MachineId) {
+    async fn update_links(self, seeds: Seeds, own: MachineId) {
         let mut known: BTreeMap<MachineId, u64> = BTreeMap::new();
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         loop {
             ticks.tick().await;
             let now_ms = self.clock.now_ms();
@@ -389,12 +395,12 @@
             for (machine, _) in self.shared.presence.lock().control(now_ms) {
                 known.insert(machine, now_ms);
             }
-            known.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < FORGOTTEN_MS);
-            let mut wanted: BTreeSet<MachineId> = known.keys().copied().collect();
-            wanted.extend(seeds.machines());
-            self.links.keep(&wanted);
+            known.retain(|_, at_ms| now_ms.saturating_sub(*at_ms) < LINK_EXPIRY_MS);
+            let mut targets: BTreeSet<MachineId> = known.keys().copied().collect();
+            targets.extend(seeds.machines());
+            self.links.set_targets(&targets);
             let group = if members.is_empty() {
-                wanted
+                targets
             } else {
                 members.into_iter().chain([own]).collect()
             };
@@ -402,35 +408,35 @@
         }
     }
 
-    async fn tell_alive(self) {
-        let mut ticks = interval(ALIVE_INTERVAL);
+    async fn report_alive_replicas(self) {
+        let mut ticks = interval(ALIVE_REPORT_INTERVAL);
         loop {
             ticks.tick().await;
-            let heard: Vec<String> = std::mem::take(&mut *self.heard.lock())
+            let alive_replicas: Vec<String> = std::mem::take(&mut *self.alive_replicas.lock())
                 .into_iter()
                 .collect();
-            if !heard.is_empty() {
-                let call = RegistryCall::Alive(heard);
-                self.client.call(call, ALIVE_LIMIT).await;
+            if !alive_replicas.is_empty() {
+                let call = RegistryCall::ReplicasAlive(alive_replicas);
+                self.client.call(call, ALIVE_REPORT_TIMEOUT).await;
             }
         }
     }
 }
 
-/// On the first start of the cluster the seeds are its first members.
+/// On the first start of the cluster its seeds are the first members.
 fn group_settings(node: &NodeSettings) -> GroupSettings {
     let own = node.machine();
     let seeds = node.seeds.machines();
-    let forms = node.bootstrap && seeds.contains(&own);
-    let new_disk = if forms {
+    let is_first_member = node.bootstrap && seeds.contains(&own);
+    let new_disk = if is_first_member {
         bootstrap_disk(own)
     } else {
         random_disk()
     };
     let mut group = GroupSettings::new("linnethitch", FolderRole::Control, own, new_disk);
-    group.max_voters = MOST_VOTERS;
+    group.max_voters = MAX_VOTERS;
     group.seed ^= u64::from(own.0);
-    group.first_members = forms.then(|| {
+    group.first_members = is_first_member.then(|| {
         let members = seeds.iter().map(|machine| MemberId {
             machine: *machine,
             disk: bootstrap_disk(*machine),
@@ -440,7 +446,7 @@
     group
 }
 
-/// An id for a disk that was never used before.
+/// A random id for a disk that was never used before.
 pub(crate) fn random_disk() -> DiskId {
     DiskId(getrandom::u64().unwrap_or_default() | 1)
 }
--- a/crates/cluster/src/nearness.rs
+++ b/crates/cluster/src/distance.rs
@@ -1,27 +1,27 @@
-//! How far places are from each other.
+//! The distance between places.
 
 use linnethitch_registry::Place;
 
 /// How far one place is from another.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) enum Nearness {
-    /// In its zone.
+pub(crate) enum Distance {
+    /// Same zone.
     Zone,
-    /// In another zone of its region.
+    /// Same region, different zone.
     Region,
-    /// In another region.
+    /// Different region.
     Elsewhere,
 }
 
-impl Nearness {
-    /// How far two places are from each other.
+impl Distance {
+    /// The distance between two places.
     pub(crate) fn between(one: &Place, other: &Place) -> Self {
         if one.zone == other.zone {
-            Nearness::Zone
+            Distance::Zone
         } else if one.region == other.region {
-            Nearness::Region
+            Distance::Region
         } else {
-            Nearness::Elsewhere
+            Distance::Elsewhere
         }
     }
 }
--- a/crates/cluster/src/evacuation.rs
+++ b/crates/cluster/src/evacuation.rs
@@ -1,4 +1,4 @@
-//! Orders of operators to evacuate a zone, and to take that back.
+//! Operator orders to evacuate a zone and to take an evacuation back.
 
 use std::time::Duration;
 
@@ -8,28 +8,29 @@
 
 use crate::control::{ControlNode, Unavailable};
 
-/// What came of an order about a zone.
+/// The outcome of an order about a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ZoneOrder {
-    /// The zone is as was asked, since this entry; 0 where it always was.
+pub enum ZoneOrderOutcome {
+    /// The zone is in the requested state since this log entry; 0 if it always was.
     Held(LogIndex),
     /// There is no such zone.
     Unknown,
-    /// A node of a build that knows no evacuations would go on sending there; nothing was done.
+    /// Nothing was done, because a node runs a build that does not support evacuations and would
+    /// continue to send requests there.
     NotYet,
 }
 
 impl ControlNode {
-    /// Asks that nothing more be sent to the replicas of a zone. A quorum holds that
-    /// before this returns; a repeat is answered likewise.
+    /// Orders that no more requests be sent to the replicas of a zone. A quorum has stored the
+    /// order before this returns; a repeated order gets the same answer.
     ///
     /// # Errors
-    /// [`Unavailable`] when it is not known to be held by a quorum in time.
+    /// [`Unavailable`] if it is not known to be stored by a quorum in time.
     pub async fn evacuate_zone(
         &self,
         zone: &str,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
         self.order_evacuation(zone, true, limit).await
     }
 
@@ -41,33 +42,33 @@
         &self,
         zone: &str,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
         self.order_evacuation(zone, false, limit).await
     }
 
-    /// The log decides, also whether the zone is as asked already: what this member knows
-    /// may be old. It only names the record upon which the order is given.
+    /// The log decides, including whether the zone is already in the requested state, because this
+    /// member's view may be outdated. This member only names the record that the order is based on.
     async fn order_evacuation(
         &self,
         zone: &str,
         evacuated: bool,
         limit: Duration,
-    ) -> Result<ZoneOrder, Unavailable> {
-        let until = Instant::now() + limit;
+    ) -> Result<ZoneOrderOutcome, Unavailable> {
+        let deadline = Instant::now() + limit;
         let mut seen = {
             let view = self.view();
             let evacuations = view.registry.evacuations();
             if !self.zones().has_zone(zone) && !evacuations.has_record(zone) {
-                return Ok(ZoneOrder::Unknown);
+                return Ok(ZoneOrderOutcome::Unknown);
             }
             evacuations.changed_at(zone)
         };
-        let is_stored = self.wait_for_newest_format(until).await;
+        let is_stored = self.wait_for_newest_format(deadline).await;
         if self.has_older_member() || self.has_older_gateway() {
-            return Ok(ZoneOrder::NotYet);
+            return Ok(ZoneOrderOutcome::NotYet);
         }
         if !is_stored {
-            // A member that is cut off does not know.
+            // A partitioned member does not know the stored format.
             return Err(Unavailable);
         }
         loop {
@@ -80,18 +81,18 @@
             } else {
                 RegistryCommand::RestoreZone(order)
             };
-            let left = until.saturating_duration_since(Instant::now());
+            let remaining = deadline.saturating_duration_since(Instant::now());
             let RegistryAnswer::ZoneState {
-                evacuated: held,
+                evacuated: is_evacuated,
                 changed_at,
-            } = self.propose(command, left).await?
+            } = self.propose(command, remaining).await?
             else {
                 return Err(Unavailable);
             };
-            if held == evacuated {
-                return Ok(ZoneOrder::Held(changed_at));
+            if is_evacuated == evacuated {
+                return Ok(ZoneOrderOutcome::Held(changed_at));
             }
-            // Another order was given since what this member knew.
+            // Another order was committed after the state that this member knew.
             seen = changed_at;
         }
     }
--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -1,7 +1,7 @@
-//! A gateway as the other nodes see it: it learns the fleet from control and
-//! calls the job store.
+//! A gateway as a node of the fleet: receives the state of the fleet from control and calls the job
+//! store.
 
-mod learner;
+mod fleet_updater;
 
 use std::{
     collections::BTreeMap,
@@ -24,7 +24,7 @@
 use slog::{Logger, error, warn};
 use tokio::sync::watch;
 
-use self::learner::Learner;
+use self::fleet_updater::FleetUpdater;
 use crate::{
     client::GroupClient,
     datagram_bytes::DatagramBytes,
@@ -32,12 +32,12 @@
     links::Links,
     message::{NodeRole, PlacedGateway, RegistryCall, RegistryReply},
     node::{NodeBase, NodeSettings, address_of},
-    standstill::Standstill,
-    told_fleet::ToldFleet,
+    process_pause::PauseTracker,
+    reported_fleet::ReportedFleet,
 };
 
-/// Control counts as lost when none of its members was heard of for so long, in
-/// milliseconds: three of its pulses were missed.
+/// Control counts as lost when no member has been reachable for this long, in milliseconds: three
+/// heartbeats were missed.
 const CONTROL_LOST_MS: u64 = 1_800;
 /// A running gateway. Clones share it.
 #[derive(Clone)]
@@ -51,30 +51,31 @@
     port: u16,
     datagrams: Option<Datagrams<GatewayDatagram>>,
     datagram_bytes: DatagramBytes,
-    pub(crate) told: Arc<Mutex<ToldFleet>>,
+    pub(crate) reported: Arc<Mutex<ReportedFleet>>,
     /// Gateways that coordinate slots, in a fixed order.
     coordinators: Arc<Mutex<Arc<Vec<MachineId>>>>,
-    /// Those of them that read the format in which there are witnesses of limits.
+    /// The coordinators that can read the first format with limit witnesses.
     witnesses: Arc<Mutex<Arc<Vec<MachineId>>>>,
-    /// The same ones, and where each is.
+    /// The coordinators and their places.
     placed: Arc<Mutex<Arc<Vec<PlacedGateway>>>>,
-    /// Gateways that control named lately, also as silent.
-    named: Arc<Mutex<BTreeMap<MachineId, NamedGateway>>>,
+    /// Gateways that control listed recently, including as silent.
+    recent_gateways: Arc<Mutex<BTreeMap<MachineId, RecentGateway>>>,
     zones: Arc<ZoneMap>,
     clock: Clock,
-    /// When this gateway last knew all that a control member knew to be in force.
+    /// When this gateway last knew everything that a control member knew to be in force.
     current_at_ms: Arc<AtomicU64>,
-    standstill: Arc<Standstill>,
+    process_pause: Arc<PauseTracker>,
     logger: Logger,
 }
 
 impl GatewayNode {
-    /// Starts to learn the fleet.
+    /// Starts the gateway's links and the updates of its view of the fleet.
     #[must_use]
-    pub fn start(settings: &NodeSettings, callers: String) -> Self {
+    pub fn start(settings: &NodeSettings, caller_address: String) -> Self {
         let (base, _) = NodeBase::start(settings, NodeRole::Gateway);
-        base.links.say(|hello| hello.callers = Some(callers));
-        let (teller, fleet) = watch::channel(Arc::new(FleetView::default()));
+        base.links
+            .update_hello(|hello| hello.caller_address = Some(caller_address));
+        let (publisher, fleet) = watch::channel(Arc::new(FleetView::default()));
         let gateway = GatewayNode {
             fleet,
             links: base.links.clone(),
@@ -85,29 +86,29 @@
             port: settings.port,
             datagrams: bind_datagrams(settings),
             datagram_bytes: DatagramBytes::default(),
-            told: Arc::default(),
+            reported: Arc::default(),
             coordinators: Arc::default(),
             witnesses: Arc::default(),
             placed: Arc::default(),
-            named: Arc::default(),
+            recent_gateways: Arc::default(),
             zones: Arc::new(settings.zones.clone()),
             clock: base.clock,
             current_at_ms: Arc::default(),
-            standstill: Arc::default(),
+            process_pause: Arc::default(),
             logger: settings.logger.clone(),
         };
-        let learner = Learner {
+        let fleet_updater = FleetUpdater {
             gateway: gateway.clone(),
             seeds: settings.seeds.clone(),
             fleet: FleetView::default(),
-            teller,
+            publisher,
             control_lost: false,
             is_behind: false,
             linked: LinkedMembers::default(),
-            asked_for_all: BTreeMap::new(),
+            full_update_requested: BTreeMap::new(),
             logger: settings.logger.clone(),
         };
-        tokio::spawn(learner.run(base.inbox));
+        tokio::spawn(fleet_updater.run(base.inbox));
         gateway
     }
 
@@ -117,7 +118,7 @@
         Arc::clone(&self.fleet.borrow())
     }
 
-    /// Follows the fleet.
+    /// Subscribes to changes of the fleet.
     #[must_use]
     pub fn follow(&self) -> watch::Receiver<Arc<FleetView>> {
         self.fleet.clone()
@@ -129,19 +130,19 @@
         self.own
     }
 
-    /// Gateways that coordinate slots, in a fixed order, as control told lately.
+    /// Gateways that coordinate slots, in a fixed order, as last reported by control.
     #[must_use]
     pub fn coordinators(&self) -> Arc<Vec<MachineId>> {
         Arc::clone(&self.coordinators.lock())
     }
 
-    /// Gateways that can be witnesses of who counts a tenant's requests.
+    /// Gateways that can act as witnesses for the gateway that counts a tenant's requests.
     #[must_use]
     pub fn witnesses(&self) -> Arc<Vec<MachineId>> {
         Arc::clone(&self.witnesses.lock())
     }
 
-    /// The gateways that coordinate slots, and where each is.
+    /// The gateways that coordinate slots, and their places.
     #[must_use]
     pub fn placed_coordinators(&self) -> Arc<Vec<PlacedGateway>> {
         Arc::clone(&self.placed.lock())
@@ -153,40 +154,41 @@
         &self.zones
     }
 
-    /// Number of members of control to which this gateway keeps links.
+    /// Number of control members that this gateway keeps links to.
     #[must_use]
     pub fn control_links(&self) -> usize {
         self.links.count(&self.control.machines())
     }
 
-    /// Gateways that control no longer hears though it did lately: they may be cut off and go
-    /// on.
+    /// Gateways that control can no longer reach although it could recently: they may be
+    /// partitioned and still running.
     #[must_use]
     pub fn silent_coordinators(&self) -> Vec<MachineId> {
-        self.told.lock().silent_coordinators().to_vec()
+        self.reported.lock().silent_coordinators().to_vec()
     }
 
-    /// Tells control that this gateway stops: others coordinate its slots.
+    /// Reports to control that this gateway is stopping, so that other gateways coordinate its
+    /// slots.
     pub fn stop_coordinating(&self) {
-        self.links.say(|hello| hello.coordinates = false);
+        self.links.update_hello(|hello| hello.coordinates = false);
     }
 
-    /// Datagrams to and from other gateways; `None` where their port is taken.
+    /// Datagrams to and from other gateways; `None` if their port is in use.
     #[must_use]
     pub fn datagrams(&self) -> Option<Datagrams<GatewayDatagram>> {
         self.datagrams.clone()
     }
 
-    /// Sends a datagram to another gateway; it may not arrive.
+    /// Sends a datagram to another gateway; it may be lost.
     pub fn send_datagram(&self, to: MachineId, message: &GatewayDatagram) {
         let Some(datagrams) = &self.datagrams else {
             return;
         };
         let address = SocketAddrV4::new(address_of(to), self.port);
-        // By machine, as control's set of them is.
+        // Sorted by machine, like the set that control sends.
         let placed = self.placed_coordinators();
         let found = placed.binary_search_by_key(&to, |gateway| gateway.machine);
-        // One that is not known any more has no zone.
+        // A gateway that is no longer known has no zone.
         let zone = found.map_or("", |at| placed[at].place.zone.as_str());
         for format in self.formats_for(to, message) {
             for part in message.parts_in(format) {
@@ -196,12 +198,16 @@
         }
     }
 
-    /// The formats in which a gateway is sent a message: the newest that both know. One that
-    /// control never heard while this gateway ran may be of any build: it is sent the newest
-    /// first, and the oldest after it.
+    /// The formats for a message to a gateway: the newest that both sides support. A gateway that
+    /// control has not reached since this gateway started may run any build: it is sent the newest
+    /// format first and the oldest after it.
     fn formats_for(&self, to: MachineId, message: &GatewayDatagram) -> Vec<Format> {
         let newest = self.links.newest_format();
-        let known = self.named.lock().get(&to).and_then(|named| named.format);
+        let known = self
+            .recent_gateways
+            .lock()
+            .get(&to)
+            .and_then(|gateway| gateway.format);
         match known {
             Some(format) => vec![format.min(newest)],
             None if newest > Format::OLDEST && message.loses_in(Format::OLDEST) => {
@@ -217,97 +223,99 @@
         &self.datagram_bytes
     }
 
-    /// Addresses of ready gateways near a caller. While control is away, those
-    /// that it told last.
+    /// Addresses of ready gateways near a caller. While control is unreachable, the addresses from
+    /// its last report.
     #[must_use]
-    pub fn gateways_near(&self, question: &DirectoryQuery<'_>) -> Vec<String> {
+    pub fn gateways_near(&self, query: &DirectoryQuery<'_>) -> Vec<String> {
         let fleet = self.fleet();
         let table = fleet.table();
-        let homes = table.and_then(|table| table.host_homes(question.host, &self.zones));
-        let known = self.told.lock().gateways();
-        near(&known, question, homes.as_ref())
+        let homes = table.and_then(|table| table.host_homes(query.host, &self.zones));
+        let known = self.reported.lock().gateways();
+        near(&known, query, homes.as_ref())
     }
 
-    /// How long no control member has been heard of, in milliseconds: what is in
-    /// force here is at least so old.
+    /// Time since the last contact with any control member, in milliseconds: the state in force
+    /// here is at least this old.
     #[must_use]
     pub fn control_silent_ms(&self) -> u64 {
-        self.told.lock().silent_ms(self.clock.now_ms())
+        self.reported.lock().silent_ms(self.clock.now_ms())
     }
 
-    /// Whether no control member was heard of for so long that three pulses were missed.
+    /// Whether no control member has been reachable for the time of three heartbeats.
     #[must_use]
     pub fn is_control_lost(&self) -> bool {
         self.control_silent_ms() >= CONTROL_LOST_MS
     }
 
-    /// How old what is known here may be, in milliseconds: the time since a control
-    /// member that knew what is in force told no more than is known here. Such a member
-    /// has heard the leader within a second.
+    /// Maximum age of the state known here, in milliseconds: the time since a control member that
+    /// knew the state in force reported nothing newer. Such a member had contact with the leader
+    /// within the last second.
     #[must_use]
     pub fn knowledge_age_ms(&self) -> u64 {
         let current_at_ms = self.current_at_ms.load(Ordering::Relaxed);
         self.clock.now_ms().saturating_sub(current_at_ms)
     }
 
-    /// Waits, after this process stood still, until control has said what is in force now,
-    /// or counts as lost. At any other time it returns at once.
-    pub async fn news_after_standstill(&self) {
-        let mut news = self.standstill.follow();
+    /// After a pause of this process, waits until control has sent the state in force or counts as
+    /// lost. Without a pause it returns at once.
+    pub async fn wait_for_update_after_pause(&self) {
+        let mut updates = self.process_pause.subscribe();
         loop {
-            // One that stood still again while it waited wants news of after that.
-            self.note_running();
-            let Some(left) = self.standstill.news_wait() else {
+            // A pause during the wait requires an update that follows it.
+            self.record_running();
+            let Some(remaining) = self.process_pause.remaining_update_wait() else {
                 return;
             };
-            // Where time is over it looks again, and goes on by what it knows.
-            let _ = timeout(left, news.changed()).await;
+            // After a time-out the loop checks again and ends with the last known state.
+            let _ = timeout(remaining, updates.changed()).await;
         }
     }
 
-    /// How long this process stood still since its start, up to now. What it measured meanwhile
-    /// looks longer by that.
+    /// Total time for which this process was paused since its start, up to now. Durations measured
+    /// across a pause are too long by the length of the pause.
     #[must_use]
-    pub fn stood_still(&self) -> Duration {
-        self.note_running();
-        self.standstill.total()
+    pub fn total_pause(&self) -> Duration {
+        self.record_running();
+        self.process_pause.total()
     }
 
-    fn note_running(&self) {
-        if let Some(still) = self.standstill.note_running() {
-            warn!(self.logger, "stood still"; "still_ms" => still.as_millis() as u64,
+    fn record_running(&self) {
+        if let Some(pause) = self.process_pause.record_running() {
+            warn!(self.logger, "process pause detected"; "still_ms" => pause.as_millis() as u64,
                 "upto" => self.fleet().up_to_index().0);
         }
     }
 
-    /// Tells control whether callers may come here.
+    /// Reports to control whether this gateway accepts callers.
     pub fn set_ready(&self, ready: bool) {
-        self.links.say(|hello| hello.ready = ready);
+        self.links.update_hello(|hello| hello.ready = ready);
     }
 
-    /// Calls the job store's leader, until it answers or time is up.
+    /// Calls the leader of the job store until it answers or the time limit is reached.
     pub async fn call_store(&self, call: StoreCall, limit: Duration) -> StoreReply {
         self.store.call(call, limit).await
     }
 
-    /// Every other gateway that control named within the last minute, in a fixed order.
+    /// All other gateways that control listed within the last minute, in a fixed order.
     #[must_use]
     pub fn other_gateways(&self) -> Vec<MachineId> {
-        let named = self.named.lock();
-        let others = named.keys().filter(|gateway| **gateway != self.own);
+        let recent_gateways = self.recent_gateways.lock();
+        let others = recent_gateways
+            .keys()
+            .filter(|gateway| **gateway != self.own);
         others.copied().collect()
     }
 
-    /// Sends a datagram to other gateways; it may not arrive.
-    pub fn tell_gateways(&self, gateways: &[MachineId], message: &GatewayDatagram) {
+    /// Sends a datagram to other gateways; it may be lost.
+    pub fn send_to_gateways(&self, gateways: &[MachineId], message: &GatewayDatagram) {
         for gateway in gateways {
             self.send_datagram(*gateway, message);
         }
     }
 
-    /// Tells control that the start of a replica, by its key, ended under runs of this
-    /// gateway; false when that was not held within the limit.
-    pub async fn tell_replica_ended(
+    /// Reports to control that an incarnation of a replica, given by its key, ended while it ran
+    /// requests of this gateway; false if this was not committed within the limit.
+    pub async fn report_replica_ended(
         &self,
         replica: &str,
         runs: Vec<EndedRun>,
@@ -317,24 +325,24 @@
             replica: replica.to_owned(),
             runs,
         };
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
-    /// Tells control that a copy of a suspected request came to a whole answer; false
-    /// when that was not held within the limit.
-    pub async fn tell_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
+    /// Reports to control that a copy of a suspected request completed its response; false if this
+    /// was not committed within the limit.
+    pub async fn report_cleared(&self, cleared: RequestFingerprint, limit: Duration) -> bool {
         let command = RegistryCommand::ClearSuspicions(vec![cleared]);
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
-    /// Tells control that another incarnation answers in the place of this start; false when
-    /// that was not held within the limit.
-    pub async fn tell_not_there(&self, replica: &str, limit: Duration) -> bool {
+    /// Reports to control that another incarnation answers at the address of this one; false if
+    /// this was not committed within the limit.
+    pub async fn report_not_at_address(&self, replica: &str, limit: Duration) -> bool {
         let command = RegistryCommand::NotAtAddress(replica.to_owned());
-        self.tell_control(command, limit).await
+        self.propose_to_control(command, limit).await
     }
 
-    async fn tell_control(&self, command: RegistryCommand, limit: Duration) -> bool {
+    async fn propose_to_control(&self, command: RegistryCommand, limit: Duration) -> bool {
         let reply = self.control.call(RegistryCall::Propose(command), limit);
         matches!(reply.await, RegistryReply::Answer(_))
     }
@@ -346,24 +354,26 @@
     }
 }
 
-/// What control told of another gateway.
+/// What control reported about another gateway.
 #[derive(Clone, Copy, Debug, Default)]
-struct NamedGateway {
-    /// When it was named last, in milliseconds.
+struct RecentGateway {
+    /// When control last listed it, in milliseconds.
     at_ms: u64,
-    /// The newest format that it and this build read, as control heard it last. It holds while
-    /// control does not hear the gateway: such a one learns from datagrams alone. `None` where
-    /// control has only told that it is silent.
+    /// The newest format that both the gateway and this build can read, as last reported by
+    /// control. It stays valid while control cannot reach the gateway, because such a gateway
+    /// receives updates only by datagrams. `None` if control has only reported the gateway as
+    /// silent.
     format: Option<Format>,
 }
 
-/// Without datagrams a gateway serves all the same, blind to the others' work.
+/// Without datagrams a gateway still serves requests, but does not know the work of other gateways.
 fn bind_datagrams(settings: &NodeSettings) -> Option<Datagrams<GatewayDatagram>> {
     let address = SocketAddrV4::new(settings.address, settings.port);
     match Datagrams::bind(address, settings.identity.clone()) {
         Ok(datagrams) => Some(datagrams),
         Err(report) => {
-            error!(settings.logger, "no datagrams"; "cause" => format!("{report:?}"));
+            error!(settings.logger, "datagram socket not available";
+                "cause" => format!("{report:?}"));
             None
         }
     }
--- a/crates/cluster/src/incoming.rs
+++ b/crates/cluster/src/incoming.rs
@@ -11,33 +11,34 @@
 
 use crate::{
     connection_end::ConnectionEnd,
+    heartbeat::{HeartbeatSession, HeartbeatSource},
     message::{NodeHello, NodeMessage, ReplyBody},
-    message_bytes::{MessageBytes, Way},
-    pulse::{PulseSource, ToldPulses},
+    message_bytes::{Direction, MessageBytes},
 };
 
-/// How often control says that it is there when nothing changes.
-const PULSE_INTERVAL: Duration = Duration::from_millis(500);
-/// Changes that come closer together than this share a pulse. A start of the whole
-/// fleet brings hundreds of them.
-const SHORTEST_PULSE_INTERVAL: Duration = Duration::from_millis(100);
+/// How often control sends a heartbeat when nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
+/// Minimum time between two heartbeats; changes that are closer together share one. A start of the
+/// complete fleet brings hundreds of changes.
+const MIN_HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A message of another node.
+/// A message from another node.
 pub(crate) enum Inbound {
-    /// From the node at the other end of a connection.
+    /// A message from the node at the other end of a connection.
     Message {
         from: MachineId,
         message: NodeMessage,
         /// Answers calls; `None` on a link that this node opened.
         answers: Option<Answers>,
-        /// When this node opened the link that it came over; `None` where it did not.
+        /// When this node opened the link of the message; `None` if the other node opened it.
         link_opened: Option<Instant>,
     },
     /// A connection that another node opened has ended.
     Closed {
-        /// What the node said last.
+        /// The node's last description of itself.
         hello: NodeHello,
-        /// It had not been heard of for a while: it may be cut off and go on.
+        /// The connection was silent for a while before its end: the node may be partitioned and
+        /// still running.
         fell_silent: bool,
     },
 }
@@ -48,12 +49,12 @@
 
 impl Answers {
     pub(crate) fn answer(&self, call: CallId, body: ReplyBody) {
-        // A caller that is gone asks again elsewhere.
+        // If the caller has disconnected, it retries at another member.
         let _ = self.0.try_send(&NodeMessage::Reply { call, body });
     }
 }
 
-/// Sends to the node at the other end and counts its bytes.
+/// Sends to the node at the other end and counts the bytes.
 #[derive(Clone)]
 struct CountedSender {
     sender: MessageSender<NodeMessage>,
@@ -64,32 +65,33 @@
 impl CountedSender {
     fn try_send(&self, message: &NodeMessage) -> Result<(), SendRefused> {
         let bytes = self.sender.try_send_counted(message)?;
-        self.bytes.count(message, &self.peer_zone, Way::Sent, bytes);
+        self.bytes
+            .count(message, &self.peer_zone, Direction::Sent, bytes);
         Ok(())
     }
 
     fn count_received(&self, message: &NodeMessage, bytes: usize) {
         self.bytes
-            .count(message, &self.peer_zone, Way::Received, bytes);
+            .count(message, &self.peer_zone, Direction::Received, bytes);
     }
 }
 
 pub(crate) async fn accept_all(
     listener: Listener,
     inbox: mpsc::Sender<Inbound>,
-    pulses: Option<PulseSource>,
+    heartbeats: Option<HeartbeatSource>,
     bytes: MessageBytes,
     logger: Logger,
 ) {
     loop {
         let incoming = listener.accept().await;
         let inbox = inbox.clone();
-        let pulses = pulses.clone();
+        let heartbeats = heartbeats.clone();
         let bytes = bytes.clone();
         let logger = logger.clone();
         tokio::spawn(async move {
             if let Ok(connection) = incoming.establish::<NodeMessage, NodeMessage>().await {
-                serve(connection, inbox, pulses, bytes, &logger).await;
+                serve(connection, inbox, heartbeats, bytes, &logger).await;
             }
         });
     }
@@ -98,7 +100,7 @@
 async fn serve(
     connection: Connection<NodeMessage, NodeMessage>,
     inbox: mpsc::Sender<Inbound>,
-    pulses: Option<PulseSource>,
+    heartbeats: Option<HeartbeatSource>,
     bytes: MessageBytes,
     logger: &Logger,
 ) {
@@ -109,13 +111,13 @@
         Ok(None) => return,
         other => {
             let cause = other.err().map(|report| format!("{report:?}"));
-            warn!(logger, "node not understood"; "peer" => %address,
+            warn!(logger, "invalid first message from a node"; "peer" => %address,
                 "format" => format.number(), "cause" => cause);
             return;
         }
     };
     let mut peer = Peer {
-        told: ToldPulses::new(&hello, format),
+        session: HeartbeatSession::new(&hello, format),
         hello: hello.clone(),
         sender: CountedSender {
             sender,
@@ -124,13 +126,14 @@
         },
         inbox,
     };
-    info!(logger, "node connected"; "node" => &peer.hello.name, "upto" => peer.hello.upto.0,
+    info!(logger, "node connected"; "node" => &peer.hello.name,
+        "upto" => peer.hello.up_to_index.0,
         "format" => format.number(), "newest_format" => peer.hello.newest_format,
         "build" => &peer.hello.build);
-    let end = peer.run(&mut receiver, pulses).await;
+    let end = peer.run(&mut receiver, heartbeats).await;
     let silent_ms = receiver.silent_for().as_millis() as u64;
     info!(logger, "node lost"; "node" => &peer.hello.name, "cause" => end.to_string(),
-        "silent_ms" => silent_ms, "told" => peer.told.upto().0);
+        "silent_ms" => silent_ms, "told" => peer.session.up_to_index().0);
     let closed = Inbound::Closed {
         hello: peer.hello,
         fell_silent: silent_ms > READY_TTL_MS,
@@ -141,23 +144,23 @@
 /// The node at the other end.
 struct Peer {
     hello: NodeHello,
-    told: ToldPulses,
+    session: HeartbeatSession,
     sender: CountedSender,
     inbox: mpsc::Sender<Inbound>,
 }
 
 impl Peer {
-    /// Serves the connection to its end.
+    /// Serves the connection until it ends.
     async fn run(
         &mut self,
         receiver: &mut MessageReceiver<NodeMessage>,
-        pulses: Option<PulseSource>,
+        heartbeats: Option<HeartbeatSource>,
     ) -> ConnectionEnd {
         if !self.pass_on(NodeMessage::Hello(self.hello.clone())).await {
             return ConnectionEnd::Stopping;
         }
-        match pulses {
-            Some(pulses) => self.serve_with_pulses(receiver, pulses).await,
+        match heartbeats {
+            Some(heartbeats) => self.serve_with_heartbeats(receiver, heartbeats).await,
             None => self.serve(receiver).await,
         }
     }
@@ -178,15 +181,15 @@
         }
     }
 
-    async fn serve_with_pulses(
+    async fn serve_with_heartbeats(
         &mut self,
         receiver: &mut MessageReceiver<NodeMessage>,
-        mut pulses: PulseSource,
+        mut heartbeats: HeartbeatSource,
     ) -> ConnectionEnd {
-        let mut last = None;
-        let mut next = Instant::now();
-        // A further change changes nothing until the next pulse: of hundreds a second a
-        // connection need not hear each.
+        let mut last_sent = None;
+        let mut next_send = Instant::now();
+        // Once a change is pending, further changes make no difference until the next heartbeat.
+        // This saves waking up for each of hundreds of changes a second.
         let mut has_changed = false;
         loop {
             tokio::select! {
@@ -200,61 +203,66 @@
                     Ok(None) => return ConnectionEnd::ByPeer,
                     Err(report) => return ConnectionEnd::Broken(report),
                 },
-                changed = pulses.changes.changed(), if !has_changed => {
+                changed = heartbeats.changes.changed(), if !has_changed => {
                     if changed.is_err() {
                         return ConnectionEnd::Stopping;
                     }
                     has_changed = true;
-                    let earliest = last.map(|last| last + SHORTEST_PULSE_INTERVAL);
-                    next = next.min(earliest.unwrap_or(next)).max(Instant::now());
+                    let earliest = last_sent.map(|last_sent| last_sent + MIN_HEARTBEAT_INTERVAL);
+                    next_send = next_send.min(earliest.unwrap_or(next_send)).max(Instant::now());
                 }
-                () = sleep_until(next) => {
+                () = sleep_until(next_send) => {
                     let now = Instant::now();
-                    pulses.changes.mark_unchanged();
+                    heartbeats.changes.mark_unchanged();
                     has_changed = false;
-                    let is_due = last.is_none_or(|last| now >= last + PULSE_INTERVAL);
-                    match self.send_pulse(&pulses, is_due) {
-                        Ok(true) => last = Some(now),
+                    let is_due =
+                        last_sent.is_none_or(|last_sent| now >= last_sent + HEARTBEAT_INTERVAL);
+                    match self.send_heartbeat(&heartbeats, is_due) {
+                        Ok(true) => last_sent = Some(now),
                         Ok(false) => {}
                         Err(refused) => return ConnectionEnd::NotSent(refused),
                     }
-                    let due = last.unwrap_or(now) + PULSE_INTERVAL;
-                    let withheld = self.told.withheld_for();
-                    next = withheld.map_or(due, |left| due.min(now + left));
+                    let due = last_sent.unwrap_or(now) + HEARTBEAT_INTERVAL;
+                    let withheld = self.session.withheld_for();
+                    next_send = withheld.map_or(due, |remaining| due.min(now + remaining));
                 }
             }
         }
     }
 
-    /// Sends a pulse, if it is due or tells anything; false where it was not sent. The
-    /// connection is to end where this fails: the pulse counts as told.
-    fn send_pulse(&mut self, pulses: &PulseSource, is_due: bool) -> Result<bool, SendRefused> {
-        let pulse = self.told.next(pulses);
-        let message = match pulse.is_quiet() {
+    /// Sends a heartbeat if it is due or has content; false if it was not sent. The connection must
+    /// be closed on failure, because the content counts as sent.
+    fn send_heartbeat(
+        &mut self,
+        heartbeats: &HeartbeatSource,
+        is_due: bool,
+    ) -> Result<bool, SendRefused> {
+        let heartbeat = self.session.next(heartbeats);
+        let message = match heartbeat.is_empty() {
             true if !is_due => return Ok(false),
-            true => NodeMessage::Beat {
-                current: pulse.current,
+            true => NodeMessage::EmptyControlHeartbeat {
+                current: heartbeat.current,
             },
-            false => NodeMessage::Pulse(Box::new(pulse)),
+            false => NodeMessage::ControlHeartbeat(Box::new(heartbeat)),
         };
         self.sender.try_send(&message)?;
         Ok(true)
     }
 
-    /// False when the node has stopped.
+    /// False if this node is stopping.
     async fn pass_on(&mut self, message: NodeMessage) -> bool {
         let message = match message {
             NodeMessage::Hello(hello) => {
-                self.told.note_hello(&hello);
+                self.session.record_hello(&hello);
                 self.hello = hello.clone();
                 NodeMessage::Hello(hello)
             }
-            NodeMessage::Alive { upto } => {
-                self.told.note_known(upto);
+            NodeMessage::KeepAlive { up_to_index } => {
+                self.session.record_known(up_to_index);
                 NodeMessage::Hello(self.hello.clone())
             }
-            NodeMessage::TellAll => {
-                self.told.forget();
+            NodeMessage::FullUpdateRequest => {
+                self.session.reset();
                 NodeMessage::Hello(self.hello.clone())
             }
             other => other,
--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -1,4 +1,4 @@
-//! Connections that this node keeps to others, opened again when they break.
+//! Connections that this node opens to others and reopens when they break.
 
 use std::{
     collections::{BTreeMap, BTreeSet, HashMap},
@@ -25,29 +25,30 @@
 use crate::{
     connection_end::ConnectionEnd,
     incoming::Inbound,
-    message::{CallBody, NodeHello, NodeMessage, Pulse, ReplyBody},
+    message::{CallBody, ControlHeartbeat, NodeHello, NodeMessage, ReplyBody},
     node::{NodeSettings, address_of, connection_options},
 };
 
-/// How often a node says to control that it is there.
+/// How often a node reports to control that it is alive.
 const HELLO_INTERVAL: Duration = Duration::from_millis(500);
-/// A link to a leader that was opened for a call is kept for further ones.
-const REACHED_FOR: Duration = Duration::from_secs(10);
+/// A link to a leader that was opened for a call stays open for further calls.
+const CALL_LINK_TTL: Duration = Duration::from_secs(10);
 const FIRST_RECONNECT_PAUSE: Duration = Duration::from_millis(50);
-const LONGEST_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
-/// A link that lasted for so long was of use: the next one is opened at once. One that a peer
-/// closes sooner is opened again after a growing pause.
-const STEADY_AFTER: Duration = Duration::from_secs(1);
-/// A peer that refuses this node goes on doing so until one of the two is replaced.
+const MAX_RECONNECT_PAUSE: Duration = Duration::from_millis(250);
+/// After a link that lasted this long, the next one is opened at once. If a peer closes the link
+/// sooner, it is reopened after a growing pause.
+const STABLE_AFTER: Duration = Duration::from_secs(1);
+/// A peer that refuses this node continues to do so until one of the two is replaced, so the pause
+/// between attempts is longer.
 const FIRST_REFUSED_PAUSE: Duration = Duration::from_millis(500);
-const LONGEST_REFUSED_PAUSE: Duration = Duration::from_secs(4);
+const MAX_REFUSED_PAUSE: Duration = Duration::from_secs(4);
 
-/// Why a call got no answer.
+/// Why a call got no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum CallLost {
-    /// It never left this machine.
+pub(crate) enum CallFailed {
+    /// The call was never sent.
     NotSent,
-    /// It was sent before the link broke.
+    /// The call was sent before the link broke.
     MayHaveArrived,
 }
 
@@ -70,13 +71,13 @@
     next_call: Mutex<u64>,
 }
 
-/// One link; without a sender while it is down.
+/// One link; it has no sender while it is down.
 struct Link {
     sender: Option<MessageSender<NodeMessage>>,
     calls: HashMap<CallId, oneshot::Sender<ReplyBody>>,
     task: JoinHandle<()>,
-    /// Until when it is kept though nobody else wants it.
-    reached_until: Option<Instant>,
+    /// Until when the link is kept open even if it is no target.
+    open_for_calls_until: Option<Instant>,
 }
 
 impl Drop for Link {
@@ -108,30 +109,32 @@
         }
     }
 
-    /// Keeps links to exactly these machines and to those that are reached lately, but none
-    /// to this one.
-    pub(crate) fn keep(&self, wanted: &BTreeSet<MachineId>) {
+    /// Keeps links to exactly these machines and to those that were opened for calls recently, but
+    /// never to this machine.
+    pub(crate) fn set_targets(&self, targets: &BTreeSet<MachineId>) {
         let now = Instant::now();
         let mut links = self.inner.links.lock();
         links.retain(|machine, link| {
-            let is_reached = link.reached_until.is_some_and(|until| now < until);
-            wanted.contains(machine) || is_reached
+            let is_open_for_calls = link
+                .open_for_calls_until
+                .is_some_and(|deadline| now < deadline);
+            targets.contains(machine) || is_open_for_calls
         });
-        for machine in wanted {
+        for machine in targets {
             if *machine != self.inner.own {
                 self.open(&mut links, *machine);
             }
         }
     }
 
-    /// Opens a link to a machine for the calls of the next seconds, where there is none.
-    pub(crate) fn reach(&self, machine: MachineId) {
+    /// Opens a link to a machine for the calls of the next seconds, if there is none.
+    pub(crate) fn open_for_calls(&self, machine: MachineId) {
         if machine == self.inner.own {
             return;
         }
         let mut links = self.inner.links.lock();
         let link = self.open(&mut links, machine);
-        link.reached_until = Some(Instant::now() + REACHED_FOR);
+        link.open_for_calls_until = Some(Instant::now() + CALL_LINK_TTL);
     }
 
     fn open<'a>(
@@ -142,12 +145,12 @@
         links.entry(machine).or_insert_with(|| Link {
             sender: None,
             calls: HashMap::new(),
-            task: tokio::spawn(keep_link(self.clone(), machine)),
-            reached_until: None,
+            task: tokio::spawn(maintain_link(self.clone(), machine)),
+            open_for_calls_until: None,
         })
     }
 
-    /// Number of links that are kept to some machines.
+    /// Number of open or reconnecting links to the given machines.
     pub(crate) fn count(&self, machines: &BTreeSet<MachineId>) -> usize {
         let links = self.inner.links.lock();
         links
@@ -156,8 +159,8 @@
             .count()
     }
 
-    /// Changes what this node says of itself and says it at once.
-    pub(crate) fn say(&self, change: impl FnOnce(&mut NodeHello)) {
+    /// Changes this node's description of itself and sends it at once.
+    pub(crate) fn update_hello(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             let before = hello.clone();
             change(hello);
@@ -165,15 +168,15 @@
         });
     }
 
-    /// Changes what this node says of itself next time.
-    pub(crate) fn note(&self, change: impl FnOnce(&mut NodeHello)) {
+    /// Changes this node's description of itself without sending it at once.
+    pub(crate) fn update_hello_later(&self, change: impl FnOnce(&mut NodeHello)) {
         self.inner.hello.send_if_modified(|hello| {
             change(hello);
             false
         });
     }
 
-    /// Sends a message if the link is up and has room; else it is lost.
+    /// Sends a message if the link is up and has queue space; otherwise the message is dropped.
     pub(crate) fn send(&self, to: MachineId, message: &NodeMessage) {
         let sender = self.sender(to);
         if let Some(sender) = sender {
@@ -184,29 +187,33 @@
     /// Calls another machine.
     ///
     /// # Errors
-    /// Whether the call had left this machine when the link was found broken.
-    pub(crate) async fn call(&self, to: MachineId, body: CallBody) -> Result<ReplyBody, CallLost> {
+    /// Whether the call was sent before the link broke.
+    pub(crate) async fn call(
+        &self,
+        to: MachineId,
+        body: CallBody,
+    ) -> Result<ReplyBody, CallFailed> {
         let call = self.next_call();
         let (reply, answered) = oneshot::channel();
         {
             let mut links = self.inner.links.lock();
-            let link = links.get_mut(&to).ok_or(CallLost::NotSent)?;
-            let sender = link.sender.as_ref().ok_or(CallLost::NotSent)?;
+            let link = links.get_mut(&to).ok_or(CallFailed::NotSent)?;
+            let sender = link.sender.as_ref().ok_or(CallFailed::NotSent)?;
             sender
                 .try_send(&NodeMessage::Call { call, body })
-                .map_err(|_| CallLost::NotSent)?;
+                .map_err(|_| CallFailed::NotSent)?;
             link.calls.retain(|_, waiting| !waiting.is_closed());
             link.calls.insert(call, reply);
         }
-        answered.await.map_err(|_| CallLost::MayHaveArrived)
+        answered.await.map_err(|_| CallFailed::MayHaveArrived)
     }
 
-    /// The newest format that this node may speak.
+    /// The newest format that this node may use.
     pub(crate) fn newest_format(&self) -> Format {
         self.inner.newest_format
     }
 
-    /// The format that is spoken with a machine; `None` while the link to it is down.
+    /// The format of the link to a machine; `None` while the link is down.
     pub(crate) fn format_with(&self, machine: MachineId) -> Option<Format> {
         self.sender(machine).map(|sender| sender.format())
     }
@@ -235,12 +242,12 @@
     }
 }
 
-async fn keep_link(links: Links, machine: MachineId) {
+async fn maintain_link(links: Links, machine: MachineId) {
     let inner = Arc::clone(&links.inner);
     let address = format!("{}:{}", address_of(machine), inner.port);
     let seed = u64::from(inner.own.0) ^ u64::from(machine.0);
-    let mut backoff = Backoff::new(FIRST_RECONNECT_PAUSE, LONGEST_RECONNECT_PAUSE, seed);
-    let mut refused_backoff = Backoff::new(FIRST_REFUSED_PAUSE, LONGEST_REFUSED_PAUSE, seed);
+    let mut backoff = Backoff::new(FIRST_RECONNECT_PAUSE, MAX_RECONNECT_PAUSE, seed);
+    let mut refused_backoff = Backoff::new(FIRST_REFUSED_PAUSE, MAX_REFUSED_PAUSE, seed);
     let mut is_refused = false;
     loop {
         let traffic = Arc::clone(&inner.traffic);
@@ -273,7 +280,7 @@
             links.set_sender(machine, None);
             info!(inner.logger, "link lost"; "to" => &address, "cause" => end.to_string(),
                 "silent_ms" => receiver.silent_for().as_millis() as u64);
-            if up_since.elapsed() >= STEADY_AFTER {
+            if up_since.elapsed() >= STABLE_AFTER {
                 backoff.reset();
             }
         }
@@ -288,10 +295,10 @@
     receiver: &mut MessageReceiver<NodeMessage>,
 ) -> ConnectionEnd {
     let mut hellos = links.inner.hello.subscribe();
-    let mut said: Option<NodeHello> = None;
+    let mut last_sent: Option<NodeHello> = None;
     let mut next_hello = Instant::now();
     let opened = Instant::now();
-    // Control sends pulses; nobody else counts who is there.
+    // Only control sends heartbeats, and only control needs the node's keep-alive messages.
     let mut is_control = false;
     loop {
         tokio::select! {
@@ -302,8 +309,8 @@
                     }
                 }
                 Ok(Some(message)) => {
-                    let message = as_pulse(message);
-                    is_control |= matches!(message, NodeMessage::Pulse(_));
+                    let message = expand_heartbeat(message);
+                    is_control |= matches!(message, NodeMessage::ControlHeartbeat(_));
                     let inbound = Inbound::Message {
                         from: machine,
                         message,
@@ -325,7 +332,7 @@
             }
             () = sleep_until(next_hello) => {
                 let hello = hellos.borrow_and_update().clone();
-                if let Err(refused) = say_hello(&sender, &mut said, hello, is_control) {
+                if let Err(refused) = send_hello(&sender, &mut last_sent, hello, is_control) {
                     return ConnectionEnd::NotSent(refused);
                 }
                 next_hello = Instant::now() + HELLO_INTERVAL;
@@ -334,34 +341,40 @@
     }
 }
 
-/// A beat is a pulse that tells nothing else.
-fn as_pulse(message: NodeMessage) -> NodeMessage {
+/// Turns the short form of a heartbeat, which has no other content, into the full form.
+fn expand_heartbeat(message: NodeMessage) -> NodeMessage {
     match message {
-        NodeMessage::Beat { current } => NodeMessage::Pulse(Box::new(Pulse {
-            current,
-            ..Pulse::default()
-        })),
+        NodeMessage::EmptyControlHeartbeat { current } => {
+            NodeMessage::ControlHeartbeat(Box::new(ControlHeartbeat {
+                current,
+                ..ControlHeartbeat::default()
+            }))
+        }
         other => other,
     }
 }
 
-/// Says what this node is where that changed, else to control that it is there.
-/// The link is to end where that cannot be sent.
-fn say_hello(
+/// Sends this node's description of itself if it changed, or else a keep-alive message to control.
+/// The link must be closed if sending fails.
+fn send_hello(
     sender: &MessageSender<NodeMessage>,
-    said: &mut Option<NodeHello>,
+    last_sent: &mut Option<NodeHello>,
     hello: NodeHello,
     is_control: bool,
 ) -> Result<(), SendRefused> {
-    let is_same = said.as_ref().is_some_and(|said| said.says_the_same(&hello));
+    let is_same = last_sent
+        .as_ref()
+        .is_some_and(|last_sent| last_sent.is_equivalent(&hello));
     if is_same {
-        let alive = NodeMessage::Alive { upto: hello.upto };
+        let alive = NodeMessage::KeepAlive {
+            up_to_index: hello.up_to_index,
+        };
         return if is_control {
             sender.try_send(&alive)
         } else {
             Ok(())
         };
     }
-    *said = Some(hello.clone());
+    *last_sent = Some(hello.clone());
     sender.try_send(&NodeMessage::Hello(hello))
 }
--- a/crates/cluster/src/store.rs
+++ b/crates/cluster/src/store.rs
@@ -19,35 +19,35 @@
     control::random_disk,
     driver::{self, GroupDriver, GroupHandle},
     incoming::Inbound,
-    message::{CallBody, NodeMessage, NodeRole, ReplyBody, spoken_format},
+    message::{CallBody, NodeMessage, NodeRole, ReplyBody, common_format},
     node::{self, NodeBase, NodeSettings},
-    store_service::{GroupSeen, StoreService},
-    told_fleet::ToldFleet,
+    reported_fleet::ReportedFleet,
+    store_service::{LocalGroupView, StoreService},
 };
 
-/// The cluster that the data folder names.
+/// The cluster name in the identity of the data folder.
 const CLUSTER: &str = "linnethitch";
-/// A snapshot is taken when the log has grown by this many bytes. Texts that came
-/// since are in memory, so this bounds what a member holds of them.
+/// A snapshot is taken when the log has grown by this many bytes. Texts added since the last
+/// snapshot are in memory, so this also bounds the memory for them.
 const SNAPSHOT_LOG_BYTES: u64 = 6 * 1024 * 1024;
-/// Bytes of a segment of the log, the unit in which space is given back.
+/// Bytes of a log segment, the unit in which disk space is released.
 const SEGMENT_BYTES: u64 = 2 * 1024 * 1024;
-/// Texts make a snapshot as large as everything that is kept, so only the newest stays.
-const KEPT_SNAPSHOTS: usize = 1;
-/// How often links and members are looked at.
-const UPKEEP_INTERVAL: Duration = Duration::from_millis(250);
+/// Texts make a snapshot as large as all retained data, so only the newest is retained.
+const RETAINED_SNAPSHOTS: usize = 1;
+/// Interval of the maintenance of links and members.
+const MAINTENANCE_INTERVAL: Duration = Duration::from_millis(250);
 
 /// Settings of a store member.
 #[derive(Clone)]
 pub struct StoreSettings {
-    /// Who it is.
+    /// Identity and addresses of the node.
     pub node: NodeSettings,
-    /// Where it keeps its state.
+    /// Folder of the stored state.
     pub data_dir: String,
-    /// Most voters of the group.
+    /// Maximum number of voters of the group.
     pub voters: usize,
-    /// Time for which jobs are kept after they were accepted.
-    pub kept: Duration,
+    /// How long jobs are retained after they were accepted.
+    pub retention: Duration,
 }
 
 /// A running store member.
@@ -55,9 +55,9 @@
     settings: StoreSettings,
     base: NodeBase,
     fleet: FleetView,
-    told: ToldFleet,
+    reported: ReportedFleet,
     /// The group as this member sees it.
-    seen: watch::Sender<GroupSeen>,
+    group_view: watch::Sender<LocalGroupView>,
     handle: Option<GroupHandle<StoreCall, StoreReply>>,
 }
 
@@ -76,8 +76,8 @@
             settings,
             base,
             fleet: FleetView::default(),
-            told: ToldFleet::default(),
-            seen: watch::channel(GroupSeen::default()).0,
+            reported: ReportedFleet::default(),
+            group_view: watch::channel(LocalGroupView::default()).0,
             handle: None,
         };
         let driver = store.wait_for_group().await?;
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Opens what the disk holds; on a first start waits for the first membership.
+    /// Opens the data on the disk; on a first start waits for the first membership.
     async fn wait_for_group(&mut self) -> Result<GroupDriver<StoreService>, Report<ErrorKind>> {
         let own = self.settings.node.machine();
         let first_member = MemberId {
@@ -107,27 +107,28 @@
             return self.open(None);
         }
         if is_reserved {
-            self.base.links.say(|hello| {
+            self.base.links.update_hello(|hello| {
                 hello.member = Some(first_member);
                 hello.forming = true;
             });
         }
-        let mut ticks = interval(UPKEEP_INTERVAL);
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
         while self.fleet.store().first.is_empty() {
             tokio::select! {
-                _ = ticks.tick() => self.keep_links(),
-                Some(inbound) = self.base.inbox.recv() => self.take(inbound).await,
+                _ = ticks.tick() => self.update_links(),
+                Some(inbound) = self.base.inbox.recv() => self.handle(inbound).await,
             }
         }
-        self.base.links.say(|hello| hello.forming = false);
+        self.base.links.update_hello(|hello| hello.forming = false);
         let first = self.fleet.store().first.clone();
         let forms = is_reserved && first.contains(&first_member);
         self.open(forms.then_some(first))
     }
 
-    /// Whether this disk may be one of the group's first members. It was set aside for that
-    /// before control heard of it, so that a process that ends meanwhile takes its place
-    /// again; else one more lost disk could leave the group without a quorum for ever.
+    /// Whether this disk may belong to one of the group's first members. The disk is reserved
+    /// before control is contacted, so that a process that ends meanwhile becomes the same member
+    /// again. Otherwise the loss of one more disk could leave the group without a quorum
+    /// permanently.
     fn is_reserved(&self) -> Result<bool, Report<ErrorKind>> {
         let file_system = Arc::new(RealFileSystem::new(&self.settings.data_dir)?);
         let identity = FolderIdentity {
@@ -158,10 +159,10 @@
         group.max_voters = self.settings.voters;
         group.snapshot_log_bytes = SNAPSHOT_LOG_BYTES;
         group.log_limits.segment_bytes = SEGMENT_BYTES;
-        group.retained_snapshots = KEPT_SNAPSHOTS;
+        group.retained_snapshots = RETAINED_SNAPSHOTS;
         group.seed ^= u64::from(own.0);
-        let kept_ms = self.settings.kept.as_millis() as u64;
-        let service = StoreService::new(kept_ms, self.seen.clone());
+        let retention_ms = self.settings.retention.as_millis() as u64;
+        let service = StoreService::new(retention_ms, self.group_view.clone());
         let (driver, handle) = driver::open(
             group,
             &self.settings.data_dir,
@@ -172,31 +173,33 @@
         )?;
         let member = driver.id();
         info!(self.settings.node.logger, "store opened"; "disk" => member.disk.0);
-        self.base.links.say(|hello| hello.member = Some(member));
+        self.base
+            .links
+            .update_hello(|hello| hello.member = Some(member));
         self.handle = Some(handle);
         Ok(driver)
     }
 
     async fn serve(&mut self) {
-        let mut ticks = interval(UPKEEP_INTERVAL);
-        let mut seen = self.seen.subscribe();
+        let mut ticks = interval(MAINTENANCE_INTERVAL);
+        let mut group_view = self.group_view.subscribe();
         loop {
             tokio::select! {
                 _ = ticks.tick() => {
-                    self.keep_links();
-                    self.tell_members().await;
+                    self.update_links();
+                    self.report_members().await;
                 }
-                // The sender is this node's own and stays.
-                Ok(()) = seen.changed() => self.keep_links(),
+                // The sender belongs to this node and is never dropped.
+                Ok(()) = group_view.changed() => self.update_links(),
                 inbound = self.base.inbox.recv() => match inbound {
-                    Some(inbound) => self.take(inbound).await,
+                    Some(inbound) => self.handle(inbound).await,
                     None => return,
                 },
             }
         }
     }
 
-    async fn take(&mut self, inbound: Inbound) {
+    async fn handle(&mut self, inbound: Inbound) {
         let Inbound::Message {
             from,
             message,
@@ -212,18 +215,20 @@
                     handle.message(message).await;
                 }
             }
-            NodeMessage::Pulse(mut pulse) => {
+            NodeMessage::ControlHeartbeat(mut heartbeat) => {
                 let now_ms = self.base.clock.now_ms();
-                let names_others = self.told.take(from, &mut pulse, now_ms);
-                if names_others {
-                    self.keep_links();
+                let has_new_machines = self.reported.apply(from, &mut heartbeat, now_ms);
+                if has_new_machines {
+                    self.update_links();
                 }
-                if let Some(update) = pulse.update {
+                if let Some(update) = heartbeat.update {
                     self.fleet.apply(update);
-                    let upto = self.fleet.up_to_index();
-                    self.base.links.say(|hello| hello.upto = upto);
+                    let up_to_index = self.fleet.up_to_index();
+                    self.base
+                        .links
+                        .update_hello(|hello| hello.up_to_index = up_to_index);
                     if self.fleet.needs_full_update() {
-                        self.base.links.send(from, &NodeMessage::TellAll);
+                        self.base.links.send(from, &NodeMessage::FullUpdateRequest);
                     }
                 }
             }
@@ -244,30 +249,32 @@
         }
     }
 
-    fn keep_links(&self) {
+    fn update_links(&self) {
         let now_ms = self.base.clock.now_ms();
         let seeds = self.settings.node.seeds.machines();
-        let mut wanted = self.told.control(&seeds, now_ms);
-        wanted.extend(self.told.store_members());
+        let mut targets = self.reported.control(&seeds, now_ms);
+        targets.extend(self.reported.store_members());
         let first = self.fleet.store().first.iter();
-        wanted.extend(first.map(|member| member.machine));
-        let seen = self.seen.borrow().clone();
-        wanted.extend(&seen.members);
-        self.base.links.keep(&wanted);
-        self.base.links.say(|hello| hello.store_group = seen.led);
+        targets.extend(first.map(|member| member.machine));
+        let group_view = self.group_view.borrow().clone();
+        targets.extend(&group_view.members);
+        self.base.links.set_targets(&targets);
+        self.base
+            .links
+            .update_hello(|hello| hello.store_group = group_view.leader_report);
     }
 
-    async fn tell_members(&self) {
+    async fn report_members(&self) {
         let Some(handle) = &self.handle else {
             return;
         };
         let own = self.settings.node.machine();
-        for store in self.told.stores() {
+        for store in self.reported.stores() {
             if let Some(member) = store.member
                 && store.machine != own
             {
-                let speaks = spoken_format(store.newest_format);
-                handle.present(member, speaks).await;
+                let supported = common_format(store.newest_format);
+                handle.present(member, supported).await;
             }
         }
         let retiring: BTreeSet<_> = self.fleet.store().retiring.iter().copied().collect();
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use linnethitch_cluster::{DatagramBytes, Way};
+use linnethitch_cluster::{DatagramBytes, Direction};
 use linnethitch_protocol::slots::SlotLoad;
 use prometheus_client::{
     encoding::{EncodeLabelSet, EncodeLabelValue, text::encode},
@@ -63,7 +63,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReplicaLabels {
     zone: String,
-    way: Way,
+    way: Direction,
 }
 
 /// Use of coordinated slots.
@@ -293,8 +293,8 @@
             self.replica_bytes.get_or_create(&labels).clone()
         };
         ReplicaBytes {
-            sent: counter(Way::Sent),
-            received: counter(Way::Received),
+            sent: counter(Direction::Sent),
+            received: counter(Direction::Received),
         }
     }
 
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -285,7 +285,7 @@
 async fn wait_for_update_after_pause(shared: &Shared, limits: Limits) {
     let remaining = limits.deadline.saturating_duration_since(Instant::now());
     // On a time-out the request continues as well.
-    let _ = timeout(remaining / 2, shared.gateway.news_after_standstill()).await;
+    let _ = timeout(remaining / 2, shared.gateway.wait_for_update_after_pause()).await;
 }
 
 /// While this gateway is isolated, waits for updates on a suspected request, for at most half of
--- a/crates/relay/src/replica_ends.rs
+++ b/crates/relay/src/replica_ends.rs
@@ -242,7 +242,7 @@
         let replica = self.replica.clone();
         async move {
             gateway
-                .tell_replica_ended(&replica, runs, CONTROL_REPORT_TIMEOUT)
+                .report_replica_ended(&replica, runs, CONTROL_REPORT_TIMEOUT)
                 .await
         }
     }
--- a/crates/relay/src/running_guard.rs
+++ b/crates/relay/src/running_guard.rs
@@ -70,7 +70,7 @@
             known_ends,
             began,
             sent: began,
-            paused_before: shared.gateway.stood_still(),
+            paused_before: shared.gateway.total_pause(),
             work,
             report,
             _lease: lease,
@@ -80,13 +80,13 @@
     /// Records that the request is about to be sent.
     pub(crate) fn note_sent(&mut self) {
         self.sent = Instant::now();
-        self.paused_before = self.shared.gateway.stood_still();
+        self.paused_before = self.shared.gateway.total_pause();
     }
 
     /// Duration of the run without process pauses, which say nothing about when the request ends
     /// its replica.
     fn ran(&self) -> Duration {
-        let paused = self.shared.gateway.stood_still();
+        let paused = self.shared.gateway.total_pause();
         let paused = paused.saturating_sub(self.paused_before);
         self.sent.elapsed().saturating_sub(paused)
     }
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -406,7 +406,7 @@
         // If the report does not reach control, the next request to the replica repeats it.
         tokio::spawn(async move {
             gateway
-                .tell_not_there(&replica, CONTROL_REPORT_TIMEOUT)
+                .report_not_at_address(&replica, CONTROL_REPORT_TIMEOUT)
                 .await
         });
     }
--- a/crates/relay/src/suspected_requests.rs
+++ b/crates/relay/src/suspected_requests.rs
@@ -143,7 +143,7 @@
     fn send_suspicions(&self, gateways: &[MachineId], to_send: &[ToldSuspicion]) {
         for reported in to_send.chunks(MAX_SUSPICIONS_PER_DATAGRAM) {
             let message = GatewayDatagram::Suspicions(reported.to_vec());
-            self.gateway.tell_gateways(gateways, &message);
+            self.gateway.send_to_gateways(gateways, &message);
         }
     }
 
@@ -167,7 +167,7 @@
         // If the report does not reach control, the next copy that succeeds clears the request.
         tokio::spawn(async move {
             gateway
-                .tell_cleared(fingerprint, CONTROL_REPORT_TIMEOUT)
+                .report_cleared(fingerprint, CONTROL_REPORT_TIMEOUT)
                 .await
         });
     }
--- a/crates/relay/tests/all/cold.rs
+++ b/crates/relay/tests/all/cold.rs
@@ -49,7 +49,7 @@
     suspend_for(SETTLING_TIME);
     sleep(CONTACT_TIME).await;
     // After a suspension nothing is sent before an update from control.
-    fleet.relay.gateway().news_after_standstill().await;
+    fleet.relay.gateway().wait_for_update_after_pause().await;
 }
 
 #[tokio::test]
--- a/crates/relay/tests/all/ending_requests.rs
+++ b/crates/relay/tests/all/ending_requests.rs
@@ -296,7 +296,7 @@
             },
         };
         let receivers = [first.relay.gateway().machine()];
-        other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![suspicion]));
+        other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(vec![suspicion]));
     };
     let (answer, ()) = tokio::join!(waiting, sent_later);
     assert_eq!((answer.status, service.ended()), (400, 1));
@@ -363,7 +363,7 @@
     };
     let late = ["other", SLOW].map(refused_elsewhere);
     let receivers = [first.relay.gateway().machine()];
-    other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(late.to_vec()));
+    other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(late.to_vec()));
     while first.ask("other", "other").await.status != 400 {
         sleep(Duration::from_millis(10)).await;
     }
@@ -397,7 +397,7 @@
         },
     };
     let receivers = [first.relay.gateway().machine()];
-    other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![refused]));
+    other.send_to_gateways(&receivers, &GatewayDatagram::Suspicions(vec![refused]));
     let answered = async |status: u16| {
         while first.ask("innocent", SLOW).await.status != status {
             sleep(CALLER_PAUSE).await;
@@ -411,8 +411,8 @@
         known: EndsInRow::default(),
         ran_ms: 30,
     };
-    assert!(other.tell_replica_ended("i-9", vec![ended], LIMIT).await);
-    other.tell_cleared(fingerprint(SLOW), LIMIT).await;
+    assert!(other.report_replica_ended("i-9", vec![ended], LIMIT).await);
+    other.report_cleared(fingerprint(SLOW), LIMIT).await;
     timeout(LIMIT, answered(200))
         .await
         .expect("the request is served");
