--- a/crates/gateway/src/batch/driver.rs
+++ b/crates/gateway/src/batch/driver.rs
@@ -16,7 +16,7 @@
 use crate::{
     batch::{
         BatchAction, BatchDecision, BatchEvent, BatchExecutor, BatchSession, CallAnswer,
-        ExecutorSettings, ReplicaRoom, RunId, run::run_item,
+        ExecutorSettings, ReplicaCapacity, RunId, run::run_item,
     },
     control::session::Session,
     state::Gateway,
@@ -87,7 +87,7 @@
 
     /// Waits for the next thing that happens and takes it in. Safe to drop while it waits.
     async fn step(&mut self) {
-        let changed = Arc::clone(&self.gateway.decisions.batch_room_changed);
+        let changed = Arc::clone(&self.gateway.decisions.batch_capacity_changed);
         let mut session = self.gateway.session.subscribe();
         let event = tokio::select! {
             biased;
@@ -107,21 +107,24 @@
         let session = session.map(|Session { epoch, until }| BatchSession { epoch, until });
         self.executor.set_settings(settings(&self.gateway));
         self.handle(BatchEvent::Session(session));
-        let rooms = self.gateway.decisions.batch_rooms();
+        let rooms = self.gateway.decisions.batch_capacities();
         self.observe(&rooms);
-        self.handle(BatchEvent::Room(rooms));
+        self.handle(BatchEvent::Capacity(rooms));
     }
 
-    fn observe(&self, rooms: &[ReplicaRoom]) {
+    fn observe(&self, rooms: &[ReplicaCapacity]) {
         let metrics = &self.gateway.observer.metrics;
         let room: i64 = rooms.iter().map(|room| i64::from(room.sequences)).sum();
         metrics.batch_room.set(room);
         metrics
             .batch_items_held
-            .set(self.executor.held().try_into().unwrap_or(i64::MAX));
-        metrics
-            .batch_results_waiting
-            .set(self.executor.uncommitted().try_into().unwrap_or(i64::MAX));
+            .set(self.executor.leased_items().try_into().unwrap_or(i64::MAX));
+        metrics.batch_results_waiting.set(
+            self.executor
+                .uncommitted_results()
+                .try_into()
+                .unwrap_or(i64::MAX),
+        );
     }
 
     fn now(&self) -> Timestamp {
@@ -140,7 +143,7 @@
 
     fn act(&mut self, now: Timestamp, action: BatchAction) {
         match action {
-            BatchAction::Wish(wishes) => {
+            BatchAction::RequestGrants(wishes) => {
                 let message = GatewayMessage::WantGrants(wishes);
                 self.gateway.control.notify(&message);
             }
@@ -155,7 +158,7 @@
                     stop.cancel();
                 }
             }
-            BatchAction::Decided(decision) => self.record(now, decision),
+            BatchAction::RecordDecision(decision) => self.record(now, decision),
             call => self.call(call),
         }
     }
@@ -221,10 +224,10 @@
                 |outcome| (outcome == Outcome::Done).then_some(()),
                 move |answer| BatchEvent::Released { number, answer },
             ),
-            BatchAction::Wish(_)
+            BatchAction::RequestGrants(_)
             | BatchAction::Run(_)
             | BatchAction::Stop { .. }
-            | BatchAction::Decided(_) => {}
+            | BatchAction::RecordDecision(_) => {}
         }
     }
 
--- a/crates/gateway/src/batch/executor/mod.rs
+++ b/crates/gateway/src/batch/executor/mod.rs
@@ -59,13 +59,13 @@
 
     /// Items held, running or not.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn leased_items(&self) -> usize {
         self.items.len()
     }
 
     /// Results not yet known to be committed.
     #[must_use]
-    pub fn uncommitted(&self) -> usize {
+    pub fn uncommitted_results(&self) -> usize {
         self.outbox.len()
     }
 
@@ -80,7 +80,7 @@
         match event {
             BatchEvent::Session(session) => self.on_session(session),
             BatchEvent::Pending(pending) => self.leasing.set_pending(pending),
-            BatchEvent::Room(rooms) => self.rooms = Rooms::new(rooms),
+            BatchEvent::Capacity(rooms) => self.rooms = Rooms::new(rooms),
             BatchEvent::Leased { sequence, answer } => self.on_leased(now, sequence, answer),
             BatchEvent::Started { number, answer } => self.on_started(now, number, &answer),
             BatchEvent::Committed { number, answer } => {
@@ -135,14 +135,15 @@
     }
 
     fn note(&mut self, item: &Item, kind: DecisionKind, reason: ReasonCode, outcome: &str) {
-        self.actions.push(BatchAction::Decided(BatchDecision {
-            kind,
-            tenant: item.leased.tenant.clone(),
-            job: item.leased.key.job.clone(),
-            item: item.leased.key.item,
-            replica: item.replica().cloned(),
-            reason,
-            outcome: outcome.to_owned(),
-        }));
+        self.actions
+            .push(BatchAction::RecordDecision(BatchDecision {
+                kind,
+                tenant: item.leased.tenant.clone(),
+                job: item.leased.key.job.clone(),
+                item: item.leased.key.item,
+                replica: item.replica().cloned(),
+                reason,
+                outcome: outcome.to_owned(),
+            }));
     }
 }
--- a/crates/gateway/src/batch/executor/outcomes.rs
+++ b/crates/gateway/src/batch/executor/outcomes.rs
@@ -12,7 +12,7 @@
 use super::BatchExecutor;
 use crate::batch::{
     item::{AfterStop, Item, ItemState, Slot, StartMark},
-    messages::{BatchAction, CallAnswer, KeptTokens, RunEnd, RunId},
+    messages::{BatchAction, CallAnswer, GeneratedTokens, RunEnd, RunId},
 };
 
 /// Most doublings of the wait before a failed item runs again.
@@ -82,7 +82,7 @@
         self.release(&refused);
     }
 
-    /// Runs an item whose start is recorded where its room was kept.
+    /// Runs an item whose start is recorded where its room was generated.
     fn start_marked(&mut self, slot: Slot) {
         let Some(item) = self.items.get_mut(slot) else {
             return;
@@ -122,18 +122,18 @@
                     self.end_unrun(now, slot, kind);
                 }
             }
-            RunEnd::Stopped { kept } => self.on_stopped(now, slot, kept),
+            RunEnd::Stopped { generated } => self.on_stopped(now, slot, generated),
             RunEnd::Failed {
                 may_have_started,
-                kept,
+                generated,
                 message,
-            } => self.on_failed(now, slot, may_have_started, kept, &message),
+            } => self.on_failed(now, slot, may_have_started, generated, &message),
         }
     }
 
-    fn on_stopped(&mut self, now: Timestamp, slot: Slot, kept: KeptTokens) {
+    fn on_stopped(&mut self, now: Timestamp, slot: Slot, generated: GeneratedTokens) {
         if let Some(item) = self.items.get_mut(slot) {
-            item.kept = kept;
+            item.generated = generated;
             item.wait(now, 0);
         }
     }
@@ -144,7 +144,7 @@
         now: Timestamp,
         slot: Slot,
         may_have_started: bool,
-        kept: KeptTokens,
+        generated: GeneratedTokens,
         message: &str,
     ) {
         let Some(item) = self.items.get_mut(slot) else {
@@ -169,7 +169,7 @@
         let doublings = (item.setbacks - 1).min(MAX_RETRY_DOUBLINGS);
         let delay = self.settings.item_retry_ms << doublings;
         let failed = item.clone();
-        item.kept = kept;
+        item.generated = generated;
         item.wait(now, delay);
         self.note(&failed, DecisionKind::Retry, reason, message);
     }
--- a/crates/gateway/src/batch/executor/rules.rs
+++ b/crates/gateway/src/batch/executor/rules.rs
@@ -99,7 +99,7 @@
         self.end_all(now, &slots, ErrorKind::DeadlineExceeded);
     }
 
-    /// Runs waiting items where there is room: those with kept tokens first, then by deadline.
+    /// Runs waiting items where there is room: those with generated tokens first, then by deadline.
     fn place(&mut self, now: Timestamp) {
         let mut free = self.rooms.free(&self.items);
         if free.is_empty() {
@@ -134,7 +134,7 @@
     fn ready(&self, now: Timestamp) -> Vec<Slot> {
         let ready = self.items.iter().filter(|(_, item)| item.is_ready(now));
         let mut ready: Vec<_> = ready
-            .map(|(slot, item)| (item.kept.tokens == 0, item.leased.deadline, slot))
+            .map(|(slot, item)| (item.generated.tokens == 0, item.leased.deadline, slot))
             .collect();
         ready.sort_unstable();
         ready.into_iter().map(|(_, _, slot)| slot).collect()
@@ -151,7 +151,7 @@
             run,
             item: item.leased,
             replica,
-            kept: item.kept,
+            generated: item.generated,
         }));
     }
 
--- a/crates/gateway/src/batch/item.rs
+++ b/crates/gateway/src/batch/item.rs
@@ -10,7 +10,7 @@
 };
 use linnethitch_routing::ReasonCode;
 
-use crate::batch::messages::{KeptTokens, RunId};
+use crate::batch::messages::{GeneratedTokens, RunId};
 
 /// An item's place in the table, in the order of leasing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -48,7 +48,7 @@
         /// It does not run before.
         not_before: Timestamp,
     },
-    /// The ledger is being told that it starts; its room on the replica is kept.
+    /// The ledger is being told that it starts; its room on the replica is generated.
     Marking {
         /// Where it will run.
         replica: ReplicaId,
@@ -72,7 +72,7 @@
     pub(super) model: ModelId,
     pub(super) state: ItemState,
     pub(super) mark: StartMark,
-    pub(super) kept: KeptTokens,
+    pub(super) generated: GeneratedTokens,
     /// Runs that may have started at a back end and failed.
     pub(super) failures: u32,
     /// Failures of any kind, for the wait before the next run.
@@ -96,7 +96,7 @@
                 not_before: now,
             },
             mark,
-            kept: KeptTokens::default(),
+            generated: GeneratedTokens::default(),
             failures: 0,
             setbacks: 0,
             avoid: None,
--- a/crates/gateway/src/batch/leasing.rs
+++ b/crates/gateway/src/batch/leasing.rs
@@ -146,7 +146,7 @@
         let wishes = self.wishes(items, draining, settings);
         let due = self
             .wished_at
-            .is_none_or(|at| at.0 + settings.wish_interval_ms <= now.0);
+            .is_none_or(|at| at.0 + settings.grant_request_interval_ms <= now.0);
         let news = wishes.is_empty() != self.wished.is_empty();
         let repeat = due && !wishes.is_empty();
         if !news && !repeat {
@@ -154,7 +154,7 @@
         }
         self.wished_at = Some(now);
         self.wished.clone_from(&wishes);
-        Some(BatchAction::Wish(wishes))
+        Some(BatchAction::RequestGrants(wishes))
     }
 
     fn wishes(
--- a/crates/gateway/src/batch/messages.rs
+++ b/crates/gateway/src/batch/messages.rs
@@ -30,7 +30,7 @@
     /// An item that found no room for this long is given back, in milliseconds.
     pub release_after_ms: u64,
     /// Time between two wishes for capacity, in milliseconds.
-    pub wish_interval_ms: u64,
+    pub grant_request_interval_ms: u64,
 }
 
 impl Default for ExecutorSettings {
@@ -43,7 +43,7 @@
             call_retry_ms: 100,
             item_retry_ms: 50,
             release_after_ms: 3_000,
-            wish_interval_ms: 500,
+            grant_request_interval_ms: 500,
         }
     }
 }
@@ -59,7 +59,7 @@
 
 /// How many batch sequences this gateway may have on a replica now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ReplicaRoom {
+pub struct ReplicaCapacity {
     /// The replica.
     pub replica: ReplicaId,
     /// The model that it serves, without adapter.
@@ -89,7 +89,7 @@
 
 /// What earlier runs of an item produced.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KeptTokens {
+pub struct GeneratedTokens {
     /// How many tokens.
     pub tokens: u32,
     /// Their text.
@@ -106,7 +106,7 @@
     /// Where it runs.
     pub replica: ReplicaId,
     /// What the run goes on after.
-    pub kept: KeptTokens,
+    pub generated: GeneratedTokens,
 }
 
 /// How a run ended.
@@ -131,14 +131,14 @@
         /// Whether the back end may have started it.
         may_have_started: bool,
         /// What it had produced, with what it went on after.
-        kept: KeptTokens,
+        generated: GeneratedTokens,
         /// What went wrong.
         message: String,
     },
     /// It was stopped by [`BatchAction::Stop`].
     Stopped {
         /// What it had produced, with what it went on after.
-        kept: KeptTokens,
+        generated: GeneratedTokens,
     },
 }
 
@@ -150,7 +150,7 @@
     /// Items pending in the ledger, by model.
     Pending(Vec<PendingItems>),
     /// The room on every replica with a grant; replaces what was told before.
-    Room(Vec<ReplicaRoom>),
+    Capacity(Vec<ReplicaCapacity>),
     /// Answer to [`BatchAction::Lease`].
     Leased {
         /// The lease's number.
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchAction {
     /// Tell control how much capacity is wished for; replaces earlier wishes.
-    Wish(Vec<GrantWish>),
+    RequestGrants(Vec<GrantWish>),
     /// Lease items. The same sequence gets the same items.
     Lease {
         /// Under which session.
@@ -243,7 +243,7 @@
         keys: Vec<LeasedItemKey>,
     },
     /// A decision for the journal.
-    Decided(BatchDecision),
+    RecordDecision(BatchDecision),
 }
 
 /// A decision about an item.
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -16,6 +16,6 @@
 
 pub use executor::BatchExecutor;
 pub use messages::{
-    BatchAction, BatchDecision, BatchEvent, BatchSession, CallAnswer, ExecutorSettings, KeptTokens,
-    ReplicaRoom, RunEnd, RunId, RunOrder,
+    BatchAction, BatchDecision, BatchEvent, BatchSession, CallAnswer, ExecutorSettings,
+    GeneratedTokens, ReplicaCapacity, RunEnd, RunId, RunOrder,
 };
--- a/crates/gateway/src/batch/placing.rs
+++ b/crates/gateway/src/batch/placing.rs
@@ -6,7 +6,7 @@
 
 use crate::batch::{
     item::{Item, ItemTable},
-    messages::ReplicaRoom,
+    messages::ReplicaCapacity,
 };
 
 /// The pool of a model name: the part before the adapter.
@@ -18,7 +18,7 @@
     model.as_str().split_once(':').map(|(_, adapter)| adapter)
 }
 
-impl ReplicaRoom {
+impl ReplicaCapacity {
     /// Whether the replica can run items of a model.
     pub(super) fn serves(&self, model: &ModelId) -> bool {
         self.model.as_str() == pool_of(model)
@@ -30,16 +30,16 @@
 /// The room of every granted replica and how much of it is taken.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Rooms {
-    rooms: Vec<ReplicaRoom>,
+    rooms: Vec<ReplicaCapacity>,
 }
 
 impl Rooms {
-    pub(super) fn new(rooms: Vec<ReplicaRoom>) -> Self {
+    pub(super) fn new(rooms: Vec<ReplicaCapacity>) -> Self {
         Rooms { rooms }
     }
 
     /// The room on a replica; none when nothing is granted there.
-    pub(super) fn of(&self, replica: &ReplicaId) -> Option<&ReplicaRoom> {
+    pub(super) fn of(&self, replica: &ReplicaId) -> Option<&ReplicaCapacity> {
         self.rooms.iter().find(|room| room.replica == *replica)
     }
 
@@ -67,7 +67,7 @@
 
 /// Room that is not taken.
 pub(super) struct FreeRooms<'a> {
-    rooms: Vec<(&'a ReplicaRoom, u32)>,
+    rooms: Vec<(&'a ReplicaCapacity, u32)>,
 }
 
 impl FreeRooms<'_> {
--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -8,9 +8,9 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    batch::{BatchEvent, KeptTokens, RunEnd, RunOrder},
+    batch::{BatchEvent, GeneratedTokens, RunEnd, RunOrder},
     batches::line::BatchLine,
-    decisions::{Placement, Wanted},
+    decisions::{Placement, RoutingRequest},
     engine::{
         client::Priority,
         fault::AttemptFault,
@@ -59,15 +59,15 @@
     gateway: Arc<Gateway>,
     order: RunOrder,
     request: CompletionRequest,
-    wanted: Wanted,
+    wanted: RoutingRequest,
     progress: Progress,
 }
 
 impl ItemRun {
     fn new(gateway: Arc<Gateway>, order: RunOrder, request: CompletionRequest) -> Self {
         let progress = Progress {
-            tokens: order.kept.tokens,
-            text: order.kept.text.clone(),
+            tokens: order.generated.tokens,
+            text: order.generated.text.clone(),
             ..Progress::default()
         };
         let mut wanted = request.wanted();
@@ -110,7 +110,9 @@
             return self.answered();
         }
         match outcome {
-            None => RunEnd::Stopped { kept: self.kept() },
+            None => RunEnd::Stopped {
+                generated: self.generated(),
+            },
             Some(Ok(())) => {
                 placement.finished();
                 self.answered()
@@ -149,17 +151,17 @@
     fn failed(&self, may_have_started: bool, message: String) -> RunEnd {
         RunEnd::Failed {
             may_have_started,
-            kept: self.kept(),
+            generated: self.generated(),
             message,
         }
     }
 
     /// What the next run goes on after.
-    fn kept(&self) -> KeptTokens {
+    fn generated(&self) -> GeneratedTokens {
         if self.progress.not_resumable {
-            return KeptTokens::default();
+            return GeneratedTokens::default();
         }
-        KeptTokens {
+        GeneratedTokens {
             tokens: self.progress.tokens,
             text: self.progress.text.clone(),
         }
--- a/crates/gateway/src/claims/answers.rs
+++ b/crates/gateway/src/claims/answers.rs
@@ -14,7 +14,7 @@
 };
 
 /// Largest body that is kept, in bytes.
-pub(crate) const MAX_KEPT_BYTES: usize = 8 * 1024 * 1024;
+pub(crate) const MAX_STORED_BYTES: usize = 8 * 1024 * 1024;
 /// Header of an answer that was kept from an earlier run.
 const REPLAYED_HEADER: &str = "linnethitch-replayed";
 const EVENT_STREAM: &str = "text/event-stream";
@@ -74,7 +74,7 @@
 
 impl Claim {
     /// Waits for a step of the run. A repeatable run is given up when its caller goes away.
-    pub(crate) async fn unless_gone<T>(
+    pub(crate) async fn until_caller_disconnects<T>(
         &self,
         step: impl Future<Output = T>,
         gone: impl Future<Output = ()>,
@@ -94,10 +94,10 @@
         if self.at_most_once() && failure.executed() != Executed::No {
             let kept = outcome_unknown(&failure);
             let _ = caller.send(Err(failure));
-            return self.keep(kept).await;
+            return self.store_answer(kept).await;
         }
         // Freed first, so that a resend is not told that the request still runs.
-        self.free().await;
+        self.release().await;
         let _ = caller.send(Err(failure));
     }
 }
@@ -112,7 +112,7 @@
 impl Record {
     /// Adds a piece.
     pub(crate) fn add(&mut self, bytes: &[u8]) {
-        self.too_long |= self.bytes.len() + bytes.len() > MAX_KEPT_BYTES;
+        self.too_long |= self.bytes.len() + bytes.len() > MAX_STORED_BYTES;
         if self.too_long {
             self.bytes = Vec::new();
         } else {
--- a/crates/gateway/src/claims/claim.rs
+++ b/crates/gateway/src/claims/claim.rs
@@ -98,7 +98,7 @@
             Err(failure) => Err(self.not_taken(&failure)),
         };
         if let Err(Ok(Claimed::Granted(claim))) = caller.send(taken) {
-            claim.free().await;
+            claim.release().await;
         }
     }
 
@@ -180,12 +180,12 @@
     }
 
     /// Keeps the answer that every resend gets from now on.
-    pub(crate) async fn keep(self, answer: KeptAnswer) {
+    pub(crate) async fn store_answer(self, answer: KeptAnswer) {
         self.settle(Some(answer)).await;
     }
 
     /// Frees the key: nothing ran, or what ran may be repeated.
-    pub(crate) async fn free(self) {
+    pub(crate) async fn release(self) {
         self.settle(None).await;
     }
 
--- a/crates/gateway/src/claims/mod.rs
+++ b/crates/gateway/src/claims/mod.rs
@@ -4,6 +4,6 @@
 mod claim;
 mod headers;
 
-pub(crate) use answers::{Answered, MAX_KEPT_BYTES, Record, outcome_unknown, replay};
+pub(crate) use answers::{Answered, MAX_STORED_BYTES, Record, outcome_unknown, replay};
 pub(crate) use claim::{Claim, Claimed, claim};
 pub(crate) use headers::{RunRules, idempotency_key, run_rules};
--- a/crates/gateway/src/control/attachment.rs
+++ b/crates/gateway/src/control/attachment.rs
@@ -33,7 +33,7 @@
     /// Go on.
     Continue,
     /// Attach anew and ask for the whole configuration.
-    AskForWhole,
+    Reattach,
 }
 
 /// Attaches to one member after another until the process stops.
@@ -137,7 +137,7 @@
                     };
                     match message {
                         ControlMessage::Attached { members, .. } => {
-                            order.learn(&members);
+                            order.update_members(&members);
                             self.gateway.control.set_link(sender.clone());
                             attached = true;
                             info!(self.logger, "attached"; "member" => address);
@@ -147,7 +147,7 @@
                             watch.on_stamp(started.elapsed(), age);
                             self.handle(message).await;
                         }
-                        other => if self.handle(other).await == AfterMessage::AskForWhole {
+                        other => if self.handle(other).await == AfterMessage::Reattach {
                             self.ask_for_whole = true;
                             return attached;
                         }
--- a/crates/gateway/src/control/events.rs
+++ b/crates/gateway/src/control/events.rs
@@ -73,7 +73,7 @@
             FollowerAction::ConfirmHeld(revision) => self.confirm(revision),
             FollowerAction::AskForWhole(fault) => {
                 warn!(self.logger, "configuration update not used"; "fault" => ?fault);
-                return AfterMessage::AskForWhole;
+                return AfterMessage::Reattach;
             }
             FollowerAction::Store(stored) => {
                 if !self.store_configuration(stored.clone()).await {
--- a/crates/gateway/src/control/members.rs
+++ b/crates/gateway/src/control/members.rs
@@ -34,7 +34,7 @@
 
     /// Takes over the members that one of them knows, beside those of the settings: a member
     /// that has just started knows itself alone. The next one tried is a new order's first.
-    pub fn learn(&mut self, told: &[String]) {
+    pub fn update_members(&mut self, told: &[String]) {
         let all = self.configured.iter().chain(told).cloned();
         let addresses = ordered(&self.gateway, all.collect());
         if addresses != self.addresses {
--- a/crates/gateway/src/control/session.rs
+++ b/crates/gateway/src/control/session.rs
@@ -77,7 +77,7 @@
 }
 
 /// Opens a session and renews it until the process stops.
-pub(crate) async fn keep(gateway: Arc<Gateway>) {
+pub(crate) async fn maintain(gateway: Arc<Gateway>) {
     let id = GatewayId(gateway.settings.gateway_id.clone());
     gateway.clock_offset.wait_until_known().await;
     loop {
--- a/crates/gateway/src/decisions/batch.rs
+++ b/crates/gateway/src/decisions/batch.rs
@@ -6,8 +6,8 @@
 use linnethitch_routing::{Choice, ReasonCode, profile::MAX_ALTERNATIVES, view::Availability};
 
 use crate::{
-    batch::ReplicaRoom,
-    decisions::{Decisions, Placement, Wanted},
+    batch::ReplicaCapacity,
+    decisions::{Decisions, Placement, RoutingRequest},
 };
 
 impl Decisions {
@@ -23,11 +23,11 @@
             }
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
     /// The room that batch has now on every granted replica.
-    pub(crate) fn batch_rooms(&self) -> Vec<ReplicaRoom> {
+    pub(crate) fn batch_capacities(&self) -> Vec<ReplicaCapacity> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let core = &mut *core;
@@ -41,7 +41,7 @@
                 BackEndKind::Application(_) => return None,
             };
             let room = core.capacity.allowance(now, view, index);
-            Some(ReplicaRoom {
+            Some(ReplicaCapacity {
                 replica: info.machine.replica.clone(),
                 model,
                 adapters: info.engine.adapters.clone(),
@@ -55,7 +55,7 @@
     /// A place for a batch item on a named replica, unless it takes no work now.
     pub(crate) fn place_at(
         self: &Arc<Self>,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         replica: &ReplicaId,
     ) -> Option<Placement> {
         let now = self.clock.now();
@@ -74,6 +74,6 @@
             reason: ReasonCode::IdleCapacity,
             alternatives: [None; MAX_ALTERNATIVES],
         };
-        Some(self.place(&mut core, now, wanted, &choice))
+        Some(self.place(&mut core, now, request, &choice))
     }
 }
--- a/crates/gateway/src/decisions/limits.rs
+++ b/crates/gateway/src/decisions/limits.rs
@@ -10,10 +10,10 @@
     limits::{LimitRefusal, Reservation, TenantNumber},
 };
 
-use crate::decisions::{Decisions, Refused};
+use crate::decisions::{Decisions, RequestRefusal};
 
 /// A tenant's right to one request in flight; dropping it gives the right back.
-pub(crate) struct TenantPass {
+pub(crate) struct TenantPermit {
     pub(crate) tenant: TenantNumber,
     /// Whose it is.
     pub(crate) owner: TenantId,
@@ -26,11 +26,11 @@
 
 impl Decisions {
     /// Takes a request of a tenant from its limits.
-    pub(crate) fn pass_limits(
+    pub(crate) fn acquire_permit(
         self: &Arc<Self>,
         tenant: &Tenant,
         estimated_tokens: u32,
-    ) -> Result<TenantPass, Refused> {
+    ) -> Result<TenantPermit, RequestRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let number = core.limits.number(&tenant.name.as_str().into());
@@ -39,7 +39,7 @@
             .try_start(now, number, estimated_tokens)
             .map_err(|refusal| refused(&refusal))?;
         drop(core);
-        Ok(TenantPass {
+        Ok(TenantPermit {
             tenant: number,
             owner: tenant.name.as_str().into(),
             weight: tenant.weight.max(1),
@@ -50,13 +50,13 @@
     }
 }
 
-fn refused(refusal: &LimitRefusal) -> Refused {
+fn refused(refusal: &LimitRefusal) -> RequestRefusal {
     let limit = match refusal.reason {
         ReasonCode::TokenRate => "tokens per second",
         ReasonCode::InFlight => "requests in flight",
         _ => "requests per second",
     };
-    Refused {
+    RequestRefusal {
         reason: refusal.reason,
         failure: Failure::new(
             refusal.kind(),
@@ -66,7 +66,7 @@
     }
 }
 
-impl Drop for TenantPass {
+impl Drop for TenantPermit {
     fn drop(&mut self) {
         if let Some(reservation) = self.reservation.take() {
             let now = self.decisions.clock.now();
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -4,8 +4,8 @@
 mod limits;
 mod placement;
 mod queue;
+mod routing_request;
 mod sightings;
-mod wanted;
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -27,11 +27,11 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
 
-pub(crate) use limits::TenantPass;
+pub(crate) use limits::TenantPermit;
 pub(crate) use placement::Placement;
-pub(crate) use queue::{Refused, no_choice};
+pub(crate) use queue::{RequestRefusal, no_choice};
+pub(crate) use routing_request::{RequestTarget, RoutingRequest};
 pub(crate) use sightings::Report;
-pub(crate) use wanted::{Wanted, WantedTarget};
 
 use crate::{
     clock::Clock,
@@ -44,7 +44,7 @@
     pub(crate) clock: Clock,
     core: Mutex<Core>,
     /// Told when online work or a grant changed what batch may use.
-    pub(crate) batch_room_changed: Arc<Notify>,
+    pub(crate) batch_capacity_changed: Arc<Notify>,
 }
 
 /// What the decisions work on.
@@ -53,7 +53,7 @@
     random: Pcg64Mcg,
     limits: Limits,
     budget: RetryBudget,
-    queues: HashMap<WantedTarget, PoolQueue>,
+    queues: HashMap<RequestTarget, PoolQueue>,
     policy: linnethitch_config::fleet::RoutingPolicy,
     capacity: BatchCapacity,
     /// What the data path saw since control was last told.
@@ -77,7 +77,7 @@
         Decisions {
             clock,
             core: Mutex::new(core),
-            batch_room_changed: Arc::default(),
+            batch_capacity_changed: Arc::default(),
         }
     }
 
@@ -117,7 +117,7 @@
     }
 
     /// Takes in the load that an answer of a replica carried.
-    pub(crate) fn on_seen_load(&self, replica: &ReplicaId, load: LoadReport) {
+    pub(crate) fn on_observed_load(&self, replica: &ReplicaId, load: LoadReport) {
         self.core.lock().sightings.on_load(replica, load);
         self.on_load(replica, load);
     }
@@ -135,7 +135,7 @@
             core.router.view_mut().on_load_report(index, load);
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
     /// Takes in loads that changed; those of replicas without an earlier whole load are ignored.
@@ -157,7 +157,7 @@
             }
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
     /// Takes in that a replica said that it is leaving.
@@ -169,11 +169,15 @@
         }
         core.sightings.on_suspect(replica);
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
     /// Takes in how an attempt failed; tells whether this took the replica out.
-    pub(crate) fn learn(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
+    pub(crate) fn on_attempt_failed(
+        &self,
+        placement: Placement,
+        fault: &AttemptFault,
+    ) -> Option<ReasonCode> {
         if fault.says_leaving() {
             self.on_leaving(&placement.replica);
         }
@@ -183,7 +187,7 @@
                 let ejected = placement.failed(kind);
                 if ejected.is_some() {
                     self.core.lock().sightings.on_suspect(&replica);
-                    self.batch_room_changed.notify_one();
+                    self.batch_capacity_changed.notify_one();
                 }
                 ejected
             }
@@ -210,7 +214,7 @@
     /// Chooses a replica for a further attempt, at once and without the queue.
     pub(crate) fn choose_again(
         self: &Arc<Self>,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         tried: &[ReplicaId],
     ) -> Result<Placement, RoutingRefusal> {
         let now = self.clock.now();
@@ -219,9 +223,9 @@
             .iter()
             .filter_map(|id| core.router.view().index_of(id))
             .collect();
-        let profile = wanted.profile(&exclude);
+        let profile = request.profile(&exclude);
         let choice = core.choose(now, &profile)?;
-        Ok(self.place(&mut core, now, wanted, &choice))
+        Ok(self.place(&mut core, now, request, &choice))
     }
 
     /// Online requests that wait for a back end.
@@ -251,15 +255,15 @@
     }
 }
 
-impl WantedTarget {
+impl RequestTarget {
     fn as_target(&self) -> Target<'_> {
         match self {
-            WantedTarget::Model { name, adapter } => Target::Model {
+            RequestTarget::Model { name, adapter } => Target::Model {
                 name,
                 adapter: adapter.as_deref(),
                 version: None,
             },
-            WantedTarget::Service(name) => Target::Service(name),
+            RequestTarget::Service(name) => Target::Service(name),
         }
     }
 }
--- a/crates/gateway/src/decisions/placement.rs
+++ b/crates/gateway/src/decisions/placement.rs
@@ -7,7 +7,7 @@
     Choice, Class, ReasonCode, Ticket, profile::MAX_ALTERNATIVES, view::FailureKind,
 };
 
-use crate::decisions::{Core, Decisions, Wanted};
+use crate::decisions::{Core, Decisions, RoutingRequest};
 
 /// Tokens between two updates of the view, so that the lock is taken seldom.
 const TOKENS_PER_UPDATE: u32 = 16;
@@ -39,15 +39,15 @@
         self: &Arc<Self>,
         core: &mut Core,
         now: Timestamp,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         choice: &Choice,
     ) -> Placement {
-        let work = wanted.work(choice.cached_tokens);
-        if wanted.class == Class::Online {
-            self.batch_room_changed.notify_one();
+        let work = request.work(choice.cached_tokens);
+        if request.class == Class::Online {
+            self.batch_capacity_changed.notify_one();
         }
         let view = core.router.view_mut();
-        let ticket = view.on_sent(now, choice.replica, work, &wanted.prefix_hashes);
+        let ticket = view.on_sent(now, choice.replica, work, &request.prefix_hashes);
         let machine = &view.replica(choice.replica).info().machine;
         let mut considered = Vec::with_capacity(MAX_ALTERNATIVES);
         considered.extend(
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -10,18 +10,18 @@
 };
 use tokio::sync::oneshot;
 
-use crate::decisions::{Core, Decisions, Placement, TenantPass, Wanted, WantedTarget};
+use crate::decisions::{Core, Decisions, Placement, RequestTarget, RoutingRequest, TenantPermit};
 
 /// A request that is not run, with the answer for its caller and the reason for the journal.
 #[derive(Clone, Debug)]
-pub(crate) struct Refused {
+pub(crate) struct RequestRefusal {
     /// Why.
     pub(crate) reason: ReasonCode,
     /// What the caller is told.
     pub(crate) failure: Failure,
 }
 
-type Verdict = Result<Placement, Refused>;
+type Verdict = Result<Placement, RequestRefusal>;
 
 /// The queue in front of one model or service.
 pub(super) struct PoolQueue {
@@ -37,14 +37,14 @@
 }
 
 struct Waiting {
-    wanted: Arc<Wanted>,
+    request: Arc<RoutingRequest>,
     verdict: oneshot::Sender<Verdict>,
 }
 
 /// Takes a waiting request out when its caller goes away.
 struct QueuePlace {
     decisions: Arc<Decisions>,
-    target: WantedTarget,
+    target: RequestTarget,
     entry: EntryId,
 }
 
@@ -67,11 +67,11 @@
     /// Gives a new online request its place at a replica, after a wait in the queue if need be.
     pub(crate) async fn admit(
         self: &Arc<Self>,
-        wanted: &Arc<Wanted>,
-        pass: &TenantPass,
-    ) -> Result<AdmittedRequest, Refused> {
+        request: &Arc<RoutingRequest>,
+        pass: &TenantPermit,
+    ) -> Result<AdmittedRequest, RequestRefusal> {
         let arrived = self.clock.now();
-        let (entry, verdict) = match self.offer(wanted, pass)? {
+        let (entry, verdict) = match self.offer(request, pass)? {
             Offered::Placed(placement) => {
                 return Ok(AdmittedRequest {
                     placement: *placement,
@@ -82,7 +82,7 @@
         };
         let place = QueuePlace {
             decisions: Arc::clone(self),
-            target: wanted.target.clone(),
+            target: request.target.clone(),
             entry,
         };
         let verdict = self.await_verdict(verdict).await;
@@ -107,33 +107,33 @@
 
     fn offer(
         self: &Arc<Self>,
-        wanted: &Arc<Wanted>,
-        pass: &TenantPass,
-    ) -> Result<Offered, Refused> {
+        request: &Arc<RoutingRequest>,
+        pass: &TenantPermit,
+    ) -> Result<Offered, RequestRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         core.budget.on_request();
         let choice = core
-            .choose(now, &wanted.profile(&[]))
+            .choose(now, &request.profile(&[]))
             .map_err(|none| no_choice(&none))?;
         let room = core.has_room(now, &choice);
         let arrival = Arrival {
             tenant: pass.tenant,
             weight: pass.weight,
-            cost: wanted.prompt_tokens.saturating_add(wanted.output_tokens),
-            deadline: wanted.deadline,
+            cost: request.prompt_tokens.saturating_add(request.output_tokens),
+            deadline: request.deadline,
         };
-        let queue = core.queue(&wanted.target);
+        let queue = core.queue(&request.target);
         match queue.admission.offer(now, &arrival, room) {
             AdmissionOutcome::Now => {
-                let placement = self.place(&mut core, now, wanted, &choice);
+                let placement = self.place(&mut core, now, request, &choice);
                 Ok(Offered::Placed(Box::new(placement)))
             }
             AdmissionOutcome::Refused(refusal) => Err(queue_refused(&refusal)),
             AdmissionOutcome::Queued(entry) => {
                 let (sender, receiver) = oneshot::channel();
                 let waiting = Waiting {
-                    wanted: Arc::clone(wanted),
+                    request: Arc::clone(request),
                     verdict: sender,
                 };
                 queue.waiting.insert(entry, waiting);
@@ -154,7 +154,7 @@
     fn collect_verdicts(self: &Arc<Self>) -> Vec<(oneshot::Sender<Verdict>, Verdict)> {
         let now = self.clock.now();
         let mut core = self.core.lock();
-        let targets: Vec<WantedTarget> = core
+        let targets: Vec<RequestTarget> = core
             .queues
             .iter()
             .filter(|(_, queue)| !queue.admission.is_empty())
@@ -175,14 +175,14 @@
         self: &Arc<Self>,
         core: &mut Core,
         now: Timestamp,
-        target: &WantedTarget,
+        target: &RequestTarget,
     ) -> Option<(oneshot::Sender<Verdict>, Verdict)> {
         let queue = core.queues.get(target)?;
-        let wanted = Arc::clone(&queue.waiting.get(&queue.admission.peek()?)?.wanted);
-        let choice = core.choose(now, &wanted.profile(&[]));
+        let request = Arc::clone(&queue.waiting.get(&queue.admission.peek()?)?.request);
+        let choice = core.choose(now, &request.profile(&[]));
         let verdict = match choice {
             Ok(choice) if core.has_room(now, &choice) => {
-                Ok(self.place(core, now, &wanted, &choice))
+                Ok(self.place(core, now, &request, &choice))
             }
             Ok(_) => return None,
             Err(none) => Err(no_choice(&none)),
@@ -206,7 +206,7 @@
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Core {
-    fn queue(&mut self, target: &WantedTarget) -> &mut PoolQueue {
+    fn queue(&mut self, target: &RequestTarget) -> &mut PoolQueue {
         let policy = &self.policy;
         self.queues
             .entry(target.clone())
@@ -219,7 +219,7 @@
     fn expire(
         &mut self,
         now: Timestamp,
-        target: &WantedTarget,
+        target: &RequestTarget,
         verdicts: &mut Vec<(oneshot::Sender<Verdict>, Verdict)>,
     ) {
         let Some(queue) = self.queues.get_mut(target) else {
@@ -234,9 +234,9 @@
 }
 
 /// What a caller is told when no replica can take its request.
-pub(crate) fn no_choice(none: &RoutingRefusal) -> Refused {
+pub(crate) fn no_choice(none: &RoutingRefusal) -> RequestRefusal {
     let failure = Failure::new(none.kind(), none.reason.description().trim());
-    Refused {
+    RequestRefusal {
         reason: none.reason,
         failure: match none.retry_after_ms {
             Some(milliseconds) => failure.with_retry_after(Duration::from_millis(milliseconds)),
@@ -245,16 +245,16 @@
     }
 }
 
-fn queue_refused(refusal: &AdmissionRefusal) -> Refused {
-    Refused {
+fn queue_refused(refusal: &AdmissionRefusal) -> RequestRefusal {
+    RequestRefusal {
         reason: refusal.reason,
         failure: Failure::new(refusal.kind(), refusal.reason.description().trim())
             .with_retry_after(Duration::from_millis(refusal.retry_after_ms)),
     }
 }
 
-fn queue_lost() -> Refused {
-    Refused {
+fn queue_lost() -> RequestRefusal {
+    RequestRefusal {
         reason: ReasonCode::QueueTimeout,
         failure: Failure::from(linnethitch_errors::ErrorKind::Internal),
     }
--- a/crates/gateway/src/decisions/wanted.rs
+++ b/crates/gateway/src/decisions/routing_request.rs
@@ -5,7 +5,7 @@
 
 /// A model or a service.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum WantedTarget {
+pub(crate) enum RequestTarget {
     /// A model, maybe with an adapter.
     Model {
         /// The pool's name.
@@ -19,9 +19,9 @@
 
 /// A request as the router and the queue see it.
 #[derive(Clone, Debug)]
-pub(crate) struct Wanted {
+pub(crate) struct RoutingRequest {
     /// What it is for.
-    pub(crate) target: WantedTarget,
+    pub(crate) target: RequestTarget,
     /// How urgent it is.
     pub(crate) class: Class,
     /// Tokens of the prompt, and of what was already generated.
@@ -34,7 +34,7 @@
     pub(crate) deadline: Timestamp,
 }
 
-impl Wanted {
+impl RoutingRequest {
     pub(super) fn profile<'a>(&'a self, exclude: &'a [ReplicaIndex]) -> RequestProfile<'a> {
         RequestProfile {
             target: self.target.as_target(),
--- a/crates/gateway/src/engine/opening.rs
+++ b/crates/gateway/src/engine/opening.rs
@@ -26,7 +26,7 @@
             .await
             .map_err(|_| AttemptFault::Hung(limit))??;
         if let Some(load) = load_of(response.headers(), "x-engine-load") {
-            self.decisions.on_seen_load(&placement.replica, load);
+            self.decisions.on_observed_load(&placement.replica, load);
         }
         if says(response.headers(), "x-engine-leaving", "yes") {
             self.observer
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/hollow.rs
@@ -60,7 +60,7 @@
         let gateway = Arc::new(gateway.without_callers(documents));
         let mut background = JoinSet::new();
         background.spawn(attachment::run(Arc::clone(&gateway), identity));
-        background.spawn(session::keep(Arc::clone(&gateway)));
+        background.spawn(session::maintain(Arc::clone(&gateway)));
         background.spawn(reports::run(Arc::clone(&gateway)));
         background.spawn(ignore(events));
         Ok(HollowGateway {
@@ -93,7 +93,7 @@
 
     /// Tells it of a load as a response of the replica would.
     pub fn on_response_load(&self, replica: &ReplicaId, load: LoadReport) {
-        self.gateway.decisions.on_seen_load(replica, load);
+        self.gateway.decisions.on_observed_load(replica, load);
     }
 
     /// Bytes and frames exchanged with control since the start.
--- a/crates/gateway/src/observe/records.rs
+++ b/crates/gateway/src/observe/records.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     batch::BatchDecision,
-    decisions::{Placement, Refused},
+    decisions::{Placement, RequestRefusal},
     observe::{Observer, metrics::ReasonLabel},
 };
 
@@ -28,7 +28,12 @@
 
 impl Observer {
     /// A request was refused by limits, queue or lack of back ends.
-    pub(crate) fn refused(&self, now: Timestamp, request: &RequestSubject, refused: &Refused) {
+    pub(crate) fn refused(
+        &self,
+        now: Timestamp,
+        request: &RequestSubject,
+        refused: &RequestRefusal,
+    ) {
         let label = ReasonLabel::from(refused.reason);
         self.metrics.refusals.get_or_create(&label).inc();
         let code = refused.failure.kind.answer().code;
--- a/crates/gateway/src/online/claimed.rs
+++ b/crates/gateway/src/online/claimed.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     claims::{Answered, Claim, Record, outcome_unknown},
-    decisions::TenantPass,
+    decisions::TenantPermit,
     engine::stream::StreamEvent,
     http::answer::{bytes_response, event_stream_response},
     online::{
@@ -32,7 +32,7 @@
     gateway: &Arc<Gateway>,
     claim: Claim,
     request: CompletionRequest,
-    pass: TenantPass,
+    pass: TenantPermit,
 ) -> Answered {
     let (caller, answered) = oneshot::channel();
     let run = ClaimedRun {
@@ -54,13 +54,17 @@
     async fn run(
         self,
         request: CompletionRequest,
-        pass: TenantPass,
+        pass: TenantPermit,
         mut caller: oneshot::Sender<Answered>,
     ) {
         let stream = request.stream;
         let starting = Generation::start(Arc::clone(&self.gateway), request, pass);
-        let Some(started) = self.claim.unless_gone(starting, caller.closed()).await else {
-            return self.claim.free().await;
+        let Some(started) = self
+            .claim
+            .until_caller_disconnects(starting, caller.closed())
+            .await
+        else {
+            return self.claim.release().await;
         };
         match started {
             Err(failure) => self.claim.fail(failure, caller).await,
@@ -74,12 +78,12 @@
         loop {
             match self
                 .claim
-                .unless_gone(generation.next(), caller.closed())
+                .until_caller_disconnects(generation.next(), caller.closed())
                 .await
             {
                 None => {
                     drop(generation);
-                    return self.claim.free().await;
+                    return self.claim.release().await;
                 }
                 Some(Err(failure)) => return self.claim.fail(failure, caller).await,
                 Some(Ok(StreamEvent::Done)) => break,
@@ -94,7 +98,7 @@
             content_type: "application/json".to_owned(),
             body: body.clone(),
         };
-        self.claim.keep(kept).await;
+        self.claim.store_answer(kept).await;
         let json = HeaderValue::from_static("application/json");
         let _ = caller.send(Ok(bytes_response(StatusCode::OK, json, body)));
     }
@@ -107,10 +111,14 @@
         let mut record = Record::default();
         loop {
             let next = next_piece(&mut generation);
-            let piece = match self.claim.unless_gone(next, pieces.closed()).await {
+            let piece = match self
+                .claim
+                .until_caller_disconnects(next, pieces.closed())
+                .await
+            {
                 None => {
                     drop(generation);
-                    return self.claim.free().await;
+                    return self.claim.release().await;
                 }
                 Some(piece) => piece,
             };
@@ -122,7 +130,7 @@
                 }
                 Piece::Last => {
                     drop(generation);
-                    self.claim.keep(record.answer()).await;
+                    self.claim.store_answer(record.answer()).await;
                     let _ = pieces.send(bytes).await;
                     return;
                 }
@@ -130,9 +138,9 @@
                     let _ = pieces.send(bytes).await;
                     drop((generation, pieces));
                     return if self.claim.at_most_once() {
-                        self.claim.keep(outcome_unknown(&failure)).await;
+                        self.claim.store_answer(outcome_unknown(&failure)).await;
                     } else {
-                        self.claim.free().await;
+                        self.claim.release().await;
                     };
                 }
             }
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -9,7 +9,7 @@
 use linnethitch_protocol::ids::{ReplicaId, Timestamp};
 
 use crate::{
-    decisions::{Placement, TenantPass, Wanted},
+    decisions::{Placement, RoutingRequest, TenantPermit},
     engine::{
         fault::AttemptFault,
         stream::{EngineStream, Progress, StreamEvent},
@@ -26,8 +26,8 @@
     gateway: Arc<Gateway>,
     pub(crate) request: CompletionRequest,
     pub(crate) progress: Progress,
-    wanted: Arc<Wanted>,
-    pass: TenantPass,
+    wanted: Arc<RoutingRequest>,
+    pass: TenantPermit,
     attempt: Option<Attempt>,
     tried: Vec<ReplicaId>,
     attempts: u32,
@@ -63,7 +63,7 @@
     pub(crate) async fn start(
         gateway: Arc<Gateway>,
         request: CompletionRequest,
-        pass: TenantPass,
+        pass: TenantPermit,
     ) -> Result<Self, Failure> {
         let running = &gateway.observer.metrics.running;
         running.get_or_create(&ONLINE).inc();
--- a/crates/gateway/src/online/request.rs
+++ b/crates/gateway/src/online/request.rs
@@ -11,7 +11,7 @@
 use serde_json::{Map, Value, json};
 
 use crate::{
-    decisions::{Wanted, WantedTarget},
+    decisions::{RequestTarget, RoutingRequest},
     engine::{
         client::{EngineRequest, Priority},
         stream::Progress,
@@ -171,9 +171,9 @@
     }
 
     /// What the router and the queue need to know of it.
-    pub(crate) fn wanted(&self) -> Wanted {
-        Wanted {
-            target: WantedTarget::Model {
+    pub(crate) fn wanted(&self) -> RoutingRequest {
+        RoutingRequest {
+            target: RequestTarget::Model {
                 name: self.pool().to_owned(),
                 adapter: self.adapter().map(str::to_owned),
             },
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -187,7 +187,7 @@
     };
     let links = links.handle();
     tasks.spawn_on(attachment::run(Arc::clone(gateway), identity), links);
-    tasks.spawn_on(session::keep(Arc::clone(gateway)), links);
+    tasks.spawn_on(session::maintain(Arc::clone(gateway)), links);
     tasks.spawn_on(reports::run(Arc::clone(gateway)), links);
     Ok(tasks)
 }
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -12,7 +12,7 @@
 use slog::info;
 
 use crate::{
-    decisions::{Placement, TenantPass, Wanted, no_choice},
+    decisions::{Placement, RoutingRequest, TenantPermit, no_choice},
     engine::{
         client::{load_of, refused_unstarted, says},
         fault::AttemptFault,
@@ -33,14 +33,14 @@
     /// Whether it may be sent again although a replica may have started it.
     pub(super) repeatable: bool,
     pub(super) at_most_once: bool,
-    pub(super) wanted: Wanted,
+    pub(super) wanted: RoutingRequest,
 }
 
 /// A request with its way through the replicas.
 pub(super) struct ServiceCall {
     pub(super) gateway: Arc<Gateway>,
     pub(super) request: ServiceRequest,
-    pub(super) pass: TenantPass,
+    pub(super) pass: TenantPermit,
     subject: RequestSubject,
     tried: Vec<ReplicaId>,
     attempts: u32,
@@ -54,7 +54,7 @@
 }
 
 impl ServiceCall {
-    pub(super) fn new(gateway: Arc<Gateway>, request: ServiceRequest, pass: TenantPass) -> Self {
+    pub(super) fn new(gateway: Arc<Gateway>, request: ServiceRequest, pass: TenantPermit) -> Self {
         ServiceCall {
             subject: RequestSubject {
                 request: request.id.clone(),
@@ -124,7 +124,7 @@
         let decisions = &self.gateway.decisions;
         let headers = response.headers();
         if let Some(load) = load_of(headers, "x-application-load") {
-            decisions.on_seen_load(&placement.replica, load);
+            decisions.on_observed_load(&placement.replica, load);
         }
         let leaving = says(headers, "x-application-leaving", "yes");
         if leaving {
--- a/crates/gateway/src/services/mod.rs
+++ b/crates/gateway/src/services/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     claims::{Claimed, claim, replay, run_rules},
-    decisions::{Wanted, WantedTarget},
+    decisions::{RequestTarget, RoutingRequest},
     http::{IncomingRequest, RequestHead, body::read_whole},
     online::request::caller_deadline,
     services::{
@@ -110,9 +110,9 @@
     method.is_safe()
 }
 
-fn wanted(service: &ApplicationService, deadline: Timestamp) -> Wanted {
-    Wanted {
-        target: WantedTarget::Service(service.name.clone()),
+fn wanted(service: &ApplicationService, deadline: Timestamp) -> RoutingRequest {
+    RoutingRequest {
+        target: RequestTarget::Service(service.name.clone()),
         class: Class::Online,
         prompt_tokens: 0,
         output_tokens: 1,
--- a/crates/gateway/src/services/relay.rs
+++ b/crates/gateway/src/services/relay.rs
@@ -16,8 +16,8 @@
 use tokio::sync::oneshot;
 
 use crate::{
-    claims::{Answered, Claim, MAX_KEPT_BYTES},
-    decisions::{Placement, TenantPass},
+    claims::{Answered, Claim, MAX_STORED_BYTES},
+    decisions::{Placement, TenantPermit},
     engine::fault::AttemptFault,
     http::answer::whole_body,
     services::{
@@ -62,7 +62,7 @@
     deadline: Instant,
     limit: Duration,
     placement: Option<Placement>,
-    _pass: TenantPass,
+    _pass: TenantPermit,
 }
 
 impl RelayedBody {
@@ -111,12 +111,14 @@
 }
 
 async fn run_claimed(claim: Claim, mut call: ServiceCall, mut caller: oneshot::Sender<Answered>) {
-    let collected = claim.unless_gone(collect(&mut call), caller.closed()).await;
+    let collected = claim
+        .until_caller_disconnects(collect(&mut call), caller.closed())
+        .await;
     match collected {
-        None => claim.free().await,
+        None => claim.release().await,
         Some(Err(failure)) => claim.fail(failure, caller).await,
         Some(Ok((headers, kept))) => {
-            claim.keep(kept.clone()).await;
+            claim.store_answer(kept.clone()).await;
             let mut answer = Response::new(whole_body(kept.body));
             *answer.status_mut() =
                 StatusCode::from_u16(kept.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -134,7 +136,7 @@
     } = call.send().await?;
     let (head, body) = response.into_parts();
     let left = call.gateway.clock().until(call.request.wanted.deadline);
-    let reading = Limited::new(body, MAX_KEPT_BYTES).collect();
+    let reading = Limited::new(body, MAX_STORED_BYTES).collect();
     let fault = match tokio::time::timeout(left, reading).await {
         Ok(Ok(collected)) => {
             end(Some(placement), head.status);
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -36,7 +36,7 @@
         follower::Follower, shared_documents::SharedDocuments, store::ConfigurationStore,
     },
     control::{client::ControlClient, clock_offset::ClockOffset, session::SessionState},
-    decisions::{Decisions, Placement, TenantPass},
+    decisions::{Decisions, Placement, TenantPermit},
     engine::{client::BackEndClient, fault::AttemptFault},
     files,
     http::{
@@ -186,8 +186,8 @@
         request: &RequestId,
         tenant: &Tenant,
         estimated_tokens: u32,
-    ) -> Result<TenantPass, Failure> {
-        let passed = self.decisions.pass_limits(tenant, estimated_tokens);
+    ) -> Result<TenantPermit, Failure> {
+        let passed = self.decisions.acquire_permit(tenant, estimated_tokens);
         passed.map_err(|refused| {
             let subject = RequestSubject {
                 request: request.clone(),
@@ -206,7 +206,7 @@
         if fault.says_leaving() {
             self.observer.leaving(now, &replica);
         }
-        let ejected = self.decisions.learn(placement, fault);
+        let ejected = self.decisions.on_attempt_failed(placement, fault);
         if let Some(reason) = ejected {
             self.observer.ejected(now, &replica, reason);
         }
--- a/crates/gateway/tests/all/batch_executor.rs
+++ b/crates/gateway/tests/all/batch_executor.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 
 use linnethitch_gateway::batch::{
-    BatchAction, BatchEvent, BatchExecutor, BatchSession, CallAnswer, ExecutorSettings, KeptTokens,
-    ReplicaRoom, RunEnd, RunOrder,
+    BatchAction, BatchEvent, BatchExecutor, BatchSession, CallAnswer, ExecutorSettings,
+    GeneratedTokens, ReplicaCapacity, RunEnd, RunOrder,
 };
 use linnethitch_protocol::{
     attach::PendingItems,
@@ -47,8 +47,8 @@
     }
 }
 
-fn room(replica: &str, sequences: u32) -> ReplicaRoom {
-    ReplicaRoom {
+fn room(replica: &str, sequences: u32) -> ReplicaCapacity {
+    ReplicaCapacity {
         replica: replica.into(),
         model: "m".into(),
         adapters: Vec::new(),
@@ -57,8 +57,8 @@
     }
 }
 
-fn kept(tokens: u32) -> KeptTokens {
-    KeptTokens {
+fn generated(tokens: u32) -> GeneratedTokens {
+    GeneratedTokens {
         tokens,
         text: "t".repeat(tokens as usize),
     }
@@ -67,7 +67,7 @@
 fn failed(may_have_started: bool) -> RunEnd {
     RunEnd::Failed {
         may_have_started,
-        kept: kept(3),
+        generated: generated(3),
         message: "the engine died".to_owned(),
     }
 }
@@ -97,7 +97,7 @@
             model: "m".into(),
             count: u64::from(count),
         }]));
-        fixture.tell(BatchEvent::Room(vec![room("a", 2)]));
+        fixture.tell(BatchEvent::Capacity(vec![room("a", 2)]));
         let (sequence, wanted) = fixture.lease().expect("a lease is asked for");
         assert_eq!(wanted, count.min(2), "as many as are granted");
         let items = (0..wanted).map(|number| item(number, at_most_once));
@@ -206,7 +206,7 @@
     }
     // Even a lost session does not lose the result.
     fixture.tell(BatchEvent::Session(None));
-    assert_eq!(fixture.executor.uncommitted(), 1);
+    assert_eq!(fixture.executor.uncommitted_results(), 1);
     fixture.tell(BatchEvent::Committed {
         number,
         answer: CallAnswer::Done(()),
@@ -227,14 +227,14 @@
     fixture.actions.clear();
     fixture.tell(end);
     assert_eq!(fixture.stops(), 2);
-    assert_eq!(fixture.executor.held(), 0);
+    assert_eq!(fixture.executor.leased_items(), 0);
     fixture.end(&order, answered());
     fixture.pass(LONG_MS);
     assert_eq!(fixture.commit(), None, "the item belongs to another now");
 }
 
 #[rstest]
-#[case::stopped(RunEnd::Stopped { kept: kept(2) }, "cancelled")]
+#[case::stopped(RunEnd::Stopped { generated: generated(2) }, "cancelled")]
 #[case::answered_meanwhile(answered(), "")]
 #[case::failed_meanwhile(failed(true), "cancelled")]
 fn a_cancelled_job_stops_at_once(#[case] end: RunEnd, #[case] told: &str) {
@@ -255,17 +255,27 @@
     let mut fixture = Fixture::with_items(2, false);
     let first = fixture.run().expect("it runs");
     let second = fixture.run().expect("it runs");
-    fixture.tell(BatchEvent::Room(vec![room("a", 1), room("b", 1)]));
+    fixture.tell(BatchEvent::Capacity(vec![room("a", 1), room("b", 1)]));
     assert_eq!(fixture.stops(), 1, "the newer one gives way");
-    fixture.end(&second, RunEnd::Stopped { kept: kept(5) });
+    fixture.end(
+        &second,
+        RunEnd::Stopped {
+            generated: generated(5),
+        },
+    );
     let resumed = fixture.run().expect("it goes on");
     assert_eq!(
-        (resumed.replica.as_str(), &resumed.kept, &resumed.item),
-        ("b", &kept(5), &second.item)
+        (resumed.replica.as_str(), &resumed.generated, &resumed.item),
+        ("b", &generated(5), &second.item)
     );
-    fixture.tell(BatchEvent::Room(vec![room("b", 1)]));
+    fixture.tell(BatchEvent::Capacity(vec![room("b", 1)]));
     assert_eq!(fixture.stops(), 1, "the other one too, without its grant");
-    fixture.end(&first, RunEnd::Stopped { kept: kept(1) });
+    fixture.end(
+        &first,
+        RunEnd::Stopped {
+            generated: generated(1),
+        },
+    );
     assert_eq!(fixture.run(), None);
     fixture.pass(LONG_MS);
     assert_eq!(fixture.released(), Some(1), "nobody waits for ever");
@@ -312,7 +322,7 @@
     }
     let (_, codes) = fixture.commit().expect("a result");
     assert_eq!(codes, [told]);
-    assert_eq!(fixture.executor.held(), 0);
+    assert_eq!(fixture.executor.leased_items(), 0);
 }
 
 #[rstest]
@@ -329,7 +339,7 @@
     fixture.tell(BatchEvent::Started { number, answer });
     let sends = |action: &BatchAction| matches!(action, BatchAction::Run(_));
     assert!(!fixture.actions.iter().any(sends));
-    assert_eq!(fixture.executor.held(), held);
+    assert_eq!(fixture.executor.leased_items(), held);
     assert_eq!(fixture.released(), given_back);
     // The start may be recorded: the item is asked for again, never given back.
     fixture.pass(LONG_MS);
@@ -363,7 +373,7 @@
         number,
         answer: CallAnswer::Done(vec![true]),
     });
-    fixture.tell(BatchEvent::Room(Vec::new()));
+    fixture.tell(BatchEvent::Capacity(Vec::new()));
     assert_eq!(fixture.stops(), 0);
     fixture.tell(BatchEvent::Session(None));
     assert_eq!(fixture.stops(), 1, "but with the end of its lease");
@@ -395,8 +405,13 @@
     let late = fixture
         .run()
         .expect("what was leased late has room and runs");
-    fixture.tell(BatchEvent::Room(Vec::new()));
-    fixture.end(&late, RunEnd::Stopped { kept: kept(1) });
+    fixture.tell(BatchEvent::Capacity(Vec::new()));
+    fixture.end(
+        &late,
+        RunEnd::Stopped {
+            generated: generated(1),
+        },
+    );
     assert_eq!(
         fixture.released(),
         Some(1),
--- a/crates/gateway/tests/all/configuration.rs
+++ b/crates/gateway/tests/all/configuration.rs
@@ -177,7 +177,7 @@
 fn what_a_member_tells_adds_to_the_settings(#[case] told: &[&str], #[case] known: usize) {
     let settings = ["10.0.0.1:7000", "10.0.0.2:7000"].map(str::to_owned);
     let mut order = MemberOrder::new("gateway-1", &settings);
-    order.learn(&told.iter().map(ToString::to_string).collect::<Vec<_>>());
+    order.update_members(&told.iter().map(ToString::to_string).collect::<Vec<_>>());
     let tried = (0..2 * known).filter_map(|_| order.next_address());
     let tried: HashSet<String> = tried.collect();
     assert_eq!(tried.len(), known);
--- a/crates/simulator/src/actors/gateway/execution.rs
+++ b/crates/simulator/src/actors/gateway/execution.rs
@@ -5,8 +5,8 @@
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_gateway::batch::{
-    BatchAction, BatchEvent, BatchExecutor, BatchSession, CallAnswer, ExecutorSettings, KeptTokens,
-    ReplicaRoom, RunEnd, RunId, RunOrder,
+    BatchAction, BatchEvent, BatchExecutor, BatchSession, CallAnswer, ExecutorSettings,
+    GeneratedTokens, ReplicaCapacity, RunEnd, RunId, RunOrder,
 };
 use linnethitch_protocol::{
     command::{CommandBody, Outcome},
@@ -54,7 +54,7 @@
             ..ExecutorSettings::default()
         };
         let mut executor = BatchExecutor::new(settings);
-        let rooms = (0..ENGINES).map(|number| ReplicaRoom {
+        let rooms = (0..ENGINES).map(|number| ReplicaCapacity {
             replica: ReplicaId(format!("engine-{number}")),
             model: ModelId::from(MODEL),
             adapters: Vec::new(),
@@ -62,7 +62,7 @@
             reason: ReasonCode::IdleCapacity,
         });
         // It holds nothing yet, so there is nothing to do.
-        let _ = executor.handle(Timestamp(0), BatchEvent::Room(rooms.collect()));
+        let _ = executor.handle(Timestamp(0), BatchEvent::Capacity(rooms.collect()));
         Execution {
             gateway,
             executor,
@@ -73,7 +73,10 @@
 
     /// What is not at an end yet, if anything.
     pub(super) fn under_way(&self) -> Option<String> {
-        let (held, waiting) = (self.executor.held(), self.executor.uncommitted());
+        let (held, waiting) = (
+            self.executor.leased_items(),
+            self.executor.uncommitted_results(),
+        );
         let runs = self.runs.len();
         (!self.executor.is_idle())
             .then(|| format!("{held} items, {runs} runs, {waiting} results not committed"))
@@ -188,11 +191,11 @@
                 return self.runs.remove(&run).map(|_| BatchEvent::RunEnded {
                     run,
                     end: RunEnd::Stopped {
-                        kept: KeptTokens::default(),
+                        generated: GeneratedTokens::default(),
                     },
                 });
             }
-            BatchAction::Wish(_) | BatchAction::Decided(_) => {}
+            BatchAction::RequestGrants(_) | BatchAction::RecordDecision(_) => {}
         }
         None
     }
@@ -279,7 +282,7 @@
 fn failed(may_have_started: bool) -> RunEnd {
     RunEnd::Failed {
         may_have_started,
-        kept: KeptTokens::default(),
+        generated: GeneratedTokens::default(),
         message: "the engine failed".to_owned(),
     }
 }
