--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -96,7 +96,8 @@
 
     async fn run_at_replica(&mut self, stop: &CancellationToken) -> RunEnd {
         let decisions = &self.gateway.decisions;
-        let Some(mut placement) = decisions.place_at(&self.wanted, &self.order.replica) else {
+        let Some(mut placement) = decisions.place_on_replica(&self.wanted, &self.order.replica)
+        else {
             return self.failed(false, "the replica takes no new work".to_owned());
         };
         let outcome = tokio::select! {
--- a/crates/gateway/src/control/reports.rs
+++ b/crates/gateway/src/control/reports.rs
@@ -1,4 +1,4 @@
-//! Tells control what the data path saw of back ends.
+//! Reports loads and faults of back ends seen on the data path to control.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,19 +8,19 @@
 use crate::state::Gateway;
 
 /// Time between two reports.
-const INTERVAL: Duration = Duration::from_millis(500);
+const REPORT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Reports until the process stops. A report that finds no connection is lost; what is
-/// still so is seen again.
+/// Reports until the process stops. A report that cannot be sent is lost; a state that persists
+/// is observed and reported again.
 pub(crate) async fn run(gateway: Arc<Gateway>) {
-    let mut ticks = tokio::time::interval(INTERVAL);
+    let mut ticks = tokio::time::interval(REPORT_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
         if !gateway.control.is_attached() {
             continue;
         }
-        let report = gateway.decisions.take_sightings();
+        let report = gateway.decisions.take_report();
         if !report.loads.is_empty() {
             gateway.control.notify(&GatewayMessage::Loads(report.loads));
         }
--- a/crates/gateway/src/decisions/batch.rs
+++ b/crates/gateway/src/decisions/batch.rs
@@ -1,4 +1,4 @@
-//! Capacity for batch work: grants of control, and what online work leaves of them.
+//! Capacity for batch work: the grants of control, less what online work uses of them.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 };
 
 impl Decisions {
-    /// Takes in grants of control.
+    /// Records grants of control.
     pub(crate) fn on_grants(&self, grants: &[Grant]) {
         let now = self.clock.now();
         let mut core = self.core.lock();
@@ -26,7 +26,7 @@
         self.batch_capacity_changed.notify_one();
     }
 
-    /// The room that batch has now on every granted replica.
+    /// The capacity that batch work has now on every granted replica.
     pub(crate) fn batch_capacities(&self) -> Vec<ReplicaCapacity> {
         let now = self.clock.now();
         let mut core = self.core.lock();
@@ -34,26 +34,26 @@
         core.capacity.remove_expired(now);
         let view = core.router.view();
         let replicas = core.capacity.replicas();
-        let rooms = replicas.into_iter().filter_map(|index| {
+        let capacities = replicas.into_iter().filter_map(|index| {
             let info = view.replica(index).info();
             let model = match &info.machine.kind {
                 BackEndKind::Engine => info.engine.model.clone()?,
                 BackEndKind::Application(_) => return None,
             };
-            let room = core.capacity.allowance(now, view, index);
+            let allowance = core.capacity.allowance(now, view, index);
             Some(ReplicaCapacity {
                 replica: info.machine.replica.clone(),
                 model,
                 adapters: info.engine.adapters.clone(),
-                sequences: room.sequences,
-                reason: room.reason,
+                sequences: allowance.sequences,
+                reason: allowance.reason,
             })
         });
-        rooms.collect()
+        capacities.collect()
     }
 
-    /// A place for a batch item on a named replica, unless it takes no work now.
-    pub(crate) fn place_at(
+    /// Places a batch item on a named replica; `None` when the replica accepts no work now.
+    pub(crate) fn place_on_replica(
         self: &Arc<Self>,
         request: &RoutingRequest,
         replica: &ReplicaId,
--- a/crates/gateway/src/decisions/limits.rs
+++ b/crates/gateway/src/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants, settled when a request ends.
+//! Rate and concurrency limits of tenants. Token use is settled when a request ends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,20 +12,24 @@
 
 use crate::decisions::{Decisions, RequestRefusal};
 
-/// A tenant's right to one request in flight; dropping it gives the right back.
+/// A permit for one request in flight of a tenant. Dropping it releases the slot and settles
+/// the tokens used.
 pub(crate) struct TenantPermit {
     pub(crate) tenant: TenantNumber,
-    /// Whose it is.
+    /// The tenant's name.
     pub(crate) owner: TenantId,
     pub(crate) weight: u32,
-    /// Tokens used so far, settled at the end.
+    /// Tokens used so far, settled when the permit is dropped.
     pub(crate) used_tokens: u32,
     decisions: Arc<Decisions>,
     reservation: Option<Reservation>,
 }
 
 impl Decisions {
-    /// Takes a request of a tenant from its limits.
+    /// Reserves a request and its estimated tokens within the tenant's limits.
+    ///
+    /// # Errors
+    /// A refusal that names the exceeded limit and when to retry.
     pub(crate) fn acquire_permit(
         self: &Arc<Self>,
         tenant: &Tenant,
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -2,10 +2,10 @@
 
 mod batch;
 mod limits;
+mod observations;
 mod placement;
 mod queue;
 mod routing_request;
-mod sightings;
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -28,26 +28,27 @@
 use tokio::sync::Notify;
 
 pub(crate) use limits::TenantPermit;
+pub(crate) use observations::Report;
 pub(crate) use placement::Placement;
 pub(crate) use queue::{RequestRefusal, no_choice};
 pub(crate) use routing_request::{RequestTarget, RoutingRequest};
-pub(crate) use sightings::Report;
 
 use crate::{
     clock::Clock,
-    decisions::{queue::PoolQueue, sightings::Sightings},
+    decisions::{observations::Observations, queue::PoolQueue},
     engine::fault::AttemptFault,
 };
 
-/// All decisions of one gateway, behind one lock that is held for microseconds.
+/// All routing decisions of one gateway. Their state is behind one lock, which is held only for
+/// microseconds.
 pub(crate) struct Decisions {
     pub(crate) clock: Clock,
     core: Mutex<Core>,
-    /// Told when online work or a grant changed what batch may use.
+    /// Notified when online work or a grant changed the capacity that batch work may use.
     pub(crate) batch_capacity_changed: Arc<Notify>,
 }
 
-/// What the decisions work on.
+/// The state on which decisions are made.
 struct Core {
     router: Router,
     random: Pcg64Mcg,
@@ -56,12 +57,12 @@
     queues: HashMap<RequestTarget, PoolQueue>,
     policy: linnethitch_config::fleet::RoutingPolicy,
     capacity: BatchCapacity,
-    /// What the data path saw since control was last told.
-    sightings: Sightings,
+    /// Loads and faults seen on the data path and not yet reported to control.
+    observations: Observations,
 }
 
 impl Decisions {
-    /// Decisions of a gateway in a zone, before any configuration.
+    /// Creates the decisions of a gateway in a zone, without a configuration.
     pub(crate) fn new(zone: ZoneId, clock: Clock, seed: u64) -> Self {
         let policy = linnethitch_config::fleet::RoutingPolicy::default();
         let core = Core {
@@ -72,7 +73,7 @@
             queues: HashMap::new(),
             policy,
             capacity: BatchCapacity::default(),
-            sightings: Sightings::default(),
+            observations: Observations::default(),
         };
         Decisions {
             clock,
@@ -81,7 +82,7 @@
         }
     }
 
-    /// Takes over the rules of a configuration.
+    /// Applies the limits and routing policy of a configuration.
     pub(crate) fn set_fleet(&self, fleet: &Fleet) {
         let mut core = self.core.lock();
         core.policy = fleet.routing.clone();
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Replaces the whole list of replicas.
+    /// Replaces the list of replicas.
     pub(crate) fn set_replicas(self: &Arc<Self>, replicas: Vec<ReplicaInfo>) {
         self.core.lock().router.view_mut().set_replicas(replicas);
         self.serve_queues();
@@ -116,19 +117,19 @@
         self.serve_queues();
     }
 
-    /// Takes in the load that an answer of a replica carried.
+    /// Records the load that a replica sent with an answer.
     pub(crate) fn on_observed_load(&self, replica: &ReplicaId, load: LoadReport) {
-        self.core.lock().sightings.on_load(replica, load);
+        self.core.lock().observations.on_load(replica, load);
         self.on_load(replica, load);
     }
 
-    /// What control should hear of back ends now.
-    pub(crate) fn take_sightings(&self) -> Report {
+    /// Takes the loads and suspects that are due to be reported to control.
+    pub(crate) fn take_report(&self) -> Report {
         let now = self.clock.now();
-        self.core.lock().sightings.take(now)
+        self.core.lock().observations.take(now)
     }
 
-    /// Takes in the load of a replica that control told of.
+    /// Records the load of a replica as reported by control.
     pub(crate) fn on_load(&self, replica: &ReplicaId, load: LoadReport) {
         let mut core = self.core.lock();
         if let Some(index) = core.router.view().index_of(replica) {
@@ -138,7 +139,7 @@
         self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in loads that changed; those of replicas without an earlier whole load are ignored.
+    /// Records changed loads; those of replicas without an earlier complete load are ignored.
     pub(crate) fn on_load_digest(&self, digest: &LoadDigest) {
         let mut core = self.core.lock();
         let view = core.router.view_mut();
@@ -160,19 +161,19 @@
         self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in that a replica said that it is leaving.
+    /// Records that a replica announced that it is leaving.
     pub(crate) fn on_leaving(&self, replica: &ReplicaId) {
         let now = self.clock.now();
         let mut core = self.core.lock();
         if let Some(index) = core.router.view().index_of(replica) {
             core.router.view_mut().on_leaving(now, index);
         }
-        core.sightings.on_suspect(replica);
+        core.observations.on_suspect(replica);
         drop(core);
         self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in how an attempt failed; tells whether this took the replica out.
+    /// Records how an attempt failed. Returns the reason when this ejected the replica.
     pub(crate) fn on_attempt_failed(
         &self,
         placement: Placement,
@@ -186,7 +187,7 @@
             Some(kind) => {
                 let ejected = placement.failed(kind);
                 if ejected.is_some() {
-                    self.core.lock().sightings.on_suspect(&replica);
+                    self.core.lock().observations.on_suspect(&replica);
                     self.batch_capacity_changed.notify_one();
                 }
                 ejected
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a failed attempt is retried, resumed or answered with an error.
     pub(crate) fn after_failure(
         &self,
         attempt: &FailedAttempt,
@@ -211,7 +212,7 @@
         after_failure(now, attempt, attempts_made, deadline, policy, budget)
     }
 
-    /// Chooses a replica for a further attempt, at once and without the queue.
+    /// Chooses a replica for a further attempt, without waiting in the queue.
     pub(crate) fn choose_again(
         self: &Arc<Self>,
         request: &RoutingRequest,
@@ -228,7 +229,7 @@
         Ok(self.place(&mut core, now, request, &choice))
     }
 
-    /// Online requests that wait for a back end.
+    /// Number of online requests that wait for a back end.
     pub(crate) fn queue_length(&self) -> usize {
         let core = self.core.lock();
         core.queues.values().map(PoolQueue::len).sum()
@@ -244,8 +245,8 @@
         self.router.choose(now, profile, &mut self.random)
     }
 
-    /// Whether the chosen replica can run one more online request now.
-    fn has_room(&self, now: linnethitch_protocol::ids::Timestamp, choice: &Choice) -> bool {
+    /// Whether the chosen replica has a free slot for one more online request.
+    fn has_free_slot(&self, now: linnethitch_protocol::ids::Timestamp, choice: &Choice) -> bool {
         let load = self
             .router
             .view()
--- a/crates/gateway/src/decisions/placement.rs
+++ b/crates/gateway/src/decisions/placement.rs
@@ -1,4 +1,4 @@
-//! A request's place at a replica.
+//! The placement of a request on a replica.
 
 use std::sync::Arc;
 
@@ -9,19 +9,19 @@
 
 use crate::decisions::{Core, Decisions, RoutingRequest};
 
-/// Tokens between two updates of the view, so that the lock is taken seldom.
+/// Tokens between two updates of the replica view, to limit how often the lock is taken.
 const TOKENS_PER_UPDATE: u32 = 16;
 
-/// A replica that was compared but not chosen.
+/// A replica that was considered but not chosen.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct ConsideredReplica {
-    /// Which.
+    /// The replica.
     pub(crate) replica: ReplicaId,
     /// Its expected wait, in milliseconds.
     pub(crate) expected_wait_ms: f64,
 }
 
-/// Work counted at a replica until it ends; dropping it counts as a cancel.
+/// Work counted against a replica until it ends. Dropping it counts as a cancellation.
 pub(crate) struct Placement {
     pub(crate) replica: ReplicaId,
     pub(crate) address: String,
@@ -30,11 +30,11 @@
     pub(crate) considered: Vec<ConsideredReplica>,
     decisions: Arc<Decisions>,
     ticket: Option<Ticket>,
-    unreported: u32,
+    unreported_tokens: u32,
 }
 
 impl Decisions {
-    /// Counts the work at the chosen replica from now on.
+    /// Counts the work of a request against the chosen replica.
     pub(super) fn place(
         self: &Arc<Self>,
         core: &mut Core,
@@ -68,19 +68,19 @@
             considered,
             decisions: Arc::clone(self),
             ticket: Some(ticket),
-            unreported: 0,
+            unreported_tokens: 0,
         }
     }
 }
 
 impl Placement {
-    /// Records that a token came.
+    /// Records that a token was received.
     pub(crate) fn on_token(&mut self, first: bool) {
-        self.unreported += 1;
-        if !first && self.unreported < TOKENS_PER_UPDATE {
+        self.unreported_tokens += 1;
+        if !first && self.unreported_tokens < TOKENS_PER_UPDATE {
             return;
         }
-        let count = std::mem::take(&mut self.unreported);
+        let count = std::mem::take(&mut self.unreported_tokens);
         let now = self.decisions.clock.now();
         if let Some(ticket) = self.ticket.as_mut() {
             let mut core = self.decisions.core.lock();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The request ended well.
+    /// Records that the request succeeded.
     pub(crate) fn finished(mut self) {
         let now = self.decisions.clock.now();
         if let Some(ticket) = self.ticket.take() {
@@ -101,7 +101,7 @@
         }
     }
 
-    /// The attempt failed; tells whether this took the replica out.
+    /// Records that the attempt failed. Returns the reason when this ejected the replica.
     pub(crate) fn failed(mut self, kind: FailureKind) -> Option<ReasonCode> {
         let now = self.decisions.clock.now();
         let ticket = self.ticket.take()?;
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -1,4 +1,4 @@
-//! Online requests that wait for room at a back end.
+//! Online requests that wait for a free slot at a back end.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -12,16 +12,16 @@
 
 use crate::decisions::{Core, Decisions, Placement, RequestTarget, RoutingRequest, TenantPermit};
 
-/// A request that is not run, with the answer for its caller and the reason for the journal.
+/// The refusal of a request, with the answer for its caller and the reason for the journal.
 #[derive(Clone, Debug)]
 pub(crate) struct RequestRefusal {
-    /// Why.
+    /// The reason for the journal.
     pub(crate) reason: ReasonCode,
-    /// What the caller is told.
+    /// The answer for the caller.
     pub(crate) failure: Failure,
 }
 
-type Verdict = Result<Placement, RequestRefusal>;
+type AdmissionResult = Result<Placement, RequestRefusal>;
 
 /// The queue in front of one model or service.
 pub(super) struct PoolQueue {
@@ -30,7 +30,7 @@
 }
 
 impl PoolQueue {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
@@ -38,17 +38,17 @@
 
 struct Waiting {
     request: Arc<RoutingRequest>,
-    verdict: oneshot::Sender<Verdict>,
+    result: oneshot::Sender<AdmissionResult>,
 }
 
-/// Takes a waiting request out when its caller goes away.
-struct QueuePlace {
+/// A waiting request. Dropping it, as when the caller disconnects, removes it from the queue.
+struct QueuedRequest {
     decisions: Arc<Decisions>,
     target: RequestTarget,
     entry: EntryId,
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let mut core = self.decisions.core.lock();
         if let Some(queue) = core.queues.get_mut(&self.target) {
@@ -60,45 +60,48 @@
 
 enum Offered {
     Placed(Box<Placement>),
-    Queued(EntryId, oneshot::Receiver<Verdict>),
+    Queued(EntryId, oneshot::Receiver<AdmissionResult>),
 }
 
 impl Decisions {
-    /// Gives a new online request its place at a replica, after a wait in the queue if need be.
+    /// Places a new online request on a replica, after a wait in the queue if no slot is free.
     pub(crate) async fn admit(
         self: &Arc<Self>,
         request: &Arc<RoutingRequest>,
         pass: &TenantPermit,
     ) -> Result<AdmittedRequest, RequestRefusal> {
         let arrived = self.clock.now();
-        let (entry, verdict) = match self.offer(request, pass)? {
+        let (entry, result) = match self.offer(request, pass)? {
             Offered::Placed(placement) => {
                 return Ok(AdmittedRequest {
                     placement: *placement,
                     waited_ms: None,
                 });
             }
-            Offered::Queued(entry, verdict) => (entry, verdict),
+            Offered::Queued(entry, result) => (entry, result),
         };
-        let place = QueuePlace {
+        let queued = QueuedRequest {
             decisions: Arc::clone(self),
             target: request.target.clone(),
             entry,
         };
-        let verdict = self.await_verdict(verdict).await;
-        drop(place);
-        verdict.map(|placement| AdmittedRequest {
+        let result = self.await_result(result).await;
+        drop(queued);
+        result.map(|placement| AdmittedRequest {
             placement,
             waited_ms: Some(self.clock.now().0.saturating_sub(arrived.0)),
         })
     }
 
-    /// Waits for the verdict; looks at the clock so that nobody waits past its time.
-    async fn await_verdict(self: &Arc<Self>, mut verdict: oneshot::Receiver<Verdict>) -> Verdict {
+    /// Waits for the result, and serves the queues at intervals so that expired requests are refused.
+    async fn await_result(
+        self: &Arc<Self>,
+        mut result: oneshot::Receiver<AdmissionResult>,
+    ) -> AdmissionResult {
         loop {
             tokio::select! {
-                received = &mut verdict => {
-                    return received.unwrap_or_else(|_| Err(queue_lost()));
+                received = &mut result => {
+                    return received.unwrap_or_else(|_| Err(queue_entry_lost()));
                 }
                 () = tokio::time::sleep(QUEUE_CHECK_INTERVAL) => self.serve_queues(),
             }
@@ -116,7 +119,7 @@
         let choice = core
             .choose(now, &request.profile(&[]))
             .map_err(|none| no_choice(&none))?;
-        let room = core.has_room(now, &choice);
+        let free_slot = core.has_free_slot(now, &choice);
         let arrival = Arrival {
             tenant: pass.tenant,
             weight: pass.weight,
@@ -124,7 +127,7 @@
             deadline: request.deadline,
         };
         let queue = core.queue(&request.target);
-        match queue.admission.offer(now, &arrival, room) {
+        match queue.admission.offer(now, &arrival, free_slot) {
             AdmissionOutcome::Now => {
                 let placement = self.place(&mut core, now, request, &choice);
                 Ok(Offered::Placed(Box::new(placement)))
@@ -134,7 +137,7 @@
                 let (sender, receiver) = oneshot::channel();
                 let waiting = Waiting {
                     request: Arc::clone(request),
-                    verdict: sender,
+                    result: sender,
                 };
                 queue.waiting.insert(entry, waiting);
                 Ok(Offered::Queued(entry, receiver))
@@ -142,16 +145,19 @@
         }
     }
 
-    /// Lets waiting requests start where there is room, and refuses those that waited too long.
+    /// Starts waiting requests for which a slot is free, and refuses those that waited too long.
     pub(crate) fn serve_queues(self: &Arc<Self>) {
-        let verdicts = self.collect_verdicts();
-        // Sent outside of the lock: a placement whose caller went away takes it when dropped.
-        for (sender, verdict) in verdicts {
-            let _ = sender.send(verdict);
+        let results = self.collect_results();
+        // Sent without holding the lock: a placement whose caller disconnected is dropped here,
+        // and its drop takes the lock.
+        for (sender, result) in results {
+            let _ = sender.send(result);
         }
     }
 
-    fn collect_verdicts(self: &Arc<Self>) -> Vec<(oneshot::Sender<Verdict>, Verdict)> {
+    fn collect_results(
+        self: &Arc<Self>,
+    ) -> Vec<(oneshot::Sender<AdmissionResult>, AdmissionResult)> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let targets: Vec<RequestTarget> = core
@@ -160,28 +166,28 @@
             .filter(|(_, queue)| !queue.admission.is_empty())
             .map(|(target, _)| target.clone())
             .collect();
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for target in targets {
-            core.expire(now, &target, &mut verdicts);
-            while let Some((sender, verdict)) = self.start_next(&mut core, now, &target) {
-                verdicts.push((sender, verdict));
+            core.expire(now, &target, &mut results);
+            while let Some((sender, result)) = self.start_next(&mut core, now, &target) {
+                results.push((sender, result));
             }
         }
-        verdicts
+        results
     }
 
-    /// Starts the next waiting request of a queue if there is room for it.
+    /// Starts the next waiting request of a queue if a slot is free for it.
     fn start_next(
         self: &Arc<Self>,
         core: &mut Core,
         now: Timestamp,
         target: &RequestTarget,
-    ) -> Option<(oneshot::Sender<Verdict>, Verdict)> {
+    ) -> Option<(oneshot::Sender<AdmissionResult>, AdmissionResult)> {
         let queue = core.queues.get(target)?;
         let request = Arc::clone(&queue.waiting.get(&queue.admission.peek()?)?.request);
         let choice = core.choose(now, &request.profile(&[]));
-        let verdict = match choice {
-            Ok(choice) if core.has_room(now, &choice) => {
+        let result = match choice {
+            Ok(choice) if core.has_free_slot(now, &choice) => {
                 Ok(self.place(core, now, &request, &choice))
             }
             Ok(_) => return None,
@@ -190,19 +196,19 @@
         let queue = core.queues.get_mut(target)?;
         let entry = queue.admission.pop(now)?;
         let waiting = queue.waiting.remove(&entry)?;
-        Some((waiting.verdict, verdict))
+        Some((waiting.result, result))
     }
 }
 
-/// A request that may run.
+/// A request that was placed on a replica.
 pub(crate) struct AdmittedRequest {
-    /// Its place.
+    /// Its placement.
     pub(crate) placement: Placement,
-    /// How long it waited, if it did.
+    /// Time in the queue, if it was queued.
     pub(crate) waited_ms: Option<u64>,
 }
 
-/// How often a waiting request looks at the clock.
+/// Time between two checks of the queues by a waiting request.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Core {
@@ -220,20 +226,20 @@
         &mut self,
         now: Timestamp,
         target: &RequestTarget,
-        verdicts: &mut Vec<(oneshot::Sender<Verdict>, Verdict)>,
+        results: &mut Vec<(oneshot::Sender<AdmissionResult>, AdmissionResult)>,
     ) {
         let Some(queue) = self.queues.get_mut(target) else {
             return;
         };
         while let Some((entry, refusal)) = queue.admission.pop_expired(now) {
             if let Some(waiting) = queue.waiting.remove(&entry) {
-                verdicts.push((waiting.verdict, Err(queue_refused(&refusal))));
+                results.push((waiting.result, Err(queue_refused(&refusal))));
             }
         }
     }
 }
 
-/// What a caller is told when no replica can take its request.
+/// The refusal of a request that no replica can take.
 pub(crate) fn no_choice(none: &RoutingRefusal) -> RequestRefusal {
     let failure = Failure::new(none.kind(), none.reason.description().trim());
     RequestRefusal {
@@ -253,7 +259,7 @@
     }
 }
 
-fn queue_lost() -> RequestRefusal {
+fn queue_entry_lost() -> RequestRefusal {
     RequestRefusal {
         reason: ReasonCode::QueueTimeout,
         failure: Failure::from(linnethitch_errors::ErrorKind::Internal),
--- a/crates/gateway/src/decisions/routing_request.rs
+++ b/crates/gateway/src/decisions/routing_request.rs
@@ -1,12 +1,12 @@
-//! What a request asks of the router, in owned form.
+//! The properties of a request on which the router and the queue decide, in owned form.
 
 use linnethitch_protocol::ids::Timestamp;
 use linnethitch_routing::{Class, Phase, ReplicaIndex, RequestProfile, costs::Work};
 
-/// A model or a service.
+/// The model or service that a request is for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum RequestTarget {
-    /// A model, maybe with an adapter.
+    /// A model, with or without an adapter.
     Model {
         /// The pool's name.
         name: String,
@@ -20,17 +20,17 @@
 /// A request as the router and the queue see it.
 #[derive(Clone, Debug)]
 pub(crate) struct RoutingRequest {
-    /// What it is for.
+    /// The model or service.
     pub(crate) target: RequestTarget,
-    /// How urgent it is.
+    /// Online or batch.
     pub(crate) class: Class,
-    /// Tokens of the prompt, and of what was already generated.
+    /// Tokens of the prompt, including those already generated.
     pub(crate) prompt_tokens: u32,
-    /// Tokens that the answer is expected to have.
+    /// Expected tokens of the answer.
     pub(crate) output_tokens: u32,
     /// Hashes of the prompt's prefixes.
     pub(crate) prefix_hashes: Vec<u64>,
-    /// It must have been answered by then.
+    /// Time by which the request must be answered.
     pub(crate) deadline: Timestamp,
 }
 
