--- a/crates/gateway/src/batch/driver.rs
+++ b/crates/gateway/src/batch/driver.rs
@@ -1,4 +1,4 @@
-//! Carries the executor's actions out in a running gateway.
+//! Carries out the executor's actions in a running gateway.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -22,12 +22,12 @@
     state::Gateway,
 };
 
-/// Longest time between two looks at the clock.
-const TICK: Duration = Duration::from_millis(20);
-/// Events that may wait for the executor.
+/// Longest time between two steps of the executor.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
+/// Capacity of the queue of events for the executor.
 pub(crate) const MAX_WAITING_EVENTS: usize = 1_024;
 
-/// The executor of one gateway and the tasks that it started.
+/// The executor of one gateway, and the tasks of its runs and calls.
 struct Driver {
     gateway: Arc<Gateway>,
     executor: BatchExecutor,
@@ -38,7 +38,7 @@
     logger: Logger,
 }
 
-/// Executes batch items until the process stops and everything that ran has ended.
+/// Executes batch items until the process stops and the executor is drained.
 pub(crate) async fn run(gateway: Arc<Gateway>, events: mpsc::Receiver<BatchEvent>) {
     let mut driver = Driver {
         executor: BatchExecutor::new(settings(&gateway)),
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Leases nothing more, gives back what does not run, and lets the rest finish.
+    /// Leases nothing more, releases items that do not run, and lets running items finish.
     async fn drain(&mut self) {
         self.handle(BatchEvent::Drain);
         while !self.executor.is_idle() {
@@ -85,7 +85,7 @@
         }
     }
 
-    /// Waits for the next thing that happens and takes it in. Safe to drop while it waits.
+    /// Waits for the next event and handles it. Cancel-safe while it waits.
     async fn step(&mut self) {
         let changed = Arc::clone(&self.gateway.decisions.batch_capacity_changed);
         let mut session = self.gateway.session.subscribe();
@@ -95,27 +95,30 @@
             Some(Ok(event)) = self.tasks.join_next() => event,
             Some(event) = self.events.recv() => event,
             Ok(()) = session.changed() => BatchEvent::Tick,
-            () = tokio::time::sleep(TICK) => BatchEvent::Tick,
+            () = tokio::time::sleep(TICK_INTERVAL) => BatchEvent::Tick,
         };
         self.refresh();
         self.handle(event);
     }
 
-    /// Tells the executor what it may use now.
+    /// Passes the current session, settings and capacity to the executor.
     fn refresh(&mut self) {
         let session = self.gateway.session.current(self.now());
         let session = session.map(|Session { epoch, until }| BatchSession { epoch, until });
         self.executor.set_settings(settings(&self.gateway));
         self.handle(BatchEvent::Session(session));
-        let rooms = self.gateway.decisions.batch_capacities();
-        self.observe(&rooms);
-        self.handle(BatchEvent::Capacity(rooms));
+        let capacities = self.gateway.decisions.batch_capacities();
+        self.update_metrics(&capacities);
+        self.handle(BatchEvent::Capacity(capacities));
     }
 
-    fn observe(&self, rooms: &[ReplicaCapacity]) {
+    fn update_metrics(&self, capacities: &[ReplicaCapacity]) {
         let metrics = &self.gateway.observer.metrics;
-        let room: i64 = rooms.iter().map(|room| i64::from(room.sequences)).sum();
-        metrics.batch_room.set(room);
+        let sequences: i64 = capacities
+            .iter()
+            .map(|capacity| i64::from(capacity.sequences))
+            .sum();
+        metrics.batch_room.set(sequences);
         metrics
             .batch_items_held
             .set(self.executor.leased_items().try_into().unwrap_or(i64::MAX));
@@ -137,14 +140,14 @@
         }
         let now = self.now();
         for action in self.executor.handle(now, event) {
-            self.act(now, action);
+            self.execute(now, action);
         }
     }
 
-    fn act(&mut self, now: Timestamp, action: BatchAction) {
+    fn execute(&mut self, now: Timestamp, action: BatchAction) {
         match action {
-            BatchAction::RequestGrants(wishes) => {
-                let message = GatewayMessage::WantGrants(wishes);
+            BatchAction::RequestGrants(requests) => {
+                let message = GatewayMessage::WantGrants(requests);
                 self.gateway.control.notify(&message);
             }
             BatchAction::Run(order) => {
@@ -163,7 +166,7 @@
         }
     }
 
-    /// Makes a call to control; its answer comes back as an event.
+    /// Makes a call to control; the answer comes back as an event.
     fn call(&mut self, action: BatchAction) {
         let gateway = self.gateway_id.clone();
         match action {
@@ -231,10 +234,11 @@
         }
     }
 
-    /// Asks for items. Times go to control on its clock and come back on the gateway's.
+    /// Leases items. The session's end is converted to control's clock, and the deadlines of the
+    /// items to the gateway's.
     fn lease(&mut self, session: SessionEpoch, sequence: u64, wanted: WantedItems) {
-        let held = self.gateway.session.current(self.now());
-        let until = held.map_or(Timestamp(0), |session| session.until);
+        let current = self.gateway.session.current(self.now());
+        let until = current.map_or(Timestamp(0), |session| session.until);
         let command = CommandBody::LeaseItems {
             gateway: self.gateway_id.clone(),
             session,
@@ -258,7 +262,8 @@
         });
     }
 
-    /// Commits a command; `read` takes what is wanted from its outcome, `event` tells the executor.
+    /// Commits a command. `read` extracts the answer from its outcome, and `event` makes the event
+    /// for the executor.
     fn propose<T: Send + 'static>(
         &mut self,
         command: CommandBody,
--- a/crates/gateway/src/batch/executor/mod.rs
+++ b/crates/gateway/src/batch/executor/mod.rs
@@ -1,4 +1,4 @@
-//! The executor: takes events in and says what to do.
+//! The executor: handles events and returns the actions to carry out.
 
 mod outcomes;
 mod rules;
@@ -12,7 +12,7 @@
     leasing::Leasing,
     messages::{BatchAction, BatchDecision, BatchEvent, BatchSession, ExecutorSettings},
     outbox::Outbox,
-    placing::Rooms,
+    placing::CapacityTable,
     releases::Releases,
 };
 
@@ -22,15 +22,15 @@
     slots: Vec<Slot>,
 }
 
-/// Executes batch items under the leases of one gateway. Sans I/O: it is handed the time
-/// and what happened, and answers with what to do.
+/// Executes batch items under the leases of one gateway. Sans I/O: the caller passes the time
+/// and the events, and carries out the returned actions.
 #[derive(Default)]
 pub struct BatchExecutor {
     settings: ExecutorSettings,
     session: Option<BatchSession>,
     /// The session that was lost last; it is never used again.
     lost_session: Option<SessionEpoch>,
-    rooms: Rooms,
+    capacity: CapacityTable,
     items: ItemTable,
     leasing: Leasing,
     outbox: Outbox,
@@ -43,7 +43,7 @@
 }
 
 impl BatchExecutor {
-    /// An executor that holds nothing.
+    /// Creates an executor without items.
     #[must_use]
     pub fn new(settings: ExecutorSettings) -> Self {
         BatchExecutor {
@@ -52,43 +52,44 @@
         }
     }
 
-    /// Takes over new rules.
+    /// Replaces the settings.
     pub fn set_settings(&mut self, settings: ExecutorSettings) {
         self.settings = settings;
     }
 
-    /// Items held, running or not.
+    /// Number of items under lease, running or not.
     #[must_use]
     pub fn leased_items(&self) -> usize {
         self.items.len()
     }
 
-    /// Results not yet known to be committed.
+    /// Number of results not yet known to be committed.
     #[must_use]
     pub fn uncommitted_results(&self) -> usize {
         self.outbox.len()
     }
 
-    /// Whether nothing is left to do.
+    /// Whether no item and no uncommitted result remains.
     #[must_use]
     pub fn is_idle(&self) -> bool {
         self.items.is_empty() && self.outbox.is_empty()
     }
 
-    /// Takes an event in and decides what to do now.
+    /// Handles an event and returns the actions to carry out now.
     pub fn handle(&mut self, now: Timestamp, event: BatchEvent) -> Vec<BatchAction> {
         match event {
             BatchEvent::Session(session) => self.on_session(session),
             BatchEvent::Pending(pending) => self.leasing.set_pending(pending),
-            BatchEvent::Capacity(rooms) => self.rooms = Rooms::new(rooms),
+            BatchEvent::Capacity(replicas) => self.capacity = CapacityTable::new(replicas),
             BatchEvent::Leased { sequence, answer } => self.on_leased(now, sequence, answer),
             BatchEvent::Started { number, answer } => self.on_started(now, number, &answer),
             BatchEvent::Committed { number, answer } => {
-                self.outbox.on_answer(number, &answer, self.call_retry(now));
+                self.outbox
+                    .on_answer(number, &answer, self.call_retry_at(now));
             }
             BatchEvent::Released { number, answer } => {
                 self.releases
-                    .on_answer(number, &answer, self.call_retry(now));
+                    .on_answer(number, &answer, self.call_retry_at(now));
             }
             BatchEvent::RunEnded { run, end } => self.on_run_ended(now, run, end),
             BatchEvent::JobsCancelled(jobs) => self.on_cancelled(now, &jobs),
@@ -99,7 +100,7 @@
         std::mem::take(&mut self.actions)
     }
 
-    fn call_retry(&self, now: Timestamp) -> Timestamp {
+    fn call_retry_at(&self, now: Timestamp) -> Timestamp {
         Timestamp(now.0 + self.settings.call_retry_ms)
     }
 
@@ -111,30 +112,36 @@
         let session = session.filter(|session| Some(session.epoch) != self.lost_session);
         let same = session.map(|session| session.epoch) == self.epoch();
         if !same {
-            self.lose_session();
+            self.end_session();
         }
         self.session = session;
     }
 
-    /// Stops everything that ran under the session. The ledger hands its items to others, so
-    /// nothing here may go on; results already in the outbox are still committed, because the
-    /// ledger takes the first result of a repeatable item whoever brings it.
-    fn lose_session(&mut self) {
+    /// Stops all runs of the session. The ledger leases its items to other gateways, so no run may
+    /// continue here. Results already in the outbox are still committed, because the ledger accepts
+    /// the first result of a repeatable item from any gateway.
+    fn end_session(&mut self) {
         if let Some(session) = self.session.take() {
             self.lost_session = Some(session.epoch);
         }
-        self.leasing.forget_call();
-        self.releases.forget();
+        self.leasing.clear_call();
+        self.releases.clear();
         self.mark_call = None;
         for item in self.items.take_all() {
-            self.note(&item, DecisionKind::Lease, ReasonCode::LeaseEnded, "");
+            self.record_decision(&item, DecisionKind::Lease, ReasonCode::LeaseEnded, "");
             if let ItemState::Running { run, .. } = item.state {
                 self.actions.push(BatchAction::Stop { run });
             }
         }
     }
 
-    fn note(&mut self, item: &Item, kind: DecisionKind, reason: ReasonCode, outcome: &str) {
+    fn record_decision(
+        &mut self,
+        item: &Item,
+        kind: DecisionKind,
+        reason: ReasonCode,
+        outcome: &str,
+    ) {
         self.actions
             .push(BatchAction::RecordDecision(BatchDecision {
                 kind,
--- a/crates/gateway/src/batch/executor/outcomes.rs
+++ b/crates/gateway/src/batch/executor/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the executor does with answers of control and ends of runs.
+//! Handling of control's answers and of ended runs.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_observability::journal::DecisionKind;
@@ -15,7 +15,7 @@
     messages::{BatchAction, CallAnswer, GeneratedTokens, RunEnd, RunId},
 };
 
-/// Most doublings of the wait before a failed item runs again.
+/// Maximum doublings of the wait before a failed item runs again.
 const MAX_RETRY_DOUBLINGS: u32 = 6;
 
 impl BatchExecutor {
@@ -25,24 +25,24 @@
         sequence: u64,
         answer: CallAnswer<Vec<LeasedItem>>,
     ) {
-        let Some(call) = self.leasing.answered(sequence) else {
+        let Some(call) = self.leasing.take_call(sequence) else {
             return;
         };
         match answer {
             CallAnswer::Done(items) => {
                 self.leasing.on_leased(&call.wanted.model, items.len());
                 for item in items {
-                    self.take_in(now, item, &call.wanted.model);
+                    self.add_item(now, item, &call.wanted.model);
                 }
             }
-            CallAnswer::Fenced => self.lose_session(),
-            CallAnswer::Unknown => self.leasing.retry(call, self.call_retry(now)),
+            CallAnswer::Fenced => self.end_session(),
+            CallAnswer::Unknown => self.leasing.retry(call, self.call_retry_at(now)),
         }
     }
 
-    fn take_in(&mut self, now: Timestamp, leased: LeasedItem, model: &ModelId) {
+    fn add_item(&mut self, now: Timestamp, leased: LeasedItem, model: &ModelId) {
         let item = Item::new(leased, model.clone(), now);
-        self.note(
+        self.record_decision(
             &item,
             DecisionKind::Lease,
             ReasonCode::IdleCapacity,
@@ -61,7 +61,7 @@
             return;
         };
         if *answer == CallAnswer::Fenced {
-            return self.lose_session();
+            return self.end_session();
         }
         let mut refused = Vec::new();
         for (position, slot) in call.slots.into_iter().enumerate() {
@@ -69,7 +69,7 @@
                 CallAnswer::Done(granted) if granted.get(position) == Some(&true) => {
                     self.start_marked(slot);
                 }
-                // Its job was stopped; the lease still counts it.
+                // The job has ended, but the item is still under lease.
                 CallAnswer::Done(_) => refused.push(slot),
                 _ => {
                     if let Some(item) = self.items.get_mut(slot) {
@@ -82,7 +82,7 @@
         self.release(&refused);
     }
 
-    /// Runs an item whose start is recorded where its room was generated.
+    /// Runs an item whose start is recorded, on the replica reserved for it.
     fn start_marked(&mut self, slot: Slot) {
         let Some(item) = self.items.get_mut(slot) else {
             return;
@@ -119,7 +119,7 @@
                 if matches!(stopping, Some(AfterStop::End(_))) =>
             {
                 if let Some(AfterStop::End(kind)) = stopping {
-                    self.end_unrun(now, slot, kind);
+                    self.end_without_run(now, slot, kind);
                 }
             }
             RunEnd::Stopped { generated } => self.on_stopped(now, slot, generated),
@@ -151,13 +151,13 @@
             return;
         };
         let at_most_once = item.mark != StartMark::NotNeeded;
-        item.failures += u32::from(may_have_started);
-        item.setbacks += 1;
+        item.started_failures += u32::from(may_have_started);
+        item.failures += 1;
         if may_have_started && at_most_once {
             let outcome = item.failed(ErrorKind::OutcomeUnknown, message);
             return self.finish(now, slot, outcome, ReasonCode::AtMostOnce);
         }
-        if item.failures >= self.settings.max_attempts {
+        if item.started_failures >= self.settings.max_attempts {
             let outcome = item.failed(ErrorKind::BackEndFailed, message);
             return self.finish(now, slot, outcome, ReasonCode::AttemptsUsedUp);
         }
@@ -166,15 +166,15 @@
         } else {
             ReasonCode::RetriedUnstarted
         };
-        let doublings = (item.setbacks - 1).min(MAX_RETRY_DOUBLINGS);
+        let doublings = (item.failures - 1).min(MAX_RETRY_DOUBLINGS);
         let delay = self.settings.item_retry_ms << doublings;
         let failed = item.clone();
         item.generated = generated;
         item.wait(now, delay);
-        self.note(&failed, DecisionKind::Retry, reason, message);
+        self.record_decision(&failed, DecisionKind::Retry, reason, message);
     }
 
-    /// Hands a result to the ledger.
+    /// Queues an item's result for its commit.
     fn finish(&mut self, now: Timestamp, slot: Slot, outcome: ItemOutcome, reason: ReasonCode) {
         let Some(item) = self.items.remove(slot) else {
             return;
@@ -187,29 +187,29 @@
         } else {
             DecisionKind::Lease
         };
-        let told = if outcome.error_code.is_empty() {
+        let journal_outcome = if outcome.error_code.is_empty() {
             "answered"
         } else {
             &outcome.error_code
         };
-        self.note(&item, kind, reason, told);
+        self.record_decision(&item, kind, reason, journal_outcome);
         let key = item.leased.key.clone();
         self.outbox.push(now, session, key, outcome);
     }
 
-    /// Ends an item from outside; at a cancelled job the ledger drops the result and counts
-    /// the item as returned.
-    fn end_unrun(&mut self, now: Timestamp, slot: Slot, kind: ErrorKind) {
+    /// Ends an item that is cancelled or past its deadline. For a cancelled job the ledger drops
+    /// the result and counts the item as returned.
+    fn end_without_run(&mut self, now: Timestamp, slot: Slot, kind: ErrorKind) {
         let Some(item) = self.items.get_mut(slot) else {
             return;
         };
         let ran = matches!(item.state, ItemState::Running { .. });
-        let told = if ran && kind != ErrorKind::Cancelled && item.mark == StartMark::Recorded {
+        let reported = if ran && kind != ErrorKind::Cancelled && item.mark == StartMark::Recorded {
             ErrorKind::OutcomeUnknown
         } else {
             kind
         };
-        let outcome = item.failed(told, told.description().trim());
+        let outcome = item.failed(reported, reported.description().trim());
         self.finish(now, slot, outcome, Item::end_reason(kind));
     }
 
@@ -222,13 +222,13 @@
         self.end_all(now, &slots, ErrorKind::Cancelled);
     }
 
-    /// Ends items that are not running, and stops the others first.
+    /// Ends items that are not running; running ones are stopped first.
     pub(super) fn end_all(&mut self, now: Timestamp, slots: &[Slot], kind: ErrorKind) {
         for slot in slots {
             let state = self.items.get_mut(*slot).map(|item| &item.state);
             match state {
                 Some(ItemState::Running { .. }) => self.stop(*slot, AfterStop::End(kind)),
-                Some(_) => self.end_unrun(now, *slot, kind),
+                Some(_) => self.end_without_run(now, *slot, kind),
                 None => {}
             }
         }
@@ -241,8 +241,8 @@
         let ItemState::Running { run, stopping, .. } = &mut item.state else {
             return;
         };
-        let told_before = stopping.replace(after).is_some();
-        if !told_before {
+        let already_stopping = stopping.replace(after).is_some();
+        if !already_stopping {
             self.actions.push(BatchAction::Stop { run: *run });
         }
     }
--- a/crates/gateway/src/batch/executor/rules.rs
+++ b/crates/gateway/src/batch/executor/rules.rs
@@ -1,5 +1,5 @@
-//! What follows from the executor's state: which runs stop, which items run, what is leased,
-//! committed and given back.
+//! Decisions that follow from the executor's state: which runs stop, which items run, and what is
+//! leased, committed and released.
 
 use std::collections::BTreeMap;
 
@@ -17,59 +17,61 @@
     messages::{BatchAction, RunId, RunOrder},
 };
 
-/// What this executor holds of a replica's room.
+/// What this executor uses of a replica's capacity.
 #[derive(Default)]
-struct HeldRoom {
-    /// Sequences.
-    taken: u32,
-    /// Runs that may leave.
-    yielding: Vec<(RunId, Slot)>,
+struct ReplicaUsage {
+    /// Sequences in use.
+    used: u32,
+    /// Runs that may be preempted.
+    preemptible: Vec<(RunId, Slot)>,
 }
 
 impl BatchExecutor {
-    /// What follows from the present state, in the order of urgency.
+    /// Decides what follows from the present state, the most urgent first.
     pub(super) fn decide(&mut self, now: Timestamp) {
         if self.session.is_some_and(|session| session.until <= now) {
-            self.lose_session();
+            self.end_session();
         }
-        self.yield_room();
-        self.end_overdue(now);
+        self.preempt_excess_runs();
+        self.end_expired(now);
         self.place(now);
-        self.give_back(now);
+        self.release_unplaced(now);
         self.actions.extend(self.releases.due(now));
         self.lease(now);
         let interval = self.settings.commit_interval_ms;
         self.actions.extend(self.outbox.next_commit(now, interval));
-        let wish = self
-            .leasing
-            .next_wish(now, &self.items, self.draining, &self.settings);
-        self.actions.extend(wish);
+        let request =
+            self.leasing
+                .next_grant_request(now, &self.items, self.draining, &self.settings);
+        self.actions.extend(request);
     }
 
-    /// Stops what runs on a replica beyond its room, the newest runs first: they lose least
-    /// when their prompt is read again.
-    fn yield_room(&mut self) {
+    /// Stops the runs in excess of a replica's capacity, the newest first: they lose least
+    /// when their prompt is processed again.
+    fn preempt_excess_runs(&mut self) {
         let mut to_stop = Vec::new();
-        for (replica, mut held) in self.held_by_replica() {
-            let room = self.rooms.of(&replica);
-            let allowed = room.map_or(0, |room| room.sequences);
-            let reason = room.map_or(ReasonCode::GrantExpired, |room| room.reason);
-            let excess = held.taken.saturating_sub(allowed) as usize;
-            held.yielding.sort_unstable_by(|one, other| other.cmp(one));
-            let newest = held.yielding.into_iter().take(excess);
+        for (replica, mut usage) in self.usage_by_replica() {
+            let capacity = self.capacity.get(&replica);
+            let allowed = capacity.map_or(0, |capacity| capacity.sequences);
+            let reason = capacity.map_or(ReasonCode::GrantExpired, |capacity| capacity.reason);
+            let excess = usage.used.saturating_sub(allowed) as usize;
+            usage
+                .preemptible
+                .sort_unstable_by(|one, other| other.cmp(one));
+            let newest = usage.preemptible.into_iter().take(excess);
             to_stop.extend(newest.map(|(_, slot)| (slot, reason)));
         }
         for (slot, reason) in to_stop {
             if let Some(item) = self.items.get_mut(slot).cloned() {
-                self.note(&item, DecisionKind::Yield, reason, "");
+                self.record_decision(&item, DecisionKind::Yield, reason, "");
             }
             self.stop(slot, AfterStop::RunElsewhere);
         }
     }
 
-    /// What the items that are not being stopped take of each replica.
-    fn held_by_replica(&self) -> BTreeMap<ReplicaId, HeldRoom> {
-        let mut by_replica = BTreeMap::<ReplicaId, HeldRoom>::new();
+    /// The capacity of each replica used by items that are not being stopped.
+    fn usage_by_replica(&self) -> BTreeMap<ReplicaId, ReplicaUsage> {
+        let mut by_replica = BTreeMap::<ReplicaId, ReplicaUsage>::new();
         for (slot, item) in self.items.iter() {
             let (replica, run) = match &item.state {
                 ItemState::Marking { replica } => (replica, None),
@@ -80,17 +82,17 @@
                 } => (replica, Some(*run)),
                 _ => continue,
             };
-            let held = by_replica.entry(replica.clone()).or_default();
-            held.taken += 1;
-            if let Some(run) = run.filter(|_| item.may_yield()) {
-                held.yielding.push((run, slot));
+            let usage = by_replica.entry(replica.clone()).or_default();
+            usage.used += 1;
+            if let Some(run) = run.filter(|_| item.is_preemptible()) {
+                usage.preemptible.push((run, slot));
             }
         }
         by_replica
     }
 
-    /// Ends items whose job's completion window is over.
-    fn end_overdue(&mut self, now: Timestamp) {
+    /// Ends items whose job is past its completion window.
+    fn end_expired(&mut self, now: Timestamp) {
         let overdue = self
             .items
             .iter()
@@ -99,9 +101,10 @@
         self.end_all(now, &slots, ErrorKind::DeadlineExceeded);
     }
 
-    /// Runs waiting items where there is room: those with generated tokens first, then by deadline.
+    /// Runs waiting items on replicas with free capacity: items with generated tokens first, then
+    /// by deadline.
     fn place(&mut self, now: Timestamp) {
-        let mut free = self.rooms.free(&self.items);
+        let mut free = self.capacity.free(&self.items);
         if free.is_empty() {
             return;
         }
@@ -146,7 +149,7 @@
         let Some(item) = self.items.run(slot, run, replica.clone()).cloned() else {
             return;
         };
-        self.note(&item, DecisionKind::Choice, ReasonCode::IdleCapacity, "");
+        self.record_decision(&item, DecisionKind::Choice, ReasonCode::IdleCapacity, "");
         self.actions.push(BatchAction::Run(RunOrder {
             run,
             item: item.leased,
@@ -155,7 +158,8 @@
         }));
     }
 
-    /// Has the ledger record that at-most-once items start, and keeps their room meanwhile.
+    /// Asks the ledger to record the start of at-most-once items, and reserves their capacity
+    /// until it answers.
     fn mark(&mut self, items: Vec<(Slot, ReplicaId)>) {
         let Some(session) = self.epoch().filter(|_| !items.is_empty()) else {
             return;
@@ -179,9 +183,10 @@
         });
     }
 
-    /// Gives back items that found no room for long, and all that do not run when draining.
-    fn give_back(&mut self, now: Timestamp) {
-        let patience = if self.draining {
+    /// Releases items that have waited too long for free capacity; when draining, all items that
+    /// do not run.
+    fn release_unplaced(&mut self, now: Timestamp) {
+        let wait_ms = if self.draining {
             0
         } else {
             self.settings.release_after_ms
@@ -190,13 +195,13 @@
             item.may_be_released()
                 && item
                     .waiting_since()
-                    .is_some_and(|since| since.0 + patience <= now.0)
+                    .is_some_and(|since| since.0 + wait_ms <= now.0)
         });
         let slots: Vec<Slot> = unplaced.map(|(slot, _)| slot).collect();
         self.release(&slots);
     }
 
-    /// Gives items back unrun.
+    /// Releases items that have not run.
     pub(super) fn release(&mut self, slots: &[Slot]) {
         let Some(session) = self.epoch() else {
             return;
@@ -205,12 +210,12 @@
         for slot in slots {
             if let Some(item) = self.items.remove(*slot) {
                 let reason = ReasonCode::GrantExpired;
-                self.note(&item, DecisionKind::Lease, reason, "given back");
+                self.record_decision(&item, DecisionKind::Lease, reason, "given back");
                 keys.push(item.leased.key.clone());
             }
         }
         if !keys.is_empty() {
-            let release = self.releases.give_back(session, keys);
+            let release = self.releases.start(session, keys);
             self.actions.push(release);
         }
     }
@@ -219,10 +224,15 @@
         let Some(session) = self.epoch().filter(|_| !self.draining) else {
             return;
         };
-        let held = self.items.len() + self.outbox.len();
-        let lease =
-            self.leasing
-                .next_lease(now, session, &self.rooms, &self.items, held, &self.settings);
+        let leased = self.items.len() + self.outbox.len();
+        let lease = self.leasing.next_lease(
+            now,
+            session,
+            &self.capacity,
+            &self.items,
+            leased,
+            &self.settings,
+        );
         self.actions.extend(lease);
     }
 }
--- a/crates/gateway/src/batch/item.rs
+++ b/crates/gateway/src/batch/item.rs
@@ -1,4 +1,4 @@
-//! The items that an executor holds.
+//! The items that an executor has under lease.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -12,54 +12,54 @@
 
 use crate::batch::messages::{GeneratedTokens, RunId};
 
-/// An item's place in the table, in the order of leasing.
+/// The key of an item in the table, in the order of leasing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Slot(u64);
 
 /// Whether an at-most-once item may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum StartMark {
-    /// The item is repeatable; no mark is needed.
+    /// The item is repeatable and needs no mark.
     NotNeeded,
-    /// The ledger was not asked.
+    /// The ledger has not been asked.
     Missing,
-    /// The ledger was asked and its answer was lost; the item cannot be given back.
+    /// The ledger was asked, but its answer was lost; the item cannot be released.
     Uncertain,
-    /// The ledger holds the mark.
+    /// The ledger has recorded the mark.
     Recorded,
 }
 
-/// What becomes of an item once its run has stopped.
+/// What to do with an item once its run has stopped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AfterStop {
-    /// It goes on elsewhere.
+    /// Resume it on another replica.
     RunElsewhere,
-    /// It ends with this error.
+    /// End it with this error.
     End(ErrorKind),
 }
 
-/// What an item is doing.
+/// The state of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) enum ItemState {
-    /// It waits for room.
+    /// Waits for free capacity.
     Waiting {
-        /// Since when.
+        /// Start of the wait.
         since: Timestamp,
-        /// It does not run before.
+        /// Earliest time of the next run.
         not_before: Timestamp,
     },
-    /// The ledger is being told that it starts; its room on the replica is generated.
+    /// The ledger is recording its start; capacity on the replica is reserved.
     Marking {
-        /// Where it will run.
+        /// The replica on which it will run.
         replica: ReplicaId,
     },
-    /// It runs.
+    /// Runs on a replica.
     Running {
-        /// Where.
+        /// The replica.
         replica: ReplicaId,
-        /// Its run.
+        /// The current run.
         run: RunId,
-        /// Set once the run was told to stop.
+        /// Set once the run was requested to stop.
         stopping: Option<AfterStop>,
     },
 }
@@ -68,16 +68,16 @@
 #[derive(Clone, Debug)]
 pub(super) struct Item {
     pub(super) leased: Arc<LeasedItem>,
-    /// The model that its line names, with the adapter.
+    /// The model named in the item's line, with the adapter.
     pub(super) model: ModelId,
     pub(super) state: ItemState,
     pub(super) mark: StartMark,
     pub(super) generated: GeneratedTokens,
-    /// Runs that may have started at a back end and failed.
+    /// Failed runs that may have started at a back end.
+    pub(super) started_failures: u32,
+    /// Failed runs of any kind; sets the wait before the next run.
     pub(super) failures: u32,
-    /// Failures of any kind, for the wait before the next run.
-    pub(super) setbacks: u32,
-    /// The replica that it left last.
+    /// The replica of the last run.
     pub(super) avoid: Option<ReplicaId>,
 }
 
@@ -97,13 +97,13 @@
             },
             mark,
             generated: GeneratedTokens::default(),
+            started_failures: 0,
             failures: 0,
-            setbacks: 0,
             avoid: None,
         }
     }
 
-    /// The replica on which it takes room.
+    /// The replica on which the item uses capacity.
     pub(super) fn replica(&self) -> Option<&ReplicaId> {
         match &self.state {
             ItemState::Waiting { .. } => None,
@@ -111,12 +111,12 @@
         }
     }
 
-    /// Whether it waits and may run now.
+    /// Whether the item waits and may run now.
     pub(super) fn is_ready(&self, now: Timestamp) -> bool {
         matches!(self.state, ItemState::Waiting { not_before, .. } if not_before <= now)
     }
 
-    /// Since when it waits.
+    /// Start of the wait, if the item waits.
     pub(super) fn waiting_since(&self) -> Option<Timestamp> {
         match self.state {
             ItemState::Waiting { since, .. } => Some(since),
@@ -124,20 +124,20 @@
         }
     }
 
-    /// Whether the ledger takes it back unrun.
+    /// Whether the item may be released without a result.
     pub(super) fn may_be_released(&self) -> bool {
         matches!(self.mark, StartMark::NotNeeded | StartMark::Missing)
     }
 
-    /// Whether it may leave a replica once it runs there.
+    /// Whether the item may be preempted while it runs.
     ///
-    /// An at-most-once run is never repeated, so it stays; the engine's own
-    /// priority keeps it out of the way of online work.
-    pub(super) fn may_yield(&self) -> bool {
+    /// An at-most-once run is never repeated, so it is not preempted; the engine's own priority
+    /// puts online work ahead of it.
+    pub(super) fn is_preemptible(&self) -> bool {
         self.mark == StartMark::NotNeeded
     }
 
-    /// Makes it wait.
+    /// Makes the item wait for its next run.
     pub(super) fn wait(&mut self, now: Timestamp, delay_ms: u64) {
         self.avoid = self.replica().cloned();
         self.state = ItemState::Waiting {
@@ -156,7 +156,7 @@
         }
     }
 
-    /// The run and the reason that the journal gives for an end from outside.
+    /// The journal's reason for an item that is cancelled or past its deadline.
     pub(super) fn end_reason(kind: ErrorKind) -> ReasonCode {
         match kind {
             ErrorKind::Cancelled => ReasonCode::JobCancelled,
@@ -165,7 +165,7 @@
     }
 }
 
-/// All items that an executor holds.
+/// All items that an executor has under lease.
 #[derive(Clone, Debug, Default)]
 pub(super) struct ItemTable {
     items: BTreeMap<Slot, Item>,
@@ -195,7 +195,7 @@
         self.items.get_mut(&slot)
     }
 
-    /// Records that an item runs.
+    /// Records the run of an item.
     pub(super) fn run(&mut self, slot: Slot, run: RunId, replica: ReplicaId) -> Option<&Item> {
         let item = self.items.get_mut(&slot)?;
         item.state = ItemState::Running {
@@ -207,7 +207,7 @@
         Some(item)
     }
 
-    /// The item of a run that has ended; its state is still that of the run.
+    /// Ends a run and returns its item, whose state is still that of the run.
     pub(super) fn end_run(&mut self, run: RunId) -> Option<(Slot, &mut Item)> {
         let slot = self.runs.remove(&run)?;
         Some((slot, self.items.get_mut(&slot)?))
@@ -225,7 +225,7 @@
         self.items.is_empty()
     }
 
-    /// Takes every item out.
+    /// Removes and returns all items.
     pub(super) fn take_all(&mut self) -> Vec<Item> {
         self.runs.clear();
         std::mem::take(&mut self.items).into_values().collect()
--- a/crates/gateway/src/batch/leasing.rs
+++ b/crates/gateway/src/batch/leasing.rs
@@ -1,4 +1,4 @@
-//! How many items to lease, of which model.
+//! Decides how many items to lease, and of which model.
 
 use std::collections::BTreeMap;
 
@@ -11,47 +11,47 @@
 use crate::batch::{
     item::ItemTable,
     messages::{BatchAction, ExecutorSettings},
-    placing::{Rooms, pool_of},
+    placing::{CapacityTable, pool_of},
 };
 
-/// A lease that was asked for and not answered.
+/// A lease call without an answer yet.
 #[derive(Clone, Debug)]
 pub(super) struct LeaseCall {
     pub(super) sequence: u64,
     pub(super) wanted: WantedItems,
-    /// Set when the answer was lost: the call is made again then.
+    /// When to repeat the call; set when its answer was lost.
     pub(super) resend_at: Option<Timestamp>,
 }
 
-/// Leases items as the granted capacity allows. One call is under way at a time.
+/// Leases items as the granted capacity allows. One call is in flight at a time.
 #[derive(Clone, Debug, Default)]
 pub(super) struct Leasing {
     pending: Vec<PendingItems>,
     call: Option<LeaseCall>,
     last_sequence: u64,
-    /// Model asked for last, so that models take turns.
+    /// The model of the last call, so that models take turns.
     last_model: Option<ModelId>,
-    wished: Vec<GrantWish>,
-    wished_at: Option<Timestamp>,
+    last_requests: Vec<GrantWish>,
+    last_requested_at: Option<Timestamp>,
 }
 
 impl Leasing {
-    /// Takes in what the ledger has pending.
+    /// Records the items pending in the ledger.
     pub(super) fn set_pending(&mut self, pending: Vec<PendingItems>) {
         self.pending = pending;
     }
 
-    /// Forgets the call under way; its items return with the session's end.
-    pub(super) fn forget_call(&mut self) {
+    /// Drops the call in flight; its items return to the ledger with the end of the session.
+    pub(super) fn clear_call(&mut self) {
         self.call = None;
     }
 
-    /// The call with this number, if it is the one under way.
-    pub(super) fn answered(&mut self, sequence: u64) -> Option<LeaseCall> {
+    /// Takes the call with this number, if it is the one in flight.
+    pub(super) fn take_call(&mut self, sequence: u64) -> Option<LeaseCall> {
         self.call.take_if(|call| call.sequence == sequence)
     }
 
-    /// Makes a call again later.
+    /// Repeats a call at the given time.
     pub(super) fn retry(&mut self, call: LeaseCall, at: Timestamp) {
         self.call = Some(LeaseCall {
             resend_at: Some(at),
@@ -59,34 +59,37 @@
         });
     }
 
-    /// Counts items that a lease brought; a model that brought none is not asked for again
-    /// before the next news of it.
+    /// Counts leased items as no longer pending. After an empty lease, the model is not requested
+    /// again before the next update of its pending items.
     pub(super) fn on_leased(&mut self, model: &ModelId, count: usize) {
-        let known = self.pending.iter_mut().find(|known| known.model == *model);
-        if let Some(known) = known {
-            known.count = if count == 0 {
+        let pending = self
+            .pending
+            .iter_mut()
+            .find(|pending| pending.model == *model);
+        if let Some(pending) = pending {
+            pending.count = if count == 0 {
                 0
             } else {
-                known.count.saturating_sub(count as u64)
+                pending.count.saturating_sub(count as u64)
             };
         }
     }
 
-    /// The lease to ask for now, if there is one.
+    /// The lease call to make now, if one is due.
     pub(super) fn next_lease(
         &mut self,
         now: Timestamp,
         session: SessionEpoch,
-        rooms: &Rooms,
+        capacity: &CapacityTable,
         items: &ItemTable,
-        held: usize,
+        leased: usize,
         settings: &ExecutorSettings,
     ) -> Option<BatchAction> {
         if let Some(call) = self.call.as_mut() {
             call.resend_at.take_if(|at| *at <= now)?;
             return Some(call.action(session));
         }
-        let wanted = self.most_wanted(rooms, items, held, settings)?;
+        let wanted = self.next_wanted_items(capacity, items, leased, settings)?;
         self.last_sequence += 1;
         self.last_model = Some(wanted.model.clone());
         let call = LeaseCall {
@@ -99,29 +102,29 @@
         Some(action)
     }
 
-    /// The next model in turn whose granted capacity is not filled.
-    fn most_wanted(
+    /// The items to lease of the next model in turn whose granted capacity is not filled.
+    fn next_wanted_items(
         &self,
-        rooms: &Rooms,
+        capacity: &CapacityTable,
         items: &ItemTable,
-        held: usize,
+        leased: usize,
         settings: &ExecutorSettings,
     ) -> Option<WantedItems> {
-        let left = (settings.max_items as usize).saturating_sub(held);
+        let remaining = (settings.max_items as usize).saturating_sub(leased);
         let mut pools: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, item) in items.iter() {
             *pools.entry(pool_of(&item.model)).or_default() += 1;
         }
         let wanted = self.pending.iter().filter_map(|pending| {
-            let room = rooms.sequences_for(&pending.model);
-            let target = room
-                + room
+            let granted = capacity.sequences_for(&pending.model);
+            let target = granted
+                + granted
                     .saturating_mul(settings.lease_ahead_percent)
                     .div_ceil(100);
-            let here = pools.get(pool_of(&pending.model)).copied().unwrap_or(0);
-            let count = u64::from(target.saturating_sub(here))
+            let of_pool = pools.get(pool_of(&pending.model)).copied().unwrap_or(0);
+            let count = u64::from(target.saturating_sub(of_pool))
                 .min(pending.count)
-                .min(left as u64);
+                .min(remaining as u64);
             (count > 0).then(|| WantedItems {
                 model: pending.model.clone(),
                 count: count as u32,
@@ -131,33 +134,33 @@
         wanted.sort_by(|one, other| one.model.cmp(&other.model));
         let after_last = wanted
             .iter()
-            .position(|wish| Some(&wish.model) > self.last_model.as_ref());
+            .position(|items| Some(&items.model) > self.last_model.as_ref());
         wanted.into_iter().nth(after_last.unwrap_or(0))
     }
 
-    /// The wishes for capacity to send now, if they are due.
-    pub(super) fn next_wish(
+    /// The requests for capacity to send now, if they are due.
+    pub(super) fn next_grant_request(
         &mut self,
         now: Timestamp,
         items: &ItemTable,
         draining: bool,
         settings: &ExecutorSettings,
     ) -> Option<BatchAction> {
-        let wishes = self.wishes(items, draining, settings);
+        let grant_requests = self.grant_requests(items, draining, settings);
         let due = self
-            .wished_at
+            .last_requested_at
             .is_none_or(|at| at.0 + settings.grant_request_interval_ms <= now.0);
-        let news = wishes.is_empty() != self.wished.is_empty();
-        let repeat = due && !wishes.is_empty();
-        if !news && !repeat {
+        let changed = grant_requests.is_empty() != self.last_requests.is_empty();
+        let repeat = due && !grant_requests.is_empty();
+        if !changed && !repeat {
             return None;
         }
-        self.wished_at = Some(now);
-        self.wished.clone_from(&wishes);
-        Some(BatchAction::RequestGrants(wishes))
+        self.last_requested_at = Some(now);
+        self.last_requests.clone_from(&grant_requests);
+        Some(BatchAction::RequestGrants(grant_requests))
     }
 
-    fn wishes(
+    fn grant_requests(
         &self,
         items: &ItemTable,
         draining: bool,
@@ -172,11 +175,13 @@
                 *pools.entry(pool_of(&pending.model)).or_default() += pending.count;
             }
         }
-        let wishes = pools.into_iter().map(|(pool, count)| GrantWish {
+        let grant_requests = pools.into_iter().map(|(pool, count)| GrantWish {
             model: pool.into(),
             sequences: count.min(u64::from(settings.max_items)) as u32,
         });
-        wishes.filter(|wish| wish.sequences > 0).collect()
+        grant_requests
+            .filter(|request| request.sequences > 0)
+            .collect()
     }
 }
 
--- a/crates/gateway/src/batch/messages.rs
+++ b/crates/gateway/src/batch/messages.rs
@@ -1,4 +1,4 @@
-//! What goes into the executor and what comes out of it.
+//! Events and actions of the executor, and the types that they carry.
 
 use std::sync::Arc;
 
@@ -14,22 +14,23 @@
 /// Rules of one executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ExecutorSettings {
-    /// Items held at once, running or not; 0 leases none.
+    /// Maximum items under lease at once, running or not; 0 leases none.
     pub max_items: u32,
-    /// Runs of a repeatable item that may have started, before its failure becomes its result.
+    /// Maximum failed runs of a repeatable item that may have started at a back end; after them
+    /// the failure is the item's result.
     pub max_attempts: u32,
-    /// Items leased beyond the granted capacity, in percent of it, so that a sequence that
-    /// ends has its successor at hand.
+    /// Items leased in excess of the granted capacity, in percent of it, so that an item is ready
+    /// when a sequence ends.
     pub lease_ahead_percent: u32,
-    /// Longest time that a result waits for others to be committed with, in milliseconds.
+    /// Longest time that a result waits to be committed together with others, in milliseconds.
     pub commit_interval_ms: u64,
-    /// Wait before a call to control that was not answered is made again, in milliseconds.
+    /// Wait before an unanswered call to control is repeated, in milliseconds.
     pub call_retry_ms: u64,
-    /// Wait before a failed item runs again; doubles with each failure, in milliseconds.
+    /// Wait before a failed item runs again, in milliseconds; doubles with each failure.
     pub item_retry_ms: u64,
-    /// An item that found no room for this long is given back, in milliseconds.
+    /// Time after which an item that found no free capacity is released, in milliseconds.
     pub release_after_ms: u64,
-    /// Time between two wishes for capacity, in milliseconds.
+    /// Time between two requests for grants of capacity, in milliseconds.
     pub grant_request_interval_ms: u64,
 }
 
@@ -51,46 +52,46 @@
 /// The gateway's session, under which items are leased.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BatchSession {
-    /// Its number in the ledger.
+    /// The session's number in the ledger.
     pub epoch: SessionEpoch,
-    /// Nothing runs under it after this time of the executor's clock.
+    /// End of the session on the executor's clock; nothing runs under the session after it.
     pub until: Timestamp,
 }
 
-/// How many batch sequences this gateway may have on a replica now.
+/// The batch sequences that this gateway may run on a replica now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReplicaCapacity {
     /// The replica.
     pub replica: ReplicaId,
-    /// The model that it serves, without adapter.
+    /// The model that the replica serves, without adapter.
     pub model: ModelId,
-    /// The adapters that it has loaded.
+    /// The adapters that the replica has loaded.
     pub adapters: Vec<String>,
-    /// Sequences, those running included.
+    /// Sequences, including those that run already.
     pub sequences: u32,
-    /// What bounds them.
+    /// What limits the sequences.
     pub reason: ReasonCode,
 }
 
 /// How a call to control ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallAnswer<T> {
-    /// It was carried out.
+    /// The call was carried out.
     Done(T),
-    /// The ledger refused it because the session has ended.
+    /// The ledger refused the call because the session has ended.
     Fenced,
-    /// Not carried out, or not known; the same call may be made again.
+    /// The call was not carried out, or its outcome is unknown; it may be repeated.
     Unknown,
 }
 
-/// One run of an item on one replica; never used twice by an executor.
+/// Identifies one run of an item on one replica; never reused by an executor.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct RunId(pub u64);
 
-/// What earlier runs of an item produced.
+/// Tokens that earlier runs of an item generated, from which the next run resumes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GeneratedTokens {
-    /// How many tokens.
+    /// Number of tokens.
     pub tokens: u32,
     /// Their text.
     pub text: String,
@@ -99,168 +100,168 @@
 /// An item to run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunOrder {
-    /// Names the run.
+    /// The run.
     pub run: RunId,
     /// The item.
     pub item: Arc<LeasedItem>,
-    /// Where it runs.
+    /// The replica on which it runs.
     pub replica: ReplicaId,
-    /// What the run goes on after.
+    /// Tokens from which the run resumes.
     pub generated: GeneratedTokens,
 }
 
 /// How a run ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RunEnd {
-    /// The whole answer is there.
+    /// The answer is complete.
     Answered {
         /// HTTP status.
         status: u16,
         /// The JSON body.
         body: Vec<u8>,
     },
-    /// No run can succeed: the request itself is wrong.
+    /// The request itself is invalid; no run can succeed.
     Rejected {
-        /// Why.
+        /// The error.
         kind: ErrorKind,
         /// The message for the caller.
         message: String,
     },
     /// The run failed; another one may succeed.
     Failed {
-        /// Whether the back end may have started it.
+        /// Whether the back end may have started the run.
         may_have_started: bool,
-        /// What it had produced, with what it went on after.
+        /// Tokens generated so far, including those from which the run resumed.
         generated: GeneratedTokens,
-        /// What went wrong.
+        /// Description of the failure.
         message: String,
     },
-    /// It was stopped by [`BatchAction::Stop`].
+    /// The run was stopped by [`BatchAction::Stop`].
     Stopped {
-        /// What it had produced, with what it went on after.
+        /// Tokens generated so far, including those from which the run resumed.
         generated: GeneratedTokens,
     },
 }
 
-/// What the executor is told.
+/// An event for the executor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchEvent {
     /// The session was opened, renewed or lost.
     Session(Option<BatchSession>),
     /// Items pending in the ledger, by model.
     Pending(Vec<PendingItems>),
-    /// The room on every replica with a grant; replaces what was told before.
+    /// The capacity of every replica with a grant; replaces all earlier capacity.
     Capacity(Vec<ReplicaCapacity>),
     /// Answer to [`BatchAction::Lease`].
     Leased {
-        /// The lease's number.
+        /// The number of the lease call.
         sequence: u64,
         /// The items.
         answer: CallAnswer<Vec<LeasedItem>>,
     },
     /// Answer to [`BatchAction::MarkStarted`].
     Started {
-        /// The call's number.
+        /// The number of the call.
         number: u64,
-        /// Which items may be sent, in the order of the call.
+        /// Whether each item may be sent, in the order of the call.
         answer: CallAnswer<Vec<bool>>,
     },
     /// Answer to [`BatchAction::Commit`].
     Committed {
-        /// The commit's number.
+        /// The number of the commit.
         number: u64,
-        /// How it ended.
+        /// The answer.
         answer: CallAnswer<()>,
     },
     /// Answer to [`BatchAction::Release`].
     Released {
-        /// The call's number.
+        /// The number of the call.
         number: u64,
-        /// How it ended.
+        /// The answer.
         answer: CallAnswer<()>,
     },
     /// A run ended.
     RunEnded {
-        /// Which.
+        /// The run.
         run: RunId,
-        /// How.
+        /// How it ended.
         end: RunEnd,
     },
     /// Jobs were cancelled.
     JobsCancelled(Vec<JobId>),
-    /// The process stops as planned: lease nothing more.
+    /// The process is stopping gracefully: nothing more is leased.
     Drain,
     /// Time passed.
     Tick,
 }
 
-/// What the executor wants done.
+/// An action to carry out for the executor.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchAction {
-    /// Tell control how much capacity is wished for; replaces earlier wishes.
+    /// Request grants of capacity from control; replaces earlier requests.
     RequestGrants(Vec<GrantWish>),
-    /// Lease items. The same sequence gets the same items.
+    /// Lease items. A repeated call with the same sequence number gets the same items.
     Lease {
-        /// Under which session.
+        /// The session.
         session: SessionEpoch,
-        /// Number of the lease.
+        /// Number of the lease call.
         sequence: u64,
-        /// What to lease.
+        /// The model and the number of items.
         wanted: WantedItems,
     },
-    /// Record that at-most-once items may start; nothing of them is sent before the answer.
+    /// Record the start of at-most-once items; they are not sent before the answer.
     MarkStarted {
-        /// Under which session.
+        /// The session.
         session: SessionEpoch,
         /// Number of the call.
         number: u64,
         /// The items.
         keys: Vec<LeasedItemKey>,
     },
-    /// Run an item; ends with [`BatchEvent::RunEnded`].
+    /// Run an item; its end is reported by [`BatchEvent::RunEnded`].
     Run(RunOrder),
     /// Cancel a run at its engine at once.
     Stop {
-        /// Which.
+        /// The run.
         run: RunId,
     },
     /// Commit results.
     Commit {
-        /// Under which session.
+        /// The session.
         session: SessionEpoch,
         /// Number of the commit.
         number: u64,
         /// The results.
         results: Vec<JobResults>,
     },
-    /// Give items back unrun.
+    /// Release items that have not run.
     Release {
-        /// Under which session.
+        /// The session.
         session: SessionEpoch,
         /// Number of the call.
         number: u64,
         /// The items.
         keys: Vec<LeasedItemKey>,
     },
-    /// A decision for the journal.
+    /// Write a decision to the journal.
     RecordDecision(BatchDecision),
 }
 
 /// A decision about an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct BatchDecision {
-    /// What kind.
+    /// The kind of decision.
     pub kind: DecisionKind,
-    /// Whose item it is.
+    /// The tenant of the item.
     pub tenant: TenantId,
     /// The item's job.
     pub job: JobId,
     /// The item.
     pub item: ItemNumber,
-    /// On which replica.
+    /// The replica, if the item has one.
     pub replica: Option<ReplicaId>,
-    /// Why.
+    /// The reason.
     pub reason: ReasonCode,
-    /// What came out.
+    /// The outcome.
     pub outcome: String,
 }
--- a/crates/gateway/src/batch/mod.rs
+++ b/crates/gateway/src/batch/mod.rs
@@ -1,8 +1,8 @@
 //! Execution of batch items.
 //!
-//! [`BatchExecutor`] decides: which items to lease, where each one runs, when it
-//! steps aside, and which results are committed. It reads no clock and opens no
-//! socket; the gateway's driver and the simulator carry its actions out.
+//! [`BatchExecutor`] decides which items to lease, where each one runs, when an item is
+//! preempted, and which results are committed. It reads no clock and opens no socket; the
+//! gateway's driver and the simulator carry out its actions.
 
 pub(crate) mod driver;
 mod executor;
--- a/crates/gateway/src/batch/outbox.rs
+++ b/crates/gateway/src/batch/outbox.rs
@@ -1,4 +1,4 @@
-//! Results on their way into the ledger.
+//! Results that are to be committed to the ledger.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -10,11 +10,11 @@
 
 use crate::batch::messages::{BatchAction, CallAnswer};
 
-/// Results of one commit at most.
+/// Maximum results in one commit.
 const MAX_COMMIT_RESULTS: usize = 256;
-/// Bytes of result bodies of one commit, unless its first result alone is longer.
+/// Maximum bytes of result bodies in one commit; a first result that is longer is sent alone.
 const MAX_COMMIT_BYTES: usize = 1024 * 1024;
-/// So many results are committed without a further wait.
+/// Number of results that are committed without a further wait.
 const FULL_COMMIT_RESULTS: usize = 64;
 
 struct Waiting {
@@ -29,15 +29,15 @@
     session: SessionEpoch,
     results: Vec<JobResults>,
     count: usize,
-    /// Set when the answer was lost: the commit is made again then.
+    /// When to repeat the commit; set when its answer was lost.
     resend_at: Option<Timestamp>,
 }
 
-/// Results not yet known to be committed. One commit is under way at a time; what
-/// gathers meanwhile goes with the next one.
+/// Results not yet known to be committed. One commit is in flight at a time; later results go with
+/// the next one.
 ///
-/// A commit is made again until the ledger answers. The ledger takes only the
-/// first result of an item, so a commit that arrives twice does no harm.
+/// A commit is repeated until the ledger answers. The ledger accepts only the first result of an
+/// item, so a commit that arrives twice does no harm.
 #[derive(Default)]
 pub(super) struct Outbox {
     waiting: VecDeque<Waiting>,
@@ -46,7 +46,7 @@
 }
 
 impl Outbox {
-    /// Adds a result, held under a lease of this session.
+    /// Adds a result of an item leased under this session.
     pub(super) fn push(
         &mut self,
         now: Timestamp,
@@ -62,7 +62,7 @@
         });
     }
 
-    /// Results not yet known to be committed.
+    /// Number of results not yet known to be committed.
     pub(super) fn len(&self) -> usize {
         self.waiting.len() + self.in_flight.as_ref().map_or(0, |commit| commit.count)
     }
@@ -71,7 +71,7 @@
         self.len() == 0
     }
 
-    /// Takes in how a commit ended.
+    /// Handles the answer to a commit.
     pub(super) fn on_answer(&mut self, number: u64, answer: &CallAnswer<()>, retry_at: Timestamp) {
         let Some(commit) = self.in_flight.as_mut() else {
             return;
@@ -85,7 +85,7 @@
         }
     }
 
-    /// The commit to make now, if there is one.
+    /// The commit to make now, if one is due.
     pub(super) fn next_commit(&mut self, now: Timestamp, interval_ms: u64) -> Option<BatchAction> {
         if let Some(commit) = self.in_flight.as_mut() {
             commit.resend_at.take_if(|at| *at <= now)?;
@@ -102,7 +102,7 @@
         Some(action)
     }
 
-    /// Takes the oldest results of one session, by job.
+    /// Takes the oldest results of one session, grouped by job.
     fn gather(&mut self, session: SessionEpoch) -> InFlight {
         let mut by_job: BTreeMap<JobId, JobResults> = BTreeMap::new();
         let mut count = 0;
--- a/crates/gateway/src/batch/placing.rs
+++ b/crates/gateway/src/batch/placing.rs
@@ -1,4 +1,4 @@
-//! Which replica an item runs on.
+//! Capacity of replicas for batch work, and the choice of a replica for an item.
 
 use std::collections::BTreeMap;
 
@@ -27,63 +27,70 @@
     }
 }
 
-/// The room of every granted replica and how much of it is taken.
+/// The capacity of every granted replica.
 #[derive(Clone, Debug, Default)]
-pub(super) struct Rooms {
-    rooms: Vec<ReplicaCapacity>,
+pub(super) struct CapacityTable {
+    replicas: Vec<ReplicaCapacity>,
 }
 
-impl Rooms {
-    pub(super) fn new(rooms: Vec<ReplicaCapacity>) -> Self {
-        Rooms { rooms }
+impl CapacityTable {
+    pub(super) fn new(replicas: Vec<ReplicaCapacity>) -> Self {
+        CapacityTable { replicas }
     }
 
-    /// The room on a replica; none when nothing is granted there.
-    pub(super) fn of(&self, replica: &ReplicaId) -> Option<&ReplicaCapacity> {
-        self.rooms.iter().find(|room| room.replica == *replica)
+    /// The capacity of a replica; `None` when nothing is granted on it.
+    pub(super) fn get(&self, replica: &ReplicaId) -> Option<&ReplicaCapacity> {
+        self.replicas
+            .iter()
+            .find(|capacity| capacity.replica == *replica)
     }
 
-    /// Sequences on all replicas that run a model.
+    /// Sequences on all replicas that serve a model.
     pub(super) fn sequences_for(&self, model: &ModelId) -> u32 {
-        let serving = self.rooms.iter().filter(|room| room.serves(model));
-        serving.map(|room| room.sequences).sum()
+        let serving = self
+            .replicas
+            .iter()
+            .filter(|capacity| capacity.serves(model));
+        serving.map(|capacity| capacity.sequences).sum()
     }
 
-    /// What is free on each replica beside the items that run there.
-    pub(super) fn free(&self, items: &ItemTable) -> FreeRooms<'_> {
-        let mut taken: BTreeMap<&ReplicaId, u32> = BTreeMap::new();
+    /// The capacity of each replica that its items do not use.
+    pub(super) fn free(&self, items: &ItemTable) -> FreeCapacity<'_> {
+        let mut used: BTreeMap<&ReplicaId, u32> = BTreeMap::new();
         for replica in items.iter().filter_map(|(_, item)| item.replica()) {
-            *taken.entry(replica).or_default() += 1;
+            *used.entry(replica).or_default() += 1;
         }
-        let free = self.rooms.iter().map(|room| {
-            let taken = taken.get(&room.replica).copied().unwrap_or(0);
-            (room, room.sequences.saturating_sub(taken))
+        let free = self.replicas.iter().map(|capacity| {
+            let used = used.get(&capacity.replica).copied().unwrap_or(0);
+            (capacity, capacity.sequences.saturating_sub(used))
         });
-        FreeRooms {
-            rooms: free.collect(),
+        FreeCapacity {
+            replicas: free.collect(),
         }
     }
 }
 
-/// Room that is not taken.
-pub(super) struct FreeRooms<'a> {
-    rooms: Vec<(&'a ReplicaCapacity, u32)>,
+/// Capacity that is not in use.
+pub(super) struct FreeCapacity<'a> {
+    replicas: Vec<(&'a ReplicaCapacity, u32)>,
 }
 
-impl FreeRooms<'_> {
-    /// Takes one sequence for an item: where most is free, and not where it came from
-    /// unless there is nothing else.
+impl FreeCapacity<'_> {
+    /// Takes one sequence for an item on the replica with most free capacity. The replica that
+    /// the item ran on last is used only when no other has free capacity.
     pub(super) fn take(&mut self, item: &Item) -> Option<ReplicaId> {
-        let (room, free) = self
-            .rooms
+        let (capacity, free) = self
+            .replicas
             .iter_mut()
-            .filter(|(room, free)| *free > 0 && room.serves(&item.model))
-            .max_by_key(|(room, free)| (item.avoid.as_ref() != Some(&room.replica), *free))?;
+            .filter(|(capacity, free)| *free > 0 && capacity.serves(&item.model))
+            .max_by_key(|(capacity, free)| {
+                (item.avoid.as_ref() != Some(&capacity.replica), *free)
+            })?;
         *free -= 1;
-        Some(room.replica.clone())
+        Some(capacity.replica.clone())
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.rooms.iter().all(|(_, free)| *free == 0)
+        self.replicas.iter().all(|(_, free)| *free == 0)
     }
 }
--- a/crates/gateway/src/batch/releases.rs
+++ b/crates/gateway/src/batch/releases.rs
@@ -1,4 +1,4 @@
-//! Items on their way back to the ledger, unrun.
+//! Calls that release items to the ledger without a result.
 
 use linnethitch_protocol::{
     command::LeasedItemKey,
@@ -11,13 +11,13 @@
     number: u64,
     session: SessionEpoch,
     keys: Vec<LeasedItemKey>,
-    /// Set when the answer was lost: the call is made again then.
+    /// When to repeat the call; set when its answer was lost.
     resend_at: Option<Timestamp>,
 }
 
-/// Items given back and not yet known to be back. A session may be renewed for
-/// as long as the gateway lives, so a lost call is made again until the ledger
-/// answers; the ledger takes an item back only once.
+/// Releases not yet confirmed by the ledger. A session may be renewed as long as the gateway
+/// lives, so a lost call is repeated until the ledger answers; otherwise its items would stay
+/// leased. The ledger releases an item only once.
 #[derive(Default)]
 pub(super) struct Releases {
     open: Vec<Release>,
@@ -25,12 +25,8 @@
 }
 
 impl Releases {
-    /// Gives items back.
-    pub(super) fn give_back(
-        &mut self,
-        session: SessionEpoch,
-        keys: Vec<LeasedItemKey>,
-    ) -> BatchAction {
+    /// Starts a release of items.
+    pub(super) fn start(&mut self, session: SessionEpoch, keys: Vec<LeasedItemKey>) -> BatchAction {
         self.last_number += 1;
         let release = Release {
             number: self.last_number,
@@ -43,7 +39,7 @@
         action
     }
 
-    /// Takes in how a call ended.
+    /// Handles the answer to a call.
     pub(super) fn on_answer(&mut self, number: u64, answer: &CallAnswer<()>, retry_at: Timestamp) {
         match answer {
             CallAnswer::Done(()) | CallAnswer::Fenced => {
@@ -58,7 +54,7 @@
         }
     }
 
-    /// The calls to make again now.
+    /// The calls to repeat now.
     pub(super) fn due(&mut self, now: Timestamp) -> Vec<BatchAction> {
         let due = |release: &mut Release| {
             release.resend_at.take_if(|at| *at <= now)?;
@@ -67,8 +63,8 @@
         self.open.iter_mut().filter_map(due).collect()
     }
 
-    /// The session is lost: its items are back.
-    pub(super) fn forget(&mut self) {
+    /// Drops all calls: the items return to the ledger with the end of the session.
+    pub(super) fn clear(&mut self) {
         self.open.clear();
     }
 }
--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -21,7 +21,7 @@
     state::Gateway,
 };
 
-/// Runs an item to its end, or until it is told to stop.
+/// Runs an item until it ends or is stopped.
 pub(super) async fn run_item(
     gateway: Arc<Gateway>,
     order: RunOrder,
@@ -38,7 +38,7 @@
     BatchEvent::RunEnded { run, end }
 }
 
-/// The request of an item's line under the configuration in force.
+/// Parses the request of an item's line under the configuration in force.
 fn parse(gateway: &Gateway, order: &RunOrder) -> Result<CompletionRequest, Failure> {
     let active = gateway
         .configuration
@@ -59,7 +59,7 @@
     gateway: Arc<Gateway>,
     order: RunOrder,
     request: CompletionRequest,
-    wanted: RoutingRequest,
+    routing_request: RoutingRequest,
     progress: Progress,
 }
 
@@ -70,14 +70,19 @@
             text: order.generated.text.clone(),
             ..Progress::default()
         };
-        let mut wanted = request.wanted();
-        wanted.prompt_tokens = wanted.prompt_tokens.saturating_add(progress.tokens);
-        wanted.output_tokens = wanted.output_tokens.saturating_sub(progress.tokens).max(1);
+        let mut routing_request = request.routing_request();
+        routing_request.prompt_tokens = routing_request
+            .prompt_tokens
+            .saturating_add(progress.tokens);
+        routing_request.output_tokens = routing_request
+            .output_tokens
+            .saturating_sub(progress.tokens)
+            .max(1);
         ItemRun {
             gateway,
             order,
             request,
-            wanted,
+            routing_request,
             progress,
         }
     }
@@ -85,18 +90,19 @@
     async fn run(mut self, stop: &CancellationToken) -> RunEnd {
         let gateway = Arc::clone(&self.gateway);
         let metrics = &gateway.observer.metrics;
-        let before = self.progress.tokens;
+        let tokens_before = self.progress.tokens;
         metrics.running.get_or_create(&BATCH).inc();
         let end = self.run_at_replica(stop).await;
         metrics.running.get_or_create(&BATCH).dec();
-        let tokens = u64::from(self.progress.tokens.saturating_sub(before));
+        let tokens = u64::from(self.progress.tokens.saturating_sub(tokens_before));
         metrics.tokens.get_or_create(&BATCH).inc_by(tokens);
         end
     }
 
     async fn run_at_replica(&mut self, stop: &CancellationToken) -> RunEnd {
         let decisions = &self.gateway.decisions;
-        let Some(mut placement) = decisions.place_on_replica(&self.wanted, &self.order.replica)
+        let Some(mut placement) =
+            decisions.place_on_replica(&self.routing_request, &self.order.replica)
         else {
             return self.failed(false, "the replica takes no new work".to_owned());
         };
@@ -106,7 +112,7 @@
             outcome = attempt(&self.gateway, &self.request, &mut self.progress, &mut placement) => Some(outcome),
         };
         if self.progress.finish_reason.is_some() {
-            // The answer is whole; only the end of the stream is missing, if anything.
+            // The answer is complete, even if the end of the stream was not received.
             placement.finished();
             return self.answered();
         }
@@ -157,7 +163,7 @@
         }
     }
 
-    /// What the next run goes on after.
+    /// The tokens from which the next run resumes.
     fn generated(&self) -> GeneratedTokens {
         if self.progress.not_resumable {
             return GeneratedTokens::default();
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -30,7 +30,7 @@
 pub(crate) use limits::TenantPermit;
 pub(crate) use observations::Report;
 pub(crate) use placement::Placement;
-pub(crate) use queue::{RequestRefusal, no_choice};
+pub(crate) use queue::{RequestRefusal, routing_refused};
 pub(crate) use routing_request::{RequestTarget, RoutingRequest};
 
 use crate::{
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -118,7 +118,7 @@
         core.budget.on_request();
         let choice = core
             .choose(now, &request.profile(&[]))
-            .map_err(|none| no_choice(&none))?;
+            .map_err(|refusal| routing_refused(&refusal))?;
         let free_slot = core.has_free_slot(now, &choice);
         let arrival = Arrival {
             tenant: pass.tenant,
@@ -191,7 +191,7 @@
                 Ok(self.place(core, now, &request, &choice))
             }
             Ok(_) => return None,
-            Err(none) => Err(no_choice(&none)),
+            Err(refusal) => Err(routing_refused(&refusal)),
         };
         let queue = core.queues.get_mut(target)?;
         let entry = queue.admission.pop(now)?;
@@ -240,11 +240,11 @@
 }
 
 /// The refusal of a request that no replica can take.
-pub(crate) fn no_choice(none: &RoutingRefusal) -> RequestRefusal {
-    let failure = Failure::new(none.kind(), none.reason.description().trim());
+pub(crate) fn routing_refused(refusal: &RoutingRefusal) -> RequestRefusal {
+    let failure = Failure::new(refusal.kind(), refusal.reason.description().trim());
     RequestRefusal {
-        reason: none.reason,
-        failure: match none.retry_after_ms {
+        reason: refusal.reason,
+        failure: match refusal.retry_after_ms {
             Some(milliseconds) => failure.with_retry_after(Duration::from_millis(milliseconds)),
             None => failure,
         },
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -11,7 +11,7 @@
 
 use super::{Attempt, Generation, Step};
 use crate::{
-    decisions::{Placement, no_choice},
+    decisions::{Placement, routing_refused},
     engine::fault::AttemptFault,
 };
 
@@ -48,7 +48,7 @@
         let decisions = &self.gateway.decisions;
         let observer = &self.gateway.observer;
         let Some(fault) = &self.last_fault else {
-            let admitted = decisions.admit(&self.wanted, &self.pass).await;
+            let admitted = decisions.admit(&self.routing_request, &self.pass).await;
             let now = self.gateway.clock().now();
             let admitted = admitted.map_err(|refused| {
                 observer.refused(now, &self.subject, &refused);
@@ -57,16 +57,16 @@
             observer.placed(now, &self.subject, &admitted.placement, admitted.waited_ms);
             return Ok(admitted.placement);
         };
-        let elsewhere = decisions.choose_again(&self.wanted, &self.tried);
+        let elsewhere = decisions.choose_again(&self.routing_request, &self.tried);
         let placed = match elsewhere {
             // The only replica may well finish a stream that merely broke.
-            Err(_) if !fault.not_started() => decisions.choose_again(&self.wanted, &[]),
+            Err(_) if !fault.not_started() => decisions.choose_again(&self.routing_request, &[]),
             placed => placed,
         };
-        let placed = placed.map_err(|none| {
-            let refused = no_choice(&none);
+        let placed = placed.map_err(|refusal| {
+            let refused = routing_refused(&refusal);
             let attempt = self.failed_attempt(fault);
-            Step::Final(match attempt.answer(none.reason) {
+            Step::Final(match attempt.answer(refusal.reason) {
                 RetryDecision::Answer { kind, executed, .. } => {
                     self.final_failure(kind, executed, fault)
                 }
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -26,7 +26,7 @@
     gateway: Arc<Gateway>,
     pub(crate) request: CompletionRequest,
     pub(crate) progress: Progress,
-    wanted: Arc<RoutingRequest>,
+    routing_request: Arc<RoutingRequest>,
     pass: TenantPermit,
     attempt: Option<Attempt>,
     tried: Vec<ReplicaId>,
@@ -75,7 +75,7 @@
             began: Instant::now(),
             ended: false,
             deadline: request.deadline,
-            wanted: Arc::new(request.wanted()),
+            routing_request: Arc::new(request.routing_request()),
             gateway,
             request,
             pass,
@@ -157,7 +157,7 @@
             .next(&mut self.progress, limit.min(left))
             .await;
         self.pass.used_tokens = self
-            .wanted
+            .routing_request
             .prompt_tokens
             .saturating_add(self.progress.tokens);
         match event {
--- a/crates/gateway/src/online/request.rs
+++ b/crates/gateway/src/online/request.rs
@@ -171,7 +171,7 @@
     }
 
     /// What the router and the queue need to know of it.
-    pub(crate) fn wanted(&self) -> RoutingRequest {
+    pub(crate) fn routing_request(&self) -> RoutingRequest {
         RoutingRequest {
             target: RequestTarget::Model {
                 name: self.pool().to_owned(),
@@ -204,10 +204,12 @@
 }
 
 fn deadline_ms(headers: &HeaderMap, fleet: &Fleet) -> Result<u64, Failure> {
-    let wanted = caller_deadline(headers)?;
-    Ok(wanted.map_or(fleet.routing.default_deadline_ms, |wanted| {
-        u64::try_from(wanted.as_millis()).unwrap_or(u64::MAX)
-    }))
+    let requested = caller_deadline(headers)?;
+    Ok(
+        requested.map_or(fleet.routing.default_deadline_ms, |requested| {
+            u64::try_from(requested.as_millis()).unwrap_or(u64::MAX)
+        }),
+    )
 }
 
 /// The time that the caller gives its request, if it says so.
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -12,7 +12,7 @@
 use slog::info;
 
 use crate::{
-    decisions::{Placement, RoutingRequest, TenantPermit, no_choice},
+    decisions::{Placement, RoutingRequest, TenantPermit, routing_refused},
     engine::{
         client::{load_of, refused_unstarted, says},
         fault::AttemptFault,
@@ -192,7 +192,7 @@
                 RetryDecision::Answer { kind, executed, .. } => {
                     self.final_failure(kind, executed, fault)
                 }
-                _ => no_choice(&none).failure,
+                _ => routing_refused(&none).failure,
             })?;
         observer.placed(now, &self.subject, &placement, None);
         Ok(placement)
