--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -17,7 +17,9 @@
         stream::{Progress, StreamEvent},
     },
     observe::BATCH,
-    online::{generation::rejected, request::CompletionRequest, whole_answer::WholeAnswer},
+    online::{
+        completion_response::CompletionResponse, generation::rejected, request::CompletionRequest,
+    },
     state::Gateway,
 };
 
@@ -132,7 +134,7 @@
     }
 
     fn answered(&self) -> RunEnd {
-        let answer = WholeAnswer::new(&self.request, &self.progress);
+        let answer = CompletionResponse::new(&self.request, &self.progress);
         match serde_json::to_vec(&answer) {
             Ok(body) => RunEnd::Answered { status: 200, body },
             Err(error) => RunEnd::Rejected {
--- a/crates/gateway/src/batches/create.rs
+++ b/crates/gateway/src/batches/create.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/batches`: a job is accepted as a whole.
+//! `POST /v1/batches`: a job is accepted completely or refused.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -23,7 +23,7 @@
     state::Gateway,
 };
 
-/// Most entries of `metadata`.
+/// Maximum entries of `metadata`.
 const MAX_METADATA_ENTRIES: usize = 16;
 /// Longest key and value of `metadata`, in bytes.
 const MAX_METADATA_KEY_BYTES: usize = 64;
@@ -39,7 +39,7 @@
     metadata: Option<BTreeMap<String, String>>,
 }
 
-/// Accepts a job.
+/// Creates a job.
 pub(crate) async fn create(
     gateway: &Arc<Gateway>,
     incoming: IncomingRequest,
@@ -47,17 +47,17 @@
     let (active, tenant) = gateway.authenticate(&incoming.head)?;
     let key = idempotency_key(&incoming.head.headers)?;
     let bytes = read_whole(&incoming.head.headers, incoming.body, active.body_limits()).await?;
-    let wanted: CreateBatch = serde_json::from_slice(&bytes)
+    let requested: CreateBatch = serde_json::from_slice(&bytes)
         .map_err(|error| Failure::new(ErrorKind::MalformedRequest, error.to_string()))?;
-    wanted.check()?;
-    let window_ms = wanted.window_ms(&active.fleet)?;
+    requested.check()?;
+    let window_ms = requested.window_ms(&active.fleet)?;
     let job = NewJob {
         job: new_job_id(),
         tenant: TenantId(tenant.name.clone()),
-        content_digest: wanted.digest(window_ms),
-        metadata: wanted.metadata_text(),
-        input: FileId(wanted.input_file_id),
-        endpoint: wanted.endpoint,
+        content_digest: requested.digest(window_ms),
+        metadata: requested.metadata_text(),
+        input: FileId(requested.input_file_id),
+        endpoint: requested.endpoint,
         window_ms,
         idempotency: key,
     };
@@ -104,7 +104,7 @@
             .unwrap_or_default()
     }
 
-    /// Tells a resend from another job under the same key.
+    /// Digest of the job's content, to distinguish a resend from another job under the same key.
     fn digest(&self, window_ms: u64) -> u64 {
         let content = format!(
             "{}\n{}\n{window_ms}\n{}",
--- a/crates/gateway/src/batches/line.rs
+++ b/crates/gateway/src/batches/line.rs
@@ -11,21 +11,21 @@
 /// Longest `custom_id`, in bytes.
 const MAX_CUSTOM_ID_BYTES: usize = 512;
 
-/// How an item may be run.
+/// Whether an item may be run again after a failure.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub(crate) enum RunMode {
-    /// Again after a failure.
+    /// May run again after a failure.
     #[default]
     Repeatable,
-    /// Never twice.
+    /// Never runs twice.
     AtMostOnce,
 }
 
-/// A parsed line.
+/// A parsed line of a batch input file.
 #[derive(Clone, Debug, Deserialize)]
 pub(crate) struct BatchLine {
-    /// The caller's name of the item.
+    /// The caller's identifier of the item.
     pub(crate) custom_id: String,
     method: String,
     url: String,
@@ -40,13 +40,13 @@
     pub(crate) fn parse(line: &[u8]) -> Result<Self, Failure> {
         serde_json::from_slice(line).map_err(|error| {
             let reason = error.to_string();
-            // The parser's own position counts within the line and would mislead.
+            // The parser's position is relative to this line, not to the file, so it is dropped.
             let reason = reason.split(" at line ").next().unwrap_or_default();
             Failure::new(ErrorKind::InvalidBatchLine, reason)
         })
     }
 
-    /// Which call it is.
+    /// The completion endpoint of the line.
     pub(crate) fn kind(&self) -> Result<CompletionKind, Failure> {
         CompletionKind::of_path(&self.url).ok_or_else(|| {
             let shown: String = self.url.chars().take(128).collect();
@@ -57,7 +57,7 @@
         })
     }
 
-    /// Checks it against the configuration in force.
+    /// Checks the line against the configuration in force.
     pub(crate) fn check(self, fleet: &Fleet, bytes: usize) -> Result<ItemHead, Failure> {
         let invalid = |message: &str| Failure::new(ErrorKind::InvalidBatchLine, message);
         if self.custom_id.is_empty() || self.custom_id.len() > MAX_CUSTOM_ID_BYTES {
--- a/crates/gateway/src/batches/mod.rs
+++ b/crates/gateway/src/batches/mod.rs
@@ -1,4 +1,4 @@
-//! `/v1/batches` and the lines of batch files.
+//! The `/v1/batches` endpoints and the lines of batch input files.
 
 mod create;
 pub(crate) mod line;
--- a/crates/gateway/src/batches/object.rs
+++ b/crates/gateway/src/batches/object.rs
@@ -1,4 +1,4 @@
-//! Jobs in the words of the OpenAI interface.
+//! Jobs as batch objects of the OpenAI interface, and the calls that read and cancel them.
 
 use std::sync::Arc;
 
@@ -125,7 +125,7 @@
     json_response(StatusCode::OK, &BatchObject::from(job))
 }
 
-fn no_such_job(job: &JobId) -> Failure {
+fn job_not_found(job: &JobId) -> Failure {
     let shown: String = job.0.chars().take(128).collect();
     Failure::new(
         ErrorKind::NotFound,
@@ -162,7 +162,7 @@
     let query = Query::Job(TenantId(tenant.name.clone()), job.clone());
     match gateway.control.query(query).await? {
         QueryAnswer::Job(Some(record)) => Ok(batch_response(record)),
-        QueryAnswer::Job(None) => Err(no_such_job(&job)),
+        QueryAnswer::Job(None) => Err(job_not_found(&job)),
         _ => Err(unexpected()),
     }
 }
@@ -181,7 +181,7 @@
     match gateway.control.propose(command).await {
         Ok(Outcome::Job(record)) => Ok(batch_response(record)),
         Ok(_) => Err(unexpected()),
-        Err(failure) if failure.kind == ErrorKind::NotFound => Err(no_such_job(&job)),
+        Err(failure) if failure.kind == ErrorKind::NotFound => Err(job_not_found(&job)),
         Err(failure) => Err(failure),
     }
 }
--- a/crates/gateway/src/claims/answers.rs
+++ b/crates/gateway/src/claims/answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are kept under a key, and how a claimed run ends.
+//! Answers stored under an idempotency key, and the end of a claimed run.
 
 use std::future::Future;
 
@@ -13,22 +13,22 @@
     http::answer::{EXECUTED_HEADER, bytes_response},
 };
 
-/// Largest body that is kept, in bytes.
+/// Largest body that is stored, in bytes.
 pub(crate) const MAX_STORED_BYTES: usize = 8 * 1024 * 1024;
-/// Header of an answer that was kept from an earlier run.
+/// Header of an answer stored by an earlier run.
 const REPLAYED_HEADER: &str = "linnethitch-replayed";
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// What a caller is answered.
+/// The answer to a caller.
 pub(crate) type Answered = Result<Response<Body>, Failure>;
 
-/// The answer of an earlier run.
-pub(crate) fn replay(kept: KeptAnswer) -> Response<Body> {
-    let status = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let content_type = HeaderValue::from_str(&kept.content_type)
+/// The response with the stored answer of an earlier run.
+pub(crate) fn replay(stored: KeptAnswer) -> Response<Body> {
+    let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let content_type = HeaderValue::from_str(&stored.content_type)
         .unwrap_or(HeaderValue::from_static("application/json"));
-    let unknown = is_unknown_outcome(&kept);
-    let mut response = bytes_response(status, content_type, kept.body);
+    let unknown = is_unknown_outcome(&stored);
+    let mut response = bytes_response(status, content_type, stored.body);
     let headers = response.headers_mut();
     headers.insert(REPLAYED_HEADER, HeaderValue::from_static("yes"));
     if unknown {
@@ -36,48 +36,49 @@
         headers.insert(EXECUTED_HEADER, executed);
         headers.insert("x-should-retry", HeaderValue::from_static("false"));
     }
-    if kept.content_type == EVENT_STREAM {
+    if stored.content_type == EVENT_STREAM {
         headers.insert(header::CACHE_CONTROL, HeaderValue::from_static("no-cache"));
     }
     response
 }
 
-/// Content type of kept failures; tells them from an application's own answers.
-const KEPT_FAILURE_TYPE: &str = "application/json; profile=linnethitch-error";
+/// Content type of stored failures, which distinguishes them from answers of applications.
+const STORED_FAILURE_TYPE: &str = "application/json; profile=linnethitch-error";
 
-fn is_unknown_outcome(kept: &KeptAnswer) -> bool {
-    kept.content_type == KEPT_FAILURE_TYPE
+fn is_unknown_outcome(stored: &KeptAnswer) -> bool {
+    stored.content_type == STORED_FAILURE_TYPE
 }
 
-fn kept_failure(failure: &Failure) -> KeptAnswer {
+fn stored_failure(failure: &Failure) -> KeptAnswer {
     KeptAnswer {
         status: failure.kind.answer().status,
-        content_type: KEPT_FAILURE_TYPE.to_owned(),
+        content_type: STORED_FAILURE_TYPE.to_owned(),
         body: failure.body().to_string().into_bytes(),
     }
 }
 
-/// What a resend gets after an at-most-once run whose outcome nobody knows.
+/// The stored answer to resends after an at-most-once run with an unknown outcome.
 pub(crate) fn outcome_unknown(failure: &Failure) -> KeptAnswer {
     let message = format!(
         "the request was started and is not run again: {}",
         failure.message
     );
-    kept_failure(&Failure::new(ErrorKind::OutcomeUnknown, message))
+    stored_failure(&Failure::new(ErrorKind::OutcomeUnknown, message))
 }
 
-/// What a resend gets after an answer that was too long to be kept.
+/// The stored answer to resends after an answer that was too long to store.
 pub(crate) fn too_long() -> KeptAnswer {
     let message = "the request ran; its answer was given once and was too long to be kept";
-    kept_failure(&Failure::new(ErrorKind::OutcomeUnknown, message).with_executed(Executed::Yes))
+    stored_failure(&Failure::new(ErrorKind::OutcomeUnknown, message).with_executed(Executed::Yes))
 }
 
 impl Claim {
-    /// Waits for a step of the run. A repeatable run is given up when its caller goes away.
+    /// Waits for a step of the run. Returns `None` when the run is repeatable and its caller
+    /// disconnects first.
     pub(crate) async fn until_caller_disconnects<T>(
         &self,
         step: impl Future<Output = T>,
-        gone: impl Future<Output = ()>,
+        disconnected: impl Future<Output = ()>,
     ) -> Option<T> {
         if self.at_most_once() {
             return Some(step.await);
@@ -85,31 +86,31 @@
         tokio::select! {
             biased;
             done = step => Some(done),
-            () = gone => None,
+            () = disconnected => None,
         }
     }
 
-    /// Answers with a failure. What an at-most-once request may have done is never repeated.
+    /// Answers with a failure. An at-most-once request that may have run is never run again.
     pub(crate) async fn fail(self, failure: Failure, caller: oneshot::Sender<Answered>) {
         if self.at_most_once() && failure.executed() != Executed::No {
-            let kept = outcome_unknown(&failure);
+            let stored = outcome_unknown(&failure);
             let _ = caller.send(Err(failure));
-            return self.store_answer(kept).await;
+            return self.store_answer(stored).await;
         }
-        // Freed first, so that a resend is not told that the request still runs.
+        // Released first, so that a resend is not refused because the request still runs.
         self.release().await;
         let _ = caller.send(Err(failure));
     }
 }
 
-/// The bytes of a stream, as long as they are few enough to be kept.
+/// The bytes of a stream, recorded while they do not exceed the largest stored body.
 #[derive(Default)]
-pub(crate) struct Record {
+pub(crate) struct StreamRecord {
     bytes: Vec<u8>,
     too_long: bool,
 }
 
-impl Record {
+impl StreamRecord {
     /// Adds a piece.
     pub(crate) fn add(&mut self, bytes: &[u8]) {
         self.too_long |= self.bytes.len() + bytes.len() > MAX_STORED_BYTES;
@@ -120,7 +121,7 @@
         }
     }
 
-    /// The answer that is kept of it.
+    /// The answer to store.
     pub(crate) fn answer(self) -> KeptAnswer {
         if self.too_long {
             return too_long();
--- a/crates/gateway/src/claims/claim.rs
+++ b/crates/gateway/src/claims/claim.rs
@@ -1,4 +1,4 @@
-//! A claim of an idempotency key, from taking it to the answer that is kept under it.
+//! A claim of an idempotency key, from its acquisition to the answer stored under the key.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,38 +15,38 @@
     claims::RunRules, control::client::unexpected, observe::RequestSubject, state::Gateway,
 };
 
-/// Longest wait for the gateway's session, so that a request is refused at once while
-/// control is away.
+/// Longest wait for the gateway's session, so that a request is refused quickly while control is
+/// unavailable.
 const SESSION_WAIT: Duration = Duration::from_millis(200);
-/// Longest time that an answer waits until the ledger keeps it. The ledger is told on
-/// after that, but the caller gets its answer.
+/// Longest time that an answer waits until the ledger has stored it. After that the caller gets
+/// its answer, and the command to the ledger is still repeated.
 const SETTLE_WAIT: Duration = Duration::from_secs(2);
-/// Wait before the ledger is told again.
+/// Wait before a command to the ledger is repeated.
 const SETTLE_RETRY: Duration = Duration::from_millis(100);
-/// When a resend of a request that still runs is worth trying.
+/// When a caller may resend a request that is still running.
 const IN_PROGRESS_RETRY: Duration = Duration::from_secs(1);
 
-/// What came of a request's key.
+/// The result of claiming a request's key.
 pub(crate) enum Claimed {
-    /// The request has none.
+    /// The request has no key.
     NotNeeded,
-    /// This gateway runs the request, and nobody else does.
+    /// This gateway runs the request, and no other does.
     Granted(Claim),
-    /// It ran before; this is its answer.
+    /// The request ran before; this is the stored answer.
     Answered(KeptAnswer),
 }
 
-/// The right to run the request of a key.
+/// The exclusive right to run the request of a key.
 pub(crate) struct Claim {
     gateway: Arc<Gateway>,
     new: NewClaim,
 }
 
-/// Claims the key of a request in the ledger. Nothing is run before this returns.
+/// Claims the key of a request in the ledger. The request must not run before this returns.
 ///
 /// # Errors
-/// `ControlUnavailable` with `executed: no` when the claim is not certain;
-/// `IdempotencyInProgress`, `IdempotencyConflict` and `OutcomeUnknown` as the ledger says.
+/// `ControlUnavailable` with `executed: no` when it is not certain that the claim was granted;
+/// `IdempotencyInProgress`, `IdempotencyConflict` and `OutcomeUnknown` as the ledger answers.
 pub(crate) async fn claim(
     gateway: &Arc<Gateway>,
     request: &RequestId,
@@ -76,28 +76,28 @@
         tenant: tenant.into(),
     };
     let (caller, claimed) = oneshot::channel();
-    gateway.spawn_tracked(claim.take(caller));
+    gateway.spawn_tracked(claim.acquire(caller));
     let claimed = claimed.await.unwrap_or_else(|_| Err(unexpected()));
-    let told = match &claimed {
+    let outcome = match &claimed {
         Ok(Claimed::NotNeeded | Claimed::Granted(_)) => "granted",
         Ok(Claimed::Answered(_)) => "answered",
         Err(failure) => failure.kind.answer().code,
     };
     gateway
         .observer
-        .claimed(gateway.clock().now(), &subject, told);
+        .claimed(gateway.clock().now(), &subject, outcome);
     claimed
 }
 
 impl Claim {
-    /// Takes the claim; gives it back if the caller went away meanwhile.
-    async fn take(self, caller: oneshot::Sender<Result<Claimed, Failure>>) {
-        let taken = match self.gateway.control.propose(self.command()).await {
-            Ok(Outcome::Claim(outcome)) => self.judge(outcome),
+    /// Acquires the claim, and releases it if the caller has disconnected meanwhile.
+    async fn acquire(self, caller: oneshot::Sender<Result<Claimed, Failure>>) {
+        let acquired = match self.gateway.control.propose(self.command()).await {
+            Ok(Outcome::Claim(outcome)) => self.into_claimed(outcome),
             Ok(_) => Err(unexpected()),
-            Err(failure) => Err(self.not_taken(&failure)),
+            Err(failure) => Err(self.not_granted(&failure)),
         };
-        if let Err(Ok(Claimed::Granted(claim))) = caller.send(taken) {
+        if let Err(Ok(Claimed::Granted(claim))) = caller.send(acquired) {
             claim.release().await;
         }
     }
@@ -111,7 +111,7 @@
         CommandBody::ClaimRequest(self.new.clone())
     }
 
-    fn judge(self, outcome: ClaimOutcome) -> Result<Claimed, Failure> {
+    fn into_claimed(self, outcome: ClaimOutcome) -> Result<Claimed, Failure> {
         let (kind, message) = match outcome {
             ClaimOutcome::Granted => return Ok(Claimed::Granted(self)),
             ClaimOutcome::Answered(answer) => return Ok(Claimed::Answered(answer)),
@@ -136,9 +136,9 @@
         })
     }
 
-    /// The refusal of a request whose claim is not certain. It was not run; a claim that was
-    /// taken all the same is given back.
-    fn not_taken(self, failure: &Failure) -> Failure {
+    /// The refusal of a request whose claim is not certain. The request is not run; a claim that
+    /// was granted after all is released.
+    fn not_granted(self, failure: &Failure) -> Failure {
         let kind = match failure.kind {
             ErrorKind::ControlOutcomeUnknown => {
                 let gateway = Arc::clone(&self.gateway);
@@ -160,11 +160,11 @@
         }
     }
 
-    /// Finds out whether the claim was taken, and frees the key if so.
+    /// Determines whether the claim was granted, and releases it if so.
     async fn resolve(self) {
-        let taken = self.insist(self.command()).await;
-        if taken == Some(Outcome::Claim(ClaimOutcome::Granted)) {
-            self.insist(self.finish(None)).await;
+        let acquired = self.propose_until_answered(self.command()).await;
+        if acquired == Some(Outcome::Claim(ClaimOutcome::Granted)) {
+            self.propose_until_answered(self.finish(None)).await;
         }
     }
 
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Keeps the answer that every resend gets from now on.
+    /// Stores the answer, which every later resend gets.
     pub(crate) async fn store_answer(self, answer: KeptAnswer) {
         self.settle(Some(answer)).await;
     }
 
-    /// Frees the key: nothing ran, or what ran may be repeated.
+    /// Releases the key: the request did not run, or may be repeated.
     pub(crate) async fn release(self) {
         self.settle(None).await;
     }
@@ -193,27 +193,28 @@
         let gateway = Arc::clone(&self.gateway);
         let settled = gateway.spawn_tracked(async move {
             let command = self.finish(answer);
-            self.insist(command).await;
+            self.propose_until_answered(command).await;
         });
-        // What is not settled in this time is settled behind the answer's back.
+        // After this time the claim is settled in the background, while the caller is answered.
         let _ = tokio::time::timeout(SETTLE_WAIT, settled).await;
     }
 
-    /// Proposes until the ledger answers or the session, and with it the claim, has ended.
-    async fn insist(&self, command: CommandBody) -> Option<Outcome> {
+    /// Proposes a command until the ledger answers, or until the session, and with it the claim,
+    /// has ended.
+    async fn propose_until_answered(&self, command: CommandBody) -> Option<Outcome> {
         loop {
             let failure = match self.gateway.control.propose(command.clone()).await {
                 Ok(outcome) => return Some(outcome),
                 Err(failure) => failure,
             };
             let session = self.gateway.session.current(self.gateway.clock().now());
-            let lasts = session.is_some_and(|session| session.epoch == self.new.session);
-            let passing = matches!(
+            let session_is_open = session.is_some_and(|session| session.epoch == self.new.session);
+            let transient = matches!(
                 failure.kind,
                 ErrorKind::ControlUnavailable | ErrorKind::ControlOutcomeUnknown
             );
-            if !lasts || !passing {
-                warn!(self.gateway.logger, "claim left to the ledger";
+            if !session_is_open || !transient {
+                warn!(self.gateway.logger, "claim not settled; it ends with the session";
                     "tenant" => %self.new.tenant, "error" => %failure);
                 return None;
             }
--- a/crates/gateway/src/claims/headers.rs
+++ b/crates/gateway/src/claims/headers.rs
@@ -1,4 +1,4 @@
-//! What a caller's headers say about repeats of its request.
+//! Headers by which a caller controls repeated runs of its request.
 
 use http::HeaderMap;
 use linnethitch_errors::{ErrorKind, Failure};
@@ -10,7 +10,7 @@
 const MAX_KEY_BYTES: usize = 255;
 /// Header that marks a request as unsafe to repeat.
 const RUN_HEADER: &str = "linnethitch-run";
-/// Its only value.
+/// The only valid value of [`RUN_HEADER`].
 const AT_MOST_ONCE: &str = "at-most-once";
 
 /// How often a request may run, and under which key.
@@ -18,7 +18,7 @@
 pub(crate) struct RunRules {
     /// The caller's key.
     pub(crate) key: Option<IdempotencyKey>,
-    /// Whether it must never run twice; there is a key then.
+    /// Whether the request must never run twice; such a request always has a key.
     pub(crate) at_most_once: bool,
 }
 
--- a/crates/gateway/src/control/attachment.rs
+++ b/crates/gateway/src/control/attachment.rs
@@ -1,4 +1,4 @@
-//! Keeps the gateway attached to one control member.
+//! Keeps the gateway attached to one control member at a time.
 
 use std::{sync::Arc, time::Duration};
 
@@ -17,22 +17,22 @@
     state::Gateway,
 };
 
-/// How often the connection is looked at.
+/// Time between two check_ticks of the member's freshness.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two signs of life towards control.
+/// Time between two heartbeat_ticks to control.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// First and longest wait before the next member is tried.
 const FIRST_RETRY: Duration = Duration::from_millis(20);
 const LONGEST_RETRY: Duration = Duration::from_millis(800);
-/// Longest time to open a connection, so that a dead member does not hold the move up.
+/// Longest time to open a connection, so that a dead member does not delay the move to another.
 const OPEN_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the attachment does next with a message.
+/// What the attachment does after a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AfterMessage {
-    /// Go on.
+    /// Continue with the connection.
     Continue,
-    /// Attach anew and ask for the whole configuration.
+    /// Close the connection, attach again and request the full configuration.
     Reattach,
 }
 
@@ -52,14 +52,14 @@
         traffic: Arc::clone(&gateway.traffic),
         gateway,
         identity,
-        ask_for_whole: false,
+        request_full_configuration: false,
     };
     while let Some(address) = order.next_address() {
         match attachment.attach(&address, &mut order).await {
             Ok(true) => backoff.reset(),
             Ok(false) => {}
             Err(reason) => {
-                warn!(attachment.logger, "not attached"; "member" => &address, "reason" => reason);
+                warn!(attachment.logger, "attaching to control member failed"; "member" => &address, "reason" => reason);
             }
         }
         attachment.gateway.control.clear_link();
@@ -72,11 +72,12 @@
     identity: ClusterIdentity,
     traffic: Arc<Traffic>,
     logger: Logger,
-    ask_for_whole: bool,
+    request_full_configuration: bool,
 }
 
 impl Attachment {
-    /// Serves one connection to its end; `true` when the member had been of use.
+    /// Serves one connection to its end. Returns `true` when the gateway was attached over it and
+    /// the member was not stale.
     async fn attach(&mut self, address: &str, order: &mut MemberOrder) -> Result<bool, String> {
         let options = ConnectionOptions {
             open_timeout: OPEN_TIMEOUT,
@@ -90,23 +91,23 @@
         sender
             .try_send(&self.attach_message())
             .map_err(|refused| format!("{refused:?}"))?;
-        let useful = self.serve(connection, &sender, address, order).await;
+        let was_attached = self.serve(connection, &sender, address, order).await;
         info!(self.logger, "detached"; "member" => address);
-        Ok(useful)
+        Ok(was_attached)
     }
 
     fn attach_message(&mut self) -> GatewayMessage {
         let follower = self.gateway.follower.lock();
-        let whole = std::mem::take(&mut self.ask_for_whole);
+        let full = std::mem::take(&mut self.request_full_configuration);
         GatewayMessage::Attach {
             gateway: GatewayId(self.gateway.settings.gateway_id.clone()),
             zone: ZoneId(self.gateway.settings.zone.clone()),
-            revision: if whole {
+            revision: if full {
                 Revision(0)
             } else {
                 follower.revision()
             },
-            digest: if whole { 0 } else { follower.digest() },
+            digest: if full { 0 } else { follower.digest() },
         }
     }
 
@@ -120,9 +121,9 @@
         let started = Instant::now();
         let mut watch = FreshnessWatch::new(Duration::ZERO);
         let mut receiver = connection.receiver;
-        let mut checks = tokio::time::interval(CHECK_INTERVAL);
-        let mut heartbeats = tokio::time::interval(HEARTBEAT_INTERVAL);
-        let mut sent_before = 0;
+        let mut check_ticks = tokio::time::interval(CHECK_INTERVAL);
+        let mut heartbeat_ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
+        let mut sent_at_last_heartbeat = 0;
         let mut attached = false;
         loop {
             tokio::select! {
@@ -148,22 +149,22 @@
                             self.handle(message).await;
                         }
                         other => if self.handle(other).await == AfterMessage::Reattach {
-                            self.ask_for_whole = true;
+                            self.request_full_configuration = true;
                             return attached;
                         }
                     }
                 }
-                _ = checks.tick() => if watch.is_stale(started.elapsed()) {
-                    warn!(self.logger, "the member lags or is silent"; "member" => address);
+                _ = check_ticks.tick() => if watch.is_stale(started.elapsed()) {
+                    warn!(self.logger, "control member is stale or silent"; "member" => address);
                     return false;
                 },
-                _ = heartbeats.tick(), if attached => {
+                _ = heartbeat_ticks.tick(), if attached => {
                     let sent = self.traffic.snapshot().gateway.sent_frames;
-                    // Any message shows that the gateway lives.
-                    if sent == sent_before {
+                    // Any message counts as a heartbeat, so one is sent only when nothing else was.
+                    if sent == sent_at_last_heartbeat {
                         let _ = sender.try_send(&GatewayMessage::Heartbeat);
                     }
-                    sent_before = sent;
+                    sent_at_last_heartbeat = sent;
                 }
             }
         }
--- a/crates/gateway/src/control/client.rs
+++ b/crates/gateway/src/control/client.rs
@@ -1,4 +1,4 @@
-//! Calls to control with timeouts and safe resends.
+//! Calls to control, with timeouts and safe resends.
 
 use std::{
     collections::HashMap,
@@ -21,11 +21,11 @@
 use parking_lot::Mutex;
 use tokio::sync::{Semaphore, oneshot, watch};
 
-/// Wait before a call that was refused for the moment is sent again.
+/// Wait before a call is sent again after a transient refusal or a lost connection.
 const RESEND_DELAY: Duration = Duration::from_millis(50);
-/// Calls under way at once.
+/// Maximum concurrent calls.
 const MAX_CALLS: usize = 256;
-/// When a caller should come back after control could not be reached.
+/// When a caller may retry after control could not be reached.
 const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// An open connection to a control member.
@@ -35,7 +35,7 @@
     sender: MessageSender<GatewayMessage>,
 }
 
-/// Sends calls over whichever connection is open. Clones share it.
+/// Sends calls over the connection that is open. Clones share the connection.
 #[derive(Clone)]
 pub(crate) struct ControlClient {
     shared: Arc<Shared>,
@@ -47,11 +47,11 @@
     pending: Mutex<HashMap<CallId, oneshot::Sender<ControlAnswer>>>,
     link: watch::Sender<Option<Link>>,
     permits: Semaphore,
-    /// Longest time for a call whose caller names none.
+    /// Longest time for a call without a time of its own.
     timeout: Duration,
 }
 
-/// Takes a call out of the pending ones whichever way it ends.
+/// Removes a call from the pending calls when it ends in any way.
 struct PendingCall<'a> {
     shared: &'a Shared,
     call: CallId,
@@ -64,7 +64,7 @@
 }
 
 impl ControlClient {
-    /// A client without a connection, with the longest time for a call.
+    /// Creates a client without a connection. `timeout` is the longest time for a call.
     pub(crate) fn new(timeout: Duration) -> Self {
         ControlClient {
             shared: Arc::new(Shared {
@@ -78,13 +78,13 @@
         }
     }
 
-    /// Puts a connection in use; calls under way are sent again over it.
+    /// Sets the connection to use; calls in flight are sent again over it.
     pub(crate) fn set_link(&self, sender: MessageSender<GatewayMessage>) {
         let number = self.shared.next_link.fetch_add(1, Ordering::Relaxed);
         self.shared.link.send_replace(Some(Link { number, sender }));
     }
 
-    /// The connection is gone.
+    /// Records that the connection was lost.
     pub(crate) fn clear_link(&self) {
         self.shared.link.send_replace(None);
     }
@@ -94,26 +94,26 @@
         self.shared.link.borrow().is_some()
     }
 
-    /// Sends a message that is not a call, if a connection is open and has room.
+    /// Sends a message that is not a call, if a connection is open and its buffer has space.
     pub(crate) fn notify(&self, message: &GatewayMessage) -> bool {
         let link = self.shared.link.borrow().clone();
         link.is_some_and(|link| link.sender.try_send(message).is_ok())
     }
 
-    /// Hands the answer to the call that waits for it.
+    /// Passes an answer to the call that waits for it.
     pub(crate) fn on_answer(&self, call: CallId, answer: ControlAnswer) {
-        if let Some(waiting) = self.shared.pending.lock().remove(&call) {
-            let _ = waiting.send(answer);
+        if let Some(waiter) = self.shared.pending.lock().remove(&call) {
+            let _ = waiter.send(answer);
         }
     }
 
-    /// Commits a command. It is sent again until it is answered or the time is over; all
-    /// commands bear that, since each names what it makes.
+    /// Commits a command. It is sent again until it is answered or the time is over. All commands
+    /// are idempotent, since each carries the identifier of what it creates.
     pub(crate) async fn propose(&self, command: CommandBody) -> Result<Outcome, Failure> {
         self.propose_within(command, self.shared.timeout).await
     }
 
-    /// Commits a command within a time.
+    /// Commits a command within the given time.
     pub(crate) async fn propose_within(
         &self,
         command: CommandBody,
@@ -126,7 +126,7 @@
         }
     }
 
-    /// Reads.
+    /// Reads from control.
     pub(crate) async fn query(&self, query: Query) -> Result<QueryAnswer, Failure> {
         match self
             .call(ControlCall::Query(query), false, self.shared.timeout)
@@ -140,7 +140,7 @@
     async fn call(
         &self,
         body: ControlCall,
-        changes: bool,
+        is_command: bool,
         time: Duration,
     ) -> Result<ControlAnswer, Failure> {
         let deadline = Instant::now() + time;
@@ -152,21 +152,21 @@
             let attempt = self.call_once(&body, &mut may_have_run);
             match timeout_at(deadline, attempt).await {
                 Ok(Some(ControlAnswer::Refused(refusal))) => {
-                    if !is_passing(refusal.kind()) {
+                    if !is_transient(refusal.kind()) {
                         return Err(refusal.into());
                     }
                     may_have_run |= refusal.kind() == ErrorKind::ControlOutcomeUnknown;
                 }
                 Ok(Some(answer)) => return Ok(answer),
                 Ok(None) => {}
-                Err(_) if changes && may_have_run => return Err(outcome_unknown()),
+                Err(_) if is_command && may_have_run => return Err(outcome_unknown()),
                 Err(_) => return Err(unavailable()),
             }
             tokio::time::sleep(RESEND_DELAY).await;
         }
     }
 
-    /// One send over one connection; `None` when the connection was lost.
+    /// Sends a call once over one connection; `None` when the connection was lost.
     async fn call_once(
         &self,
         body: &ControlCall,
@@ -194,8 +194,8 @@
     }
 }
 
-/// Whether a refusal may be over at the next try.
-fn is_passing(kind: ErrorKind) -> bool {
+/// Whether a call with this refusal may succeed when it is sent again.
+fn is_transient(kind: ErrorKind) -> bool {
     matches!(
         kind,
         ErrorKind::ControlUnavailable | ErrorKind::ControlOutcomeUnknown
@@ -221,6 +221,6 @@
 pub(crate) fn unexpected() -> Failure {
     Failure::new(
         ErrorKind::Internal,
-        "control gave an answer to another question",
+        "control sent an answer of an unexpected kind",
     )
 }
--- a/crates/gateway/src/control/events.rs
+++ b/crates/gateway/src/control/events.rs
@@ -1,4 +1,4 @@
-//! What a gateway does with the messages of control.
+//! Handling of control's messages in the gateway.
 
 use std::sync::Arc;
 
@@ -17,7 +17,7 @@
 };
 
 impl Gateway {
-    /// Takes in one message.
+    /// Handles one message.
     pub(crate) async fn on_control_message(
         self: &Arc<Self>,
         message: ControlMessage,
@@ -30,8 +30,8 @@
                 removed,
             } => self.on_replicas(full, changed, &removed),
             ControlMessage::Loads(loads) => {
-                for known in loads {
-                    self.decisions.on_load(&known.replica, known.load);
+                for reported in loads {
+                    self.decisions.on_load(&reported.replica, reported.load);
                 }
                 self.decisions.serve_queues();
             }
@@ -43,18 +43,18 @@
             ControlMessage::Grants(grants) => self.decisions.on_grants(&grants),
             ControlMessage::Freshness { pending, now, .. } => {
                 self.clock_offset.observe(self.clock().now(), now);
-                self.tell_batch(BatchEvent::Pending(pending)).await;
+                self.send_batch_event(BatchEvent::Pending(pending)).await;
             }
             ControlMessage::CancelJobs(jobs) => {
-                self.tell_batch(BatchEvent::JobsCancelled(jobs)).await;
+                self.send_batch_event(BatchEvent::JobsCancelled(jobs)).await;
             }
             ControlMessage::Attached { .. } => {}
         }
         AfterMessage::Continue
     }
 
-    /// Hands an event to the batch executor, if it runs.
-    async fn tell_batch(&self, event: BatchEvent) {
+    /// Sends an event to the batch executor, if it runs.
+    async fn send_batch_event(&self, event: BatchEvent) {
         let _ = self.batch_events.send(event).await;
     }
 
@@ -72,7 +72,7 @@
         match action {
             FollowerAction::ConfirmHeld(revision) => self.confirm(revision),
             FollowerAction::AskForWhole(fault) => {
-                warn!(self.logger, "configuration update not used"; "fault" => ?fault);
+                warn!(self.logger, "configuration update not applied; requesting the full configuration"; "fault" => ?fault);
                 return AfterMessage::Reattach;
             }
             FollowerAction::Store(stored) => {
@@ -90,7 +90,8 @@
         AfterMessage::Continue
     }
 
-    /// Stores and syncs off the request path; nothing is confirmed when it fails.
+    /// Stores and syncs the configuration outside the request path. After a failure the revision is
+    /// not confirmed to control.
     async fn store_configuration(self: &Arc<Self>, stored: StoredConfiguration) -> bool {
         let gateway = Arc::clone(self);
         let storing = tokio::task::spawn_blocking(move || match &gateway.store {
--- a/crates/gateway/src/control/mod.rs
+++ b/crates/gateway/src/control/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to control: attachment, calls, session.
+//! The connection to control: attachment, calls and session.
 
 pub(crate) mod attachment;
 pub(crate) mod client;
--- a/crates/gateway/src/control/session.rs
+++ b/crates/gateway/src/control/session.rs
@@ -1,4 +1,4 @@
-//! The gateway's session in the ledger: leases and claims live as long as it is renewed.
+//! The gateway's session in the ledger. Leases and claims are valid while the session is renewed.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,19 +12,19 @@
 
 use crate::{control::client::unexpected, observe::ReasonLabel, state::Gateway};
 
-/// Lease time before a configuration tells one.
+/// Lease time while no configuration is in force.
 const DEFAULT_LEASE: Duration = Duration::from_secs(10);
 /// Renewals in one lease time.
 const RENEWALS_PER_LEASE: u32 = 3;
-/// Wait after a failed try to open a session.
+/// Wait before a further attempt to open a session.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// A session and the time until which it holds without another renewal.
+/// A session and the time until which it is valid without a further renewal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Session {
-    /// Its number in the ledger.
+    /// The session's number in the ledger.
     pub(crate) epoch: SessionEpoch,
-    /// What is leased under it must not run on after this time of the gateway's clock.
+    /// End of the session on the gateway's clock; items leased under it must not run after that.
     pub(crate) until: Timestamp,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl SessionState {
-    /// The session, if it still holds at this time.
+    /// The session, if it is valid at this time.
     pub(crate) fn current(&self, now: Timestamp) -> Option<Session> {
         self.current.borrow().filter(|session| now < session.until)
     }
 
-    /// Waits until a session is open, at most for a while.
+    /// Waits until a session is open, at most for the given time.
     pub(crate) async fn wait(&self, time: Duration) -> Result<Session, Failure> {
         let mut session = self.current.subscribe();
         let opened = tokio::time::timeout(time, session.wait_for(Option::is_some)).await;
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Tells of every change.
+    /// Subscribes to changes of the session.
     pub(crate) fn subscribe(&self) -> watch::Receiver<Option<Session>> {
         self.current.subscribe()
     }
@@ -84,7 +84,7 @@
         let nonce: u64 = rand::random();
         if let Some(epoch) = open(&gateway, &id, nonce).await {
             info!(gateway.logger, "session opened"; "session" => epoch.0);
-            let end = renew_while_it_lasts(&gateway, &id, epoch).await;
+            let end = renew_until_lost(&gateway, &id, epoch).await;
             gateway.session.set(None);
             let reason = end.cause.as_str();
             let lost = &gateway.observer.metrics.sessions_lost;
@@ -110,11 +110,11 @@
 /// Why a session ended at the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum EndCause {
-    /// The ledger has ended it.
+    /// The ledger refused a renewal because the session has ended.
     Refused,
-    /// No renewal was answered before its end.
+    /// No renewal was answered before the session ended.
     NotAnswered,
-    /// A renewal was answered, but after its end.
+    /// A renewal was answered, but after the session ended.
     AnsweredLate,
 }
 
@@ -131,48 +131,44 @@
 /// How a session ended at the gateway.
 struct SessionEnd {
     cause: EndCause,
-    /// How long before its end the last renewal was asked for, in milliseconds.
+    /// Time from the last renewal request to the end of the session, in milliseconds.
     asked_before_ms: u64,
 }
 
-/// Renews until the ledger refuses or the lease time runs out.
-async fn renew_while_it_lasts(
-    gateway: &Gateway,
-    id: &GatewayId,
-    epoch: SessionEpoch,
-) -> SessionEnd {
+/// Renews the session until the ledger refuses or the lease time is over.
+async fn renew_until_lost(gateway: &Gateway, id: &GatewayId, epoch: SessionEpoch) -> SessionEnd {
     let clock = gateway.clock();
     let mut until = clock.now();
     let mut renewed = false;
     loop {
         let lease = lease_time(gateway);
         let asked_at = clock.now();
-        let wanted = Timestamp(asked_at.0 + lease.as_millis() as u64);
+        let requested_until = Timestamp(asked_at.0 + lease.as_millis() as u64);
         let command = CommandBody::RenewSession {
             gateway: id.clone(),
             session: epoch,
-            until: gateway.clock_offset.to_control(wanted),
+            until: gateway.clock_offset.to_control(requested_until),
         };
         let ended = |cause| SessionEnd {
             cause,
             asked_before_ms: clock.now().0.saturating_sub(asked_at.0),
         };
-        let left = clock.until(until).max(lease / RENEWALS_PER_LEASE);
-        let answer = gateway.control.propose_within(command, left).await;
+        let timeout = clock.until(until).max(lease / RENEWALS_PER_LEASE);
+        let answer = gateway.control.propose_within(command, timeout).await;
         if answer.is_ok() {
             let milliseconds = clock.now().0.saturating_sub(asked_at.0);
             let renewals = &gateway.observer.metrics.session_renewal_seconds;
             renewals.observe(milliseconds as f64 / 1_000.0);
         }
         match answer {
-            // It ended here before the answer came: what ran under it was given up, so
-            // only its end in the ledger sets those items free.
+            // The session ended here before the answer came, and its runs were stopped. Only its
+            // end in the ledger makes the items available again.
             Ok(Outcome::Done) if renewed && clock.now() >= until => {
                 return ended(EndCause::AnsweredLate);
             }
             Ok(Outcome::Done) => {
                 renewed = true;
-                until = wanted;
+                until = requested_until;
                 gateway.session.set(Some(Session { epoch, until }));
             }
             Ok(_) => {
--- a/crates/gateway/src/online/checks.rs
+++ b/crates/gateway/src/online/checks.rs
@@ -1,4 +1,4 @@
-//! Checks of a completion's body against the configuration in force.
+//! Checks of a completion request's body against the configuration in force.
 
 use linnethitch_config::fleet::Fleet;
 use linnethitch_errors::{ErrorKind, Failure};
@@ -6,12 +6,12 @@
 
 use crate::online::request::CompletionKind;
 
-/// The refusal of a field's value.
+/// The failure for an invalid value of a field.
 pub(crate) fn invalid(param: &str, message: impl Into<String>) -> Failure {
     Failure::new(ErrorKind::InvalidValue, message).with_param(param)
 }
 
-/// The model that a body names, adapter included.
+/// The model named in a body, including its adapter.
 pub(super) fn model_of(body: &Map<String, Value>, fleet: &Fleet) -> Result<String, Failure> {
     let name = body
         .get("model")
@@ -26,7 +26,8 @@
         .iter()
         .find(|pool| pool.name == pool_name)
         .is_some_and(|pool| {
-            adapter.is_none_or(|wanted| pool.adapters.iter().any(|known| known.name == wanted))
+            adapter
+                .is_none_or(|requested| pool.adapters.iter().any(|known| known.name == requested))
         });
     if known {
         Ok(name.to_owned())
@@ -94,7 +95,7 @@
     part.get("text").and_then(Value::as_str).map_or(0, str::len)
 }
 
-/// The most tokens that the caller wants.
+/// The caller's limit of output tokens, if it sets one.
 pub(super) fn output_limit(
     body: &Map<String, Value>,
     fleet: &Fleet,
@@ -103,23 +104,23 @@
         let Some(value) = body.get(name).filter(|value| !value.is_null()) else {
             continue;
         };
-        let most = fleet.limits.max_output_tokens;
+        let maximum = fleet.limits.max_output_tokens;
         return value
             .as_u64()
             .and_then(|tokens| u32::try_from(tokens).ok())
-            .filter(|tokens| (1..=most).contains(tokens))
+            .filter(|tokens| (1..=maximum).contains(tokens))
             .map(Some)
             .ok_or_else(|| {
                 invalid(
                     name,
-                    format!("`{name}` must be a whole number from 1 to {most}"),
+                    format!("`{name}` must be a whole number from 1 to {maximum}"),
                 )
             });
     }
     Ok(None)
 }
 
-/// Refuses what the model's context window cannot hold.
+/// Refuses a request that exceeds the model's context window.
 pub(super) fn check_context(
     model: &str,
     prompt_tokens: u32,
@@ -130,8 +131,8 @@
     let Some(pool) = fleet.models.iter().find(|pool| pool.name == pool_name) else {
         return Ok(());
     };
-    let wanted = prompt_tokens.saturating_add(limit.unwrap_or(1));
-    if wanted <= pool.context_tokens {
+    let required = prompt_tokens.saturating_add(limit.unwrap_or(1));
+    if required <= pool.context_tokens {
         return Ok(());
     }
     Err(Failure::new(
@@ -143,7 +144,7 @@
     ))
 }
 
-/// Refuses more than one choice: a stream of several cannot be resumed.
+/// Refuses more than one choice: a stream with several choices cannot be resumed.
 pub(super) fn check_single_choice(body: &Map<String, Value>) -> Result<(), Failure> {
     for name in ["n", "best_of"] {
         match body.get(name) {
@@ -164,7 +165,7 @@
     }
 }
 
-/// Whether the caller wants usage at a stream's end.
+/// Whether the caller requested usage at the end of the stream.
 pub(super) fn wants_usage(body: &Map<String, Value>) -> Result<bool, Failure> {
     match body.get("stream_options") {
         None | Some(Value::Null) => Ok(false),
--- a/crates/gateway/src/online/claimed.rs
+++ b/crates/gateway/src/online/claimed.rs
@@ -1,5 +1,5 @@
-//! Requests that run under a claim: their answer is kept, and an at-most-once run goes on
-//! to its end even when its caller goes away.
+//! Requests that run under a claim: their answer is stored, and an at-most-once run continues
+//! to its end when its caller disconnects.
 
 use std::{io, sync::Arc};
 
@@ -12,34 +12,34 @@
 use tokio_stream::wrappers::ReceiverStream;
 
 use crate::{
-    claims::{Answered, Claim, Record, outcome_unknown},
+    claims::{Answered, Claim, StreamRecord, outcome_unknown},
     decisions::TenantPermit,
     engine::stream::StreamEvent,
     http::answer::{bytes_response, event_stream_response},
     online::{
+        completion_response::CompletionResponse,
         generation::Generation,
         request::CompletionRequest,
         stream_answer::{Piece, next_piece},
-        whole_answer::WholeAnswer,
     },
     state::Gateway,
 };
 
-/// Pieces of a stream that wait for a slow caller.
-const MAX_WAITING_PIECES: usize = 64;
+/// Maximum pieces of a stream that are buffered for a slow caller.
+const MAX_BUFFERED_PIECES: usize = 64;
 /// Runs a claimed request and answers its caller.
 pub(crate) async fn respond(
     gateway: &Arc<Gateway>,
     claim: Claim,
     request: CompletionRequest,
-    pass: TenantPermit,
+    permit: TenantPermit,
 ) -> Answered {
     let (caller, answered) = oneshot::channel();
     let run = ClaimedRun {
         gateway: Arc::clone(gateway),
         claim,
     };
-    gateway.spawn_tracked(run.run(request, pass, caller));
+    gateway.spawn_tracked(run.run(request, permit, caller));
     answered
         .await
         .unwrap_or_else(|_| Err(Failure::from(ErrorKind::Internal)))
@@ -54,11 +54,11 @@
     async fn run(
         self,
         request: CompletionRequest,
-        pass: TenantPermit,
+        permit: TenantPermit,
         mut caller: oneshot::Sender<Answered>,
     ) {
         let stream = request.stream;
-        let starting = Generation::start(Arc::clone(&self.gateway), request, pass);
+        let starting = Generation::start(Arc::clone(&self.gateway), request, permit);
         let Some(started) = self
             .claim
             .until_caller_disconnects(starting, caller.closed())
@@ -73,7 +73,7 @@
         }
     }
 
-    /// Collects a whole answer, has it kept and gives it to the caller.
+    /// Collects the complete answer, stores it and sends it to the caller.
     async fn collect(self, mut generation: Generation, mut caller: oneshot::Sender<Answered>) {
         loop {
             match self
@@ -90,25 +90,26 @@
                 Some(Ok(_)) => {}
             }
         }
-        let answer = WholeAnswer::new(&generation.request, &generation.progress);
+        let answer = CompletionResponse::new(&generation.request, &generation.progress);
         drop(generation);
         let body = serde_json::to_vec(&answer).unwrap_or_default();
-        let kept = KeptAnswer {
+        let stored = KeptAnswer {
             status: StatusCode::OK.as_u16(),
             content_type: "application/json".to_owned(),
             body: body.clone(),
         };
-        self.claim.store_answer(kept).await;
+        self.claim.store_answer(stored).await;
         let json = HeaderValue::from_static("application/json");
         let _ = caller.send(Ok(bytes_response(StatusCode::OK, json, body)));
     }
 
-    /// Relays a stream while recording it; the caller gets its end once the whole is kept.
+    /// Relays a stream while recording it. The caller gets the end of the stream once the complete
+    /// answer is stored.
     async fn relay(self, mut generation: Generation, caller: oneshot::Sender<Answered>) {
-        let (pieces, receiver) = mpsc::channel::<Bytes>(MAX_WAITING_PIECES);
+        let (pieces, receiver) = mpsc::channel::<Bytes>(MAX_BUFFERED_PIECES);
         let body = ReceiverStream::new(receiver).map(Ok::<Bytes, io::Error>);
         let _ = caller.send(Ok(event_stream_response(body)));
-        let mut record = Record::default();
+        let mut record = StreamRecord::default();
         loop {
             let next = next_piece(&mut generation);
             let piece = match self
--- a/crates/gateway/src/online/whole_answer.rs
+++ b/crates/gateway/src/online/completion_response.rs
@@ -1,4 +1,4 @@
-//! Whole answers, put together from the engine's stream.
+//! Answers that are not streamed, assembled from the engine's stream.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -17,26 +17,26 @@
     },
 };
 
-/// Waits for the whole answer.
+/// Waits for the complete answer.
 pub(crate) async fn respond(mut generation: Generation) -> Result<Response<Body>, Failure> {
     while generation.next().await? != StreamEvent::Done {}
-    let body = WholeAnswer::new(&generation.request, &generation.progress);
+    let body = CompletionResponse::new(&generation.request, &generation.progress);
     Ok(json_response(StatusCode::OK, &body))
 }
 
-/// A completion object in the words of the OpenAI interface.
+/// A completion object of the OpenAI interface.
 #[derive(Debug, Serialize)]
-pub(crate) struct WholeAnswer {
+pub(crate) struct CompletionResponse {
     id: String,
     object: &'static str,
     created: u64,
     model: String,
-    choices: [WholeChoice; 1],
+    choices: [CompletionChoice; 1],
     usage: Usage,
 }
 
 #[derive(Debug, Serialize)]
-struct WholeChoice {
+struct CompletionChoice {
     index: u32,
     #[serde(flatten)]
     output: Output,
@@ -55,8 +55,8 @@
     Text(String),
 }
 
-impl WholeAnswer {
-    /// The answer to a request of which everything was received.
+impl CompletionResponse {
+    /// The answer to a request whose generation is complete.
     pub(crate) fn new(request: &CompletionRequest, progress: &Progress) -> Self {
         let (object, output) = match request.kind {
             CompletionKind::Chat => (
@@ -69,12 +69,12 @@
             ),
             CompletionKind::Text => ("text_completion", Output::Text(progress.text.clone())),
         };
-        WholeAnswer {
+        CompletionResponse {
             id: request.id.0.clone(),
             object,
             created: unix_seconds(),
             model: request.model.clone(),
-            choices: [WholeChoice {
+            choices: [CompletionChoice {
                 index: 0,
                 output,
                 logprobs: None,
@@ -82,12 +82,12 @@
             }],
             usage: progress
                 .usage
-                .unwrap_or_else(|| counted_usage(request, progress.tokens)),
+                .unwrap_or_else(|| estimated_usage(request, progress.tokens)),
         }
     }
 }
 
-fn counted_usage(request: &CompletionRequest, tokens: u32) -> Usage {
+fn estimated_usage(request: &CompletionRequest, tokens: u32) -> Usage {
     let prompt_tokens = u64::from(request.prompt_tokens);
     let completion_tokens = u64::from(tokens);
     Usage {
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -1,4 +1,4 @@
-//! The attempts of a generation: where each runs, and what follows when it fails.
+//! The attempts of a generation: placement, retries and final failures.
 
 use std::time::Duration;
 
@@ -15,21 +15,21 @@
     engine::fault::AttemptFault,
 };
 
-/// When a caller should come back after a failure that a retry can help.
+/// When a caller may retry after a retryable failure for which the back end named no time.
 pub(crate) const RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Generation {
     /// Places the request and opens a stream.
     pub(super) async fn open(&mut self) -> Result<Attempt, Step> {
         let placement = self.place().await?;
-        let left = self.time_left()?;
+        let remaining = self.remaining_time()?;
         self.tried.push(placement.replica.clone());
         self.attempts += 1;
         let request = self
             .request
-            .for_engine(&placement.address, left, &self.progress)
+            .for_engine(&placement.address, remaining, &self.progress)
             .map_err(Step::Final)?;
-        let limit = self.gateway.timeouts.first_token.min(left);
+        let limit = self.gateway.timeouts.first_token.min(remaining);
         let opened = self.gateway.open_stream(request, &placement, limit).await;
         let stream = match opened {
             Ok(stream) => stream,
@@ -43,12 +43,12 @@
         })
     }
 
-    /// A place at a replica: through the queue at first, at once when trying again.
+    /// Places the request on a replica. The first attempt goes through the queue, a retry does not.
     async fn place(&mut self) -> Result<Placement, Step> {
         let decisions = &self.gateway.decisions;
         let observer = &self.gateway.observer;
         let Some(fault) = &self.last_fault else {
-            let admitted = decisions.admit(&self.routing_request, &self.pass).await;
+            let admitted = decisions.admit(&self.routing_request, &self.permit).await;
             let now = self.gateway.clock().now();
             let admitted = admitted.map_err(|refused| {
                 observer.refused(now, &self.subject, &refused);
@@ -57,9 +57,9 @@
             observer.placed(now, &self.subject, &admitted.placement, admitted.waited_ms);
             return Ok(admitted.placement);
         };
-        let elsewhere = decisions.choose_again(&self.routing_request, &self.tried);
-        let placed = match elsewhere {
-            // The only replica may well finish a stream that merely broke.
+        let other_replica = decisions.choose_again(&self.routing_request, &self.tried);
+        let placed = match other_replica {
+            // When no other replica is available, one whose stream broke may complete the request.
             Err(_) if !fault.not_started() => decisions.choose_again(&self.routing_request, &[]),
             placed => placed,
         };
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Decides whether another attempt may follow; an error is final.
+    /// Decides whether another attempt follows. An error is final.
     pub(super) fn after_fault(
         &mut self,
         fault: AttemptFault,
@@ -139,8 +139,8 @@
         if let AttemptFault::Rejected { status, message } = fault {
             return rejected(*status, message);
         }
-        // A hung engine is not the caller's deadline, and an earlier attempt may have run
-        // although the last one did not.
+        // A hung engine is reported as a back-end failure, not as the caller's deadline. An
+        // earlier attempt may have run although the last one did not start.
         let hung = matches!(fault, AttemptFault::Hung(_)) && kind == ErrorKind::DeadlineExceeded;
         let (kind, executed) = if hung {
             (ErrorKind::BackEndFailed, executed)
@@ -171,7 +171,7 @@
     }
 }
 
-/// An engine found the request itself wrong: the caller has to change it.
+/// The failure of a request that an engine rejected as invalid; the caller has to change it.
 pub(crate) fn rejected(status: u16, message: &str) -> Failure {
     let kind = match status {
         404 => ErrorKind::UnknownModel,
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -1,4 +1,4 @@
-//! One generation over as many attempts as it takes.
+//! One generation, over one or more attempts.
 
 mod attempts;
 
@@ -27,20 +27,20 @@
     pub(crate) request: CompletionRequest,
     pub(crate) progress: Progress,
     routing_request: Arc<RoutingRequest>,
-    pass: TenantPermit,
+    permit: TenantPermit,
     attempt: Option<Attempt>,
     tried: Vec<ReplicaId>,
     attempts: u32,
     /// Whether any attempt may have run.
     started: bool,
     subject: RequestSubject,
-    began: Instant,
-    /// Whether the caller has got, or is being told, the end of it.
+    started_at: Instant,
+    /// Whether the end of the generation was returned, so that a drop is no disconnect of the caller.
     ended: bool,
     deadline: Timestamp,
     /// How the last attempt failed.
     last_fault: Option<AttemptFault>,
-    /// The first event, read before the answer's status was decided.
+    /// The first event, read before the status of the answer was decided.
     first: Option<StreamEvent>,
 }
 
@@ -58,27 +58,27 @@
 }
 
 impl Generation {
-    /// Starts a generation and waits for its first event, so that a failure before it
-    /// can still be answered with a status of its own.
+    /// Starts a generation and waits for its first event, so that a failure before that event
+    /// is answered with its own status.
     pub(crate) async fn start(
         gateway: Arc<Gateway>,
         request: CompletionRequest,
-        pass: TenantPermit,
+        permit: TenantPermit,
     ) -> Result<Self, Failure> {
         let running = &gateway.observer.metrics.running;
         running.get_or_create(&ONLINE).inc();
         let mut generation = Generation {
             subject: RequestSubject {
                 request: request.id.clone(),
-                tenant: pass.owner.clone(),
+                tenant: permit.owner.clone(),
             },
-            began: Instant::now(),
+            started_at: Instant::now(),
             ended: false,
             deadline: request.deadline,
             routing_request: Arc::new(request.routing_request()),
             gateway,
             request,
-            pass,
+            permit,
             progress: Progress::default(),
             attempt: None,
             tried: Vec::new(),
@@ -92,7 +92,7 @@
         Ok(generation)
     }
 
-    /// The next event of the answer.
+    /// Returns the next event of the answer.
     pub(crate) async fn next(&mut self) -> Result<StreamEvent, Failure> {
         match self.first.take() {
             Some(event) => Ok(event),
@@ -113,7 +113,7 @@
         let now = self.gateway.clock().now();
         let observer = &self.gateway.observer;
         match failure {
-            None => observer.finished(now, &self.subject, self.told_tokens()),
+            None => observer.finished(now, &self.subject, self.token_count_text()),
             Some(failure) => observer.failed(now, &self.subject, failure),
         }
     }
@@ -128,23 +128,23 @@
         }
     }
 
-    /// Whether everything that the caller asked for has come.
+    /// Whether everything that the caller requested was received.
     fn is_complete(&self) -> bool {
         let usage_due = self.request.stream && self.request.include_usage;
         self.progress.finish_reason.is_some() && (!usage_due || self.progress.usage.is_some())
     }
 
-    fn told_tokens(&self) -> String {
+    fn token_count_text(&self) -> String {
         format!("{} tokens", self.progress.tokens)
     }
 
-    /// Opens an attempt if there is none, and reads one event of it.
+    /// Opens an attempt if none is open, and reads one event from it.
     async fn receive_once(&mut self) -> Result<StreamEvent, Step> {
         let mut attempt = match self.attempt.take() {
             Some(attempt) => attempt,
             None => self.open().await?,
         };
-        let left = self.time_left()?;
+        let remaining = self.remaining_time()?;
         let timeouts = self.gateway.timeouts;
         let first = self.progress.tokens == attempt.tokens_before;
         let limit = if first {
@@ -154,16 +154,16 @@
         };
         let event = attempt
             .stream
-            .next(&mut self.progress, limit.min(left))
+            .next(&mut self.progress, limit.min(remaining))
             .await;
-        self.pass.used_tokens = self
+        self.permit.used_tokens = self
             .routing_request
             .prompt_tokens
             .saturating_add(self.progress.tokens);
         match event {
-            Err(AttemptFault::Hung(_)) if left <= limit => Err(self.out_of_time()),
+            Err(AttemptFault::Hung(_)) if remaining <= limit => Err(self.deadline_passed()),
             Err(fault) if self.is_complete() => {
-                // Only the end of the stream is missing.
+                // Only the end of the stream was not received.
                 self.gateway.learn(attempt.placement, &fault);
                 Ok(StreamEvent::Done)
             }
@@ -195,7 +195,7 @@
     }
 
     fn observe_first_token(&self) {
-        let seconds = self.began.elapsed().as_secs_f64();
+        let seconds = self.started_at.elapsed().as_secs_f64();
         let metrics = &self.gateway.observer.metrics;
         metrics
             .first_token_seconds
@@ -203,16 +203,16 @@
             .observe(seconds);
     }
 
-    fn time_left(&self) -> Result<Duration, Step> {
-        let left = self.gateway.clock().until(self.deadline);
-        if left.is_zero() {
-            Err(self.out_of_time())
+    fn remaining_time(&self) -> Result<Duration, Step> {
+        let remaining = self.gateway.clock().until(self.deadline);
+        if remaining.is_zero() {
+            Err(self.deadline_passed())
         } else {
-            Ok(left)
+            Ok(remaining)
         }
     }
 
-    fn out_of_time(&self) -> Step {
+    fn deadline_passed(&self) -> Step {
         let kind = if self.started {
             ErrorKind::DeadlineExceeded
         } else {
@@ -231,7 +231,7 @@
         metrics.tokens.get_or_create(&ONLINE).inc_by(tokens);
         if !self.ended {
             let now = self.gateway.clock().now();
-            observer.caller_gone(now, &self.subject, self.told_tokens());
+            observer.caller_gone(now, &self.subject, self.token_count_text());
         }
     }
 }
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -1,12 +1,12 @@
-//! Online requests: completions, streamed and whole.
+//! Online requests: completions, with streamed or complete answers.
 
 pub(crate) mod checks;
 mod claimed;
+pub(crate) mod completion_response;
 pub(crate) mod generation;
 mod prefix;
 pub(crate) mod request;
 mod stream_answer;
-pub(crate) mod whole_answer;
 
 use std::sync::Arc;
 
@@ -42,24 +42,24 @@
         arrived,
     )?;
     let estimate = request.prompt_tokens.saturating_add(request.output_tokens);
-    let pass = gateway.pass_limits(&request.id, &tenant, estimate)?;
+    let permit = gateway.pass_limits(&request.id, &tenant, estimate)?;
     request.at_most_once = rules.at_most_once;
     let digest = content_digest(&request, &bytes);
     match claim(gateway, &request.id, &tenant.name, &rules, digest).await? {
         Claimed::NotNeeded => {}
-        Claimed::Granted(claim) => return claimed::respond(gateway, claim, request, pass).await,
-        Claimed::Answered(kept) => return Ok(replay(kept)),
+        Claimed::Granted(claim) => return claimed::respond(gateway, claim, request, permit).await,
+        Claimed::Answered(stored) => return Ok(replay(stored)),
     }
     let stream = request.stream;
-    let generation = Generation::start(Arc::clone(gateway), request, pass).await?;
+    let generation = Generation::start(Arc::clone(gateway), request, permit).await?;
     if stream {
         Ok(stream_answer::respond(generation))
     } else {
-        whole_answer::respond(generation).await
+        completion_response::respond(generation).await
     }
 }
 
-/// Tells a resend from another request under the same key.
+/// Digest of a request's content, to distinguish a resend from another request under the same key.
 fn content_digest(request: &CompletionRequest, body: &[u8]) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(request.kind.path().as_bytes());
--- a/crates/gateway/src/online/prefix.rs
+++ b/crates/gateway/src/online/prefix.rs
@@ -1,14 +1,14 @@
-//! Hashes of a prompt's prefixes, by which engines with a warm cache are found.
+//! Hashes of a prompt's prefixes, used to find engines that have the prefix in their cache.
 
 use linnethitch_routing::profile::PREFIX_BLOCK_TOKENS;
 use serde_json::{Map, Value};
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of text that are counted as one token.
+/// Bytes of text that are estimated as one token.
 const BYTES_PER_TOKEN: usize = 4;
 /// Bytes of one hashed block.
 const BLOCK_BYTES: usize = PREFIX_BLOCK_TOKENS as usize * BYTES_PER_TOKEN;
-/// Most blocks hashed; longer prefixes gain nothing for the choice.
+/// Maximum blocks hashed; longer prefixes do not improve the choice of a replica.
 const MAX_BLOCKS: usize = 64;
 
 /// The hash of the prompt's first block, of its first two, and so on.
@@ -35,7 +35,7 @@
 
 struct PrefixHasher {
     state: Xxh3,
-    in_block: usize,
+    block_bytes: usize,
     hashes: Vec<u64>,
 }
 
@@ -43,7 +43,7 @@
     fn default() -> Self {
         PrefixHasher {
             state: Xxh3::new(),
-            in_block: 0,
+            block_bytes: 0,
             hashes: Vec::new(),
         }
     }
@@ -67,13 +67,13 @@
 
     fn add(&mut self, mut bytes: &[u8]) {
         while !bytes.is_empty() && self.hashes.len() < MAX_BLOCKS {
-            let room = BLOCK_BYTES - self.in_block;
-            let (now, later) = bytes.split_at(room.min(bytes.len()));
+            let free_bytes = BLOCK_BYTES - self.block_bytes;
+            let (now, later) = bytes.split_at(free_bytes.min(bytes.len()));
             self.state.update(now);
-            self.in_block += now.len();
-            if self.in_block == BLOCK_BYTES {
+            self.block_bytes += now.len();
+            if self.block_bytes == BLOCK_BYTES {
                 self.hashes.push(self.state.digest());
-                self.in_block = 0;
+                self.block_bytes = 0;
             }
             bytes = later;
         }
--- a/crates/gateway/src/online/request.rs
+++ b/crates/gateway/src/online/request.rs
@@ -26,14 +26,14 @@
     },
 };
 
-/// Bytes of text that are counted as one token where no engine has counted.
+/// Bytes of text that are estimated as one token.
 const ESTIMATED_BYTES_PER_TOKEN: usize = 4;
-/// Output tokens expected of a request that names no limit.
+/// Expected output tokens of a request without a limit.
 const DEFAULT_EXPECTED_OUTPUT_TOKENS: u32 = 256;
 /// Header with the caller's own deadline in milliseconds.
 const DEADLINE_HEADER: &str = "linnethitch-deadline-ms";
 
-/// Which of the two completion calls.
+/// The completion endpoint of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CompletionKind {
     /// `/v1/chat/completions`
@@ -43,7 +43,7 @@
 }
 
 impl CompletionKind {
-    /// The path, the same at callers and engines.
+    /// The path, the same for callers and engines.
     pub(crate) const fn path(self) -> &'static str {
         match self {
             CompletionKind::Chat => "/v1/chat/completions",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// The kind that a path names.
+    /// The kind with this path.
     pub(crate) fn of_path(path: &str) -> Option<Self> {
         [CompletionKind::Chat, CompletionKind::Text]
             .into_iter()
@@ -65,19 +65,19 @@
     pub(crate) id: RequestId,
     pub(crate) kind: CompletionKind,
     pub(crate) priority: Priority,
-    /// The name that the caller used.
+    /// The model name as the caller sent it, including the adapter.
     pub(crate) model: String,
-    /// Whether the caller wants the answer as a stream.
+    /// Whether the caller requested a streamed answer.
     pub(crate) stream: bool,
-    /// Whether the caller wants usage at the stream's end.
+    /// Whether the caller requested usage at the end of the stream.
     pub(crate) include_usage: bool,
-    /// The last token must be there by then.
+    /// Time by which the last token must be received.
     pub(crate) deadline: Timestamp,
     /// Estimated tokens of the prompt.
     pub(crate) prompt_tokens: u32,
-    /// Expected or allowed tokens of the answer.
+    /// Tokens of the answer: the caller's limit, or the expected number.
     pub(crate) output_tokens: u32,
-    /// Whether it must never run twice.
+    /// Whether the request must never run twice.
     pub(crate) at_most_once: bool,
     prefix_hashes: Vec<u64>,
     body: Map<String, Value>,
@@ -137,7 +137,7 @@
         })
     }
 
-    /// The request to an engine, which continues after what was already received.
+    /// The request to an engine, which resumes after the tokens already received.
     pub(crate) fn for_engine(
         &self,
         address: &str,
@@ -170,7 +170,7 @@
             .map_err(|error| Failure::new(ErrorKind::Internal, error.to_string()))
     }
 
-    /// What the router and the queue need to know of it.
+    /// The properties that the router and the queue use.
     pub(crate) fn routing_request(&self) -> RoutingRequest {
         RoutingRequest {
             target: RequestTarget::Model {
@@ -212,7 +212,7 @@
     )
 }
 
-/// The time that the caller gives its request, if it says so.
+/// The time that the caller sets for its request in the deadline header, if any.
 pub(crate) fn caller_deadline(headers: &HeaderMap) -> Result<Option<Duration>, Failure> {
     let Some(value) = headers.get(DEADLINE_HEADER) else {
         return Ok(None);
--- a/crates/gateway/src/online/stream_answer.rs
+++ b/crates/gateway/src/online/stream_answer.rs
@@ -15,18 +15,18 @@
 
 const DONE_EVENT: &[u8] = b"data: [DONE]\n\n";
 
-/// A part of a streamed answer.
+/// A piece of a streamed answer.
 pub(super) enum Piece {
-    /// An event with more to follow.
+    /// An event that is not the last.
     Event(Bytes),
-    /// The end of a whole answer.
+    /// The end of a complete answer.
     Last,
-    /// The stream ends without being the whole answer.
+    /// The end of an incomplete answer.
     Failed(Failure),
 }
 
 impl Piece {
-    /// What the caller is sent.
+    /// The bytes to send to the caller.
     pub(super) fn bytes(&self) -> Bytes {
         match self {
             Piece::Event(event) => event.clone(),
@@ -36,7 +36,7 @@
     }
 }
 
-/// The response of a generation that has begun.
+/// The streamed response of a generation that has started.
 pub(crate) fn respond(generation: Generation) -> Response<Body> {
     let pieces = stream::unfold(Some(generation), |state| async move {
         let mut generation = state?;
@@ -50,7 +50,7 @@
     event_stream_response(pieces)
 }
 
-/// The next part for the caller.
+/// Returns the next piece for the caller.
 pub(super) async fn next_piece(generation: &mut Generation) -> Piece {
     loop {
         match generation.next().await {
