--- a/crates/gateway/src/control/attachment.rs
+++ b/crates/gateway/src/control/attachment.rs
@@ -123,7 +123,7 @@
         let mut receiver = connection.receiver;
         let mut check_ticks = tokio::time::interval(CHECK_INTERVAL);
         let mut heartbeat_ticks = tokio::time::interval(HEARTBEAT_INTERVAL);
-        let mut sent_at_last_heartbeat = 0;
+        let mut sent_at_last_tick = 0;
         let mut attached = false;
         loop {
             tokio::select! {
@@ -161,10 +161,10 @@
                 _ = heartbeat_ticks.tick(), if attached => {
                     let sent = self.traffic.snapshot().gateway.sent_frames;
                     // Any message counts as a heartbeat, so one is sent only when nothing else was.
-                    if sent == sent_at_last_heartbeat {
+                    if sent == sent_at_last_tick {
                         let _ = sender.try_send(&GatewayMessage::Heartbeat);
                     }
-                    sent_at_last_heartbeat = sent;
+                    sent_at_last_tick = sent;
                 }
             }
         }
--- a/crates/gateway/tests/all/batch_execution.rs
+++ b/crates/gateway/tests/all/batch_execution.rs
@@ -1,4 +1,4 @@
-//! Batch jobs from the caller's file to the caller's results, over control and engines.
+//! Batch jobs from the caller's input file to the results, with a fake control member and engine.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -72,7 +72,10 @@
     }
 }
 
-/// Results of a job by custom id; panics when one comes twice.
+/// Results of a job by custom id.
+///
+/// # Panics
+/// When a result occurs twice.
 pub(crate) async fn results(
     gateway: &TestGateway,
     job: &Value,
@@ -87,7 +90,10 @@
     for line in String::from_utf8_lossy(&answer.body).lines() {
         let result: Value = serde_json::from_str(line).expect("a result");
         let id = result["custom_id"].as_str().expect("an id").to_owned();
-        assert!(results.insert(id, result).is_none(), "{line} came twice");
+        assert!(
+            results.insert(id, result).is_none(),
+            "result occurs twice: {line}"
+        );
     }
     results
 }
@@ -103,7 +109,7 @@
     Script::Stream(steps.chain([Step::Break]).collect())
 }
 
-/// Tokens, then nothing until the gateway goes away.
+/// Tokens, then nothing until the gateway closes the stream.
 fn endless(tokens: u32) -> Script {
     let steps = (0..tokens).map(Step::Token);
     Script::Stream(steps.chain([Step::Hang]).collect())
@@ -131,8 +137,8 @@
         assert_eq!(result["response"]["status_code"], 200);
         result["response"]["body"]["choices"][0]["message"]["content"].clone()
     });
-    let shorter = texts.filter(|text| *text != text_of(10)).count();
-    assert_eq!(shorter, usize::from(short));
+    let shorter_answers = texts.filter(|text| *text != text_of(10)).count();
+    assert_eq!(shorter_answers, usize::from(short));
 }
 
 #[tokio::test]
@@ -208,7 +214,7 @@
     assert_eq!(fixture.results(&job, "output_file_id").await.len(), 20);
 }
 
-/// Why batch has to leave the engine.
+/// Why batch work is preempted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Pressure {
     GrantEnds,
@@ -271,7 +277,7 @@
         assert_eq!(
             fixture.engine.closed_early(),
             0,
-            "a planned stop cuts nothing off"
+            "a planned stop interrupts no stream"
         );
     } else {
         drop(first);
@@ -284,7 +290,7 @@
     if planned {
         assert!(errors.is_empty(), "{errors:?}");
     } else {
-        // It was started, and nobody knows whether it was done: it is told so and never rerun.
+        // The item was started and its outcome is unknown: it is reported so and never run again.
         assert_eq!(errors["tender"]["error"]["code"], "outcome_unknown");
         let tenders = fixture.engine.generations();
         let tenders = tenders
--- a/crates/gateway/tests/all/batch_executor.rs
+++ b/crates/gateway/tests/all/batch_executor.rs
@@ -1,4 +1,4 @@
-//! The batch executor without sockets: events in, actions out.
+//! The batch executor without I/O: events and the actions that follow.
 
 use std::collections::VecDeque;
 
@@ -15,11 +15,11 @@
 use rstest::rstest;
 
 /// A deadline that no test reaches.
-const FAR: Timestamp = Timestamp(1_000_000);
-/// Longer than any wait of the executor.
+const FAR_DEADLINE: Timestamp = Timestamp(1_000_000);
+/// Longer than any wait of the executor, in milliseconds.
 const LONG_MS: u64 = 5_000;
 
-/// An executor with a ledger that hands out items of one job.
+/// An executor with items of one job, its time and the actions not yet checked.
 struct Fixture {
     executor: BatchExecutor,
     now: u64,
@@ -29,7 +29,7 @@
 fn session(epoch: u64) -> Option<BatchSession> {
     Some(BatchSession {
         epoch: SessionEpoch(epoch),
-        until: FAR,
+        until: FAR_DEADLINE,
     })
 }
 
@@ -43,11 +43,11 @@
         tenant: "one".into(),
         line: Vec::new(),
         at_most_once,
-        deadline: FAR,
+        deadline: FAR_DEADLINE,
     }
 }
 
-fn room(replica: &str, sequences: u32) -> ReplicaCapacity {
+fn capacity(replica: &str, sequences: u32) -> ReplicaCapacity {
     ReplicaCapacity {
         replica: replica.into(),
         model: "m".into(),
@@ -80,7 +80,8 @@
 }
 
 impl Fixture {
-    /// An executor with one granted replica `a` of two sequences and so many leased items.
+    /// Creates an executor with two sequences granted on replica `a` and up to `count` leased
+    /// items.
     fn with_items(count: u32, at_most_once: bool) -> Self {
         let settings = ExecutorSettings {
             max_attempts: 2,
@@ -92,33 +93,33 @@
             now: 1_000,
             actions: VecDeque::new(),
         };
-        fixture.tell(BatchEvent::Session(session(1)));
-        fixture.tell(BatchEvent::Pending(vec![PendingItems {
+        fixture.handle(BatchEvent::Session(session(1)));
+        fixture.handle(BatchEvent::Pending(vec![PendingItems {
             model: "m".into(),
             count: u64::from(count),
         }]));
-        fixture.tell(BatchEvent::Capacity(vec![room("a", 2)]));
-        let (sequence, wanted) = fixture.lease().expect("a lease is asked for");
-        assert_eq!(wanted, count.min(2), "as many as are granted");
+        fixture.handle(BatchEvent::Capacity(vec![capacity("a", 2)]));
+        let (sequence, wanted) = fixture.lease().expect("a lease call");
+        assert_eq!(wanted, count.min(2), "no more than the granted sequences");
         let items = (0..wanted).map(|number| item(number, at_most_once));
-        fixture.tell(BatchEvent::Leased {
+        fixture.handle(BatchEvent::Leased {
             sequence,
             answer: CallAnswer::Done(items.collect()),
         });
         fixture
     }
 
-    fn tell(&mut self, event: BatchEvent) {
+    fn handle(&mut self, event: BatchEvent) {
         let actions = self.executor.handle(Timestamp(self.now), event);
         self.actions.extend(actions);
     }
 
-    fn pass(&mut self, milliseconds: u64) {
+    fn advance(&mut self, milliseconds: u64) {
         self.now += milliseconds;
-        self.tell(BatchEvent::Tick);
+        self.handle(BatchEvent::Tick);
     }
 
-    /// Takes the first action that matches out, and drops those before it.
+    /// Takes the first action that matches, and drops the actions before it.
     fn find<T>(&mut self, mut matching: impl FnMut(&BatchAction) -> Option<T>) -> Option<T> {
         while let Some(action) = self.actions.pop_front() {
             if let Some(found) = matching(&action) {
@@ -151,7 +152,7 @@
         count
     }
 
-    fn marked(&mut self) -> Option<u64> {
+    fn start_record(&mut self) -> Option<u64> {
         self.find(|action| match action {
             BatchAction::MarkStarted { number, .. } => Some(*number),
             _ => None,
@@ -179,8 +180,8 @@
         })
     }
 
-    fn end(&mut self, order: &RunOrder, end: RunEnd) {
-        self.tell(BatchEvent::RunEnded {
+    fn end_run(&mut self, order: &RunOrder, end: RunEnd) {
+        self.handle(BatchEvent::RunEnded {
             run: order.run,
             end,
         });
@@ -188,26 +189,26 @@
 }
 
 #[test]
-fn a_lost_commit_is_made_again_until_it_is_answered() {
+fn a_commit_is_repeated_until_it_is_answered() {
     let mut fixture = Fixture::with_items(1, false);
     let order = fixture.run().expect("it runs");
-    fixture.end(&order, answered());
-    fixture.pass(100);
+    fixture.end_run(&order, answered());
+    fixture.advance(100);
     let (number, codes) = fixture.commit().expect("a commit");
     assert_eq!(codes, [""]);
     for _ in 0..3 {
-        fixture.tell(BatchEvent::Committed {
+        fixture.handle(BatchEvent::Committed {
             number,
             answer: CallAnswer::Unknown,
         });
-        assert_eq!(fixture.commit(), None, "not before the wait is over");
-        fixture.pass(LONG_MS);
+        assert_eq!(fixture.commit(), None, "no commit before the wait is over");
+        fixture.advance(LONG_MS);
         assert_eq!(fixture.commit(), Some((number, codes.clone())));
     }
-    // Even a lost session does not lose the result.
-    fixture.tell(BatchEvent::Session(None));
+    // The result is committed even after the session is lost.
+    fixture.handle(BatchEvent::Session(None));
     assert_eq!(fixture.executor.uncommitted_results(), 1);
-    fixture.tell(BatchEvent::Committed {
+    fixture.handle(BatchEvent::Committed {
         number,
         answer: CallAnswer::Done(()),
     });
@@ -222,75 +223,90 @@
     let mut fixture = Fixture::with_items(2, false);
     let order = fixture.run().expect("it runs");
     if end == BatchEvent::Tick {
-        fixture.now = FAR.0;
+        fixture.now = FAR_DEADLINE.0;
     }
     fixture.actions.clear();
-    fixture.tell(end);
+    fixture.handle(end);
     assert_eq!(fixture.stops(), 2);
     assert_eq!(fixture.executor.leased_items(), 0);
-    fixture.end(&order, answered());
-    fixture.pass(LONG_MS);
-    assert_eq!(fixture.commit(), None, "the item belongs to another now");
+    fixture.end_run(&order, answered());
+    fixture.advance(LONG_MS);
+    assert_eq!(
+        fixture.commit(),
+        None,
+        "the item may be leased by another gateway"
+    );
 }
 
 #[rstest]
 #[case::stopped(RunEnd::Stopped { generated: generated(2) }, "cancelled")]
 #[case::answered_meanwhile(answered(), "")]
 #[case::failed_meanwhile(failed(true), "cancelled")]
-fn a_cancelled_job_stops_at_once(#[case] end: RunEnd, #[case] told: &str) {
+fn a_cancelled_job_stops_at_once(#[case] end: RunEnd, #[case] error_code: &str) {
     let mut fixture = Fixture::with_items(1, false);
     let order = fixture.run().expect("it runs");
-    fixture.tell(BatchEvent::JobsCancelled(vec![JobId::from("batch_1")]));
+    fixture.handle(BatchEvent::JobsCancelled(vec![JobId::from("batch_1")]));
     assert_eq!(fixture.stops(), 1);
-    fixture.end(&order, end);
-    fixture.pass(LONG_MS);
+    fixture.end_run(&order, end);
+    fixture.advance(LONG_MS);
     // The ledger drops the result and counts the item as returned.
     let (_, codes) = fixture.commit().expect("the item is returned");
-    assert_eq!(codes, [told]);
+    assert_eq!(codes, [error_code]);
     assert_eq!(fixture.run(), None);
 }
 
 #[test]
-fn an_item_yields_with_its_tokens_and_goes_on_elsewhere() {
+fn a_preempted_item_resumes_elsewhere_with_its_tokens() {
     let mut fixture = Fixture::with_items(2, false);
     let first = fixture.run().expect("it runs");
     let second = fixture.run().expect("it runs");
-    fixture.tell(BatchEvent::Capacity(vec![room("a", 1), room("b", 1)]));
-    assert_eq!(fixture.stops(), 1, "the newer one gives way");
-    fixture.end(
+    fixture.handle(BatchEvent::Capacity(vec![
+        capacity("a", 1),
+        capacity("b", 1),
+    ]));
+    assert_eq!(fixture.stops(), 1, "the newer run is preempted");
+    fixture.end_run(
         &second,
         RunEnd::Stopped {
             generated: generated(5),
         },
     );
-    let resumed = fixture.run().expect("it goes on");
+    let resumed = fixture.run().expect("the item resumes");
     assert_eq!(
         (resumed.replica.as_str(), &resumed.generated, &resumed.item),
         ("b", &generated(5), &second.item)
     );
-    fixture.tell(BatchEvent::Capacity(vec![room("b", 1)]));
-    assert_eq!(fixture.stops(), 1, "the other one too, without its grant");
-    fixture.end(
+    fixture.handle(BatchEvent::Capacity(vec![capacity("b", 1)]));
+    assert_eq!(
+        fixture.stops(),
+        1,
+        "the older run is stopped when its grant ends"
+    );
+    fixture.end_run(
         &first,
         RunEnd::Stopped {
             generated: generated(1),
         },
     );
     assert_eq!(fixture.run(), None);
-    fixture.pass(LONG_MS);
-    assert_eq!(fixture.released(), Some(1), "nobody waits for ever");
-    // A lost call is made again: the session would keep the item for ever.
-    fixture.tell(BatchEvent::Released {
+    fixture.advance(LONG_MS);
+    assert_eq!(
+        fixture.released(),
+        Some(1),
+        "the item is released after the longest wait"
+    );
+    // An unanswered release is repeated: otherwise the item would stay leased with the session.
+    fixture.handle(BatchEvent::Released {
         number: 1,
         answer: CallAnswer::Unknown,
     });
-    fixture.pass(LONG_MS);
-    assert_eq!(fixture.released(), Some(1), "it is given back again");
-    fixture.tell(BatchEvent::Released {
+    fixture.advance(LONG_MS);
+    assert_eq!(fixture.released(), Some(1), "the release is repeated");
+    fixture.handle(BatchEvent::Released {
         number: 1,
         answer: CallAnswer::Done(()),
     });
-    fixture.pass(LONG_MS);
+    fixture.advance(LONG_MS);
     assert_eq!(fixture.released(), None);
 }
 
@@ -304,24 +320,24 @@
 fn an_item_ends_once_whatever_its_runs_do(
     #[case] at_most_once: bool,
     #[case] ends: Vec<RunEnd>,
-    #[case] told: &str,
+    #[case] error_code: &str,
 ) {
     let mut fixture = Fixture::with_items(1, at_most_once);
     if at_most_once {
-        let number = fixture.marked().expect("the start is recorded first");
+        let number = fixture.start_record().expect("the start is recorded first");
         assert_eq!(fixture.run(), None, "nothing is sent before the answer");
-        fixture.tell(BatchEvent::Started {
+        fixture.handle(BatchEvent::Started {
             number,
             answer: CallAnswer::Done(vec![true]),
         });
     }
     for end in ends {
         let order = fixture.run().expect("it runs");
-        fixture.end(&order, end);
-        fixture.pass(LONG_MS);
+        fixture.end_run(&order, end);
+        fixture.advance(LONG_MS);
     }
     let (_, codes) = fixture.commit().expect("a result");
-    assert_eq!(codes, [told]);
+    assert_eq!(codes, [error_code]);
     assert_eq!(fixture.executor.leased_items(), 0);
 }
 
@@ -331,33 +347,33 @@
 #[case::answer_lost(CallAnswer::Unknown, 1, None)]
 fn an_at_most_once_item_is_not_sent_without_its_mark(
     #[case] answer: CallAnswer<Vec<bool>>,
-    #[case] held: usize,
-    #[case] given_back: Option<usize>,
+    #[case] leased: usize,
+    #[case] released: Option<usize>,
 ) {
     let mut fixture = Fixture::with_items(1, true);
-    let number = fixture.marked().expect("the start is recorded first");
-    fixture.tell(BatchEvent::Started { number, answer });
+    let number = fixture.start_record().expect("the start is recorded first");
+    fixture.handle(BatchEvent::Started { number, answer });
     let sends = |action: &BatchAction| matches!(action, BatchAction::Run(_));
     assert!(!fixture.actions.iter().any(sends));
-    assert_eq!(fixture.executor.leased_items(), held);
-    assert_eq!(fixture.released(), given_back);
-    // The start may be recorded: the item is asked for again, never given back.
-    fixture.pass(LONG_MS);
-    assert_eq!(fixture.marked().is_some(), held == 1);
+    assert_eq!(fixture.executor.leased_items(), leased);
+    assert_eq!(fixture.released(), released);
+    // The start may have been recorded: the call is repeated, and the item is not released.
+    fixture.advance(LONG_MS);
+    assert_eq!(fixture.start_record().is_some(), leased == 1);
     assert_eq!(fixture.released(), None);
 }
 
 #[test]
 fn a_session_that_the_ledger_ended_is_not_used_again() {
     let mut fixture = Fixture::with_items(1, true);
-    let number = fixture.marked().expect("the start is recorded first");
-    fixture.tell(BatchEvent::Started {
+    let number = fixture.start_record().expect("the start is recorded first");
+    fixture.handle(BatchEvent::Started {
         number,
         answer: CallAnswer::Fenced,
     });
     for (epoch, leases) in [(1, false), (2, true)] {
-        fixture.tell(BatchEvent::Session(session(epoch)));
-        fixture.tell(BatchEvent::Pending(vec![PendingItems {
+        fixture.handle(BatchEvent::Session(session(epoch)));
+        fixture.handle(BatchEvent::Pending(vec![PendingItems {
             model: "m".into(),
             count: 9,
         }]));
@@ -366,47 +382,51 @@
 }
 
 #[test]
-fn a_started_at_most_once_item_is_not_stopped_for_room() {
+fn a_started_at_most_once_item_is_not_preempted() {
     let mut fixture = Fixture::with_items(1, true);
-    let number = fixture.marked().expect("the start is recorded first");
-    fixture.tell(BatchEvent::Started {
+    let number = fixture.start_record().expect("the start is recorded first");
+    fixture.handle(BatchEvent::Started {
         number,
         answer: CallAnswer::Done(vec![true]),
     });
-    fixture.tell(BatchEvent::Capacity(Vec::new()));
+    fixture.handle(BatchEvent::Capacity(Vec::new()));
     assert_eq!(fixture.stops(), 0);
-    fixture.tell(BatchEvent::Session(None));
-    assert_eq!(fixture.stops(), 1, "but with the end of its lease");
+    fixture.handle(BatchEvent::Session(None));
+    assert_eq!(
+        fixture.stops(),
+        1,
+        "the run stops with the end of its session"
+    );
 }
 
 #[test]
-fn a_lost_lease_is_asked_for_again_with_its_number() {
+fn an_unanswered_lease_call_is_repeated_with_its_number() {
     let mut fixture = Fixture::with_items(1, false);
     let order = fixture.run().expect("it runs");
-    fixture.tell(BatchEvent::Pending(vec![PendingItems {
+    fixture.handle(BatchEvent::Pending(vec![PendingItems {
         model: "m".into(),
         count: 9,
     }]));
-    let (sequence, wanted) = fixture.lease().expect("for the free sequence");
+    let (sequence, wanted) = fixture.lease().expect("a lease call for the free sequence");
     assert_eq!(wanted, 1);
-    fixture.tell(BatchEvent::Leased {
+    fixture.handle(BatchEvent::Leased {
         sequence,
         answer: CallAnswer::Unknown,
     });
     assert_eq!(fixture.lease(), None);
-    fixture.pass(LONG_MS);
+    fixture.advance(LONG_MS);
     assert_eq!(fixture.lease(), Some((sequence, 1)));
-    // A planned stop: nothing new is leased, what runs is finished.
-    fixture.tell(BatchEvent::Drain);
-    fixture.tell(BatchEvent::Leased {
+    // Drain: nothing more is leased, and running items finish.
+    fixture.handle(BatchEvent::Drain);
+    fixture.handle(BatchEvent::Leased {
         sequence,
         answer: CallAnswer::Done(vec![item(5, false)]),
     });
     let late = fixture
         .run()
-        .expect("what was leased late has room and runs");
-    fixture.tell(BatchEvent::Capacity(Vec::new()));
-    fixture.end(
+        .expect("an item leased during the drain runs while capacity is free");
+    fixture.handle(BatchEvent::Capacity(Vec::new()));
+    fixture.end_run(
         &late,
         RunEnd::Stopped {
             generated: generated(1),
@@ -415,13 +435,13 @@
     assert_eq!(
         fixture.released(),
         Some(1),
-        "what does not run is given back"
+        "an item that does not run is released"
     );
-    fixture.end(&order, answered());
-    fixture.pass(LONG_MS);
+    fixture.end_run(&order, answered());
+    fixture.advance(LONG_MS);
     let (number, _) = fixture.commit().expect("a result");
     assert!(!fixture.executor.is_idle());
-    fixture.tell(BatchEvent::Committed {
+    fixture.handle(BatchEvent::Committed {
         number,
         answer: CallAnswer::Done(()),
     });
--- a/crates/gateway/tests/all/batches.rs
+++ b/crates/gateway/tests/all/batches.rs
@@ -105,11 +105,11 @@
 }
 
 #[tokio::test]
-async fn without_control_a_job_is_refused_and_not_half_accepted() {
+async fn without_control_a_job_is_refused_as_not_executed() {
     let (control, gateway) = start().await;
     let file = input_file(&gateway, 1).await;
     drop(control);
-    // A call over a connection that is not known to be lost has an unknown outcome.
+    // A call over a connection whose loss is not yet noticed would have an unknown outcome.
     wait_until("the loss is noticed", async || {
         let metrics = call(request(Method::GET, gateway.url("/metrics"), "")).await;
         String::from_utf8_lossy(&metrics.body).contains("linnethitch_control_attached 0\n")
--- a/crates/gateway/tests/all/busy_process.rs
+++ b/crates/gateway/tests/all/busy_process.rs
@@ -1,4 +1,4 @@
-//! What holds while a process is too busy to serve its callers.
+//! Leases and leadership while a process is too busy to serve its callers.
 
 use std::{thread, time::Duration};
 
@@ -15,8 +15,8 @@
 const LEASE: Duration = Duration::from_secs(2);
 const ITEMS: usize = 20;
 
-/// Guards against jobs that stop ending under load: with every task of the process waiting,
-/// members lost their leader and gateways their leases, and all items ran again.
+/// Guards against jobs that never end under load: when no task of a process ran for longer than a
+/// lease, members lost their leader and gateways their leases, and all items ran again.
 #[tokio::test]
 async fn leases_and_the_leader_hold_while_every_task_waits() {
     let batch = format!("[batch]\nlease_ms = {}\n", LEASE.as_millis());
@@ -28,7 +28,7 @@
     })
     .await;
     let leader = system.leader();
-    // The test has one thread; nothing else of it runs meanwhile.
+    // The test has one thread, so no other task of it runs during the sleep.
     thread::sleep(3 * LEASE);
     assert!(leader.is_some());
     assert_eq!(system.leader(), leader);
--- a/crates/gateway/tests/all/claims.rs
+++ b/crates/gateway/tests/all/claims.rs
@@ -8,7 +8,7 @@
 use crate::support::{
     caller::{Answer, call, chat, send},
     control::{FakeControl, Shared},
-    engine::{FakeEngine, Script, Step, whole},
+    engine::{FakeEngine, Script, Step, complete_steps},
     gateway::{TestGateway, engine, fleet_file, wait_until},
 };
 
@@ -44,7 +44,7 @@
         message
     }
 
-    /// A request under the key `k`, at most once if asked for.
+    /// A request under the key `k`, optionally at most once.
     fn keyed(&self, stream: bool, at_most_once: bool) -> Request<Full<Bytes>> {
         self.request(stream, Some("k"), at_most_once.then_some("at-most-once"))
     }
@@ -54,7 +54,7 @@
     }
 }
 
-fn told(answer: &Answer) -> (u16, String, String) {
+fn summary(answer: &Answer) -> (u16, String, String) {
     let executed = answer.header("linnethitch-executed").to_owned();
     (answer.status.as_u16(), answer.error_code(), executed)
 }
@@ -63,9 +63,9 @@
     (status, code.to_owned(), executed.to_owned())
 }
 
-/// Two tokens, and the rest once the gate is open.
+/// Two tokens, and the remaining ones once the gate is open.
 fn slow() -> Script {
-    let mut steps = whole(4);
+    let mut steps = complete_steps(4);
     steps.insert(2, Step::Gate);
     Script::Stream(steps)
 }
@@ -87,7 +87,7 @@
     assert_eq!(again.header("linnethitch-replayed"), "yes");
     assert_eq!(fixture.runs(), 1);
     let other = call(fixture.keyed(!stream, at_most_once)).await;
-    assert_eq!(told(&other), expected(409, "idempotency_conflict", "no"));
+    assert_eq!(summary(&other), expected(409, "idempotency_conflict", "no"));
 }
 
 #[rstest]
@@ -102,7 +102,7 @@
 ) {
     let fixture = Fixture::start(Vec::new()).await;
     let answer = call(fixture.request(false, key, run)).await;
-    assert_eq!(told(&answer), expected(400, code, "no"));
+    assert_eq!(summary(&answer), expected(400, code, "no"));
     assert_eq!(fixture.runs(), 0);
 }
 
@@ -110,9 +110,9 @@
 #[case::silent(false)]
 #[case::gone(true)]
 #[tokio::test]
-async fn without_control_nothing_is_run(#[case] gone: bool) {
+async fn without_control_nothing_is_run(#[case] disconnected: bool) {
     let mut fixture = Fixture::start(Vec::new()).await;
-    if gone {
+    if disconnected {
         let folder = fixture.gateway.stop().await;
         let FakeControl { address, .. } = fixture.control;
         fixture.control = FakeControl::start(Shared::new(&fleet_file(), Vec::new())).await;
@@ -121,11 +121,11 @@
         fixture.control.shared.set_answering(false);
     }
     let answer = call(fixture.keyed(false, true)).await;
-    assert_eq!(told(&answer), expected(503, "control_unavailable", "no"));
+    assert_eq!(summary(&answer), expected(503, "control_unavailable", "no"));
     assert!(!answer.header("retry-after").is_empty());
     assert_eq!(fixture.runs(), 0);
-    if !gone {
-        // The claim that may have been taken is given back.
+    if !disconnected {
+        // The claim that may have been granted is released.
         fixture.control.shared.set_answering(true);
         wait_until("the key is free", async || {
             call(fixture.keyed(false, true)).await.status == StatusCode::OK
@@ -140,7 +140,7 @@
 #[case::died_before_the_first_token(vec![Step::Break], true)]
 #[case::died_whole_answer(vec![Step::Token(0), Step::Break], false)]
 #[tokio::test]
-async fn an_unknown_outcome_is_told_as_such_and_never_run_again(
+async fn an_unknown_outcome_is_reported_and_the_request_never_runs_again(
     #[case] steps: Vec<Step>,
     #[case] stream: bool,
 ) {
@@ -151,11 +151,11 @@
         let last = first.events().pop().expect("an event");
         assert!(last.contains("outcome_unknown"), "{last}");
     } else {
-        assert_eq!(told(&first), expected(409, "outcome_unknown", "unknown"));
+        assert_eq!(summary(&first), expected(409, "outcome_unknown", "unknown"));
     }
-    wait_until("the outcome is kept", async || {
+    wait_until("the outcome is stored", async || {
         let again = call(fixture.keyed(stream, true)).await;
-        told(&again) == expected(409, "outcome_unknown", "unknown")
+        summary(&again) == expected(409, "outcome_unknown", "unknown")
     })
     .await;
     assert_eq!(fixture.runs(), 1);
@@ -165,7 +165,7 @@
 #[case::never_started(true, Script::Status(503, vec![("x-engine-started", "no")], "leaving"))]
 #[case::repeatable(false, Script::Status(500, vec![], "defect"))]
 #[tokio::test]
-async fn what_may_run_again_runs_again_under_its_key(
+async fn a_request_that_may_be_repeated_runs_again_under_its_key(
     #[case] at_most_once: bool,
     #[case] script: Script,
 ) {
@@ -182,7 +182,7 @@
 #[case::at_most_once(true, 1)]
 #[case::repeatable(false, 2)]
 #[tokio::test]
-async fn a_caller_that_left_gets_the_answer_of_its_one_run(
+async fn a_resend_after_a_disconnect_gets_the_answer(
     #[case] at_most_once: bool,
     #[case] runs: usize,
 ) {
@@ -192,7 +192,7 @@
     assert!(frame.is_some(), "the stream has begun");
     let meanwhile = call(fixture.keyed(true, at_most_once)).await;
     assert_eq!(
-        told(&meanwhile),
+        summary(&meanwhile),
         expected(409, "idempotency_in_progress", "unknown")
     );
     assert!(!meanwhile.header("retry-after").is_empty());
@@ -235,7 +235,7 @@
         fixture.engine.open_gate();
         StatusCode::CONFLICT
     };
-    wait_until("the outcome is told", async || {
+    wait_until("the outcome is reported", async || {
         let again = call(fixture.keyed(true, true)).await;
         again.status == status && (planned || again.error_code() == "outcome_unknown")
     })
--- a/crates/gateway/tests/all/completions.rs
+++ b/crates/gateway/tests/all/completions.rs
@@ -9,7 +9,7 @@
 
 use crate::support::{
     caller::{call, chat, request, send},
-    engine::{FakeEngine, Script, Step, text_of, whole},
+    engine::{FakeEngine, Script, Step, complete_steps, text_of},
     gateway::{TestGateway, wait_until},
 };
 
@@ -17,7 +17,7 @@
 
 #[tokio::test]
 async fn a_streamed_answer_arrives_whole_and_in_order() {
-    let engine = FakeEngine::start(vec![Script::Stream(whole(5))]).await;
+    let engine = FakeEngine::start(vec![Script::Stream(complete_steps(5))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let answer = call(chat(gateway.url(CHAT), true)).await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -36,7 +36,7 @@
 
 #[tokio::test]
 async fn a_whole_answer_has_the_shape_of_the_openai_interface() {
-    let engine = FakeEngine::start(vec![Script::Stream(whole(5))]).await;
+    let engine = FakeEngine::start(vec![Script::Stream(complete_steps(5))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let answer = call(chat(gateway.url(CHAT), false)).await;
     assert_eq!(answer.status, StatusCode::OK);
@@ -51,7 +51,7 @@
 
 #[tokio::test]
 async fn a_text_completion_is_answered_in_its_own_shape() {
-    let engine = FakeEngine::start(vec![Script::Stream(whole(3))]).await;
+    let engine = FakeEngine::start(vec![Script::Stream(complete_steps(3))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let body = json!({"model": "m:a", "prompt": "p"}).to_string();
     let answer = call(request(Method::POST, gateway.url("/v1/completions"), body)).await;
@@ -62,7 +62,7 @@
 
 #[tokio::test]
 async fn usage_comes_before_the_end_of_a_stream_that_asks_for_it() {
-    let engine = FakeEngine::start(vec![Script::Stream(whole(2))]).await;
+    let engine = FakeEngine::start(vec![Script::Stream(complete_steps(2))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let body = json!({"model": "m", "stream": true, "stream_options": {"include_usage": true},
         "messages": [{"role": "user", "content": "x"}]});
@@ -349,10 +349,10 @@
 async fn a_planned_stop_cuts_no_stream_off() {
     let steps = [Step::Token(0), Step::Gate]
         .into_iter()
-        .chain(whole(10).into_iter().skip(1));
+        .chain(complete_steps(10).into_iter().skip(1));
     let scripts = vec![Script::Stream(steps.collect()); STREAMS];
     let engine = FakeEngine::start(scripts).await;
-    let mut gateway = TestGateway::start_patient(&[engine.address]).await;
+    let mut gateway = TestGateway::start_with_default_timeouts(&[engine.address]).await;
     let started = (0..STREAMS).map(async |_| {
         let mut response = send(chat(gateway.url(CHAT), true)).await;
         let first = response.body_mut().frame().await;
--- a/crates/gateway/tests/all/killed_gateway.rs
+++ b/crates/gateway/tests/all/killed_gateway.rs
@@ -1,5 +1,5 @@
-//! An item that may run once, and the end of its gateway: over real control members, gateways
-//! and emulated engines in one process.
+//! An at-most-once item whose gateway is killed, over real control members, gateways and emulated
+//! engines in one process.
 
 use http::Method;
 use rstest::rstest;
@@ -10,7 +10,7 @@
     explain::explain,
     files::{lines, upload},
     support::{
-        caller::{call, request, until_taken},
+        caller::{call, call_until_accepted, request},
         gateway::{OPERATOR_KEY, TestGateway, fleet_file, wait_until},
         members::System,
     },
@@ -19,12 +19,12 @@
 
 const ITEMS: usize = 150;
 
-/// Creates a job; under one key, however often it is sent.
+/// Creates a job. The call is repeated under one idempotency key until it is accepted.
 async fn create(gateway: &TestGateway, name: &str, content: String) -> String {
-    let file = until_taken(async || upload(gateway, content.clone()).await).await;
+    let file = call_until_accepted(async || upload(gateway, content.clone()).await).await;
     let body = json!({"input_file_id": file.json()["id"], "endpoint": "/v1/chat/completions",
         "completion_window": "24h"});
-    let job = until_taken(async || {
+    let job = call_until_accepted(async || {
         let url = gateway.url("/v1/batches");
         let mut message = request(Method::POST, url, body.to_string());
         let key = name.parse().expect("a value");
@@ -36,24 +36,23 @@
 
 async fn job(gateway: &TestGateway, id: &str) -> Value {
     let url = gateway.url(&format!("/v1/batches/{id}"));
-    let read = until_taken(async || call(request(Method::GET, url.clone(), "")).await);
+    let read = call_until_accepted(async || call(request(Method::GET, url.clone(), "")).await);
     read.await.json()
 }
 
-/// When the gateway of the item that may run once ends.
+/// When the gateway of the at-most-once item is killed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Killed {
     /// Once the item has run, or its lease has ended.
     AfterItsRun,
-    /// At any moment, also between the record of its start and its send: then it is lost,
-    /// told as such, and not run by another gateway.
+    /// At any moment, also between the record of the item's start and its send. Then the item is
+    /// lost: its outcome is reported as unknown, and no other gateway runs it.
     AtAnyMoment,
 }
 
-/// Whether the lease of a job's first item ended at a gateway before that told a result. Where
-/// the start of an item that may run once had been recorded, it is told as unknown then and run
-/// by nobody: beside much other work a lease of two seconds ended between the record and the
-/// send.
+/// Whether the lease of a job's first item ended before its gateway had a result. If the start of
+/// an at-most-once item was already recorded, its outcome is then reported as unknown and no gateway
+/// runs it. On a loaded machine a lease of two seconds has ended between the record and the send.
 async fn lease_of_first_item_ended(gateway: &TestGateway, job: &str) -> bool {
     let records = explain(gateway, job, OPERATOR_KEY).await;
     let mut records = records.iter();
@@ -75,7 +74,7 @@
         system.engines.iter().any(|engine| engine.executions() > 0)
     })
     .await;
-    until_taken(async || {
+    call_until_accepted(async || {
         let url = second.url(&format!("/v1/batches/{cancelled}/cancel"));
         call(request(Method::POST, url, "")).await
     })
@@ -138,5 +137,5 @@
         assert_eq!(text, prompt.text(prompt.natural_length()), "{custom_id}");
     }
     let after = job(&second, &cancelled).await["request_counts"].clone();
-    assert_eq!(after, counts, "nothing of a cancelled job comes later");
+    assert_eq!(after, counts, "a cancelled job gets no further results");
 }
--- a/crates/gateway/tests/all/overload.rs
+++ b/crates/gateway/tests/all/overload.rs
@@ -1,4 +1,4 @@
-//! Limits, queues, and back ends that leave: what a caller gets when there is too much.
+//! Tenant limits, full queues and leaving back ends: what a caller is answered under overload.
 
 use std::time::Duration;
 
@@ -8,13 +8,13 @@
 use crate::support::{
     caller::{Answer, call, chat, request},
     control::{FakeControl, Shared, load},
-    engine::{FakeEngine, Script, Step, whole},
+    engine::{FakeEngine, Script, Step, complete_steps},
     gateway::{TestGateway, engine, fleet_file, wait_until},
 };
 
 const CHAT: &str = "/v1/chat/completions";
 
-/// A gateway before one engine, with further rules in its fleet file.
+/// A gateway in front of one engine, with further limits in its fleet file.
 async fn start(
     engine_server: &FakeEngine,
     tenant: &str,
@@ -30,7 +30,7 @@
 }
 
 fn slow() -> Script {
-    let mut steps = whole(3);
+    let mut steps = complete_steps(3);
     steps.insert(1, Step::Gate);
     Script::Stream(steps)
 }
@@ -47,7 +47,7 @@
 #[case::tokens("tokens_per_second = 1.0", "token_rate_limited")]
 #[case::in_flight("max_in_flight = 1", "too_many_in_flight")]
 #[tokio::test]
-async fn a_tenant_over_its_limit_is_told_so_at_once(#[case] limit: &str, #[case] code: &str) {
+async fn a_tenant_over_its_limit_is_refused_at_once(#[case] limit: &str, #[case] code: &str) {
     let engine = FakeEngine::start(vec![slow(); 8]).await;
     let (_control, gateway) = start(&engine, limit, "").await;
     let calls = (0..4).map(|_| tokio::spawn(call(chat(gateway.url(CHAT), false))));
@@ -99,10 +99,10 @@
     assert_eq!(
         engine.generations().len(),
         runs,
-        "what was refused never ran"
+        "a refused request never ran"
     );
     control.shared.send_loads(load(0));
-    wait_until("there is room again", async || {
+    wait_until("a slot is free again", async || {
         call(chat(gateway.url(CHAT), false)).await.status == StatusCode::OK
     })
     .await;
@@ -121,7 +121,7 @@
 #[case::refuses(Script::Status(503, vec![("x-engine-started", "no"), ("x-engine-leaving", "yes")], "leaving"))]
 #[case::gone(Script::Silent)]
 #[tokio::test]
-async fn a_leaving_or_dead_engine_gets_nothing_more_and_control_hears_of_it(
+async fn a_leaving_or_dead_engine_gets_no_more_requests_and_is_reported_to_control(
     #[case] script: Script,
 ) {
     let leaving = FakeEngine::start(vec![script.clone(); 64]).await;
@@ -129,9 +129,9 @@
     let replicas = vec![engine(0, leaving.address), engine(1, staying.address)];
     let control = FakeControl::start(Shared::new(&fleet_file(), replicas)).await;
     let gateway = TestGateway::attached(&[control.address]).await;
-    let is_gone = matches!(script, Script::Silent);
+    let is_dead = matches!(script, Script::Silent);
     let address = leaving.address;
-    if is_gone {
+    if is_dead {
         drop(leaving);
         wait_until("the port is closed", async || {
             tokio::net::TcpStream::connect(address).await.is_err()
@@ -142,12 +142,12 @@
         let answer = call(chat(gateway.url(CHAT), false)).await;
         assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
     }
-    if !is_gone {
-        // Asked once, or not at all when the other one was always chosen.
+    if !is_dead {
+        // The leaving engine was asked at most once, or never if the other was always chosen.
         assert_eq!(staying.generations().len(), 20);
     }
-    wait_until("control hears of it", async || {
-        let (_, suspects) = control.shared.told();
+    wait_until("control receives the report", async || {
+        let (_, suspects) = control.shared.reported();
         suspects
             .iter()
             .any(|replica| replica.as_str() == "engine-0")
--- a/crates/gateway/tests/all/support/caller.rs
+++ b/crates/gateway/tests/all/support/caller.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client that reads answers as a caller does.
+//! A small HTTP client for the calls of the tests.
 
 use std::time::Duration;
 
@@ -11,10 +11,10 @@
 
 use super::gateway::KEY;
 
-/// Pause before a request is sent again.
-const AGAIN_AFTER: Duration = Duration::from_millis(100);
+/// Wait before a request is sent again.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// An answer read to its end.
+/// An answer with its complete body.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -63,7 +63,7 @@
     }
 }
 
-/// Sends a request and gives the response with its body unread.
+/// Sends a request and returns the response with its body unread.
 pub(crate) async fn send(request: Request<Full<Bytes>>) -> http::Response<Incoming> {
     let client: Client<_, Full<Bytes>> = Client::builder(TokioExecutor::new()).build_http();
     client.request(request).await.expect("an answer")
@@ -99,18 +99,18 @@
     request(Method::POST, url, body.to_string())
 }
 
-/// Sends as clients do, again for as long as control does not answer in time; the answer of
-/// status 200.
+/// Sends a request again, as clients do, while it is answered with status 503 or 504. Returns the
+/// answer with status 200.
 ///
 /// # Panics
-/// When another answer comes.
-pub(crate) async fn until_taken(mut send: impl AsyncFnMut() -> Answer) -> Answer {
+/// When an answer has any other status.
+pub(crate) async fn call_until_accepted(mut send: impl AsyncFnMut() -> Answer) -> Answer {
     loop {
         let answer = send().await;
         match answer.status {
             StatusCode::OK => return answer,
             StatusCode::SERVICE_UNAVAILABLE | StatusCode::GATEWAY_TIMEOUT => {
-                tokio::time::sleep(AGAIN_AFTER).await;
+                tokio::time::sleep(RETRY_DELAY).await;
             }
             _ => panic!("{answer:?}"),
         }
--- a/crates/gateway/tests/all/support/control.rs
+++ b/crates/gateway/tests/all/support/control.rs
@@ -1,4 +1,5 @@
-//! A control member: the real ledger behind the real transport, with faults by switch.
+//! A fake control member: the real ledger behind the real transport, with faults that a test can
+//! switch on.
 
 use std::{
     sync::{
@@ -35,20 +36,20 @@
 pub(crate) struct Shared {
     ledger: Mutex<(Ledger, u64)>,
     replicas: Mutex<Vec<ReplicaInfo>>,
-    /// Sequences granted on every replica at every stamp.
+    /// Sequences granted on every replica at every send_stamp.
     granted: AtomicUsize,
-    /// Whether stamps tell of a current quorum.
+    /// Whether freshness stamps are current, as those of a member in contact with a quorum.
     fresh: AtomicBool,
-    /// Answers to commands that are lost from now on.
+    /// Number of further answers to commands to lose.
     answers_to_lose: AtomicUsize,
-    /// Whether calls are answered at all.
+    /// Whether calls are answered.
     answering: AtomicBool,
     confirmed: Mutex<Vec<Revision>>,
     attached: AtomicUsize,
-    /// Control's clock less this machine's, in milliseconds.
+    /// Control's clock minus this machine's, in milliseconds.
     clock_skew_ms: i64,
-    /// Loads and suspects that gateways told of.
-    told: Mutex<(Vec<ReplicaLoad>, Vec<ReplicaId>)>,
+    /// Loads and suspects reported by gateways.
+    reported: Mutex<(Vec<ReplicaLoad>, Vec<ReplicaId>)>,
     senders: Mutex<Vec<MessageSender<ControlMessage>>>,
 }
 
@@ -65,7 +66,7 @@
     }
 }
 
-/// A load of `engine-0` of sixteen sequences, measured now.
+/// A load of `engine-0`, measured now; the engine runs at most 16 sequences.
 pub(crate) fn load(running_online: u32) -> Vec<ReplicaLoad> {
     let load = LoadReport {
         measured_at: now(),
@@ -87,12 +88,12 @@
 }
 
 impl Shared {
-    /// State with a configuration in force.
+    /// Creates the state with a configuration in force.
     pub(crate) fn new(content: &str, replicas: Vec<ReplicaInfo>) -> Arc<Self> {
         Self::with_clock(content, replicas, 0)
     }
 
-    /// The same with a clock that is so many milliseconds off.
+    /// The same with a clock that is off by the given milliseconds.
     pub(crate) fn with_clock(
         content: &str,
         replicas: Vec<ReplicaInfo>,
@@ -108,7 +109,7 @@
             confirmed: Mutex::default(),
             attached: AtomicUsize::new(0),
             clock_skew_ms,
-            told: Mutex::default(),
+            reported: Mutex::default(),
             senders: Mutex::default(),
         };
         shared.apply(CommandBody::ApplyConfiguration {
@@ -138,7 +139,7 @@
             .expect("the payloads are in memory")
     }
 
-    /// When the gateway's session ends, once it has one.
+    /// The end of the gateway's session, if it has one.
     pub(crate) fn session_end(&self) -> Option<Timestamp> {
         let ledger = self.ledger.lock();
         let mut sessions = ledger.0.sessions();
@@ -150,7 +151,7 @@
         Timestamp(now().0.saturating_add_signed(self.clock_skew_ms))
     }
 
-    /// Reads.
+    /// Reads from the ledger.
     pub(crate) fn query(&self, query: &Query) -> Result<QueryAnswer, Refusal> {
         self.ledger.lock().0.query(query)
     }
@@ -176,7 +177,7 @@
             .retain(|sender| sender.try_send(message).is_ok());
     }
 
-    /// Grants so many sequences on every replica from now on.
+    /// Sets the number of sequences granted on every replica at every stamp.
     pub(crate) fn grant(&self, sequences: usize) {
         self.granted.store(sequences, Ordering::SeqCst);
     }
@@ -186,7 +187,7 @@
         self.send_all(&ControlMessage::Loads(loads));
     }
 
-    /// Loses the answers to so many commands; the commands are applied.
+    /// Loses the answers to the next `count` commands; the commands are applied.
     pub(crate) fn lose_answers(&self, count: usize) {
         self.answers_to_lose.store(count, Ordering::SeqCst);
     }
@@ -196,7 +197,7 @@
         self.answering.store(answering, Ordering::SeqCst);
     }
 
-    /// Makes the stamps old, as those of a member cut off from the quorum.
+    /// Makes the stamps current, or stale like those of a member isolated from the quorum.
     pub(crate) fn set_fresh(&self, fresh: bool) {
         self.fresh.store(fresh, Ordering::SeqCst);
     }
@@ -206,12 +207,12 @@
         self.confirmed.lock().clone()
     }
 
-    /// Loads and suspects that gateways told of so far.
-    pub(crate) fn told(&self) -> (Vec<ReplicaLoad>, Vec<ReplicaId>) {
-        self.told.lock().clone()
+    /// Loads and suspects that gateways have reported so far.
+    pub(crate) fn reported(&self) -> (Vec<ReplicaLoad>, Vec<ReplicaId>) {
+        self.reported.lock().clone()
     }
 
-    /// How often a gateway has attached.
+    /// Number of times that a gateway has attached.
     pub(crate) fn attached(&self) -> usize {
         self.attached.load(Ordering::SeqCst)
     }
@@ -267,7 +268,7 @@
                 Ok(Some(message)) => handle(&shared, &sender, message),
                 _ => return,
             },
-            _ = stamps.tick() => stamp(&shared, &sender),
+            _ = stamps.tick() => send_stamp(&shared, &sender),
         }
     }
 }
@@ -275,8 +276,8 @@
 fn handle(shared: &Shared, sender: &MessageSender<ControlMessage>, message: GatewayMessage) {
     match message {
         GatewayMessage::Attach { revision, .. } => attach(shared, sender, revision),
-        GatewayMessage::Loads(loads) => shared.told.lock().0.extend(loads),
-        GatewayMessage::Suspect(suspects) => shared.told.lock().1.extend(suspects),
+        GatewayMessage::Loads(loads) => shared.reported.lock().0.extend(loads),
+        GatewayMessage::Suspect(suspects) => shared.reported.lock().1.extend(suspects),
         GatewayMessage::Confirm(revision) => shared.confirmed.lock().push(revision),
         GatewayMessage::Call { call, body } => {
             if !shared.answering.load(Ordering::SeqCst) {
@@ -286,8 +287,8 @@
             let lost = matches!(body, ControlAnswer::Outcome(_))
                 && shared
                     .answers_to_lose
-                    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |left| {
-                        left.checked_sub(1)
+                    .fetch_update(Ordering::SeqCst, Ordering::SeqCst, |remaining| {
+                        remaining.checked_sub(1)
                     })
                     .is_ok();
             if lost {
@@ -300,7 +301,7 @@
     }
 }
 
-fn attach(shared: &Shared, sender: &MessageSender<ControlMessage>, held: Revision) {
+fn attach(shared: &Shared, sender: &MessageSender<ControlMessage>, stored_revision: Revision) {
     shared.attached.fetch_add(1, Ordering::SeqCst);
     shared.senders.lock().push(sender.clone());
     let member = MemberId {
@@ -314,11 +315,11 @@
     let _ = sender.try_send(&attached);
     let updates = {
         let ledger = shared.ledger.lock();
-        let whole = ledger.0.configuration_full();
+        let full = ledger.0.configuration_full();
         ledger
             .0
-            .configuration_updates_since(held)
-            .unwrap_or_else(|| vec![whole])
+            .configuration_updates_since(stored_revision)
+            .unwrap_or_else(|| vec![full])
     };
     for update in updates {
         let _ = sender.try_send(&ControlMessage::Configuration(update));
@@ -340,7 +341,7 @@
             };
             let outcome = shared.apply(body);
             if let Some(job) = cancelled {
-                tell_cancelled(shared, job);
+                send_cancelled(shared, job);
             }
             ControlAnswer::Outcome(outcome)
         }
@@ -351,11 +352,11 @@
     }
 }
 
-fn tell_cancelled(shared: &Shared, job: JobId) {
+fn send_cancelled(shared: &Shared, job: JobId) {
     shared.send_all(&ControlMessage::CancelJobs(vec![job]));
 }
 
-fn stamp(shared: &Shared, sender: &MessageSender<ControlMessage>) {
+fn send_stamp(shared: &Shared, sender: &MessageSender<ControlMessage>) {
     shared.apply(CommandBody::Expire);
     let (revision, pending, replicas) = {
         let ledger = shared.ledger.lock();
--- a/crates/gateway/tests/all/support/engine.rs
+++ b/crates/gateway/tests/all/support/engine.rs
@@ -41,13 +41,13 @@
     Raw(&'static str),
     /// Waits until the test opens the engine's gate.
     Gate,
-    /// Never goes on.
+    /// Sends nothing more and keeps the connection open.
     Hang,
-    /// Breaks the connection off.
+    /// Breaks the connection.
     Break,
 }
 
-/// Wait before a scripted break, so that earlier bytes leave the buffer.
+/// Wait before a scripted break, so that earlier bytes are sent.
 const FLUSH_TIME: Duration = Duration::from_millis(20);
 
 /// How an engine answers one generation request.
@@ -59,7 +59,7 @@
     Status(u16, Vec<(&'static str, &'static str)>, &'static str),
     /// Accepts the request and never answers.
     Silent,
-    /// Continues from the `resume` field up to this many tokens.
+    /// Answers with this many tokens in all, continuing from the `resume` field.
     Complete(u32),
 }
 
@@ -101,8 +101,8 @@
     (0..tokens).map(token_text).collect()
 }
 
-/// Steps of a whole answer.
-pub(crate) fn whole(tokens: u32) -> Vec<Step> {
+/// Steps of a complete answer.
+pub(crate) fn complete_steps(tokens: u32) -> Vec<Step> {
     from(0, tokens)
 }
 
@@ -114,7 +114,7 @@
 }
 
 impl FakeEngine {
-    /// Starts an engine that answers with the scripts in turn, then with ten tokens.
+    /// Starts an engine that answers with the scripts in turn, and after them with ten tokens.
     pub(crate) async fn start(scripts: Vec<Script>) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -140,7 +140,7 @@
             .collect()
     }
 
-    /// Lets every [`Step::Gate`] pass from now on.
+    /// Opens the gate: every [`Step::Gate`] passes from now on.
     pub(crate) fn open_gate(&self) {
         self.shared.gate.send_replace(true);
     }
@@ -267,7 +267,7 @@
                     }
                     Step::Hang => std::future::pending().await,
                     Step::Break => {
-                        // What was sent before the break shall reach the gateway.
+                        // The bytes sent before the break have to reach the gateway.
                         tokio::time::sleep(FLUSH_TIME).await;
                         let broken = std::io::Error::other("scripted break");
                         return Some((Err(broken), (VecDeque::new(), watch)));
--- a/crates/gateway/tests/all/support/gateway.rs
+++ b/crates/gateway/tests/all/support/gateway.rs
@@ -30,8 +30,8 @@
 pub(crate) const OPERATOR_KEY: &str = "operator-key";
 /// The bearer key of tenant `limited`.
 pub(crate) const LIMITED_KEY: &str = "limited-key";
-/// Time after which a fake engine counts as hung.
-pub(crate) const HANG_LIMIT: Duration = Duration::from_millis(300);
+/// Time without a token after which a gateway regards a fake engine as hung.
+pub(crate) const HANG_TIMEOUT: Duration = Duration::from_millis(300);
 
 /// Longest wait for control's answer, in milliseconds.
 const CONTROL_TIMEOUT_MS: u64 = 1_000;
@@ -91,8 +91,8 @@
         Self::start_with(engines, timeouts()).await
     }
 
-    /// The same with the time limits of a real gateway, for engines that are slow on purpose.
-    pub(crate) async fn start_patient(engines: &[SocketAddr]) -> Self {
+    /// The same with the default timeouts, for engines that are slow on purpose.
+    pub(crate) async fn start_with_default_timeouts(engines: &[SocketAddr]) -> Self {
         Self::start_with(engines, EngineTimeouts::default()).await
     }
 
@@ -126,7 +126,7 @@
         gateway
     }
 
-    /// Starts a further gateway with a name of its own.
+    /// Starts a further gateway with the given name.
     pub(crate) async fn attached_as(name: &str, members: &[SocketAddr]) -> Self {
         let folder = TempDir::new().expect("a folder");
         let mut settings = settings(&folder);
@@ -136,7 +136,7 @@
         gateway
     }
 
-    /// Starts a gateway over an existing data folder, without waiting for anything.
+    /// Starts a gateway over an existing data folder, without waiting until it is ready.
     pub(crate) async fn attached_in(folder: TempDir, members: &[SocketAddr]) -> Self {
         let settings = settings(&folder);
         Self::follow(folder, settings, members).await
@@ -158,7 +158,7 @@
         }
     }
 
-    /// Waits until `/readyz` says so.
+    /// Waits until `/readyz` answers 200.
     pub(crate) async fn wait_until_ready(&self) {
         wait_until("the gateway is ready", async || self.is_ready().await).await;
     }
@@ -169,7 +169,7 @@
         answer.status == StatusCode::OK
     }
 
-    /// Stops the gateway and gives its data folder back.
+    /// Stops the gateway and returns its data folder.
     pub(crate) async fn stop(mut self) -> TempDir {
         self.handle.take().expect("running").stop().await;
         self.folder
@@ -181,8 +181,7 @@
     }
 }
 
-/// How long a test waits for what must come about; it bounds a hang and is no
-/// expectation of speed.
+/// Longest wait for a condition. It bounds a hang and states no expected speed.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
 /// Waits for a condition.
@@ -200,8 +199,8 @@
 fn timeouts() -> EngineTimeouts {
     EngineTimeouts {
         connect: Duration::from_millis(500),
-        first_token: HANG_LIMIT,
-        between_tokens: HANG_LIMIT,
+        first_token: HANG_TIMEOUT,
+        between_tokens: HANG_TIMEOUT,
         ..EngineTimeouts::default()
     }
 }
--- a/crates/gateway/tests/all/support/members.rs
+++ b/crates/gateway/tests/all/support/members.rs
@@ -24,14 +24,14 @@
     gateway::{hash, wait_until},
 };
 
-/// How many times as fast as real time the back ends run.
-const COMPRESSION: u32 = 10;
+/// Factor by which the back ends run faster than real time.
+const TIME_COMPRESSION: u32 = 10;
 const MEMBERS: usize = 3;
 
 /// Control members, engines and the platform.
 pub(crate) struct System {
     pub(crate) engines: Vec<EngineServer>,
-    /// Where gateways attach.
+    /// Addresses at which gateways attach.
     pub(crate) attach: Vec<SocketAddr>,
     operator: SocketAddr,
     _platform: PlatformServer,
@@ -40,7 +40,7 @@
 }
 
 impl System {
-    /// Starts everything with a configuration in force.
+    /// Starts the members, engines and platform with a configuration in force.
     pub(crate) async fn start(engines: usize, content: &str) -> Self {
         let mut servers = Vec::new();
         for number in 0..engines {
@@ -48,7 +48,7 @@
         }
         let platform = PlatformServer::start(PlatformSettings {
             machines: servers.iter().map(machine).collect(),
-            time_compression: COMPRESSION,
+            time_compression: TIME_COMPRESSION,
             ..PlatformSettings::default()
         })
         .await
@@ -105,7 +105,7 @@
         system
     }
 
-    /// The address at which gateways attach to the member that leads.
+    /// The attach address of the leader, if there is one.
     pub(crate) fn leader(&self) -> Option<SocketAddr> {
         let mut members = self.members.iter();
         let leader = members.find(|member| member.leads())?;
@@ -127,7 +127,7 @@
 
 async fn engine(name: &str) -> EngineServer {
     let settings = EngineSettings {
-        time_compression: COMPRESSION,
+        time_compression: TIME_COMPRESSION,
         state: EngineState {
             model: Some("m".into()),
             version: "1".to_owned(),
--- a/crates/gateway/tests/all/system.rs
+++ b/crates/gateway/tests/all/system.rs
@@ -1,4 +1,4 @@
-//! The whole path over real control members, gateways and emulated engines in one process.
+//! Batch jobs end to end, over real control members, gateways and emulated engines in one process.
 
 use http::Method;
 use linnethitch_emulator::answer::{PromptKey, chat_prompt};
@@ -85,7 +85,7 @@
     let job_now = job(&second, &id).await;
     let mut done = results(&second, &job_now, "output_file_id").await;
     let errors = results(&second, &job_now, "error_file_id").await;
-    // The at-most-once item ran once, whatever became of it.
+    // The at-most-once item ran once, whatever its outcome.
     let runs = system.engines.iter();
     let runs: u64 = runs
         .map(|engine| engine.executions_of_prompt(prompt_of("tender")))
@@ -102,5 +102,5 @@
         assert_eq!(text, prompt.text(prompt.natural_length()), "{custom_id}");
     }
     let after = job(&second, &cancelled).await["request_counts"].clone();
-    assert_eq!(after, counts, "nothing of a cancelled job comes later");
+    assert_eq!(after, counts, "a cancelled job gets no further results");
 }
