--- a/crates/gateway/src/batch/executor/outcomes.rs
+++ b/crates/gateway/src/batch/executor/outcomes.rs
@@ -69,7 +69,7 @@
                 CallAnswer::Done(granted) if granted.get(position) == Some(&true) => {
                     self.start_marked(slot);
                 }
-                // The job has ended, but the item is still under lease.
+                // The job was stopped, but the lease still counts the item.
                 CallAnswer::Done(_) => refused.push(slot),
                 _ => {
                     if let Some(item) = self.items.get_mut(slot) {
--- a/crates/gateway/src/control/attachment.rs
+++ b/crates/gateway/src/control/attachment.rs
@@ -17,9 +17,9 @@
     state::Gateway,
 };
 
-/// Time between two check_ticks of the member's freshness.
+/// Time between two checks of the member's freshness.
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two heartbeat_ticks to control.
+/// Time between two heartbeats to control.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 /// First and longest wait before the next member is tried.
 const FIRST_RETRY: Duration = Duration::from_millis(20);
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -93,7 +93,8 @@
         })
     }
 
-    /// Waits for the result, and serves the queues at intervals so that expired requests are refused.
+    /// Waits for the result, and serves the queues at intervals so that expired requests are
+    /// refused.
     async fn await_result(
         self: &Arc<Self>,
         mut result: oneshot::Receiver<AdmissionResult>,
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -35,7 +35,8 @@
     started: bool,
     subject: RequestSubject,
     started_at: Instant,
-    /// Whether the end of the generation was returned, so that a drop is no disconnect of the caller.
+    /// Whether the end of the generation was returned. A drop before that counts as a disconnect of
+    /// the caller.
     ended: bool,
     deadline: Timestamp,
     /// How the last attempt failed.
--- a/crates/gateway/tests/all/busy_process.rs
+++ b/crates/gateway/tests/all/busy_process.rs
@@ -15,8 +15,8 @@
 const LEASE: Duration = Duration::from_secs(2);
 const ITEMS: usize = 20;
 
-/// Guards against jobs that never end under load: when no task of a process ran for longer than a
-/// lease, members lost their leader and gateways their leases, and all items ran again.
+/// Guards against jobs that never end under load: while every task of the process
+/// waited for longer than a lease, members lost their leader and gateways their leases, and all items ran again.
 #[tokio::test]
 async fn leases_and_the_leader_hold_while_every_task_waits() {
     let batch = format!("[batch]\nlease_ms = {}\n", LEASE.as_millis());
--- a/crates/gateway/tests/all/killed_gateway.rs
+++ b/crates/gateway/tests/all/killed_gateway.rs
@@ -50,9 +50,10 @@
     AtAnyMoment,
 }
 
-/// Whether the lease of a job's first item ended before its gateway had a result. If the start of
-/// an at-most-once item was already recorded, its outcome is then reported as unknown and no gateway
-/// runs it. On a loaded machine a lease of two seconds has ended between the record and the send.
+/// Whether the lease of a job's first item ended before its gateway reported a result. If the
+/// start of an at-most-once item was already recorded, its outcome is then reported as unknown and
+/// no gateway runs it. On a loaded machine a lease of two seconds has ended between the record and
+/// the send.
 async fn lease_of_first_item_ended(gateway: &TestGateway, job: &str) -> bool {
     let records = explain(gateway, job, OPERATOR_KEY).await;
     let mut records = records.iter();
--- a/crates/gateway/tests/all/support/control.rs
+++ b/crates/gateway/tests/all/support/control.rs
@@ -36,7 +36,7 @@
 pub(crate) struct Shared {
     ledger: Mutex<(Ledger, u64)>,
     replicas: Mutex<Vec<ReplicaInfo>>,
-    /// Sequences granted on every replica at every send_stamp.
+    /// Sequences granted on every replica at every freshness stamp.
     granted: AtomicUsize,
     /// Whether freshness stamps are current, as those of a member in contact with a quorum.
     fresh: AtomicBool,
