--- a/crates/gateway/src/batch/executor/rules.rs
+++ b/crates/gateway/src/batch/executor/rules.rs
@@ -93,11 +93,11 @@
 
     /// Ends items whose job is past its completion window.
     fn end_expired(&mut self, now: Timestamp) {
-        let overdue = self
+        let expired = self
             .items
             .iter()
             .filter(|(_, item)| item.leased.deadline <= now);
-        let slots: Vec<Slot> = overdue.map(|(slot, _)| slot).collect();
+        let slots: Vec<Slot> = expired.map(|(slot, _)| slot).collect();
         self.end_all(now, &slots, ErrorKind::DeadlineExceeded);
     }
 
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -68,10 +68,10 @@
     pub(crate) async fn admit(
         self: &Arc<Self>,
         request: &Arc<RoutingRequest>,
-        pass: &TenantPermit,
+        permit: &TenantPermit,
     ) -> Result<AdmittedRequest, RequestRefusal> {
         let arrived = self.clock.now();
-        let (entry, result) = match self.offer(request, pass)? {
+        let (entry, result) = match self.offer(request, permit)? {
             Offered::Placed(placement) => {
                 return Ok(AdmittedRequest {
                     placement: *placement,
@@ -112,7 +112,7 @@
     fn offer(
         self: &Arc<Self>,
         request: &Arc<RoutingRequest>,
-        pass: &TenantPermit,
+        permit: &TenantPermit,
     ) -> Result<Offered, RequestRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
@@ -122,8 +122,8 @@
             .map_err(|refusal| routing_refused(&refusal))?;
         let free_slot = core.has_free_slot(now, &choice);
         let arrival = Arrival {
-            tenant: pass.tenant,
-            weight: pass.weight,
+            tenant: permit.tenant,
+            weight: permit.weight,
             cost: request.prompt_tokens.saturating_add(request.output_tokens),
             deadline: request.deadline,
         };
