--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -8,20 +8,22 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    batch::{BatchEvent, KeptTokens, RunEnd, RunOrder},
+    batch::{BatchEvent, GeneratedTokens, RunEnd, RunOrder},
     batches::line::BatchLine,
-    decisions::{Placement, Wanted},
+    decisions::{Placement, RoutingRequest},
     engine::{
         client::Priority,
         fault::AttemptFault,
         stream::{Progress, StreamEvent},
     },
     observe::BATCH,
-    online::{generation::rejected, request::CompletionRequest, whole_answer::WholeAnswer},
+    online::{
+        completion_response::CompletionResponse, generation::rejected, request::CompletionRequest,
+    },
     state::Gateway,
 };
 
-/// Runs an item to its end, or until it is told to stop.
+/// Runs an item until it ends or is stopped.
 pub(super) async fn run_item(
     gateway: Arc<Gateway>,
     order: RunOrder,
@@ -38,7 +40,7 @@
     BatchEvent::RunEnded { run, end }
 }
 
-/// The request of an item's line under the configuration in force.
+/// Parses the request of an item's line under the configuration in force.
 fn parse(gateway: &Gateway, order: &RunOrder) -> Result<CompletionRequest, Failure> {
     let active = gateway
         .configuration
@@ -59,25 +61,30 @@
     gateway: Arc<Gateway>,
     order: RunOrder,
     request: CompletionRequest,
-    wanted: Wanted,
+    routing_request: RoutingRequest,
     progress: Progress,
 }
 
 impl ItemRun {
     fn new(gateway: Arc<Gateway>, order: RunOrder, request: CompletionRequest) -> Self {
         let progress = Progress {
-            tokens: order.kept.tokens,
-            text: order.kept.text.clone(),
+            tokens: order.generated.tokens,
+            text: order.generated.text.clone(),
             ..Progress::default()
         };
-        let mut wanted = request.wanted();
-        wanted.prompt_tokens = wanted.prompt_tokens.saturating_add(progress.tokens);
-        wanted.output_tokens = wanted.output_tokens.saturating_sub(progress.tokens).max(1);
+        let mut routing_request = request.routing_request();
+        routing_request.prompt_tokens = routing_request
+            .prompt_tokens
+            .saturating_add(progress.tokens);
+        routing_request.output_tokens = routing_request
+            .output_tokens
+            .saturating_sub(progress.tokens)
+            .max(1);
         ItemRun {
             gateway,
             order,
             request,
-            wanted,
+            routing_request,
             progress,
         }
     }
@@ -85,18 +92,20 @@
     async fn run(mut self, stop: &CancellationToken) -> RunEnd {
         let gateway = Arc::clone(&self.gateway);
         let metrics = &gateway.observer.metrics;
-        let before = self.progress.tokens;
+        let tokens_before = self.progress.tokens;
         metrics.running.get_or_create(&BATCH).inc();
         let end = self.run_at_replica(stop).await;
         metrics.running.get_or_create(&BATCH).dec();
-        let tokens = u64::from(self.progress.tokens.saturating_sub(before));
+        let tokens = u64::from(self.progress.tokens.saturating_sub(tokens_before));
         metrics.tokens.get_or_create(&BATCH).inc_by(tokens);
         end
     }
 
     async fn run_at_replica(&mut self, stop: &CancellationToken) -> RunEnd {
         let decisions = &self.gateway.decisions;
-        let Some(mut placement) = decisions.place_at(&self.wanted, &self.order.replica) else {
+        let Some(mut placement) =
+            decisions.place_on_replica(&self.routing_request, &self.order.replica)
+        else {
             return self.failed(false, "the replica takes no new work".to_owned());
         };
         let outcome = tokio::select! {
@@ -105,12 +114,14 @@
             outcome = attempt(&self.gateway, &self.request, &mut self.progress, &mut placement) => Some(outcome),
         };
         if self.progress.finish_reason.is_some() {
-            // The answer is whole; only the end of the stream is missing, if anything.
+            // The answer is complete, even if the end of the stream was not received.
             placement.finished();
             return self.answered();
         }
         match outcome {
-            None => RunEnd::Stopped { kept: self.kept() },
+            None => RunEnd::Stopped {
+                generated: self.generated(),
+            },
             Some(Ok(())) => {
                 placement.finished();
                 self.answered()
@@ -123,7 +134,7 @@
     }
 
     fn answered(&self) -> RunEnd {
-        let answer = WholeAnswer::new(&self.request, &self.progress);
+        let answer = CompletionResponse::new(&self.request, &self.progress);
         match serde_json::to_vec(&answer) {
             Ok(body) => RunEnd::Answered { status: 200, body },
             Err(error) => RunEnd::Rejected {
@@ -149,17 +160,17 @@
     fn failed(&self, may_have_started: bool, message: String) -> RunEnd {
         RunEnd::Failed {
             may_have_started,
-            kept: self.kept(),
+            generated: self.generated(),
             message,
         }
     }
 
-    /// What the next run goes on after.
-    fn kept(&self) -> KeptTokens {
+    /// The tokens from which the next run resumes.
+    fn generated(&self) -> GeneratedTokens {
         if self.progress.not_resumable {
-            return KeptTokens::default();
+            return GeneratedTokens::default();
         }
-        KeptTokens {
+        GeneratedTokens {
             tokens: self.progress.tokens,
             text: self.progress.text.clone(),
         }
--- a/crates/gateway/src/decisions/batch.rs
+++ b/crates/gateway/src/decisions/batch.rs
@@ -1,4 +1,4 @@
-//! Capacity for batch work: grants of control, and what online work leaves of them.
+//! Capacity for batch work: the grants of control, less what online work uses of them.
 
 use std::sync::Arc;
 
@@ -6,12 +6,12 @@
 use linnethitch_routing::{Choice, ReasonCode, profile::MAX_ALTERNATIVES, view::Availability};
 
 use crate::{
-    batch::ReplicaRoom,
-    decisions::{Decisions, Placement, Wanted},
+    batch::ReplicaCapacity,
+    decisions::{Decisions, Placement, RoutingRequest},
 };
 
 impl Decisions {
-    /// Takes in grants of control.
+    /// Records grants of control.
     pub(crate) fn on_grants(&self, grants: &[Grant]) {
         let now = self.clock.now();
         let mut core = self.core.lock();
@@ -23,39 +23,39 @@
             }
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
-    /// The room that batch has now on every granted replica.
-    pub(crate) fn batch_rooms(&self) -> Vec<ReplicaRoom> {
+    /// The capacity that batch work has now on every granted replica.
+    pub(crate) fn batch_capacities(&self) -> Vec<ReplicaCapacity> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let core = &mut *core;
         core.capacity.remove_expired(now);
         let view = core.router.view();
         let replicas = core.capacity.replicas();
-        let rooms = replicas.into_iter().filter_map(|index| {
+        let capacities = replicas.into_iter().filter_map(|index| {
             let info = view.replica(index).info();
             let model = match &info.machine.kind {
                 BackEndKind::Engine => info.engine.model.clone()?,
                 BackEndKind::Application(_) => return None,
             };
-            let room = core.capacity.allowance(now, view, index);
-            Some(ReplicaRoom {
+            let allowance = core.capacity.allowance(now, view, index);
+            Some(ReplicaCapacity {
                 replica: info.machine.replica.clone(),
                 model,
                 adapters: info.engine.adapters.clone(),
-                sequences: room.sequences,
-                reason: room.reason,
+                sequences: allowance.sequences,
+                reason: allowance.reason,
             })
         });
-        rooms.collect()
+        capacities.collect()
     }
 
-    /// A place for a batch item on a named replica, unless it takes no work now.
-    pub(crate) fn place_at(
+    /// Places a batch item on a named replica; `None` when the replica accepts no work now.
+    pub(crate) fn place_on_replica(
         self: &Arc<Self>,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         replica: &ReplicaId,
     ) -> Option<Placement> {
         let now = self.clock.now();
@@ -74,6 +74,6 @@
             reason: ReasonCode::IdleCapacity,
             alternatives: [None; MAX_ALTERNATIVES],
         };
-        Some(self.place(&mut core, now, wanted, &choice))
+        Some(self.place(&mut core, now, request, &choice))
     }
 }
--- a/crates/gateway/src/decisions/limits.rs
+++ b/crates/gateway/src/decisions/limits.rs
@@ -1,4 +1,4 @@
-//! Limits of tenants, settled when a request ends.
+//! Rate and concurrency limits of tenants. Token use is settled when a request ends.
 
 use std::{sync::Arc, time::Duration};
 
@@ -10,27 +10,31 @@
     limits::{LimitRefusal, Reservation, TenantNumber},
 };
 
-use crate::decisions::{Decisions, Refused};
+use crate::decisions::{Decisions, RequestRefusal};
 
-/// A tenant's right to one request in flight; dropping it gives the right back.
-pub(crate) struct TenantPass {
+/// A permit for one request in flight of a tenant. Dropping it releases the slot and settles
+/// the tokens used.
+pub(crate) struct TenantPermit {
     pub(crate) tenant: TenantNumber,
-    /// Whose it is.
+    /// The tenant's name.
     pub(crate) owner: TenantId,
     pub(crate) weight: u32,
-    /// Tokens used so far, settled at the end.
+    /// Tokens used so far, settled when the permit is dropped.
     pub(crate) used_tokens: u32,
     decisions: Arc<Decisions>,
     reservation: Option<Reservation>,
 }
 
 impl Decisions {
-    /// Takes a request of a tenant from its limits.
-    pub(crate) fn pass_limits(
+    /// Reserves a request and its estimated tokens within the tenant's limits.
+    ///
+    /// # Errors
+    /// A refusal that names the exceeded limit and when to retry.
+    pub(crate) fn acquire_permit(
         self: &Arc<Self>,
         tenant: &Tenant,
         estimated_tokens: u32,
-    ) -> Result<TenantPass, Refused> {
+    ) -> Result<TenantPermit, RequestRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         let number = core.limits.number(&tenant.name.as_str().into());
@@ -39,7 +43,7 @@
             .try_start(now, number, estimated_tokens)
             .map_err(|refusal| refused(&refusal))?;
         drop(core);
-        Ok(TenantPass {
+        Ok(TenantPermit {
             tenant: number,
             owner: tenant.name.as_str().into(),
             weight: tenant.weight.max(1),
@@ -50,13 +54,13 @@
     }
 }
 
-fn refused(refusal: &LimitRefusal) -> Refused {
+fn refused(refusal: &LimitRefusal) -> RequestRefusal {
     let limit = match refusal.reason {
         ReasonCode::TokenRate => "tokens per second",
         ReasonCode::InFlight => "requests in flight",
         _ => "requests per second",
     };
-    Refused {
+    RequestRefusal {
         reason: refusal.reason,
         failure: Failure::new(
             refusal.kind(),
@@ -66,7 +70,7 @@
     }
 }
 
-impl Drop for TenantPass {
+impl Drop for TenantPermit {
     fn drop(&mut self) {
         if let Some(reservation) = self.reservation.take() {
             let now = self.decisions.clock.now();
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -2,10 +2,10 @@
 
 mod batch;
 mod limits;
+mod observations;
 mod placement;
 mod queue;
-mod sightings;
-mod wanted;
+mod routing_request;
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -27,41 +27,42 @@
 use rand_pcg::Pcg64Mcg;
 use tokio::sync::Notify;
 
-pub(crate) use limits::TenantPass;
+pub(crate) use limits::TenantPermit;
+pub(crate) use observations::Report;
 pub(crate) use placement::Placement;
-pub(crate) use queue::{Refused, no_choice};
-pub(crate) use sightings::Report;
-pub(crate) use wanted::{Wanted, WantedTarget};
+pub(crate) use queue::{RequestRefusal, routing_refused};
+pub(crate) use routing_request::{RequestTarget, RoutingRequest};
 
 use crate::{
     clock::Clock,
-    decisions::{queue::PoolQueue, sightings::Sightings},
+    decisions::{observations::Observations, queue::PoolQueue},
     engine::fault::AttemptFault,
 };
 
-/// All decisions of one gateway, behind one lock that is held for microseconds.
+/// All routing decisions of one gateway. Their state is behind one lock, which is held only for
+/// microseconds.
 pub(crate) struct Decisions {
     pub(crate) clock: Clock,
     core: Mutex<Core>,
-    /// Told when online work or a grant changed what batch may use.
-    pub(crate) batch_room_changed: Arc<Notify>,
+    /// Notified when online work or a grant changed the capacity that batch work may use.
+    pub(crate) batch_capacity_changed: Arc<Notify>,
 }
 
-/// What the decisions work on.
+/// The state on which decisions are made.
 struct Core {
     router: Router,
     random: Pcg64Mcg,
     limits: Limits,
     budget: RetryBudget,
-    queues: HashMap<WantedTarget, PoolQueue>,
+    queues: HashMap<RequestTarget, PoolQueue>,
     policy: linnethitch_config::fleet::RoutingPolicy,
     capacity: BatchCapacity,
-    /// What the data path saw since control was last told.
-    sightings: Sightings,
+    /// Loads and faults seen on the data path and not yet reported to control.
+    observations: Observations,
 }
 
 impl Decisions {
-    /// Decisions of a gateway in a zone, before any configuration.
+    /// Creates the decisions of a gateway in a zone, without a configuration.
     pub(crate) fn new(zone: ZoneId, clock: Clock, seed: u64) -> Self {
         let policy = linnethitch_config::fleet::RoutingPolicy::default();
         let core = Core {
@@ -72,16 +73,16 @@
             queues: HashMap::new(),
             policy,
             capacity: BatchCapacity::default(),
-            sightings: Sightings::default(),
+            observations: Observations::default(),
         };
         Decisions {
             clock,
             core: Mutex::new(core),
-            batch_room_changed: Arc::default(),
+            batch_capacity_changed: Arc::default(),
         }
     }
 
-    /// Takes over the rules of a configuration.
+    /// Applies the limits and routing policy of a configuration.
     pub(crate) fn set_fleet(&self, fleet: &Fleet) {
         let mut core = self.core.lock();
         core.policy = fleet.routing.clone();
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Replaces the whole list of replicas.
+    /// Replaces the list of replicas.
     pub(crate) fn set_replicas(self: &Arc<Self>, replicas: Vec<ReplicaInfo>) {
         self.core.lock().router.view_mut().set_replicas(replicas);
         self.serve_queues();
@@ -116,29 +117,29 @@
         self.serve_queues();
     }
 
-    /// Takes in the load that an answer of a replica carried.
-    pub(crate) fn on_seen_load(&self, replica: &ReplicaId, load: LoadReport) {
-        self.core.lock().sightings.on_load(replica, load);
+    /// Records the load that a replica sent with an answer.
+    pub(crate) fn on_observed_load(&self, replica: &ReplicaId, load: LoadReport) {
+        self.core.lock().observations.on_load(replica, load);
         self.on_load(replica, load);
     }
 
-    /// What control should hear of back ends now.
-    pub(crate) fn take_sightings(&self) -> Report {
+    /// Takes the loads and suspects that are due to be reported to control.
+    pub(crate) fn take_report(&self) -> Report {
         let now = self.clock.now();
-        self.core.lock().sightings.take(now)
+        self.core.lock().observations.take(now)
     }
 
-    /// Takes in the load of a replica that control told of.
+    /// Records the load of a replica as reported by control.
     pub(crate) fn on_load(&self, replica: &ReplicaId, load: LoadReport) {
         let mut core = self.core.lock();
         if let Some(index) = core.router.view().index_of(replica) {
             core.router.view_mut().on_load_report(index, load);
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in loads that changed; those of replicas without an earlier whole load are ignored.
+    /// Records changed loads; those of replicas without an earlier complete load are ignored.
     pub(crate) fn on_load_digest(&self, digest: &LoadDigest) {
         let mut core = self.core.lock();
         let view = core.router.view_mut();
@@ -157,23 +158,27 @@
             }
         }
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in that a replica said that it is leaving.
+    /// Records that a replica announced that it is leaving.
     pub(crate) fn on_leaving(&self, replica: &ReplicaId) {
         let now = self.clock.now();
         let mut core = self.core.lock();
         if let Some(index) = core.router.view().index_of(replica) {
             core.router.view_mut().on_leaving(now, index);
         }
-        core.sightings.on_suspect(replica);
+        core.observations.on_suspect(replica);
         drop(core);
-        self.batch_room_changed.notify_one();
+        self.batch_capacity_changed.notify_one();
     }
 
-    /// Takes in how an attempt failed; tells whether this took the replica out.
-    pub(crate) fn learn(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
+    /// Records how an attempt failed. Returns the reason when this ejected the replica.
+    pub(crate) fn on_attempt_failed(
+        &self,
+        placement: Placement,
+        fault: &AttemptFault,
+    ) -> Option<ReasonCode> {
         if fault.says_leaving() {
             self.on_leaving(&placement.replica);
         }
@@ -182,8 +187,8 @@
             Some(kind) => {
                 let ejected = placement.failed(kind);
                 if ejected.is_some() {
-                    self.core.lock().sightings.on_suspect(&replica);
-                    self.batch_room_changed.notify_one();
+                    self.core.lock().observations.on_suspect(&replica);
+                    self.batch_capacity_changed.notify_one();
                 }
                 ejected
             }
@@ -194,7 +199,7 @@
         }
     }
 
-    /// Decides what follows a failed attempt.
+    /// Decides whether a failed attempt is retried, resumed or answered with an error.
     pub(crate) fn after_failure(
         &self,
         attempt: &FailedAttempt,
@@ -207,10 +212,10 @@
         after_failure(now, attempt, attempts_made, deadline, policy, budget)
     }
 
-    /// Chooses a replica for a further attempt, at once and without the queue.
+    /// Chooses a replica for a further attempt, without waiting in the queue.
     pub(crate) fn choose_again(
         self: &Arc<Self>,
-        wanted: &Wanted,
+        request: &RoutingRequest,
         tried: &[ReplicaId],
     ) -> Result<Placement, RoutingRefusal> {
         let now = self.clock.now();
@@ -219,12 +224,12 @@
             .iter()
             .filter_map(|id| core.router.view().index_of(id))
             .collect();
-        let profile = wanted.profile(&exclude);
+        let profile = request.profile(&exclude);
         let choice = core.choose(now, &profile)?;
-        Ok(self.place(&mut core, now, wanted, &choice))
+        Ok(self.place(&mut core, now, request, &choice))
     }
 
-    /// Online requests that wait for a back end.
+    /// Number of online requests that wait for a back end.
     pub(crate) fn queue_length(&self) -> usize {
         let core = self.core.lock();
         core.queues.values().map(PoolQueue::len).sum()
@@ -240,8 +245,8 @@
         self.router.choose(now, profile, &mut self.random)
     }
 
-    /// Whether the chosen replica can run one more online request now.
-    fn has_room(&self, now: linnethitch_protocol::ids::Timestamp, choice: &Choice) -> bool {
+    /// Whether the chosen replica has a free slot for one more online request.
+    fn has_free_slot(&self, now: linnethitch_protocol::ids::Timestamp, choice: &Choice) -> bool {
         let load = self
             .router
             .view()
@@ -251,15 +256,15 @@
     }
 }
 
-impl WantedTarget {
+impl RequestTarget {
     fn as_target(&self) -> Target<'_> {
         match self {
-            WantedTarget::Model { name, adapter } => Target::Model {
+            RequestTarget::Model { name, adapter } => Target::Model {
                 name,
                 adapter: adapter.as_deref(),
                 version: None,
             },
-            WantedTarget::Service(name) => Target::Service(name),
+            RequestTarget::Service(name) => Target::Service(name),
         }
     }
 }
--- a/crates/gateway/src/decisions/queue.rs
+++ b/crates/gateway/src/decisions/queue.rs
@@ -1,4 +1,4 @@
-//! Online requests that wait for room at a back end.
+//! Online requests that wait for a free slot at a back end.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -10,18 +10,18 @@
 };
 use tokio::sync::oneshot;
 
-use crate::decisions::{Core, Decisions, Placement, TenantPass, Wanted, WantedTarget};
+use crate::decisions::{Core, Decisions, Placement, RequestTarget, RoutingRequest, TenantPermit};
 
-/// A request that is not run, with the answer for its caller and the reason for the journal.
+/// The refusal of a request, with the answer for its caller and the reason for the journal.
 #[derive(Clone, Debug)]
-pub(crate) struct Refused {
-    /// Why.
+pub(crate) struct RequestRefusal {
+    /// The reason for the journal.
     pub(crate) reason: ReasonCode,
-    /// What the caller is told.
+    /// The answer for the caller.
     pub(crate) failure: Failure,
 }
 
-type Verdict = Result<Placement, Refused>;
+type AdmissionResult = Result<Placement, RequestRefusal>;
 
 /// The queue in front of one model or service.
 pub(super) struct PoolQueue {
@@ -30,25 +30,25 @@
 }
 
 impl PoolQueue {
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub(super) fn len(&self) -> usize {
         self.waiting.len()
     }
 }
 
 struct Waiting {
-    wanted: Arc<Wanted>,
-    verdict: oneshot::Sender<Verdict>,
+    request: Arc<RoutingRequest>,
+    result: oneshot::Sender<AdmissionResult>,
 }
 
-/// Takes a waiting request out when its caller goes away.
-struct QueuePlace {
+/// A waiting request. Dropping it, as when the caller disconnects, removes it from the queue.
+struct QueuedRequest {
     decisions: Arc<Decisions>,
-    target: WantedTarget,
+    target: RequestTarget,
     entry: EntryId,
 }
 
-impl Drop for QueuePlace {
+impl Drop for QueuedRequest {
     fn drop(&mut self) {
         let mut core = self.decisions.core.lock();
         if let Some(queue) = core.queues.get_mut(&self.target) {
@@ -60,45 +60,49 @@
 
 enum Offered {
     Placed(Box<Placement>),
-    Queued(EntryId, oneshot::Receiver<Verdict>),
+    Queued(EntryId, oneshot::Receiver<AdmissionResult>),
 }
 
 impl Decisions {
-    /// Gives a new online request its place at a replica, after a wait in the queue if need be.
+    /// Places a new online request on a replica, after a wait in the queue if no slot is free.
     pub(crate) async fn admit(
         self: &Arc<Self>,
-        wanted: &Arc<Wanted>,
-        pass: &TenantPass,
-    ) -> Result<AdmittedRequest, Refused> {
+        request: &Arc<RoutingRequest>,
+        permit: &TenantPermit,
+    ) -> Result<AdmittedRequest, RequestRefusal> {
         let arrived = self.clock.now();
-        let (entry, verdict) = match self.offer(wanted, pass)? {
+        let (entry, result) = match self.offer(request, permit)? {
             Offered::Placed(placement) => {
                 return Ok(AdmittedRequest {
                     placement: *placement,
                     waited_ms: None,
                 });
             }
-            Offered::Queued(entry, verdict) => (entry, verdict),
+            Offered::Queued(entry, result) => (entry, result),
         };
-        let place = QueuePlace {
+        let queued = QueuedRequest {
             decisions: Arc::clone(self),
-            target: wanted.target.clone(),
+            target: request.target.clone(),
             entry,
         };
-        let verdict = self.await_verdict(verdict).await;
-        drop(place);
-        verdict.map(|placement| AdmittedRequest {
+        let result = self.await_result(result).await;
+        drop(queued);
+        result.map(|placement| AdmittedRequest {
             placement,
             waited_ms: Some(self.clock.now().0.saturating_sub(arrived.0)),
         })
     }
 
-    /// Waits for the verdict; looks at the clock so that nobody waits past its time.
-    async fn await_verdict(self: &Arc<Self>, mut verdict: oneshot::Receiver<Verdict>) -> Verdict {
+    /// Waits for the result, and serves the queues at intervals so that expired requests are
+    /// refused.
+    async fn await_result(
+        self: &Arc<Self>,
+        mut result: oneshot::Receiver<AdmissionResult>,
+    ) -> AdmissionResult {
         loop {
             tokio::select! {
-                received = &mut verdict => {
-                    return received.unwrap_or_else(|_| Err(queue_lost()));
+                received = &mut result => {
+                    return received.unwrap_or_else(|_| Err(queue_entry_lost()));
                 }
                 () = tokio::time::sleep(QUEUE_CHECK_INTERVAL) => self.serve_queues(),
             }
@@ -107,34 +111,34 @@
 
     fn offer(
         self: &Arc<Self>,
-        wanted: &Arc<Wanted>,
-        pass: &TenantPass,
-    ) -> Result<Offered, Refused> {
+        request: &Arc<RoutingRequest>,
+        permit: &TenantPermit,
+    ) -> Result<Offered, RequestRefusal> {
         let now = self.clock.now();
         let mut core = self.core.lock();
         core.budget.on_request();
         let choice = core
-            .choose(now, &wanted.profile(&[]))
-            .map_err(|none| no_choice(&none))?;
-        let room = core.has_room(now, &choice);
+            .choose(now, &request.profile(&[]))
+            .map_err(|refusal| routing_refused(&refusal))?;
+        let free_slot = core.has_free_slot(now, &choice);
         let arrival = Arrival {
-            tenant: pass.tenant,
-            weight: pass.weight,
-            cost: wanted.prompt_tokens.saturating_add(wanted.output_tokens),
-            deadline: wanted.deadline,
+            tenant: permit.tenant,
+            weight: permit.weight,
+            cost: request.prompt_tokens.saturating_add(request.output_tokens),
+            deadline: request.deadline,
         };
-        let queue = core.queue(&wanted.target);
-        match queue.admission.offer(now, &arrival, room) {
+        let queue = core.queue(&request.target);
+        match queue.admission.offer(now, &arrival, free_slot) {
             AdmissionOutcome::Now => {
-                let placement = self.place(&mut core, now, wanted, &choice);
+                let placement = self.place(&mut core, now, request, &choice);
                 Ok(Offered::Placed(Box::new(placement)))
             }
             AdmissionOutcome::Refused(refusal) => Err(queue_refused(&refusal)),
             AdmissionOutcome::Queued(entry) => {
                 let (sender, receiver) = oneshot::channel();
                 let waiting = Waiting {
-                    wanted: Arc::clone(wanted),
-                    verdict: sender,
+                    request: Arc::clone(request),
+                    result: sender,
                 };
                 queue.waiting.insert(entry, waiting);
                 Ok(Offered::Queued(entry, receiver))
@@ -142,71 +146,74 @@
         }
     }
 
-    /// Lets waiting requests start where there is room, and refuses those that waited too long.
+    /// Starts waiting requests for which a slot is free, and refuses those that waited too long.
     pub(crate) fn serve_queues(self: &Arc<Self>) {
-        let verdicts = self.collect_verdicts();
-        // Sent outside of the lock: a placement whose caller went away takes it when dropped.
-        for (sender, verdict) in verdicts {
-            let _ = sender.send(verdict);
+        let results = self.collect_results();
+        // Sent without holding the lock: a placement whose caller disconnected is dropped here,
+        // and its drop takes the lock.
+        for (sender, result) in results {
+            let _ = sender.send(result);
         }
     }
 
-    fn collect_verdicts(self: &Arc<Self>) -> Vec<(oneshot::Sender<Verdict>, Verdict)> {
+    fn collect_results(
+        self: &Arc<Self>,
+    ) -> Vec<(oneshot::Sender<AdmissionResult>, AdmissionResult)> {
         let now = self.clock.now();
         let mut core = self.core.lock();
-        let targets: Vec<WantedTarget> = core
+        let targets: Vec<RequestTarget> = core
             .queues
             .iter()
             .filter(|(_, queue)| !queue.admission.is_empty())
             .map(|(target, _)| target.clone())
             .collect();
-        let mut verdicts = Vec::new();
+        let mut results = Vec::new();
         for target in targets {
-            core.expire(now, &target, &mut verdicts);
-            while let Some((sender, verdict)) = self.start_next(&mut core, now, &target) {
-                verdicts.push((sender, verdict));
+            core.expire(now, &target, &mut results);
+            while let Some((sender, result)) = self.start_next(&mut core, now, &target) {
+                results.push((sender, result));
             }
         }
-        verdicts
+        results
     }
 
-    /// Starts the next waiting request of a queue if there is room for it.
+    /// Starts the next waiting request of a queue if a slot is free for it.
     fn start_next(
         self: &Arc<Self>,
         core: &mut Core,
         now: Timestamp,
-        target: &WantedTarget,
-    ) -> Option<(oneshot::Sender<Verdict>, Verdict)> {
+        target: &RequestTarget,
+    ) -> Option<(oneshot::Sender<AdmissionResult>, AdmissionResult)> {
         let queue = core.queues.get(target)?;
-        let wanted = Arc::clone(&queue.waiting.get(&queue.admission.peek()?)?.wanted);
-        let choice = core.choose(now, &wanted.profile(&[]));
-        let verdict = match choice {
-            Ok(choice) if core.has_room(now, &choice) => {
-                Ok(self.place(core, now, &wanted, &choice))
+        let request = Arc::clone(&queue.waiting.get(&queue.admission.peek()?)?.request);
+        let choice = core.choose(now, &request.profile(&[]));
+        let result = match choice {
+            Ok(choice) if core.has_free_slot(now, &choice) => {
+                Ok(self.place(core, now, &request, &choice))
             }
             Ok(_) => return None,
-            Err(none) => Err(no_choice(&none)),
+            Err(refusal) => Err(routing_refused(&refusal)),
         };
         let queue = core.queues.get_mut(target)?;
         let entry = queue.admission.pop(now)?;
         let waiting = queue.waiting.remove(&entry)?;
-        Some((waiting.verdict, verdict))
+        Some((waiting.result, result))
     }
 }
 
-/// A request that may run.
+/// A request that was placed on a replica.
 pub(crate) struct AdmittedRequest {
-    /// Its place.
+    /// Its placement.
     pub(crate) placement: Placement,
-    /// How long it waited, if it did.
+    /// Time in the queue, if it was queued.
     pub(crate) waited_ms: Option<u64>,
 }
 
-/// How often a waiting request looks at the clock.
+/// Time between two checks of the queues by a waiting request.
 const QUEUE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 impl Core {
-    fn queue(&mut self, target: &WantedTarget) -> &mut PoolQueue {
+    fn queue(&mut self, target: &RequestTarget) -> &mut PoolQueue {
         let policy = &self.policy;
         self.queues
             .entry(target.clone())
@@ -219,42 +226,42 @@
     fn expire(
         &mut self,
         now: Timestamp,
-        target: &WantedTarget,
-        verdicts: &mut Vec<(oneshot::Sender<Verdict>, Verdict)>,
+        target: &RequestTarget,
+        results: &mut Vec<(oneshot::Sender<AdmissionResult>, AdmissionResult)>,
     ) {
         let Some(queue) = self.queues.get_mut(target) else {
             return;
         };
         while let Some((entry, refusal)) = queue.admission.pop_expired(now) {
             if let Some(waiting) = queue.waiting.remove(&entry) {
-                verdicts.push((waiting.verdict, Err(queue_refused(&refusal))));
+                results.push((waiting.result, Err(queue_refused(&refusal))));
             }
         }
     }
 }
 
-/// What a caller is told when no replica can take its request.
-pub(crate) fn no_choice(none: &RoutingRefusal) -> Refused {
-    let failure = Failure::new(none.kind(), none.reason.description().trim());
-    Refused {
-        reason: none.reason,
-        failure: match none.retry_after_ms {
+/// The refusal of a request that no replica can take.
+pub(crate) fn routing_refused(refusal: &RoutingRefusal) -> RequestRefusal {
+    let failure = Failure::new(refusal.kind(), refusal.reason.description().trim());
+    RequestRefusal {
+        reason: refusal.reason,
+        failure: match refusal.retry_after_ms {
             Some(milliseconds) => failure.with_retry_after(Duration::from_millis(milliseconds)),
             None => failure,
         },
     }
 }
 
-fn queue_refused(refusal: &AdmissionRefusal) -> Refused {
-    Refused {
+fn queue_refused(refusal: &AdmissionRefusal) -> RequestRefusal {
+    RequestRefusal {
         reason: refusal.reason,
         failure: Failure::new(refusal.kind(), refusal.reason.description().trim())
             .with_retry_after(Duration::from_millis(refusal.retry_after_ms)),
     }
 }
 
-fn queue_lost() -> Refused {
-    Refused {
+fn queue_entry_lost() -> RequestRefusal {
+    RequestRefusal {
         reason: ReasonCode::QueueTimeout,
         failure: Failure::from(linnethitch_errors::ErrorKind::Internal),
     }
