--- a/crates/gateway/src/configuration/follower.rs
+++ b/crates/gateway/src/configuration/follower.rs
@@ -67,11 +67,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerAction {
     /// It is older than what is held, or the same: nothing changes. Confirm what is held.
-    ConfirmHeld(Revision),
+    ConfirmCurrent(Revision),
     /// Store and sync it, put it in force, then call [`Follower::on_stored`].
     Store(StoredConfiguration),
     /// It does not fit what is held: attach anew, asking for the whole text.
-    AskForWhole(UpdateFault),
+    RequestFullText(UpdateFault),
 }
 
 /// Why an update cannot be used.
@@ -119,7 +119,7 @@
 
     /// What is held, if anything.
     #[must_use]
-    pub fn held(&self) -> Option<&StoredConfiguration> {
+    pub fn current(&self) -> Option<&StoredConfiguration> {
         self.held.as_ref()
     }
 
@@ -169,10 +169,10 @@
     ) -> FollowerAction {
         let held = self.revision();
         if to <= held {
-            return FollowerAction::ConfirmHeld(held);
+            return FollowerAction::ConfirmCurrent(held);
         }
         let Some(base) = self.text_of(from) else {
-            return FollowerAction::AskForWhole(UpdateFault::OtherBase {
+            return FollowerAction::RequestFullText(UpdateFault::OtherBase {
                 expected: from,
                 held,
             });
@@ -196,15 +196,15 @@
     fn on_text(&self, revision: Revision, content: String, digest: u64) -> FollowerAction {
         let held = self.revision();
         if revision < held {
-            return FollowerAction::ConfirmHeld(held);
+            return FollowerAction::ConfirmCurrent(held);
         }
         if revision == held {
             return if content_digest(&content) != digest {
-                FollowerAction::AskForWhole(UpdateFault::DigestDiffers)
+                FollowerAction::RequestFullText(UpdateFault::DigestDiffers)
             } else if digest == self.digest() || revision == Revision(0) {
-                FollowerAction::ConfirmHeld(held)
+                FollowerAction::ConfirmCurrent(held)
             } else {
-                FollowerAction::AskForWhole(UpdateFault::OtherContent(revision))
+                FollowerAction::RequestFullText(UpdateFault::OtherContent(revision))
             };
         }
         let read = || self.read(content, digest);
@@ -218,7 +218,7 @@
         read: impl FnOnce() -> Result<Arc<FleetDocument>, UpdateFault>,
     ) -> Result<Arc<FleetDocument>, UpdateFault> {
         match &self.shared {
-            Some(shared) => shared.get_or_make(digest, read),
+            Some(shared) => shared.get_or_parse(digest, read),
             None => read(),
         }
     }
@@ -243,6 +243,6 @@
 ) -> FollowerAction {
     match read {
         Ok(document) => FollowerAction::Store(StoredConfiguration { revision, document }),
-        Err(fault) => FollowerAction::AskForWhole(fault),
+        Err(fault) => FollowerAction::RequestFullText(fault),
     }
 }
--- a/crates/gateway/src/configuration/shared_documents.rs
+++ b/crates/gateway/src/configuration/shared_documents.rs
@@ -22,7 +22,7 @@
     ///
     /// # Errors
     /// What `make` gives.
-    pub fn get_or_make<E>(
+    pub fn get_or_parse<E>(
         &self,
         digest: u64,
         make: impl FnOnce() -> Result<Arc<FleetDocument>, E>,
--- a/crates/gateway/src/configuration/store.rs
+++ b/crates/gateway/src/configuration/store.rs
@@ -26,12 +26,12 @@
     /// `Io`.
     pub fn open(data_dir: &Path) -> Result<Self, Report<ErrorKind>> {
         let file_system = RealFileSystem::new(data_dir)?;
-        Ok(ConfigurationStore::on(Arc::new(file_system)))
+        Ok(ConfigurationStore::with_file_system(Arc::new(file_system)))
     }
 
     /// The store in a file system, such as the simulator's virtual disk.
     #[must_use]
-    pub fn on(file_system: Arc<dyn FileSystem>) -> Self {
+    pub fn with_file_system(file_system: Arc<dyn FileSystem>) -> Self {
         ConfigurationStore {
             file: RevisionFile::new(file_system, FILE_NAME),
         }
--- a/crates/gateway/src/control/events.rs
+++ b/crates/gateway/src/control/events.rs
@@ -70,8 +70,8 @@
     async fn on_configuration(self: &Arc<Self>, update: &ConfigurationUpdate) -> AfterMessage {
         let action = self.follower.lock().on_update(update);
         match action {
-            FollowerAction::ConfirmHeld(revision) => self.confirm(revision),
-            FollowerAction::AskForWhole(fault) => {
+            FollowerAction::ConfirmCurrent(revision) => self.confirm(revision),
+            FollowerAction::RequestFullText(fault) => {
                 warn!(self.logger, "configuration update not used"; "fault" => ?fault);
                 return AfterMessage::AskForWhole;
             }
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/control_only.rs
@@ -29,12 +29,12 @@
 };
 
 /// A running hollow gateway. Dropping it ends it at once, as a crash would.
-pub struct HollowGateway {
+pub struct ControlOnlyGateway {
     gateway: Arc<Gateway>,
     _background: JoinSet<()>,
 }
 
-impl HollowGateway {
+impl ControlOnlyGateway {
     /// Starts a hollow gateway; its settings' listen address is not used.
     ///
     /// # Errors
@@ -63,7 +63,7 @@
         background.spawn(session::keep(Arc::clone(&gateway)));
         background.spawn(reports::run(Arc::clone(&gateway)));
         background.spawn(ignore(events));
-        Ok(HollowGateway {
+        Ok(ControlOnlyGateway {
             gateway,
             _background: background,
         })
--- a/crates/gateway/tests/all/configuration.rs
+++ b/crates/gateway/tests/all/configuration.rs
@@ -77,8 +77,8 @@
 #[derive(Debug, PartialEq)]
 enum Expected {
     Store(u64),
-    ConfirmHeld,
-    AskForWhole,
+    ConfirmCurrent,
+    RequestFullText,
 }
 
 #[rstest]
@@ -86,16 +86,16 @@
 #[case::newer_by_delta(delta(5, 6), Expected::Store(6))]
 #[case::newer_by_long_delta(delta(5, 9), Expected::Store(9))]
 #[case::delta_from_nothing(delta_from_nothing(6), Expected::Store(6))]
-#[case::same_again(full(5), Expected::ConfirmHeld)]
-#[case::older(full(4), Expected::ConfirmHeld)]
-#[case::older_delta(delta(3, 4), Expected::ConfirmHeld)]
-#[case::delta_to_the_same(delta(4, 5), Expected::ConfirmHeld)]
-#[case::delta_of_another_base(delta(6, 7), Expected::AskForWhole)]
-#[case::older_base(delta(4, 6), Expected::AskForWhole)]
-#[case::wrong_digest(wrong_digest(full(6)), Expected::AskForWhole)]
-#[case::wrong_digest_of_a_delta(wrong_digest(delta(5, 6)), Expected::AskForWhole)]
-#[case::other_content_of_the_same_revision(wrong_digest(full(5)), Expected::AskForWhole)]
-#[case::not_a_fleet_file(not_a_fleet(), Expected::AskForWhole)]
+#[case::same_again(full(5), Expected::ConfirmCurrent)]
+#[case::older(full(4), Expected::ConfirmCurrent)]
+#[case::older_delta(delta(3, 4), Expected::ConfirmCurrent)]
+#[case::delta_to_the_same(delta(4, 5), Expected::ConfirmCurrent)]
+#[case::delta_of_another_base(delta(6, 7), Expected::RequestFullText)]
+#[case::older_base(delta(4, 6), Expected::RequestFullText)]
+#[case::wrong_digest(wrong_digest(full(6)), Expected::RequestFullText)]
+#[case::wrong_digest_of_a_delta(wrong_digest(delta(5, 6)), Expected::RequestFullText)]
+#[case::other_content_of_the_same_revision(wrong_digest(full(5)), Expected::RequestFullText)]
+#[case::not_a_fleet_file(not_a_fleet(), Expected::RequestFullText)]
 fn updates_are_checked_before_they_are_stored(
     #[case] update: ConfigurationUpdate,
     #[case] expected: Expected,
@@ -111,11 +111,11 @@
             assert_eq!(configuration, stored(configuration.revision.0));
             Expected::Store(configuration.revision.0)
         }
-        FollowerAction::ConfirmHeld(revision) => {
+        FollowerAction::ConfirmCurrent(revision) => {
             assert_eq!(revision, Revision(5));
-            Expected::ConfirmHeld
+            Expected::ConfirmCurrent
         }
-        FollowerAction::AskForWhole(_) => Expected::AskForWhole,
+        FollowerAction::RequestFullText(_) => Expected::RequestFullText,
     };
     assert_eq!(found, expected);
 }
@@ -137,7 +137,7 @@
         expected: Revision(1),
         held: Revision(0),
     };
-    assert_eq!(action, FollowerAction::AskForWhole(fault));
+    assert_eq!(action, FollowerAction::RequestFullText(fault));
     assert!(matches!(
         follower.on_update(&full(2)),
         FollowerAction::Store(..)
--- a/crates/gateway/tests/all/hollow.rs
+++ b/crates/gateway/tests/all/control_only.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use linnethitch_gateway::{
-    configuration::shared_documents::SharedDocuments, hollow::HollowGateway,
+    configuration::shared_documents::SharedDocuments, control_only::ControlOnlyGateway,
 };
 use linnethitch_protocol::ids::Revision;
 use slog::{Discard, Logger, o};
@@ -19,13 +19,13 @@
     let control = FakeControl::start(shared).await;
     let documents: Arc<SharedDocuments> = Arc::default();
     let folders = ["one", "two"].map(|name| (name, tempfile::tempdir().expect("a folder")));
-    let gateways: Vec<HollowGateway> = folders
+    let gateways: Vec<ControlOnlyGateway> = folders
         .iter()
         .map(|(name, folder)| {
             let mut settings = attached_settings(folder, &[control.address]);
             settings.gateway_id = (*name).to_owned();
             let logger = Logger::root(Discard, o!());
-            HollowGateway::start(settings, Arc::clone(&documents), logger).expect("it starts")
+            ControlOnlyGateway::start(settings, Arc::clone(&documents), logger).expect("it starts")
         })
         .collect();
     control
--- a/crates/scale/src/run/hollow_fleet.rs
+++ b/crates/scale/src/run/hollow_fleet.rs
@@ -11,7 +11,7 @@
 use error_stack::{Report, ResultExt};
 use linnethitch_errors::ErrorKind;
 use linnethitch_gateway::{
-    configuration::shared_documents::SharedDocuments, hollow::HollowGateway,
+    configuration::shared_documents::SharedDocuments, control_only::ControlOnlyGateway,
 };
 use linnethitch_protocol::ids::{ReplicaId, Timestamp};
 use parking_lot::Mutex;
@@ -34,7 +34,7 @@
 /// Time between two looks at all gateways.
 const LOOK: Duration = Duration::from_millis(5);
 
-type Gateways = Arc<Mutex<Vec<Arc<HollowGateway>>>>;
+type Gateways = Arc<Mutex<Vec<Arc<ControlOnlyGateway>>>>;
 
 /// The hollow gateways, and the responses that they seem to get.
 pub(super) struct HollowFleet {
@@ -86,7 +86,7 @@
             let nowhere = SocketAddr::from(([127, 0, 0, 1], 0));
             let settings = gateway_settings(folder, &name, number, plan, control, nowhere);
             let documents = Arc::clone(&self.documents);
-            let gateway = HollowGateway::start(settings, documents, logger.clone())?;
+            let gateway = ControlOnlyGateway::start(settings, documents, logger.clone())?;
             self.gateways.lock().push(Arc::new(gateway));
         }
         Ok(())
@@ -100,7 +100,7 @@
     pub(super) fn wait_until_all(
         &self,
         limit: Duration,
-        holds: impl Fn(&HollowGateway) -> bool,
+        holds: impl Fn(&ControlOnlyGateway) -> bool,
     ) -> Result<Instant, usize> {
         let deadline = Instant::now() + limit;
         loop {
@@ -114,7 +114,7 @@
     }
 
     /// How many gateways there are for which something holds.
-    pub(super) fn count(&self, holds: impl Fn(&HollowGateway) -> bool) -> usize {
+    pub(super) fn count(&self, holds: impl Fn(&ControlOnlyGateway) -> bool) -> usize {
         let gateways = self.gateways.lock();
         gateways.iter().filter(|gateway| holds(gateway)).count()
     }
--- a/crates/scale/src/run/phases.rs
+++ b/crates/scale/src/run/phases.rs
@@ -7,7 +7,7 @@
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
-use linnethitch_gateway::hollow::HollowGateway;
+use linnethitch_gateway::control_only::ControlOnlyGateway;
 use slog::Logger;
 
 use super::{
@@ -135,7 +135,7 @@
             let (plan, logger) = (&self.plan, self.logger);
             self.hollow.grow(next, folder, plan, attach, logger)?;
             let revision = self.revision;
-            let started = |gateway: &HollowGateway| gateway.revision().0 >= revision;
+            let started = |gateway: &ControlOnlyGateway| gateway.revision().0 >= revision;
             let waited = self.hollow.wait_until_all(LIMIT, started);
             waited.map_err(|left| gave_up(&format!("{left} gateways start")))?;
         }
@@ -292,7 +292,7 @@
     fn wait_attached(&self, what: &str) -> Result<Instant, Report<ErrorKind>> {
         let waited = self
             .hollow
-            .wait_until_all(LIMIT, HollowGateway::is_attached);
+            .wait_until_all(LIMIT, ControlOnlyGateway::is_attached);
         waited.map_err(|left| gave_up(&format!("{left} gateways {what}")))
     }
 
--- a/crates/simulator/src/actors/gateway/follower.rs
+++ b/crates/simulator/src/actors/gateway/follower.rs
@@ -31,7 +31,7 @@
 impl ConfigurationOnDisk {
     /// Starts from what the disk holds.
     pub(crate) fn open(disk: VirtualDisk) -> Self {
-        let store = ConfigurationStore::on(Arc::new(disk.clone()));
+        let store = ConfigurationStore::with_file_system(Arc::new(disk.clone()));
         let held = store.load().ok().flatten();
         ConfigurationOnDisk {
             disk,
@@ -48,8 +48,8 @@
     /// Takes an update.
     pub(crate) fn on_update(&mut self, update: &ConfigurationUpdate) -> Followed {
         match self.follower.on_update(update) {
-            FollowerAction::ConfirmHeld(_) => Followed::Same,
-            FollowerAction::AskForWhole(_) => Followed::NeedsWhole,
+            FollowerAction::ConfirmCurrent(_) => Followed::Same,
+            FollowerAction::RequestFullText(_) => Followed::NeedsWhole,
             FollowerAction::Store(stored) => {
                 if self.store.store(&stored).is_err() {
                     return Followed::Same;
@@ -63,7 +63,7 @@
 
     /// The text in force.
     pub(crate) fn content(&self) -> &str {
-        self.follower.held().map_or("", |held| held.content())
+        self.follower.current().map_or("", |held| held.content())
     }
 
     /// The process dies, perhaps with its machine, and starts again from the disk.
