--- a/crates/gateway/src/batch/run.rs
+++ b/crates/gateway/src/batch/run.rs
@@ -116,7 +116,7 @@
                 self.answered()
             }
             Some(Err(fault)) => {
-                self.gateway.learn(placement, &fault);
+                self.gateway.record_fault(placement, &fault);
                 self.faulted(&fault)
             }
         }
--- a/crates/gateway/src/control/events.rs
+++ b/crates/gateway/src/control/events.rs
@@ -64,7 +64,7 @@
         } else {
             self.decisions.update_replicas(changed, removed);
         }
-        self.on_first_replicas();
+        self.on_replicas_received();
     }
 
     async fn on_configuration(self: &Arc<Self>, update: &ConfigurationUpdate) -> AfterMessage {
@@ -82,7 +82,7 @@
                 let revision = stored.revision;
                 let fleet = Arc::clone(stored.fleet());
                 self.follower.lock().on_stored(stored);
-                self.put_in_force(revision, fleet);
+                self.activate(revision, fleet);
                 self.confirm(revision);
                 info!(self.logger, "configuration in force"; "revision" => revision.0);
             }
--- a/crates/gateway/src/control_only.rs
+++ b/crates/gateway/src/control_only.rs
@@ -57,7 +57,7 @@
             batch_events,
             logger,
         );
-        let gateway = Arc::new(gateway.without_callers(documents));
+        let gateway = Arc::new(gateway.control_only(documents));
         let mut background = JoinSet::new();
         background.spawn(attachment::run(Arc::clone(&gateway), identity));
         background.spawn(session::keep(Arc::clone(&gateway)));
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -174,7 +174,7 @@
 
     /// Takes in how an attempt failed; tells whether this took the replica out.
     pub(crate) fn learn(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
-        if fault.says_leaving() {
+        if fault.reports_leaving() {
             self.on_leaving(&placement.replica);
         }
         let replica = placement.replica.clone();
--- a/crates/gateway/src/engine/client.rs
+++ b/crates/gateway/src/engine/client.rs
@@ -122,7 +122,7 @@
             if error.is_connect() {
                 AttemptFault::Connect(reason)
             } else {
-                AttemptFault::Broken(reason)
+                AttemptFault::Interrupted(reason)
             }
         })
     }
@@ -143,9 +143,9 @@
 async fn refusal(response: Response<Incoming>) -> AttemptFault {
     let status = response.status().as_u16();
     let headers = response.headers();
-    let leaving = says(headers, "x-engine-leaving", "yes");
-    if says(headers, "x-engine-started", "no") {
-        return refused_unstarted(response, leaving).await;
+    let leaving = header_is(headers, "x-engine-leaving", "yes");
+    if header_is(headers, "x-engine-started", "no") {
+        return refused_before_start(response, leaving).await;
     }
     if status >= 500 {
         return AttemptFault::Failed { status };
@@ -155,7 +155,7 @@
 }
 
 /// The refusal of a back end that says that it did not start the request.
-pub(crate) async fn refused_unstarted(response: Response<Incoming>, leaving: bool) -> AttemptFault {
+pub(crate) async fn refused_before_start(response: Response<Incoming>, leaving: bool) -> AttemptFault {
     let status = response.status().as_u16();
     let retry_after = response
         .headers()
@@ -179,7 +179,7 @@
 }
 
 /// Whether a header has the given value.
-pub(crate) fn says(headers: &HeaderMap, name: &str, value: &str) -> bool {
+pub(crate) fn header_is(headers: &HeaderMap, name: &str, value: &str) -> bool {
     headers
         .get(name)
         .is_some_and(|found| found.as_bytes().eq_ignore_ascii_case(value.as_bytes()))
@@ -219,7 +219,7 @@
 }
 
 /// The load report carried by a response, if there is one.
-pub(crate) fn load_of(headers: &HeaderMap, name: &str) -> Option<LoadReport> {
+pub(crate) fn load_report(headers: &HeaderMap, name: &str) -> Option<LoadReport> {
     let load: LoadHeader = serde_json::from_slice(headers.get(name)?.as_bytes()).ok()?;
     Some(LoadReport {
         measured_at: Timestamp(load.measured_at_ms),
--- a/crates/gateway/src/engine/fault.rs
+++ b/crates/gateway/src/engine/fault.rs
@@ -36,11 +36,11 @@
         status: u16,
     },
     /// The connection broke before the answer was whole.
-    Broken(String),
+    Interrupted(String),
     /// The answer breaks the protocol.
     Protocol(String),
     /// No answer within the limit.
-    Hung(Duration),
+    TimedOut(Duration),
 }
 
 impl AttemptFault {
@@ -53,7 +53,7 @@
     }
 
     /// Whether the back end said that it is leaving.
-    pub(crate) fn says_leaving(&self) -> bool {
+    pub(crate) fn reports_leaving(&self) -> bool {
         matches!(self, AttemptFault::Refused { leaving: true, .. })
     }
 
@@ -64,9 +64,9 @@
             AttemptFault::Refused { .. } => AttemptFailure::RefusedUnstarted,
             AttemptFault::Rejected { .. } => AttemptFailure::CallerError,
             AttemptFault::Failed { .. } => AttemptFailure::ServerError,
-            AttemptFault::Broken(_) => AttemptFailure::Disconnected,
+            AttemptFault::Interrupted(_) => AttemptFailure::Disconnected,
             AttemptFault::Protocol(_) => AttemptFailure::BadProtocol,
-            AttemptFault::Hung(_) => AttemptFailure::TimedOut,
+            AttemptFault::TimedOut(_) => AttemptFailure::TimedOut,
         }
     }
 
@@ -81,8 +81,8 @@
             AttemptFault::Refused { .. } => FailureKind::NotServed,
             AttemptFault::Rejected { .. } => return None,
             AttemptFault::Failed { .. } | AttemptFault::Protocol(_) => FailureKind::BadAnswer,
-            AttemptFault::Broken(_) => FailureKind::Disconnected,
-            AttemptFault::Hung(_) => FailureKind::TimedOut,
+            AttemptFault::Interrupted(_) => FailureKind::Disconnected,
+            AttemptFault::TimedOut(_) => FailureKind::TimedOut,
         })
     }
 
@@ -111,9 +111,9 @@
                 write!(formatter, "rejected with {status}: {message}")
             }
             AttemptFault::Failed { status } => write!(formatter, "failed with {status}"),
-            AttemptFault::Broken(reason) => write!(formatter, "broken off: {reason}"),
+            AttemptFault::Interrupted(reason) => write!(formatter, "broken off: {reason}"),
             AttemptFault::Protocol(reason) => write!(formatter, "protocol error: {reason}"),
-            AttemptFault::Hung(limit) => {
+            AttemptFault::TimedOut(limit) => {
                 write!(formatter, "no answer within {} ms", limit.as_millis())
             }
         }
--- a/crates/gateway/src/engine/opening.rs
+++ b/crates/gateway/src/engine/opening.rs
@@ -5,7 +5,7 @@
 use crate::{
     decisions::Placement,
     engine::{
-        client::{EngineRequest, load_of, says},
+        client::{EngineRequest, load_report, header_is},
         fault::AttemptFault,
         stream::EngineStream,
     },
@@ -24,11 +24,11 @@
         let id = request.id.clone();
         let response = tokio::time::timeout(limit, self.back_ends.generate(request))
             .await
-            .map_err(|_| AttemptFault::Hung(limit))??;
-        if let Some(load) = load_of(response.headers(), "x-engine-load") {
+            .map_err(|_| AttemptFault::TimedOut(limit))??;
+        if let Some(load) = load_report(response.headers(), "x-engine-load") {
             self.decisions.on_seen_load(&placement.replica, load);
         }
-        if says(response.headers(), "x-engine-leaving", "yes") {
+        if header_is(response.headers(), "x-engine-leaving", "yes") {
             self.observer
                 .leaving(self.clock().now(), placement.replica.as_str());
             self.decisions.on_leaving(&placement.replica);
--- a/crates/gateway/src/engine/sse.rs
+++ b/crates/gateway/src/engine/sse.rs
@@ -71,7 +71,7 @@
 }
 
 /// The payload of an event that consists of one `data:` line; `None` for comments and others.
-pub(crate) fn data_of(event: &[u8]) -> Option<&[u8]> {
+pub(crate) fn event_data(event: &[u8]) -> Option<&[u8]> {
     let line = event.strip_suffix(END_OF_EVENT).unwrap_or(event);
     let payload = line.strip_prefix(b"data:")?;
     Some(payload.strip_prefix(b" ").unwrap_or(payload))
--- a/crates/gateway/src/engine/stream.rs
+++ b/crates/gateway/src/engine/stream.rs
@@ -10,7 +10,7 @@
 use crate::engine::{
     chunk::{Chunk, FinishReason, Usage},
     fault::AttemptFault,
-    sse::{EventSplitter, data_of},
+    sse::{EventSplitter, event_data},
 };
 
 const DONE: &[u8] = b"[DONE]";
@@ -76,9 +76,9 @@
 
     async fn read_frame(&mut self, limit: Duration) -> Result<(), AttemptFault> {
         let frame = match tokio::time::timeout(limit, self.body.frame()).await {
-            Err(_) => return Err(AttemptFault::Hung(limit)),
+            Err(_) => return Err(AttemptFault::TimedOut(limit)),
             Ok(None) => return Err(self.cut_short()),
-            Ok(Some(Err(error))) => return Err(AttemptFault::Broken(error.to_string())),
+            Ok(Some(Err(error))) => return Err(AttemptFault::Interrupted(error.to_string())),
             Ok(Some(Ok(frame))) => frame,
         };
         match frame.into_data() {
@@ -91,7 +91,7 @@
     }
 
     fn cut_short(&self) -> AttemptFault {
-        AttemptFault::Broken(if self.events.has_partial() {
+        AttemptFault::Interrupted(if self.events.has_partial() {
             "the stream ended inside an event".to_owned()
         } else {
             "the stream ended without [DONE]".to_owned()
@@ -103,7 +103,7 @@
         event: Bytes,
         progress: &mut Progress,
     ) -> Result<Option<StreamEvent>, AttemptFault> {
-        let Some(data) = data_of(&event) else {
+        let Some(data) = event_data(&event) else {
             return Ok(None);
         };
         if data == DONE {
@@ -112,7 +112,7 @@
         let chunk: Chunk<'_> = serde_json::from_slice(data)
             .map_err(|error| AttemptFault::Protocol(format!("a chunk is not valid: {error}")))?;
         if chunk.error.is_some() {
-            return Err(AttemptFault::Broken(
+            return Err(AttemptFault::Interrupted(
                 "the engine reported an error in the stream".to_owned(),
             ));
         }
--- a/crates/gateway/src/observe/explain.rs
+++ b/crates/gateway/src/observe/explain.rs
@@ -15,7 +15,7 @@
         answer::{bytes_response, json_response},
     },
     state::Gateway,
-    tenants::presents_key_of,
+    tenants::has_key_with_hash,
 };
 
 /// What precedes the id in the path.
@@ -71,7 +71,7 @@
 
 fn reader(gateway: &Gateway, head: &RequestHead) -> Result<Reader, Failure> {
     let operators = gateway.settings.operator_key_sha256.as_deref();
-    if operators.is_some_and(|hash| presents_key_of(&head.headers, hash)) {
+    if operators.is_some_and(|hash| has_key_with_hash(&head.headers, hash)) {
         return Ok(Reader::Operator);
     }
     let (_, tenant) = gateway.authenticate(head)?;
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -103,7 +103,7 @@
         let replica = placement
             .as_ref()
             .map(|placement| placement.replica.to_string());
-        let ejected = placement.and_then(|placement| self.gateway.learn(*placement, &fault));
+        let ejected = placement.and_then(|placement| self.gateway.record_fault(*placement, &fault));
         self.started |= !fault.not_started();
         let attempt = self.failed_attempt(&fault);
         let next = self
@@ -141,7 +141,7 @@
         }
         // A hung engine is not the caller's deadline, and an earlier attempt may have run
         // although the last one did not.
-        let hung = matches!(fault, AttemptFault::Hung(_)) && kind == ErrorKind::DeadlineExceeded;
+        let hung = matches!(fault, AttemptFault::TimedOut(_)) && kind == ErrorKind::DeadlineExceeded;
         let (kind, executed) = if hung {
             (ErrorKind::BackEndFailed, executed)
         } else if self.started && executed == Executed::No {
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -161,10 +161,10 @@
             .prompt_tokens
             .saturating_add(self.progress.tokens);
         match event {
-            Err(AttemptFault::Hung(_)) if left <= limit => Err(self.out_of_time()),
+            Err(AttemptFault::TimedOut(_)) if left <= limit => Err(self.out_of_time()),
             Err(fault) if self.is_complete() => {
                 // Only the end of the stream is missing.
-                self.gateway.learn(attempt.placement, &fault);
+                self.gateway.record_fault(attempt.placement, &fault);
                 Ok(StreamEvent::Done)
             }
             Err(fault) => Err(Step::Fault(fault, Some(Box::new(attempt.placement)))),
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -148,9 +148,9 @@
 /// Puts a given fleet in force.
 fn use_fixed(gateway: &Arc<Gateway>, fixed: FixedFleet) -> Result<(), Report<ErrorKind>> {
     let fleet = Fleet::parse(&fixed.content).change_context(ErrorKind::InvalidConfiguration)?;
-    gateway.put_in_force(Revision(1), Arc::new(fleet));
+    gateway.activate(Revision(1), Arc::new(fleet));
     gateway.decisions.set_replicas(fixed.replicas);
-    gateway.on_first_replicas();
+    gateway.on_replicas_received();
     Ok(())
 }
 
@@ -164,7 +164,7 @@
         return Ok(());
     };
     info!(gateway.logger, "stored configuration in force"; "revision" => stored.revision.0);
-    gateway.put_in_force(stored.revision, Arc::clone(stored.fleet()));
+    gateway.activate(stored.revision, Arc::clone(stored.fleet()));
     *gateway.follower.lock() = Follower::new(Some(stored));
     Ok(())
 }
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -14,7 +14,7 @@
 use crate::{
     decisions::{Placement, TenantPass, Wanted, no_choice},
     engine::{
-        client::{load_of, refused_unstarted, says},
+        client::{load_report, refused_before_start, header_is},
         fault::AttemptFault,
     },
     observe::RequestSubject,
@@ -120,13 +120,13 @@
         let limit = self.gateway.clock().until(self.request.wanted.deadline);
         let message = self.message(placement)?;
         let sent = tokio::time::timeout(limit, self.gateway.back_ends.send(message)).await;
-        let response = sent.map_err(|_| AttemptFault::Hung(limit))??;
+        let response = sent.map_err(|_| AttemptFault::TimedOut(limit))??;
         let decisions = &self.gateway.decisions;
         let headers = response.headers();
-        if let Some(load) = load_of(headers, "x-application-load") {
+        if let Some(load) = load_report(headers, "x-application-load") {
             decisions.on_seen_load(&placement.replica, load);
         }
-        let leaving = says(headers, "x-application-leaving", "yes");
+        let leaving = header_is(headers, "x-application-leaving", "yes");
         if leaving {
             let now = self.gateway.clock().now();
             self.gateway
@@ -134,8 +134,8 @@
                 .leaving(now, placement.replica.as_str());
             decisions.on_leaving(&placement.replica);
         }
-        if says(headers, "x-application-started", "no") {
-            return Err(refused_unstarted(response, leaving).await);
+        if header_is(headers, "x-application-started", "no") {
+            return Err(refused_before_start(response, leaving).await);
         }
         self.started = true;
         Ok(response)
@@ -164,7 +164,7 @@
     ) -> Result<Placement, Failure> {
         let decisions = &self.gateway.decisions;
         let replica = placement.replica.to_string();
-        self.gateway.learn(placement, fault);
+        self.gateway.record_fault(placement, fault);
         self.started |= !fault.not_started();
         let attempt = FailedAttempt {
             sent: match fault {
@@ -213,7 +213,7 @@
         let kind = match (kind, executed, fault) {
             (_, Executed::No, _) => kind,
             _ if self.request.at_most_once => ErrorKind::OutcomeUnknown,
-            (_, _, AttemptFault::Hung(_)) => ErrorKind::DeadlineExceeded,
+            (_, _, AttemptFault::TimedOut(_)) => ErrorKind::DeadlineExceeded,
             _ => ErrorKind::BackEndFailed,
         };
         let message = format!("no replica completed the request; the last attempt: {fault}");
--- a/crates/gateway/src/services/relay.rs
+++ b/crates/gateway/src/services/relay.rs
@@ -74,8 +74,8 @@
                 end(self.placement.take(), self.status);
                 return None;
             }
-            Ok(Some(Err(error))) => AttemptFault::Broken(error.to_string()),
-            Err(_) => AttemptFault::Hung(self.limit),
+            Ok(Some(Err(error))) => AttemptFault::Interrupted(error.to_string()),
+            Err(_) => AttemptFault::TimedOut(self.limit),
         };
         if let (Some(placement), Some(kind)) = (self.placement.take(), failed.as_failure_kind()) {
             placement.failed(kind);
@@ -146,10 +146,10 @@
             };
             return Ok((headers, kept));
         }
-        Ok(Err(error)) => AttemptFault::Broken(error.to_string()),
-        Err(_) => AttemptFault::Hung(left),
+        Ok(Err(error)) => AttemptFault::Interrupted(error.to_string()),
+        Err(_) => AttemptFault::TimedOut(left),
     };
-    call.gateway.learn(placement, &fault);
+    call.gateway.record_fault(placement, &fault);
     Err(call.final_failure(ErrorKind::BackEndFailed, Executed::Unknown, &fault))
 }
 
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -139,7 +139,7 @@
     }
 
     /// The same without callers, sharing parsed configurations with others of the process.
-    pub(crate) fn without_callers(self, documents: Arc<SharedDocuments>) -> Self {
+    pub(crate) fn control_only(self, documents: Arc<SharedDocuments>) -> Self {
         Gateway {
             follower: Mutex::new(Follower::sharing(documents)),
             serves_callers: false,
@@ -148,7 +148,7 @@
     }
 
     /// Puts a configuration in force for everything that starts from now on.
-    pub(crate) fn put_in_force(&self, revision: Revision, fleet: Arc<Fleet>) {
+    pub(crate) fn activate(&self, revision: Revision, fleet: Arc<Fleet>) {
         let mut tenants = TenantDirectory::default();
         if self.serves_callers {
             self.decisions.set_fleet(&fleet);
@@ -164,7 +164,7 @@
     }
 
     /// A list of replicas has arrived.
-    pub(crate) fn on_first_replicas(&self) {
+    pub(crate) fn on_replicas_received(&self) {
         self.has_replicas.store(true, Ordering::Release);
     }
 
@@ -200,10 +200,10 @@
     }
 
     /// Takes in how an attempt at a replica failed.
-    pub(crate) fn learn(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
+    pub(crate) fn record_fault(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
         let replica = placement.replica.to_string();
         let now = self.clock().now();
-        if fault.says_leaving() {
+        if fault.reports_leaving() {
             self.observer.leaving(now, &replica);
         }
         let ejected = self.decisions.learn(placement, fault);
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -39,7 +39,7 @@
 }
 
 /// Whether the request carries the key of this hash.
-pub(crate) fn presents_key_of(headers: &HeaderMap, hash: &str) -> bool {
+pub(crate) fn has_key_with_hash(headers: &HeaderMap, hash: &str) -> bool {
     // Digests are compared, so that the time taken tells nothing of the key.
     match (key_of(headers).map(KeyDigest::of), digest(hash)) {
         (Some(presented), Some(known)) => presented == known,
