--- a/crates/gateway/src/configuration/follower.rs
+++ b/crates/gateway/src/configuration/follower.rs
@@ -1,8 +1,8 @@
-//! Follows the configuration revisions that control sends, without any input or output.
+//! Follows the configuration revisions that control sends, without performing I/O.
 //!
-//! The follower holds the newest configuration that is stored and synced. An
-//! update is checked as a whole; only then is it given out to be stored, and
-//! only once it is stored does it count. It never steps back.
+//! The follower holds the newest configuration that is stored and synced. It validates an update
+//! completely before it returns the new configuration for storing, and adopts that configuration
+//! only after it is stored. The revision never decreases.
 
 use std::sync::Arc;
 
@@ -18,19 +18,19 @@
 
 use super::shared_documents::SharedDocuments;
 
-/// A configuration with its revision. Clones share the text and what it says.
+/// A configuration with its revision. Clones share the text and the parsed content.
 #[derive(Clone, Debug)]
 pub struct StoredConfiguration {
-    /// Its revision.
+    /// The revision of the configuration.
     pub revision: Revision,
     document: Arc<FleetDocument>,
 }
 
 impl StoredConfiguration {
-    /// Parses an operator's file.
+    /// Parses a fleet file.
     ///
     /// # Errors
-    /// The first fault of the file, with line and field.
+    /// The first error in the file, with line and field.
     pub fn parse(revision: Revision, content: String) -> Result<Self, FleetError> {
         Ok(StoredConfiguration {
             revision,
@@ -38,19 +38,19 @@
         })
     }
 
-    /// The operator's file.
+    /// The text of the fleet file.
     #[must_use]
     pub fn content(&self) -> &str {
         self.document.text()
     }
 
-    /// Digest of the file.
+    /// The digest of the text.
     #[must_use]
     pub fn digest(&self) -> u64 {
         self.document.digest()
     }
 
-    /// What the file says.
+    /// The parsed content of the file.
     #[must_use]
     pub fn fleet(&self) -> &Arc<Fleet> {
         self.document.fleet()
@@ -63,76 +63,82 @@
     }
 }
 
-/// What is to be done with an update.
+/// What the caller has to do with an update.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FollowerAction {
-    /// It is older than what is held, or the same: nothing changes. Confirm what is held.
+    /// The update is not newer than the current configuration: confirm the current revision.
     ConfirmCurrent(Revision),
-    /// Store and sync it, put it in force, then call [`Follower::on_stored`].
+    /// Store and sync the configuration, call [`Follower::on_stored`], then put it into force.
     Store(StoredConfiguration),
-    /// It does not fit what is held: attach anew, asking for the whole text.
+    /// The update cannot be used: attach again and request the full text.
     RequestFullText(UpdateFault),
 }
 
 /// Why an update cannot be used.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum UpdateFault {
-    /// The delta builds on another revision.
+    /// The base revision of the delta is not the current one.
     OtherBase {
-        /// The revision that it builds on.
+        /// Base revision of the delta.
         expected: Revision,
-        /// The revision that is held.
+        /// Current revision of the follower.
         held: Revision,
     },
-    /// The edits do not fit the text.
+    /// The edits cannot be applied to the base text.
     EditsDoNotFit,
-    /// The text does not have the digest that was sent with it.
+    /// The text does not match the digest that was sent with it.
     DigestDiffers,
-    /// Another text under the revision that is held.
+    /// The update has the current revision but a different text.
     OtherContent(Revision),
-    /// The text is not a valid fleet file; the message says why.
+    /// The text is not a valid fleet file; holds the parse error.
     Invalid(String),
 }
 
 /// The newest stored configuration and the rules for replacing it.
 #[derive(Clone, Debug, Default)]
 pub struct Follower {
-    held: Option<StoredConfiguration>,
+    current: Option<StoredConfiguration>,
     shared: Option<Arc<SharedDocuments>>,
 }
 
 impl Follower {
-    /// A follower that holds what was stored before the process started.
+    /// Creates a follower that starts from the configuration on disk, if there is one.
     #[must_use]
-    pub fn new(held: Option<StoredConfiguration>) -> Self {
-        Follower { held, shared: None }
+    pub fn new(stored: Option<StoredConfiguration>) -> Self {
+        Follower {
+            current: stored,
+            shared: None,
+        }
     }
 
-    /// A follower that holds nothing and shares documents with others of its process.
+    /// Creates a follower without a configuration that shares parsed documents with the other
+    /// followers of the process.
     #[must_use]
     pub fn sharing(documents: Arc<SharedDocuments>) -> Self {
         Follower {
-            held: None,
+            current: None,
             shared: Some(documents),
         }
     }
 
-    /// What is held, if anything.
+    /// The current configuration, if there is one.
     #[must_use]
     pub fn current(&self) -> Option<&StoredConfiguration> {
-        self.held.as_ref()
+        self.current.as_ref()
     }
 
-    /// The revision held; 0 when none is.
+    /// The current revision; 0 without a configuration.
     #[must_use]
     pub fn revision(&self) -> Revision {
-        self.held.as_ref().map_or(Revision(0), |held| held.revision)
+        self.current
+            .as_ref()
+            .map_or(Revision(0), |current| current.revision)
     }
 
-    /// The digest held; 0 when none is.
+    /// The digest of the current configuration; 0 without one.
     #[must_use]
     pub fn digest(&self) -> u64 {
-        self.held.as_ref().map_or(0, StoredConfiguration::digest)
+        self.current.as_ref().map_or(0, StoredConfiguration::digest)
     }
 
     /// Decides what to do with an update.
@@ -153,10 +159,10 @@
         }
     }
 
-    /// The configuration is stored and synced: from now on it is held.
+    /// Adopts a configuration that is stored and synced, unless the current one is newer.
     pub fn on_stored(&mut self, stored: StoredConfiguration) {
         if stored.revision > self.revision() {
-            self.held = Some(stored);
+            self.current = Some(stored);
         }
     }
 
@@ -167,81 +173,82 @@
         edits: &[TextEdit],
         digest: u64,
     ) -> FollowerAction {
-        let held = self.revision();
-        if to <= held {
-            return FollowerAction::ConfirmCurrent(held);
+        let current = self.revision();
+        if to <= current {
+            return FollowerAction::ConfirmCurrent(current);
         }
         let Some(base) = self.text_of(from) else {
             return FollowerAction::RequestFullText(UpdateFault::OtherBase {
                 expected: from,
-                held,
+                held: current,
             });
         };
-        let read = || {
+        let parse = || {
             let content = apply_edits(base, edits).map_err(|_| UpdateFault::EditsDoNotFit)?;
-            self.read(content, digest)
+            self.parse(content, digest)
         };
-        store_or_ask(to, self.read_once(digest, read))
+        store_or_request(to, self.parse_once(digest, parse))
     }
 
-    /// The text of a revision, if it is held; revision 0 is the empty text.
+    /// The text of a revision, if it is the current one; revision 0 is the empty text.
     fn text_of(&self, revision: Revision) -> Option<&str> {
         if revision == Revision(0) {
             return Some("");
         }
-        let held = self.held.as_ref()?;
-        (held.revision == revision).then_some(held.content())
+        let current = self.current.as_ref()?;
+        (current.revision == revision).then_some(current.content())
     }
 
     fn on_text(&self, revision: Revision, content: String, digest: u64) -> FollowerAction {
-        let held = self.revision();
-        if revision < held {
-            return FollowerAction::ConfirmCurrent(held);
+        let current = self.revision();
+        if revision < current {
+            return FollowerAction::ConfirmCurrent(current);
         }
-        if revision == held {
+        if revision == current {
             return if content_digest(&content) != digest {
                 FollowerAction::RequestFullText(UpdateFault::DigestDiffers)
             } else if digest == self.digest() || revision == Revision(0) {
-                FollowerAction::ConfirmCurrent(held)
+                FollowerAction::ConfirmCurrent(current)
             } else {
                 FollowerAction::RequestFullText(UpdateFault::OtherContent(revision))
             };
         }
-        let read = || self.read(content, digest);
-        store_or_ask(revision, self.read_once(digest, read))
+        let parse = || self.parse(content, digest);
+        store_or_request(revision, self.parse_once(digest, parse))
     }
 
-    /// Reads a text, unless another follower of the process has done so.
-    fn read_once(
+    /// Parses a text, unless another follower of the process already has.
+    fn parse_once(
         &self,
         digest: u64,
-        read: impl FnOnce() -> Result<Arc<FleetDocument>, UpdateFault>,
+        parse: impl FnOnce() -> Result<Arc<FleetDocument>, UpdateFault>,
     ) -> Result<Arc<FleetDocument>, UpdateFault> {
         match &self.shared {
-            Some(shared) => shared.get_or_parse(digest, read),
-            None => read(),
+            Some(shared) => shared.get_or_parse(digest, parse),
+            None => parse(),
         }
     }
 
-    /// Checks and parses a text; what did not change is taken over from the one held.
-    fn read(&self, content: String, digest: u64) -> Result<Arc<FleetDocument>, UpdateFault> {
+    /// Validates and parses a text; unchanged parts are reused from the current document.
+    fn parse(&self, content: String, digest: u64) -> Result<Arc<FleetDocument>, UpdateFault> {
         if content_digest(&content) != digest {
             return Err(UpdateFault::DigestDiffers);
         }
-        let read = match &self.held {
-            Some(held) => held.document.replaced_by(content),
+        let parsed = match &self.current {
+            Some(current) => current.document.replaced_by(content),
             None => FleetDocument::parse(content),
         };
-        read.map(Arc::new)
+        parsed
+            .map(Arc::new)
             .map_err(|error| UpdateFault::Invalid(error.to_string()))
     }
 }
 
-fn store_or_ask(
+fn store_or_request(
     revision: Revision,
-    read: Result<Arc<FleetDocument>, UpdateFault>,
+    parsed: Result<Arc<FleetDocument>, UpdateFault>,
 ) -> FollowerAction {
-    match read {
+    match parsed {
         Ok(document) => FollowerAction::Store(StoredConfiguration { revision, document }),
         Err(fault) => FollowerAction::RequestFullText(fault),
     }
--- a/crates/gateway/src/configuration/mod.rs
+++ b/crates/gateway/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! The configuration in force: followed, stored, never stepped back.
+//! The configuration in force: follows the revisions of control, stores them and never returns
+//! to an older one.
 
 pub mod follower;
 pub mod shared_documents;
--- a/crates/gateway/src/configuration/shared_documents.rs
+++ b/crates/gateway/src/configuration/shared_documents.rs
@@ -5,37 +5,37 @@
 use linnethitch_config::fleet::FleetDocument;
 use parking_lot::Mutex;
 
-/// Documents that are kept; older ones live as long as a gateway holds them.
-const KEPT_DOCUMENTS: usize = 8;
+/// Cached documents; older ones stay in memory while a gateway still uses them.
+const MAX_CACHED_DOCUMENTS: usize = 8;
 
-/// The newest documents by digest, so that hundreds of gateways in one process
-/// hold and parse each text once.
+/// Cache of the newest documents by digest, so that hundreds of gateways in one process
+/// store and parse each text once.
 #[derive(Debug, Default)]
 pub struct SharedDocuments {
     documents: Mutex<VecDeque<Arc<FleetDocument>>>,
 }
 
 impl SharedDocuments {
-    /// The document of a text, made where it is not there yet.
+    /// Returns the cached document with this digest, or parses and caches it.
     ///
-    /// Who comes while it is made waits for it.
+    /// Concurrent callers wait until the parse has ended.
     ///
     /// # Errors
-    /// What `make` gives.
+    /// The error of `parse`.
     pub fn get_or_parse<E>(
         &self,
         digest: u64,
-        make: impl FnOnce() -> Result<Arc<FleetDocument>, E>,
+        parse: impl FnOnce() -> Result<Arc<FleetDocument>, E>,
     ) -> Result<Arc<FleetDocument>, E> {
         let mut documents = self.documents.lock();
         if let Some(known) = documents.iter().find(|known| known.digest() == digest) {
             return Ok(Arc::clone(known));
         }
-        let made = make()?;
-        documents.push_back(Arc::clone(&made));
-        if documents.len() > KEPT_DOCUMENTS {
+        let parsed = parse()?;
+        documents.push_back(Arc::clone(&parsed));
+        if documents.len() > MAX_CACHED_DOCUMENTS {
             documents.pop_front();
         }
-        Ok(made)
+        Ok(parsed)
     }
 }
--- a/crates/gateway/src/configuration/store.rs
+++ b/crates/gateway/src/configuration/store.rs
@@ -1,4 +1,4 @@
-//! The stored configuration on disk.
+//! Stores the configuration in force on disk.
 
 use std::{path::Path, sync::Arc};
 
@@ -9,18 +9,18 @@
 
 use crate::configuration::follower::StoredConfiguration;
 
-/// Name of the file in the data folder.
+/// File name in the data folder.
 const FILE_NAME: &str = "configuration";
-/// Bytes of the revision before the text.
+/// Size of the revision that precedes the text.
 const REVISION_BYTES: usize = size_of::<u64>();
 
-/// The file that holds the newest configuration.
+/// The file with the newest configuration.
 pub struct ConfigurationStore {
     file: RevisionFile,
 }
 
 impl ConfigurationStore {
-    /// Opens the store in a data folder; nothing is read yet.
+    /// Opens the store in a data folder without reading the file.
     ///
     /// # Errors
     /// `Io`.
@@ -29,7 +29,7 @@
         Ok(ConfigurationStore::with_file_system(Arc::new(file_system)))
     }
 
-    /// The store in a file system, such as the simulator's virtual disk.
+    /// Creates a store in a file system, such as the simulator's virtual disk.
     #[must_use]
     pub fn with_file_system(file_system: Arc<dyn FileSystem>) -> Self {
         ConfigurationStore {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// What was stored last. Blocks.
+    /// Loads the configuration that was stored last, if any. Blocks.
     ///
     /// # Errors
     /// `Corrupted` or `InvalidConfiguration` when the file is damaged, `Io`.
@@ -45,7 +45,7 @@
         self.file.load()?.map(|bytes| decode(&bytes)).transpose()
     }
 
-    /// Stores and syncs. Blocks.
+    /// Stores and syncs a configuration. Blocks.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
--- a/crates/gateway/src/control_only.rs
+++ b/crates/gateway/src/control_only.rs
@@ -1,10 +1,9 @@
-//! Gateways that do everything towards control and nothing for callers.
+//! Gateways that communicate with control but serve no callers, for load and scale tests.
 //!
-//! Hundreds run in one process, so that control meets a large fleet on one
-//! machine. Attachment, configuration, session, loads and confirmations are the
-//! code of a real gateway. What callers need is left out: listener, batch
-//! executor, lookup of tenants and the stored copy of the configuration, which
-//! the gateways of a process share.
+//! Hundreds of them run in one process, so that control can be tested with a large fleet on one
+//! machine. Attachment, configuration, session, load reports and confirmations use the code of a
+//! full gateway. The parts that serve callers are left out: listener, batch executor, index of
+//! tenants and the configuration on disk. The gateways of a process share parsed configurations.
 
 use std::sync::Arc;
 
@@ -28,14 +27,14 @@
     state::Gateway,
 };
 
-/// A running hollow gateway. Dropping it ends it at once, as a crash would.
+/// A running control-only gateway. Dropping the gateway ends it immediately, as a crash does.
 pub struct ControlOnlyGateway {
     gateway: Arc<Gateway>,
     _background: JoinSet<()>,
 }
 
 impl ControlOnlyGateway {
-    /// Starts a hollow gateway; its settings' listen address is not used.
+    /// Starts a control-only gateway; the listen address of its settings is not used.
     ///
     /// # Errors
     /// `Io` when the data folder or the cluster key cannot be used.
@@ -62,14 +61,14 @@
         background.spawn(attachment::run(Arc::clone(&gateway), identity));
         background.spawn(session::keep(Arc::clone(&gateway)));
         background.spawn(reports::run(Arc::clone(&gateway)));
-        background.spawn(ignore(events));
+        background.spawn(discard_events(events));
         Ok(ControlOnlyGateway {
             gateway,
             _background: background,
         })
     }
 
-    /// The revision in force; 0 before the first.
+    /// The revision in force; 0 before the first configuration.
     #[must_use]
     pub fn revision(&self) -> Revision {
         let active = self.gateway.configuration.load();
@@ -78,20 +77,20 @@
             .map_or(Revision(0), |active| active.revision)
     }
 
-    /// Whether it is attached to a control member.
+    /// Whether the gateway is attached to a control member.
     #[must_use]
     pub fn is_attached(&self) -> bool {
         self.gateway.control.is_attached()
     }
 
-    /// Whether its session in the ledger holds.
+    /// Whether the session of the gateway in the ledger is valid.
     #[must_use]
     pub fn has_session(&self) -> bool {
         let now = self.gateway.clock().now();
         self.gateway.session.current(now).is_some()
     }
 
-    /// Tells it of a load as a response of the replica would.
+    /// Applies a load report as if a response of the replica had carried it.
     pub fn on_response_load(&self, replica: &ReplicaId, load: LoadReport) {
         self.gateway.decisions.on_seen_load(replica, load);
     }
@@ -103,7 +102,7 @@
     }
 }
 
-/// Takes what a batch executor would be told.
-async fn ignore(mut events: mpsc::Receiver<BatchEvent>) {
+/// Discards the events for the batch executor.
+async fn discard_events(mut events: mpsc::Receiver<BatchEvent>) {
     while events.recv().await.is_some() {}
 }
--- a/crates/gateway/src/engine/client.rs
+++ b/crates/gateway/src/engine/client.rs
@@ -155,7 +155,10 @@
 }
 
 /// The refusal of a back end that says that it did not start the request.
-pub(crate) async fn refused_before_start(response: Response<Incoming>, leaving: bool) -> AttemptFault {
+pub(crate) async fn refused_before_start(
+    response: Response<Incoming>,
+    leaving: bool,
+) -> AttemptFault {
     let status = response.status().as_u16();
     let retry_after = response
         .headers()
--- a/crates/gateway/src/engine/opening.rs
+++ b/crates/gateway/src/engine/opening.rs
@@ -5,7 +5,7 @@
 use crate::{
     decisions::Placement,
     engine::{
-        client::{EngineRequest, load_report, header_is},
+        client::{EngineRequest, header_is, load_report},
         fault::AttemptFault,
         stream::EngineStream,
     },
--- a/crates/gateway/src/identifiers.rs
+++ b/crates/gateway/src/identifiers.rs
@@ -9,12 +9,12 @@
     hex::encode(bytes)
 }
 
-/// A new file id.
+/// Creates a random file id.
 pub(crate) fn new_file_id() -> FileId {
     FileId(format!("file-{}", random_hex()))
 }
 
-/// A new job id.
+/// Creates a random job id.
 pub(crate) fn new_job_id() -> JobId {
     JobId(format!("batch_{}", random_hex()))
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,9 +1,8 @@
 //! The gateway process that runs beside each caller.
 //!
-//! It takes OpenAI-compatible HTTP requests, decides where each one runs,
-//! streams answers from model engines, passes requests on to application
-//! services, stores files and batch jobs through control, and runs batch
-//! items under leases.
+//! The gateway serves OpenAI-compatible HTTP requests: it chooses a replica for each request,
+//! streams answers from model engines and forwards requests to application services. It stores
+//! files and batch jobs through control and executes batch items under leases.
 
 pub mod batch;
 mod batches;
--- a/crates/gateway/src/models.rs
+++ b/crates/gateway/src/models.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/models`: what the configuration in force lets callers name.
+//! `GET /v1/models`: the models and adapters of the configuration in force.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -39,8 +39,8 @@
     }
 }
 
-/// Every name that a request's `model` may hold.
-fn names(fleet: &Fleet) -> impl Iterator<Item = String> {
+/// All valid values of a request's `model` field.
+fn model_names(fleet: &Fleet) -> impl Iterator<Item = String> {
     fleet.models.iter().flat_map(|pool| {
         let adapters = pool
             .adapters
@@ -54,24 +54,24 @@
     let (active, _) = gateway.authenticate(head)?;
     let body = ModelList {
         object: "list",
-        data: names(&active.fleet).map(ModelObject::new).collect(),
+        data: model_names(&active.fleet).map(ModelObject::new).collect(),
     };
     Ok(json_response(StatusCode::OK, &body))
 }
 
 pub(crate) fn get(gateway: &Gateway, head: &RequestHead) -> Result<Response<Body>, Failure> {
     let (active, _) = gateway.authenticate(head)?;
-    let wanted = head
+    let requested = head
         .segment(MODEL_SEGMENT)
         .replace("%3A", ":")
         .replace("%3a", ":");
-    names(&active.fleet)
-        .find(|name| *name == wanted)
+    model_names(&active.fleet)
+        .find(|name| *name == requested)
         .map(|name| json_response(StatusCode::OK, &ModelObject::new(name)))
         .ok_or_else(|| {
             Failure::new(
                 ErrorKind::UnknownModel,
-                format!("the model {wanted:?} does not exist"),
+                format!("the model {requested:?} does not exist"),
             )
             .with_param("model")
         })
--- a/crates/gateway/src/observe/explain.rs
+++ b/crates/gateway/src/observe/explain.rs
@@ -18,7 +18,7 @@
     tenants::has_key_with_hash,
 };
 
-/// What precedes the id in the path.
+/// Prefix of the path before the id.
 const PATH_PREFIX: &str = "/v1/explain/";
 
 #[derive(Debug, Serialize)]
@@ -28,24 +28,24 @@
     records: Vec<JournalRecord>,
 }
 
-/// Tells what the journal knows of a request, job, item (`JOB/NUMBER`), replica or revision.
-/// An operator sees everything; a tenant records of its own work and those that are about no
-/// tenant's work.
+/// Returns the journal records about a request, job, item (`JOB/NUMBER`), replica or revision.
+/// An operator sees all records; a tenant sees the records of its own requests and those that
+/// belong to no tenant.
 pub(crate) async fn explain(
     gateway: &Arc<Gateway>,
     head: &RequestHead,
 ) -> Result<Response<Body>, Failure> {
-    let reader = reader(gateway, head)?;
-    let id = asked_id(head)?;
+    let requester = requester(gateway, head)?;
+    let id = requested_id(head)?;
     let journal = gateway.observer.journal.clone();
-    let asked = id.clone();
-    let found = tokio::task::spawn_blocking(move || journal.lookup(&asked)).await;
+    let requested = id.clone();
+    let found = tokio::task::spawn_blocking(move || journal.lookup(&requested)).await;
     let mut records = match found {
         Ok(Ok(records)) => records,
         Ok(Err(error)) => return Err(Failure::new(ErrorKind::Io, error.to_string())),
         Err(_) => return Err(Failure::from(ErrorKind::Internal)),
     };
-    records.retain(|record| reader.may_see(record));
+    records.retain(|record| requester.may_see(record));
     let explanation = Explanation {
         object: "explanation",
         id,
@@ -54,31 +54,31 @@
     Ok(json_response(StatusCode::OK, &explanation))
 }
 
-/// Who asks.
-enum Reader {
+/// Who requests the explanation.
+enum Requester {
     Operator,
     Tenant(String),
 }
 
-impl Reader {
+impl Requester {
     fn may_see(&self, record: &JournalRecord) -> bool {
         match (self, record.subject.tenant.as_deref()) {
-            (Reader::Operator, _) | (Reader::Tenant(_), None) => true,
-            (Reader::Tenant(name), Some(owner)) => owner == name,
+            (Requester::Operator, _) | (Requester::Tenant(_), None) => true,
+            (Requester::Tenant(name), Some(owner)) => owner == name,
         }
     }
 }
 
-fn reader(gateway: &Gateway, head: &RequestHead) -> Result<Reader, Failure> {
+fn requester(gateway: &Gateway, head: &RequestHead) -> Result<Requester, Failure> {
     let operators = gateway.settings.operator_key_sha256.as_deref();
     if operators.is_some_and(|hash| has_key_with_hash(&head.headers, hash)) {
-        return Ok(Reader::Operator);
+        return Ok(Requester::Operator);
     }
     let (_, tenant) = gateway.authenticate(head)?;
-    Ok(Reader::Tenant(tenant.name.clone()))
+    Ok(Requester::Tenant(tenant.name.clone()))
 }
 
-fn asked_id(head: &RequestHead) -> Result<String, Failure> {
+fn requested_id(head: &RequestHead) -> Result<String, Failure> {
     let path = head.uri.path();
     let encoded = path.strip_prefix(PATH_PREFIX).unwrap_or_default();
     percent_decode_str(encoded)
@@ -89,7 +89,7 @@
         .ok_or_else(|| Failure::new(ErrorKind::InvalidValue, "the path must end with an id"))
 }
 
-/// The metrics as text.
+/// `GET /metrics`: the metrics in text format.
 pub(crate) fn metrics(gateway: &Gateway) -> Response<Body> {
     let observer = &gateway.observer;
     let metrics = &observer.metrics;
--- a/crates/gateway/src/observe/metrics.rs
+++ b/crates/gateway/src/observe/metrics.rs
@@ -7,12 +7,12 @@
     metrics::{counter::Counter, family::Family, gauge::Gauge, histogram::Histogram},
 };
 
-/// Labels of an answer to a caller.
+/// Labels of a response to a caller.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct AnswerLabels {
     /// The route.
     pub(crate) endpoint: &'static str,
-    /// `ok` or the code of the error table.
+    /// `ok` or an error code.
     pub(crate) outcome: &'static str,
 }
 
@@ -23,23 +23,23 @@
     pub(crate) endpoint: &'static str,
 }
 
-/// Label of a decision.
+/// Label of a routing decision.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ReasonLabel {
-    /// A reason code, or a code of the error table.
+    /// A reason code or an error code.
     pub(crate) reason: &'static str,
 }
 
-/// Label of online and batch work.
+/// Label of the work class.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub(crate) struct ClassLabel {
     /// `online` or `batch`.
     pub(crate) class: &'static str,
 }
 
-/// Online work.
+/// Label value of online work.
 pub(crate) const ONLINE: ClassLabel = ClassLabel { class: "online" };
-/// Batch work.
+/// Label value of batch work.
 pub(crate) const BATCH: ClassLabel = ClassLabel { class: "batch" };
 
 impl From<ReasonCode> for ReasonLabel {
@@ -50,7 +50,7 @@
     }
 }
 
-/// Everything that a gateway counts and measures.
+/// All metrics of a gateway.
 pub(crate) struct GatewayMetrics {
     pub(crate) answers: Family<AnswerLabels, Counter>,
     pub(crate) answer_seconds: Family<EndpointLabel, Histogram, fn() -> Histogram>,
@@ -183,7 +183,7 @@
         }
     }
 
-    /// Counts an answer to a caller.
+    /// Counts a response to a caller and records its latency.
     pub(crate) fn answered(&self, endpoint: &'static str, outcome: &'static str, seconds: f64) {
         let labels = AnswerLabels { endpoint, outcome };
         self.answers.get_or_create(&labels).inc();
--- a/crates/gateway/src/observe/mod.rs
+++ b/crates/gateway/src/observe/mod.rs
@@ -1,4 +1,4 @@
-//! What a gateway tells of its decisions: journal records and metrics.
+//! Observability of routing decisions: journal records and metrics.
 
 pub(crate) mod explain;
 mod metrics;
@@ -20,7 +20,7 @@
 }
 
 impl Observer {
-    /// An observer that writes to a journal.
+    /// Creates an observer that writes to `journal`.
     pub(crate) fn new(journal: Journal) -> Self {
         let registry = Metrics::new();
         Observer {
@@ -31,7 +31,7 @@
     }
 }
 
-/// The metrics that a gateway registers, for the reference page.
+/// Descriptions of all metrics of a gateway, for the reference page.
 #[must_use]
 pub fn metric_descriptions() -> Vec<MetricDescription> {
     let registry = Metrics::new();
--- a/crates/gateway/src/observe/records.rs
+++ b/crates/gateway/src/observe/records.rs
@@ -1,4 +1,4 @@
-//! Journal records and counts of one decision each.
+//! Writes the journal record of each decision and updates its metrics.
 
 use std::borrow::Cow;
 
@@ -13,7 +13,7 @@
     observe::{Observer, metrics::ReasonLabel},
 };
 
-/// A request and whose it is.
+/// A request and its tenant.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct RequestSubject {
     pub(crate) request: RequestId,
@@ -27,7 +27,7 @@
 }
 
 impl Observer {
-    /// A request was refused by limits, queue or lack of back ends.
+    /// Records a request that was refused by limits, by the queue or for lack of back ends.
     pub(crate) fn refused(&self, now: Timestamp, request: &RequestSubject, refused: &Refused) {
         let label = ReasonLabel::from(refused.reason);
         self.metrics.refusals.get_or_create(&label).inc();
@@ -41,7 +41,8 @@
         );
     }
 
-    /// A request got its place at a replica after it waited so long.
+    /// Records the replica that a request was placed on. `waited_ms` is its time in the queue, if
+    /// it was queued.
     pub(crate) fn placed(
         &self,
         now: Timestamp,
@@ -74,7 +75,7 @@
         self.journal.record(record);
     }
 
-    /// An attempt failed; the reason tells what follows.
+    /// Records a failed attempt; `reason` is the decision that followed.
     pub(crate) fn attempt_failed(
         &self,
         now: Timestamp,
@@ -94,7 +95,7 @@
         self.write(now, kind, subject, reason, fault.to_owned());
     }
 
-    /// A replica was ejected by its failures.
+    /// Records the ejection of a replica after failures.
     pub(crate) fn ejected(&self, now: Timestamp, replica: &str, reason: ReasonCode) {
         let label = ReasonLabel::from(reason);
         self.metrics.ejections.get_or_create(&label).inc();
@@ -102,14 +103,14 @@
         self.write(now, DecisionKind::Health, subject, reason, "taken out");
     }
 
-    /// A replica said that it is leaving.
+    /// Records that a replica reported by its responses that it is leaving.
     pub(crate) fn leaving(&self, now: Timestamp, replica: &str) {
         let subject = Subject::replica(replica);
         let reason = ReasonCode::LeavingByDataPath;
         self.write(now, DecisionKind::Health, subject, reason, "drained");
     }
 
-    /// A request was answered in full.
+    /// Records a request that was answered completely.
     pub(crate) fn finished(&self, now: Timestamp, request: &RequestSubject, outcome: String) {
         let subject = request.subject();
         self.write(
@@ -121,7 +122,7 @@
         );
     }
 
-    /// A request ended with an error.
+    /// Records a request that ended with an error.
     pub(crate) fn failed(&self, now: Timestamp, request: &RequestSubject, failure: &Failure) {
         let code = failure.kind.answer().code;
         let record = JournalRecord::new(now.0, DecisionKind::Choice, request.subject(), code);
@@ -129,7 +130,7 @@
         self.journal.record(record.with_outcome(outcome));
     }
 
-    /// A run was stopped because its caller went away.
+    /// Records a run that was cancelled because its caller disconnected.
     pub(crate) fn caller_gone(&self, now: Timestamp, request: &RequestSubject, outcome: String) {
         self.metrics.callers_gone.inc();
         let subject = request.subject();
@@ -142,7 +143,7 @@
         );
     }
 
-    /// What came of an idempotency key.
+    /// Records the outcome of a claim on an idempotency key.
     pub(crate) fn claimed(&self, now: Timestamp, request: &RequestSubject, outcome: &'static str) {
         let label = ReasonLabel { reason: outcome };
         self.metrics.claims.get_or_create(&label).inc();
@@ -150,7 +151,7 @@
         self.journal.record(record);
     }
 
-    /// A configuration came in force.
+    /// Records that a configuration revision came into force.
     pub(crate) fn configured(&self, now: Timestamp, revision: Revision) {
         let number = i64::try_from(revision.0).unwrap_or(i64::MAX);
         self.metrics.configuration_revision.set(number);
@@ -159,7 +160,7 @@
         self.journal.record(record);
     }
 
-    /// A decision about a batch item.
+    /// Records a decision about a batch item.
     pub(crate) fn batch(&self, now: Timestamp, decision: BatchDecision) {
         self.count_batch(&decision);
         let mut subject =
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -141,7 +141,8 @@
         }
         // A hung engine is not the caller's deadline, and an earlier attempt may have run
         // although the last one did not.
-        let hung = matches!(fault, AttemptFault::TimedOut(_)) && kind == ErrorKind::DeadlineExceeded;
+        let hung =
+            matches!(fault, AttemptFault::TimedOut(_)) && kind == ErrorKind::DeadlineExceeded;
         let (kind, executed) = if hung {
             (ErrorKind::BackEndFailed, executed)
         } else if self.started && executed == Executed::No {
--- a/crates/gateway/src/options.rs
+++ b/crates/gateway/src/options.rs
@@ -1,38 +1,38 @@
-//! Options of a gateway beyond `linnethitch_config::settings::GatewaySettings`.
+//! Options of a gateway in addition to `linnethitch_config::settings::GatewaySettings`.
 
 use std::time::Duration;
 
 use linnethitch_protocol::fleet::ReplicaInfo;
 
-/// Choices of a harness that runs gateways in its own process.
+/// Options for a test harness that runs gateways in its own process.
 #[derive(Clone, Debug, Default)]
 pub struct GatewayOptions {
-    /// Time limits towards engines.
+    /// Timeouts of requests to engines.
     pub engine_timeouts: EngineTimeouts,
-    /// Configuration and back ends that are given instead of learnt from control.
+    /// Fixed configuration and back ends; `None` to receive them from control.
     pub fixed: Option<FixedFleet>,
 }
 
-/// A fleet that is given at the start, for use without control.
+/// A fleet that is fixed at the start, for use without control.
 #[derive(Clone, Debug)]
 pub struct FixedFleet {
-    /// The fleet file's text.
+    /// The text of the fleet file.
     pub content: String,
     /// The back ends.
     pub replicas: Vec<ReplicaInfo>,
 }
 
-/// How long the gateway waits for an engine before it counts it as hung.
+/// How long the gateway waits for an engine before an attempt times out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineTimeouts {
-    /// To open a connection.
+    /// Limit to open a connection.
     pub connect: Duration,
-    /// From sending the request to the first token.
+    /// Limit from sending the request to the first token.
     pub first_token: Duration,
-    /// Between two tokens.
+    /// Limit between two tokens.
     pub between_tokens: Duration,
-    /// From one sign of life of a batch run to the next; longer, since the engine may
-    /// preempt it for online work.
+    /// Limit between two events of a batch run; longer, since the engine may preempt the run for
+    /// online work.
     pub batch_silence: Duration,
 }
 
--- a/crates/gateway/src/process.rs
+++ b/crates/gateway/src/process.rs
@@ -1,4 +1,4 @@
-//! Start and planned stop of a gateway process.
+//! Start and graceful shutdown of a gateway process.
 
 use std::{io, net::SocketAddr, sync::Arc, time::Duration};
 
@@ -25,19 +25,19 @@
     state::Gateway,
 };
 
-/// Starts gateways; several may run in one operating system process.
+/// Starts gateways; one operating system process may run several.
 #[derive(Debug)]
 pub struct GatewayProcess;
 
-/// A running gateway. Dropping it ends it at once, as a crash would.
+/// A running gateway. Dropping the handle ends the gateway immediately, as a crash does.
 pub struct GatewayHandle {
     address: SocketAddr,
     gateway: Arc<Gateway>,
-    /// Tasks that finish what is in progress at a planned stop: listener and batch executor.
+    /// Tasks that a graceful shutdown drains: listener and batch executor.
     work: JoinSet<()>,
-    /// Tasks that run as long as the process.
+    /// Tasks that run until the process ends: connections to control and reports.
     background: JoinSet<()>,
-    /// Where they run; `None` when nothing follows control.
+    /// Runtime of the background tasks; `None` when the gateway does not follow control.
     _links: Option<LinkRuntime>,
     _dropped: DropGuard,
 }
@@ -46,7 +46,7 @@
     /// Starts a gateway.
     ///
     /// # Errors
-    /// `Io` when the address cannot be listened on.
+    /// `Io` when the address cannot be bound or the journal cannot be opened.
     pub async fn start(
         settings: GatewaySettings,
         logger: Logger,
@@ -54,10 +54,11 @@
         Self::start_with(settings, GatewayOptions::default(), logger).await
     }
 
-    /// Starts a gateway with options of a harness.
+    /// Starts a gateway with options for test harnesses.
     ///
     /// # Errors
-    /// `Io` when the address cannot be listened on, `InvalidConfiguration` when a fixed fleet is wrong.
+    /// `Io` when the address cannot be bound or the journal cannot be opened,
+    /// `InvalidConfiguration` when a fixed fleet is invalid.
     pub async fn start_with(
         settings: GatewaySettings,
         options: GatewayOptions,
@@ -82,8 +83,8 @@
             logger.clone(),
         ));
         match options.fixed {
-            Some(fixed) => use_fixed(&gateway, fixed)?,
-            None => use_stored(&gateway)?,
+            Some(fixed) => activate_fixed(&gateway, fixed)?,
+            None => activate_stored(&gateway)?,
         }
         let links = follows_control(&gateway)
             .then(|| LinkRuntime::start("gateway-links"))
@@ -106,13 +107,14 @@
 }
 
 impl GatewayHandle {
-    /// The address that callers connect to.
+    /// The address that the gateway listens on.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Planned stop: takes no new work at once, returns when everything in progress is finished.
+    /// Graceful shutdown: refuses new work immediately and returns when all work in progress has
+    /// finished, at the latest after `drain_timeout_ms`.
     pub async fn stop(self) {
         let GatewayHandle {
             gateway,
@@ -129,7 +131,7 @@
         if finished.await.is_err() {
             warn!(
                 gateway.logger,
-                "cut off what still ran at the end of the planned stop"
+                "drain timeout reached, cancelling remaining work"
             );
             work.shutdown().await;
         }
@@ -145,8 +147,8 @@
         .attach_with(|| format!("cannot listen on {address}"))
 }
 
-/// Puts a given fleet in force.
-fn use_fixed(gateway: &Arc<Gateway>, fixed: FixedFleet) -> Result<(), Report<ErrorKind>> {
+/// Puts a fixed fleet into force.
+fn activate_fixed(gateway: &Arc<Gateway>, fixed: FixedFleet) -> Result<(), Report<ErrorKind>> {
     let fleet = Fleet::parse(&fixed.content).change_context(ErrorKind::InvalidConfiguration)?;
     gateway.activate(Revision(1), Arc::new(fleet));
     gateway.decisions.set_replicas(fixed.replicas);
@@ -154,8 +156,8 @@
     Ok(())
 }
 
-/// Goes on from the configuration that the gateway had stored, if it had.
-fn use_stored(gateway: &Arc<Gateway>) -> Result<(), Report<ErrorKind>> {
+/// Puts the configuration on disk into force, if there is one.
+fn activate_stored(gateway: &Arc<Gateway>) -> Result<(), Report<ErrorKind>> {
     let stored = match &gateway.store {
         Some(store) => store.load()?,
         None => None,
@@ -169,12 +171,12 @@
     Ok(())
 }
 
-/// Whether the fleet is learnt from control instead of given.
+/// Whether the gateway receives its fleet from control.
 fn follows_control(gateway: &Gateway) -> bool {
     !gateway.settings.control_addresses.is_empty()
 }
 
-/// Starts what follows control.
+/// Starts the tasks that communicate with control.
 fn spawn_background(
     gateway: &Arc<Gateway>,
     links: &LinkRuntime,
@@ -192,7 +194,7 @@
     Ok(tasks)
 }
 
-/// Starts what takes work.
+/// Starts the listener and the batch executor.
 fn spawn_work(
     gateway: &Arc<Gateway>,
     socket: TcpListener,
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -14,7 +14,7 @@
 use crate::{
     decisions::{Placement, TenantPass, Wanted, no_choice},
     engine::{
-        client::{load_report, refused_before_start, header_is},
+        client::{header_is, load_report, refused_before_start},
         fault::AttemptFault,
     },
     observe::RequestSubject,
--- a/crates/gateway/src/state.rs
+++ b/crates/gateway/src/state.rs
@@ -1,4 +1,4 @@
-//! What the parts of a gateway share.
+//! State that the components of a gateway share.
 
 use std::{
     future::Future,
@@ -53,10 +53,10 @@
     tenants::TenantDirectory,
 };
 
-/// When a caller that was refused by a stopping or starting process should come back.
+/// `Retry-After` of refusals while the process starts or stops.
 const RESTART_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// A configuration in force, with what is looked up in it often.
+/// The configuration in force, with the index of its tenants.
 #[derive(Debug)]
 pub(crate) struct ActiveConfiguration {
     pub(crate) revision: Revision,
@@ -85,21 +85,21 @@
     /// Bytes and frames exchanged with control.
     pub(crate) traffic: Arc<Traffic>,
     pub(crate) follower: Mutex<Follower>,
-    /// `None` when the configuration is given instead of learnt.
+    /// `None` when the configuration is fixed instead of received from control.
     pub(crate) store: Option<ConfigurationStore>,
     pub(crate) session: SessionState,
     pub(crate) clock_offset: ClockOffset,
-    /// Cancelled when a planned stop begins.
+    /// Cancelled when a graceful shutdown begins.
     pub(crate) stopping: CancellationToken,
-    /// Runs that go on without their caller.
+    /// Tasks that continue after their caller has disconnected.
     tracked: TaskTracker,
-    /// Cancelled when the process is dropped instead of stopped.
+    /// Cancelled when the process handle is dropped instead of stopped gracefully.
     pub(crate) dropped: CancellationToken,
     pub(crate) observer: Observer,
-    /// What the batch executor is told; nobody receives when the fleet is given.
+    /// Events for the batch executor; without a receiver when the fleet is fixed.
     pub(crate) batch_events: mpsc::Sender<BatchEvent>,
     has_replicas: AtomicBool,
-    /// Whether callers are served; a hollow gateway keeps no lookup of tenants.
+    /// Whether callers are served; a control-only gateway has no index of tenants.
     serves_callers: bool,
 }
 
@@ -138,7 +138,8 @@
         }
     }
 
-    /// The same without callers, sharing parsed configurations with others of the process.
+    /// Turns off serving of callers and shares parsed configurations with the other gateways of
+    /// the process.
     pub(crate) fn control_only(self, documents: Arc<SharedDocuments>) -> Self {
         Gateway {
             follower: Mutex::new(Follower::sharing(documents)),
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Puts a configuration in force for everything that starts from now on.
+    /// Puts a configuration into force for all new requests.
     pub(crate) fn activate(&self, revision: Revision, fleet: Arc<Fleet>) {
         let mut tenants = TenantDirectory::default();
         if self.serves_callers {
@@ -163,12 +164,12 @@
         self.observer.configured(self.clock().now(), revision);
     }
 
-    /// A list of replicas has arrived.
+    /// Records that a list of replicas was received, which makes the gateway ready.
     pub(crate) fn on_replicas_received(&self) {
         self.has_replicas.store(true, Ordering::Release);
     }
 
-    /// Whether callers may be sent here.
+    /// Whether the gateway is ready to serve callers.
     fn ready(&self) -> Result<(), Failure> {
         self.active()?;
         if self.has_replicas.load(Ordering::Acquire) {
@@ -180,7 +181,7 @@
         )
     }
 
-    /// Takes a request of a tenant from its limits.
+    /// Charges a request to the limits of its tenant.
     pub(crate) fn pass_limits(
         &self,
         request: &RequestId,
@@ -199,8 +200,12 @@
         })
     }
 
-    /// Takes in how an attempt at a replica failed.
-    pub(crate) fn record_fault(&self, placement: Placement, fault: &AttemptFault) -> Option<ReasonCode> {
+    /// Records a failed attempt at a replica; returns the reason if the replica was ejected.
+    pub(crate) fn record_fault(
+        &self,
+        placement: Placement,
+        fault: &AttemptFault,
+    ) -> Option<ReasonCode> {
         let replica = placement.replica.to_string();
         let now = self.clock().now();
         if fault.reports_leaving() {
@@ -218,8 +223,8 @@
         self.decisions.clock
     }
 
-    /// Runs a task to its end, also beyond the connection that asked for it; a planned stop
-    /// waits for it.
+    /// Runs a task to completion, even if the connection that started it closes. A graceful
+    /// shutdown waits for the task.
     pub(crate) fn spawn_tracked(
         &self,
         task: impl Future<Output = ()> + Send + 'static,
@@ -229,18 +234,21 @@
             .spawn(async move { dropped.run_until_cancelled(task).await })
     }
 
-    /// Waits until every tracked task has ended.
+    /// Waits for all tracked tasks.
     pub(crate) async fn finish_tracked(&self) {
         self.tracked.close();
         self.tracked.wait().await;
     }
 
-    /// From now on no new work is taken.
+    /// Begins a graceful shutdown: new work is refused.
     pub(crate) fn begin_stop(&self) {
         self.stopping.cancel();
     }
 
-    /// The configuration in force, if new work may be taken.
+    /// The configuration in force.
+    ///
+    /// # Errors
+    /// `Stopping` during shutdown, `NotReady` before the first configuration.
     pub(crate) fn active(&self) -> Result<Arc<ActiveConfiguration>, Failure> {
         if self.stopping.is_cancelled() {
             return Err(
@@ -254,7 +262,7 @@
         })
     }
 
-    /// The tenant of a request and the configuration that it runs under.
+    /// Returns the tenant of a request and the configuration that applies to the request.
     pub(crate) fn authenticate(
         &self,
         head: &RequestHead,
@@ -264,7 +272,7 @@
         Ok((active, tenant))
     }
 
-    /// Does what a caller asks.
+    /// Dispatches a request to the handler of its endpoint.
     async fn respond(
         self: &Arc<Self>,
         endpoint: Endpoint,
@@ -306,8 +314,8 @@
         request: IncomingRequest,
     ) -> Response<Body> {
         let started = Instant::now();
-        let answered = self.respond(endpoint, request).await;
-        let outcome = match &answered {
+        let result = self.respond(endpoint, request).await;
+        let outcome = match &result {
             Ok(_) => "ok",
             Err(failure) => failure.kind.answer().code,
         };
@@ -315,7 +323,7 @@
         self.observer
             .metrics
             .answered(endpoint.name(), outcome, seconds);
-        answered.unwrap_or_else(|failure| failure_response(&failure))
+        result.unwrap_or_else(|failure| failure_response(&failure))
     }
 }
 
--- a/crates/gateway/src/tenants.rs
+++ b/crates/gateway/src/tenants.rs
@@ -1,4 +1,4 @@
-//! Finds the tenant of a bearer key.
+//! Authenticates tenants by bearer key.
 
 use std::{collections::HashMap, sync::Arc};
 
@@ -7,7 +7,7 @@
 use linnethitch_errors::{ErrorKind, Failure};
 use linnethitch_tenants::{KeyDigest, bearer_key};
 
-/// The tenants of a configuration by the digest of their key.
+/// The tenants of a configuration, indexed by the digest of their key.
 #[derive(Debug, Default)]
 pub(crate) struct TenantDirectory {
     by_key: HashMap<KeyDigest, Arc<Tenant>>,
@@ -23,9 +23,12 @@
         TenantDirectory { by_key }
     }
 
-    /// The tenant whose key the request carries.
+    /// Returns the tenant whose key the request carries.
+    ///
+    /// # Errors
+    /// `InvalidKey` when the key is missing or unknown.
     pub(crate) fn authenticate(&self, headers: &HeaderMap) -> Result<Arc<Tenant>, Failure> {
-        let key = key_of(headers).ok_or_else(|| {
+        let key = presented_key(headers).ok_or_else(|| {
             Failure::new(
                 ErrorKind::InvalidKey,
                 "an API key is required: Authorization: Bearer KEY",
@@ -38,20 +41,20 @@
     }
 }
 
-/// Whether the request carries the key of this hash.
+/// Whether the request carries the key with this hash.
 pub(crate) fn has_key_with_hash(headers: &HeaderMap, hash: &str) -> bool {
-    // Digests are compared, so that the time taken tells nothing of the key.
-    match (key_of(headers).map(KeyDigest::of), digest(hash)) {
+    // Compares digests, so that the duration of the comparison reveals nothing about the key.
+    match (presented_key(headers).map(KeyDigest::of), digest(hash)) {
         (Some(presented), Some(known)) => presented == known,
         _ => false,
     }
 }
 
 fn digest(key_sha256: &str) -> Option<KeyDigest> {
-    let whole: [u8; 32] = hex::decode(key_sha256).ok()?.try_into().ok()?;
-    Some(KeyDigest::from_sha256(&whole))
+    let sha256: [u8; 32] = hex::decode(key_sha256).ok()?.try_into().ok()?;
+    Some(KeyDigest::from_sha256(&sha256))
 }
 
-fn key_of(headers: &HeaderMap) -> Option<&str> {
+fn presented_key(headers: &HeaderMap) -> Option<&str> {
     bearer_key(headers.get(AUTHORIZATION)?.to_str().ok()?)
 }
