--- a/crates/gateway/src/engine/chunk.rs
+++ b/crates/gateway/src/engine/chunk.rs
@@ -1,4 +1,4 @@
-//! The parts of a streamed chunk that the gateway reads.
+//! The fields of a streamed chunk that the gateway reads.
 
 use std::borrow::Cow;
 
@@ -61,7 +61,7 @@
 }
 
 impl Choice<'_> {
-    /// The text that this token adds, of either kind of completion.
+    /// The text of the token, for chat and text completions.
     pub(crate) fn text(&self) -> &str {
         if self.text.is_empty() {
             &self.delta.content
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Whether it carries something that a resumed run could not continue.
+    /// Whether the chunk has output that a resumed run cannot continue.
     pub(crate) fn has_structured_output(&self) -> bool {
         self.delta.tool_calls.is_some()
     }
@@ -80,15 +80,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub(crate) enum FinishReason {
-    /// The model ended it.
+    /// The model ended the answer.
     Stop,
-    /// The token limit ended it.
+    /// The token limit was reached.
     Length,
-    /// The answer is a call of tools.
+    /// The answer is a tool call.
     ToolCalls,
-    /// A filter ended it.
+    /// A content filter ended the answer.
     ContentFilter,
-    /// The answer is a call of a function.
+    /// The answer is a function call.
     FunctionCall,
 }
 
--- a/crates/gateway/src/engine/client.rs
+++ b/crates/gateway/src/engine/client.rs
@@ -1,4 +1,4 @@
-//! Connections to back ends.
+//! HTTP client for back ends.
 
 use std::time::Duration;
 
@@ -15,24 +15,24 @@
 
 use crate::engine::fault::AttemptFault;
 
-/// How long an unused connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Unused connections kept to one back end.
+/// Maximum idle connections to one back end.
 const MAX_IDLE_PER_BACK_END: usize = 256;
-/// Most bytes read of a refusal's body.
-const MAX_REFUSAL_BYTES: usize = 16 * 1024;
-/// Most bytes buffered for reading on one connection.
+/// Maximum bytes read from the body of an error response.
+const MAX_ERROR_BODY_BYTES: usize = 16 * 1024;
+/// Maximum size of the read buffer of one connection.
 const MAX_READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// Longest time to read a refusal's body.
-const REFUSAL_TIMEOUT: Duration = Duration::from_secs(2);
+/// Limit to read the body of an error response.
+const ERROR_BODY_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How urgent a request is to an engine.
+/// Priority of a request at an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Priority {
-    /// A caller waits.
+    /// A caller is waiting.
     Online,
-    /// May be preempted.
+    /// The engine may preempt the request.
     Batch,
 }
 
@@ -51,24 +51,24 @@
     pub(crate) address: String,
     /// `/v1/chat/completions` or `/v1/completions`.
     pub(crate) path: &'static str,
-    /// The id under which it can be cancelled.
+    /// The request id, by which the request can be cancelled.
     pub(crate) id: String,
-    /// Its priority.
+    /// The priority of the request.
     pub(crate) priority: Priority,
-    /// Time left.
+    /// Remaining time.
     pub(crate) deadline: Duration,
     /// The JSON body.
     pub(crate) body: Bytes,
 }
 
-/// A pool of connections to all back ends.
+/// HTTP client with a connection pool for all back ends.
 #[derive(Clone, Debug)]
 pub(crate) struct BackEndClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl BackEndClient {
-    /// An empty pool.
+    /// Creates a client with an empty pool.
     pub(crate) fn new(connect_timeout: Duration) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -82,7 +82,7 @@
         BackEndClient { client }
     }
 
-    /// Sends a generation request; `Ok` means that the engine has begun to answer it.
+    /// Sends a generation request; `Ok` means that the engine has begun to respond.
     pub(crate) async fn generate(
         &self,
         request: EngineRequest,
@@ -96,8 +96,8 @@
                 HeaderValue::from_static("application/json"),
             );
             headers.insert("x-priority", request.priority.header());
-            let left = u64::try_from(request.deadline.as_millis()).unwrap_or(u64::MAX);
-            headers.insert("x-deadline-ms", HeaderValue::from(left));
+            let deadline_ms = u64::try_from(request.deadline.as_millis()).unwrap_or(u64::MAX);
+            headers.insert("x-deadline-ms", HeaderValue::from(deadline_ms));
             if let Ok(id) = HeaderValue::from_str(&request.id) {
                 headers.insert("x-request-id", id);
             }
@@ -109,7 +109,7 @@
         if response.status().is_success() {
             return Ok(response);
         }
-        Err(refusal(response).await)
+        Err(fault_of_response(response).await)
     }
 
     /// Sends any request to a back end.
@@ -118,7 +118,7 @@
         message: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, AttemptFault> {
         self.client.request(message).await.map_err(|error| {
-            let reason = with_causes(&error);
+            let reason = error_chain(&error);
             if error.is_connect() {
                 AttemptFault::Connect(reason)
             } else {
@@ -128,7 +128,7 @@
     }
 }
 
-fn with_causes(error: &dyn std::error::Error) -> String {
+fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(inner) = cause {
@@ -139,8 +139,8 @@
     text
 }
 
-/// Sorts an answer other than success by whether the request may have run.
-async fn refusal(response: Response<Incoming>) -> AttemptFault {
+/// Classifies an error response by whether the request may have run.
+async fn fault_of_response(response: Response<Incoming>) -> AttemptFault {
     let status = response.status().as_u16();
     let headers = response.headers();
     let leaving = header_is(headers, "x-engine-leaving", "yes");
@@ -150,11 +150,11 @@
     if status >= 500 {
         return AttemptFault::Failed { status };
     }
-    let message = refusal_message(response).await;
+    let message = read_error_message(response).await;
     AttemptFault::Rejected { status, message }
 }
 
-/// The refusal of a back end that says that it did not start the request.
+/// The fault for the response of a back end that did not start the request.
 pub(crate) async fn refused_before_start(
     response: Response<Incoming>,
     leaving: bool,
@@ -169,19 +169,19 @@
         status,
         leaving,
         retry_after,
-        message: refusal_message(response).await,
+        message: read_error_message(response).await,
     }
 }
 
-async fn refusal_message(response: Response<Incoming>) -> String {
-    let body = Limited::new(response.into_body(), MAX_REFUSAL_BYTES).collect();
-    match tokio::time::timeout(REFUSAL_TIMEOUT, body).await {
-        Ok(Ok(collected)) => message_of(&collected.to_bytes()),
+async fn read_error_message(response: Response<Incoming>) -> String {
+    let body = Limited::new(response.into_body(), MAX_ERROR_BODY_BYTES).collect();
+    match tokio::time::timeout(ERROR_BODY_TIMEOUT, body).await {
+        Ok(Ok(collected)) => error_message(&collected.to_bytes()),
         _ => String::new(),
     }
 }
 
-/// Whether a header has the given value.
+/// Whether a header has the given value, ignoring case.
 pub(crate) fn header_is(headers: &HeaderMap, name: &str, value: &str) -> bool {
     headers
         .get(name)
@@ -198,7 +198,7 @@
     message: String,
 }
 
-fn message_of(body: &[u8]) -> String {
+fn error_message(body: &[u8]) -> String {
     serde_json::from_slice::<ErrorBody>(body)
         .map(|parsed| parsed.error.message)
         .unwrap_or_default()
@@ -221,7 +221,7 @@
     max_running: u32,
 }
 
-/// The load report carried by a response, if there is one.
+/// The load report in a response header, if it is present and valid.
 pub(crate) fn load_report(headers: &HeaderMap, name: &str) -> Option<LoadReport> {
     let load: LoadHeader = serde_json::from_slice(headers.get(name)?.as_bytes()).ok()?;
     Some(LoadReport {
--- a/crates/gateway/src/engine/fault.rs
+++ b/crates/gateway/src/engine/fault.rs
@@ -1,50 +1,50 @@
-//! What can go wrong with one attempt on one back end.
+//! Failures of one attempt on one back end.
 
 use std::{fmt, time::Duration};
 
 use linnethitch_routing::{retry::AttemptFailure, view::FailureKind};
 
-/// Status of an engine that has no room.
+/// HTTP status of an engine without free capacity.
 const STATUS_FULL: u16 = 429;
 
-/// How an attempt failed, and with it whether it may have run.
+/// How an attempt failed, which also determines whether the request may have run.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptFault {
-    /// No connection: not a byte was sent.
+    /// The connection failed; nothing was sent.
     Connect(String),
-    /// The back end said that it did not start the request.
+    /// The back end refused the request without starting it.
     Refused {
         /// HTTP status of the refusal.
         status: u16,
-        /// Whether it is leaving.
+        /// Whether the back end reported that it is leaving.
         leaving: bool,
-        /// When it wants to be asked again.
+        /// Delay after which the back end accepts a retry.
         retry_after: Option<Duration>,
-        /// What it said.
+        /// Error message of the back end.
         message: String,
     },
-    /// The back end found the request itself wrong.
+    /// The back end rejected the request as invalid.
     Rejected {
         /// HTTP status.
         status: u16,
-        /// What it said.
+        /// Error message of the back end.
         message: String,
     },
-    /// The back end answered with an error after it may have started.
+    /// The back end returned an error after it may have started the request.
     Failed {
         /// HTTP status.
         status: u16,
     },
-    /// The connection broke before the answer was whole.
+    /// The answer ended before it was complete.
     Interrupted(String),
-    /// The answer breaks the protocol.
+    /// The answer violates the protocol.
     Protocol(String),
     /// No answer within the limit.
     TimedOut(Duration),
 }
 
 impl AttemptFault {
-    /// Whether it is certain that the request did not run.
+    /// Whether the request certainly did not run.
     pub(crate) fn not_started(&self) -> bool {
         matches!(
             self,
@@ -52,12 +52,12 @@
         )
     }
 
-    /// Whether the back end said that it is leaving.
+    /// Whether the back end reported that it is leaving.
     pub(crate) fn reports_leaving(&self) -> bool {
         matches!(self, AttemptFault::Refused { leaving: true, .. })
     }
 
-    /// The failure in the words of the retry rules.
+    /// The failure as the retry rules classify it.
     pub(crate) fn as_attempt_failure(&self) -> AttemptFailure {
         match self {
             AttemptFault::Connect(_) => AttemptFailure::Unreachable,
@@ -70,7 +70,7 @@
         }
     }
 
-    /// What the failure says of the replica; `None` when the fault is the request's.
+    /// The failure as it counts against the replica; `None` when the request was at fault.
     pub(crate) fn as_failure_kind(&self) -> Option<FailureKind> {
         Some(match self {
             AttemptFault::Connect(_) => FailureKind::Unreachable,
@@ -86,7 +86,7 @@
         })
     }
 
-    /// When the back end wants to be asked again.
+    /// Delay after which the back end accepts a retry, if it gave one.
     pub(crate) fn retry_after(&self) -> Option<Duration> {
         match self {
             AttemptFault::Refused { retry_after, .. } => *retry_after,
--- a/crates/gateway/src/engine/mod.rs
+++ b/crates/gateway/src/engine/mod.rs
@@ -1,4 +1,4 @@
-//! The client towards model engines: HTTP, event streams, token accounting.
+//! Client for model engines: HTTP, event streams and checks of token indexes.
 
 pub(crate) mod chunk;
 pub(crate) mod client;
--- a/crates/gateway/src/engine/opening.rs
+++ b/crates/gateway/src/engine/opening.rs
@@ -1,4 +1,4 @@
-//! Opens the stream of a generation at the engine that it was placed on.
+//! Opens the stream of a generation on the engine of its placement.
 
 use std::time::Duration;
 
@@ -13,8 +13,8 @@
 };
 
 impl Gateway {
-    /// Sends a request and waits until the engine begins to answer, at most for `limit`. Takes
-    /// in what the engine says of itself.
+    /// Sends a request and waits up to `limit` until the engine begins to respond. Applies the
+    /// engine's load and its leaving notice from the response headers.
     pub(crate) async fn open_stream(
         &self,
         request: EngineRequest,
--- a/crates/gateway/src/engine/stream.rs
+++ b/crates/gateway/src/engine/stream.rs
@@ -1,4 +1,4 @@
-//! One streamed answer of one engine, checked token by token.
+//! Reads the streamed answer of an engine and checks the index of each token.
 
 use std::time::Duration;
 
@@ -15,33 +15,34 @@
 
 const DONE: &[u8] = b"[DONE]";
 
-/// What has been received of an answer, over all attempts.
+/// The part of an answer that has been received, over all attempts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Progress {
-    /// Tokens received; the index that the next one must carry.
+    /// Tokens received, which is also the expected index of the next token.
     pub(crate) tokens: u32,
-    /// Their text.
+    /// The text of the received tokens.
     pub(crate) text: String,
-    /// Why the answer ended, once it has.
+    /// Why the answer ended; `None` while it is incomplete.
     pub(crate) finish_reason: Option<FinishReason>,
-    /// Tokens used, where the engine told.
+    /// Tokens used, if the engine reported them.
     pub(crate) usage: Option<Usage>,
-    /// Whether something came that a resumed run could not continue.
+    /// Whether the answer has output that a resumed run cannot continue, such as tool calls.
     pub(crate) not_resumable: bool,
 }
 
-/// What an event of a stream is to the caller.
+/// An event of a stream that the caller receives.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum StreamEvent {
-    /// One more token; the event as the engine sent it.
+    /// The next token; holds the event as the engine sent it.
     Token(Bytes),
-    /// Only usage, no token.
+    /// Usage without a token; holds the event as the engine sent it.
     Usage(Bytes),
-    /// The whole answer was received.
+    /// The answer is complete.
     Done,
 }
 
-/// An engine's answer in progress. Dropping it closes the connection, which cancels the run.
+/// The answer of an engine in progress. Dropping the stream closes the connection, which cancels
+/// the run.
 pub(crate) struct EngineStream {
     body: Incoming,
     events: EventSplitter,
@@ -49,7 +50,7 @@
 }
 
 impl EngineStream {
-    /// Begins to read an answer.
+    /// Starts to read the body of a response.
     pub(crate) fn new(response: Response<Incoming>, request_id: String) -> Self {
         EngineStream {
             body: response.into_body(),
@@ -58,7 +59,10 @@
         }
     }
 
-    /// The next event that matters to the caller, or how the attempt failed.
+    /// Returns the next event for the caller. `limit` bounds the wait for each frame.
+    ///
+    /// # Errors
+    /// How the attempt failed.
     pub(crate) async fn next(
         &mut self,
         progress: &mut Progress,
@@ -66,8 +70,8 @@
     ) -> Result<StreamEvent, AttemptFault> {
         loop {
             while let Some(event) = self.events.next_event() {
-                if let Some(found) = self.accept(event, progress)? {
-                    return Ok(found);
+                if let Some(accepted) = self.accept(event, progress)? {
+                    return Ok(accepted);
                 }
             }
             self.read_frame(limit).await?;
@@ -77,7 +81,7 @@
     async fn read_frame(&mut self, limit: Duration) -> Result<(), AttemptFault> {
         let frame = match tokio::time::timeout(limit, self.body.frame()).await {
             Err(_) => return Err(AttemptFault::TimedOut(limit)),
-            Ok(None) => return Err(self.cut_short()),
+            Ok(None) => return Err(self.early_end()),
             Ok(Some(Err(error))) => return Err(AttemptFault::Interrupted(error.to_string())),
             Ok(Some(Ok(frame))) => frame,
         };
@@ -90,7 +94,7 @@
         }
     }
 
-    fn cut_short(&self) -> AttemptFault {
+    fn early_end(&self) -> AttemptFault {
         AttemptFault::Interrupted(if self.events.has_partial() {
             "the stream ended inside an event".to_owned()
         } else {
@@ -146,7 +150,7 @@
     Repeated,
 }
 
-/// Checks a chunk against what was received and takes its token in.
+/// Checks a chunk against the progress and adds its token.
 fn accept_chunk(chunk: &Chunk<'_>, progress: &mut Progress) -> Result<ChunkKind, AttemptFault> {
     if let Some(usage) = chunk.usage {
         progress.usage = Some(usage);
@@ -170,7 +174,7 @@
         Some(index) if index < progress.tokens => return Ok(ChunkKind::Repeated),
         Some(index) if index > progress.tokens => {
             return Err(AttemptFault::Protocol(format!(
-                "token {index} came where token {} was due",
+                "received token {index}, expected token {}",
                 progress.tokens
             )));
         }
--- a/crates/gateway/src/files/content.rs
+++ b/crates/gateway/src/files/content.rs
@@ -1,4 +1,4 @@
-//! `GET /v1/files/{id}/content`: a file's bytes, page by page.
+//! `GET /v1/files/{id}/content`: streams the content of a file from control in pages.
 
 use std::{io, sync::Arc};
 
@@ -20,18 +20,18 @@
     state::Gateway,
 };
 
-/// Bytes asked for at once.
+/// Bytes requested per page.
 const PAGE_BYTES: u32 = 256 * 1024;
 
-/// Reads a file from one page to the next.
-struct Reader {
+/// Reads a file page by page.
+struct PageReader {
     gateway: Arc<Gateway>,
     tenant: TenantId,
     file: FileId,
     next: Option<u64>,
 }
 
-impl Reader {
+impl PageReader {
     async fn read(&mut self) -> Result<Option<Bytes>, Failure> {
         let Some(cursor) = self.next else {
             return Ok(None);
@@ -52,13 +52,14 @@
     }
 }
 
-/// Streams a file; a failure on the way breaks the response off, so that it never looks whole.
+/// Streams a file. A failure in the middle breaks the connection, so that the caller does not take
+/// a truncated file for a complete one.
 pub(crate) async fn content(
     gateway: &Arc<Gateway>,
     head: &RequestHead,
 ) -> Result<Response<Body>, Failure> {
     let (_, tenant) = gateway.authenticate(head)?;
-    let mut reader = Reader {
+    let mut reader = PageReader {
         gateway: Arc::clone(gateway),
         tenant: TenantId(tenant.name.clone()),
         file: FileId::from(head.segment(FILE_SEGMENT)),
@@ -68,11 +69,11 @@
         ErrorKind::NotFound => no_such_file(&reader.file),
         _ => failure,
     })?;
-    let rest = stream::try_unfold(reader, |mut reader| async move {
+    let remaining = stream::try_unfold(reader, |mut reader| async move {
         let page = reader.read().await.map_err(io::Error::other)?;
         Ok::<_, io::Error>(page.map(|page| (page, reader)))
     });
-    let pages = stream::iter(first.map(Ok)).chain(rest);
+    let pages = stream::iter(first.map(Ok)).chain(remaining);
     let mut response = Response::new(Body::new(StreamBody::new(
         pages.map_ok(http_body::Frame::data),
     )));
--- a/crates/gateway/src/files/lines.rs
+++ b/crates/gateway/src/files/lines.rs
@@ -1,4 +1,4 @@
-//! Splits an upload into lines and checks each of them.
+//! Splits an upload into lines and validates each line.
 
 use std::collections::HashSet;
 
@@ -10,29 +10,29 @@
 
 use crate::batches::line::BatchLine;
 
-/// Items of one command, so that each stays short.
-const HEADS_PER_COMMAND: usize = 2_048;
+/// Maximum items per command, which bounds the size of a command.
+const MAX_ITEMS_PER_COMMAND: usize = 2_048;
 
-/// Checked lines on their way to control.
+/// Validated lines that have not been sent to control.
 #[derive(Debug, Default)]
-pub(super) struct Checked {
-    /// Their bytes, with line feeds.
+pub(super) struct CheckedLines {
+    /// The bytes of the lines, with line feeds.
     pub(super) bytes: Vec<u8>,
-    /// Their heads.
+    /// The item heads of the lines.
     pub(super) heads: Vec<ItemHead>,
 }
 
-impl Checked {
-    /// Whether it is time to send.
-    pub(super) fn is_full(&self, piece_bytes: usize) -> bool {
-        self.bytes.len() >= piece_bytes || self.heads.len() >= HEADS_PER_COMMAND
+impl CheckedLines {
+    /// Whether the lines fill a chunk or a command.
+    pub(super) fn is_full(&self, chunk_bytes: usize) -> bool {
+        self.bytes.len() >= chunk_bytes || self.heads.len() >= MAX_ITEMS_PER_COMMAND
     }
 }
 
-/// Checks an upload as it arrives. Holds the unfinished line and a hash of each id.
+/// Validates an upload while it arrives. Stores only the incomplete line and a hash of each id.
 pub(super) struct LineChecker {
     partial: BytesMut,
-    /// Where the search for the next line feed goes on.
+    /// Position in `partial` from which to search for the next line feed.
     searched: usize,
     lines: usize,
     custom_ids: HashSet<u128>,
@@ -40,12 +40,12 @@
     max_items: usize,
 }
 
-fn at_line(line: usize, kind: ErrorKind, message: &str) -> Failure {
+fn line_failure(line: usize, kind: ErrorKind, message: &str) -> Failure {
     Failure::new(kind, format!("line {line}: {message}")).with_param(format!("line {line}"))
 }
 
 impl LineChecker {
-    /// A checker with the limits of a configuration.
+    /// Creates a checker with the limits of a configuration.
     pub(super) fn new(fleet: &Fleet) -> Self {
         LineChecker {
             partial: BytesMut::new(),
@@ -57,21 +57,21 @@
         }
     }
 
-    /// Items found so far.
+    /// The number of items so far.
     pub(super) fn items(&self) -> usize {
         self.custom_ids.len()
     }
 
-    /// Adds bytes of the upload; call [`LineChecker::check_next`] until it says `false`.
+    /// Adds bytes of the upload; then call [`LineChecker::check_next`] until it returns `false`.
     pub(super) fn push(&mut self, bytes: &[u8]) {
         self.partial.extend_from_slice(bytes);
     }
 
-    /// Checks the next whole line, if there is one.
+    /// Validates the next complete line; returns `false` if there is none.
     pub(super) fn check_next(
         &mut self,
         fleet: &Fleet,
-        checked: &mut Checked,
+        checked: &mut CheckedLines,
     ) -> Result<bool, Failure> {
         let found = self.partial[self.searched..]
             .iter()
@@ -79,7 +79,7 @@
         let Some(offset) = found else {
             self.searched = self.partial.len();
             if self.partial.len() > self.max_line_bytes {
-                return Err(self.too_long(self.lines + 1));
+                return Err(self.line_too_long(self.lines + 1));
             }
             return Ok(false);
         };
@@ -90,8 +90,12 @@
         Ok(true)
     }
 
-    /// Checks a last line without a line feed.
-    pub(super) fn finish(&mut self, fleet: &Fleet, checked: &mut Checked) -> Result<(), Failure> {
+    /// Validates a last line without a line feed.
+    pub(super) fn finish(
+        &mut self,
+        fleet: &Fleet,
+        checked: &mut CheckedLines,
+    ) -> Result<(), Failure> {
         if self.partial.is_empty() {
             return Ok(());
         }
@@ -104,38 +108,39 @@
         &mut self,
         end: usize,
         fleet: &Fleet,
-        checked: &mut Checked,
+        checked: &mut CheckedLines,
     ) -> Result<(), Failure> {
         self.lines += 1;
         let number = self.lines;
         let line = &self.partial[..end];
         if line.len() > self.max_line_bytes {
-            return Err(self.too_long(number));
+            return Err(self.line_too_long(number));
         }
         if line.iter().all(u8::is_ascii_whitespace) {
             // Blank lines are not items and are not stored.
             return Ok(());
         }
-        let parsed = BatchLine::parse(line)
-            .map_err(|failure| at_line(number, ErrorKind::InvalidBatchLine, &failure.message))?;
-        let head = parsed
-            .check(fleet, line.len())
-            .map_err(|failure| at_line(number, ErrorKind::InvalidBatchLine, &failure.message))?;
+        let parsed = BatchLine::parse(line).map_err(|failure| {
+            line_failure(number, ErrorKind::InvalidBatchLine, &failure.message)
+        })?;
+        let head = parsed.check(fleet, line.len()).map_err(|failure| {
+            line_failure(number, ErrorKind::InvalidBatchLine, &failure.message)
+        })?;
         if !self.custom_ids.insert(xxh3_128(head.custom_id.as_bytes())) {
             let message = format!("the custom_id {:?} was used before", head.custom_id);
-            return Err(at_line(number, ErrorKind::DuplicateCustomId, &message));
+            return Err(line_failure(number, ErrorKind::DuplicateCustomId, &message));
         }
         if self.custom_ids.len() > self.max_items {
-            let message = format!("a file may hold {} items", self.max_items);
-            return Err(at_line(number, ErrorKind::BodyTooLarge, &message));
+            let message = format!("a file may contain at most {} items", self.max_items);
+            return Err(line_failure(number, ErrorKind::BodyTooLarge, &message));
         }
         checked.bytes.extend_from_slice(line);
         checked.heads.push(head);
         Ok(())
     }
 
-    fn too_long(&self, line: usize) -> Failure {
+    fn line_too_long(&self, line: usize) -> Failure {
         let message = format!("longer than {} bytes", self.max_line_bytes);
-        at_line(line, ErrorKind::InvalidBatchLine, &message)
+        line_failure(line, ErrorKind::InvalidBatchLine, &message)
     }
 }
--- a/crates/gateway/src/files/object.rs
+++ b/crates/gateway/src/files/object.rs
@@ -1,4 +1,4 @@
-//! Records of files in the words of the OpenAI interface.
+//! File records as objects of the OpenAI interface.
 
 use std::sync::Arc;
 
@@ -18,10 +18,10 @@
     state::Gateway,
 };
 
-/// Position of the id in `/v1/files/{id}`.
+/// Index of the path segment with the id in `/v1/files/{id}`.
 pub(super) const FILE_SEGMENT: usize = 2;
 
-/// A file as callers see it.
+/// A file object of the OpenAI interface.
 #[derive(Debug, Serialize)]
 pub(super) struct FileObject {
     id: String,
--- a/crates/gateway/src/files/source.rs
+++ b/crates/gateway/src/files/source.rs
@@ -1,4 +1,4 @@
-//! Where the bytes of an upload come from: a multipart form or the body itself.
+//! Reads the bytes of an upload from a multipart form or from the request body itself.
 
 use std::time::Duration;
 
@@ -12,25 +12,25 @@
 
 use crate::http::{IncomingRequest, body::body_timeout};
 
-/// Longest plain field of a form, in bytes.
+/// Maximum size of a text field in a form.
 const MAX_TEXT_FIELD_BYTES: u64 = 4 * 1024;
-/// Bytes of a form that are not the file.
+/// Maximum bytes of a form in addition to the file.
 const FORM_OVERHEAD_BYTES: u64 = 64 * 1024;
-/// Name of a file whose caller names none.
+/// Name of a file when the caller gives none.
 const DEFAULT_FILENAME: &str = "upload.jsonl";
-/// Longest name that is kept, in bytes.
+/// Maximum length of a stored file name; longer names are truncated_upload.
 const MAX_FILENAME_BYTES: usize = 255;
 
-/// The bytes of an upload.
+/// Where the bytes of an upload come from.
 pub(super) enum Source {
     /// A field of a form.
     Form {
-        /// The rest of the form.
+        /// The remaining fields of the form.
         form: Box<Multipart<'static>>,
-        /// The file's field.
+        /// The field with the file.
         field: Box<Field<'static>>,
     },
-    /// The body as it is.
+    /// The request body is the file.
     Raw(Body),
 }
 
@@ -38,21 +38,21 @@
 pub(super) struct Upload {
     pub(super) source: Source,
     pub(super) filename: String,
-    /// As far as it came before the file.
+    /// The purpose, if its field precedes the file.
     pub(super) purpose: Option<String>,
-    /// Longest wait for the next bytes.
+    /// Longest time without further bytes.
     stall_limit: Duration,
 }
 
-fn truncated(reason: &str) -> Failure {
+fn truncated_upload(reason: &str) -> Failure {
     Failure::new(
         ErrorKind::TruncatedUpload,
-        format!("the upload ended before its end: {reason}"),
+        format!("the upload was truncated_upload: {reason}"),
     )
 }
 
-/// Turns an error of the form parser into the caller's.
-fn form_failure(error: &multer::Error) -> Failure {
+/// Converts an error of the form parser into a failure for the caller.
+fn form_error(error: &multer::Error) -> Failure {
     match error {
         multer::Error::StreamSizeExceeded { .. } | multer::Error::FieldSizeExceeded { .. } => {
             Failure::new(ErrorKind::BodyTooLarge, error.to_string())
@@ -60,7 +60,7 @@
         multer::Error::IncompleteStream
         | multer::Error::IncompleteFieldData { .. }
         | multer::Error::IncompleteHeaders
-        | multer::Error::StreamReadFailed(_) => truncated(&error.to_string()),
+        | multer::Error::StreamReadFailed(_) => truncated_upload(&error.to_string()),
         _ => Failure::new(ErrorKind::MalformedRequest, error.to_string()),
     }
 }
@@ -71,7 +71,7 @@
 }
 
 impl Upload {
-    /// Reads up to where the file begins.
+    /// Reads up to the beginning of the file.
     pub(super) async fn open(
         incoming: IncomingRequest,
         max_bytes: u64,
@@ -79,7 +79,7 @@
     ) -> Result<Self, Failure> {
         let Some(boundary) = boundary(&incoming.head.headers) else {
             return Ok(Upload {
-                filename: clean_name(incoming.head.query("filename")),
+                filename: sanitize_filename(incoming.head.query("filename")),
                 purpose: incoming.head.query("purpose").map(str::to_owned),
                 source: Source::Raw(incoming.body),
                 stall_limit,
@@ -106,7 +106,7 @@
             match field.name() {
                 Some("file") => {
                     return Ok(Upload {
-                        filename: clean_name(field.file_name()),
+                        filename: sanitize_filename(field.file_name()),
                         purpose,
                         source: Source::Form {
                             form: Box::new(form),
@@ -115,8 +115,8 @@
                         stall_limit,
                     });
                 }
-                Some("purpose") => purpose = Some(text_of(field, stall_limit).await?),
-                _ => drop(text_of(field, stall_limit).await?),
+                Some("purpose") => purpose = Some(field_text(field, stall_limit).await?),
+                _ => drop(field_text(field, stall_limit).await?),
             }
         }
         Err(
@@ -131,9 +131,9 @@
         let next = async {
             match &mut self.source {
                 Source::Form { field, .. } => {
-                    field.chunk().await.map_err(|error| form_failure(&error))
+                    field.chunk().await.map_err(|error| form_error(&error))
                 }
-                Source::Raw(body) => next_of_body(body).await,
+                Source::Raw(body) => next_body_chunk(body).await,
             }
         };
         tokio::time::timeout(limit, next)
@@ -141,14 +141,14 @@
             .map_err(|_| body_timeout(limit))?
     }
 
-    /// Reads what follows the file and gives the purpose.
+    /// Reads the fields after the file and returns the purpose.
     pub(super) async fn finish(self) -> Result<Option<String>, Failure> {
         let mut purpose = self.purpose;
         if let Source::Form { mut form, field } = self.source {
             drop(field);
             while let Some(field) = next_field(&mut form, self.stall_limit).await? {
                 let is_purpose = field.name() == Some("purpose");
-                let text = text_of(field, self.stall_limit).await?;
+                let text = field_text(field, self.stall_limit).await?;
                 if is_purpose {
                     purpose = Some(text);
                 }
@@ -158,11 +158,11 @@
     }
 }
 
-async fn next_of_body(body: &mut Body) -> Result<Option<Bytes>, Failure> {
+async fn next_body_chunk(body: &mut Body) -> Result<Option<Bytes>, Failure> {
     loop {
         match body.frame().await {
             None => return Ok(None),
-            Some(Err(error)) => return Err(truncated(&error.to_string())),
+            Some(Err(error)) => return Err(truncated_upload(&error.to_string())),
             Some(Ok(frame)) => {
                 if let Ok(data) = frame.into_data() {
                     return Ok(Some(data));
@@ -179,18 +179,18 @@
     tokio::time::timeout(limit, form.next_field())
         .await
         .map_err(|_| body_timeout(limit))?
-        .map_err(|error| form_failure(&error))
+        .map_err(|error| form_error(&error))
 }
 
-async fn text_of(field: Field<'static>, limit: Duration) -> Result<String, Failure> {
+async fn field_text(field: Field<'static>, limit: Duration) -> Result<String, Failure> {
     tokio::time::timeout(limit, field.text())
         .await
         .map_err(|_| body_timeout(limit))?
-        .map_err(|error| form_failure(&error))
+        .map_err(|error| form_error(&error))
 }
 
-/// The caller's name without folders, cut to a bounded length.
-fn clean_name(name: Option<&str>) -> String {
+/// The caller's file name without directories, truncated_upload to [`MAX_FILENAME_BYTES`].
+fn sanitize_filename(name: Option<&str>) -> String {
     let base = name
         .and_then(|name| name.rsplit(['/', '\\']).next())
         .unwrap_or_default();
--- a/crates/gateway/src/files/upload.rs
+++ b/crates/gateway/src/files/upload.rs
@@ -1,4 +1,4 @@
-//! `POST /v1/files`: an upload is checked line by line while its pieces go to control.
+//! `POST /v1/files`: validates an upload line by line while sending it to control in chunks.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 use crate::{
     control::client::{ControlClient, unexpected},
     files::{
-        lines::{Checked, LineChecker},
+        lines::{CheckedLines, LineChecker},
         object::FileObject,
         source::Upload,
     },
@@ -28,13 +28,13 @@
     state::Gateway,
 };
 
-/// The only purpose that is taken.
+/// The only supported purpose.
 const PURPOSE: &str = "batch";
-/// Copies of a piece at once: as checked, as a call that may be sent again, as encoded for
-/// the connection, and the lines that follow.
-const COPIES_OF_A_PIECE: usize = 4;
+/// Copies of a chunk that exist at the same time: the validated lines, the call that may be sent
+/// again, its encoding for the connection, and the lines that follow.
+const COPIES_PER_CHUNK: usize = 4;
 
-/// Takes an upload.
+/// Handles an upload.
 pub(crate) async fn create(
     gateway: &Arc<Gateway>,
     incoming: IncomingRequest,
@@ -59,8 +59,8 @@
     };
     gateway.control.propose(command).await?;
     let buffer_bytes = gateway.settings.limits.upload_buffer_bytes as usize;
-    let piece_bytes = buffer_bytes / COPIES_OF_A_PIECE;
-    let mut writer = FileWriter::new(gateway.control.clone(), file, piece_bytes);
+    let chunk_bytes = buffer_bytes / COPIES_PER_CHUNK;
+    let mut writer = FileWriter::new(gateway.control.clone(), file, chunk_bytes);
     writer.copy(&mut upload, fleet).await?;
     check_purpose(upload.finish().await?.as_deref())?;
     let record = writer.finish().await?;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Deletes a file whose upload did not come to its end, whichever way that happened.
+/// Deletes a file on drop unless its upload was completed, whatever ended the upload.
 struct UnfinishedFile {
     control: ControlClient,
     tenant: TenantId,
@@ -96,35 +96,35 @@
             file,
         };
         tokio::spawn(async move {
-            // The ledger drops it after a while if this does not get through.
+            // If the command does not reach control, the ledger removes the file after a time.
             let _ = control.propose(command).await;
         });
     }
 }
 
-/// Sends checked lines to control in pieces.
+/// Sends validated lines to control in chunks.
 struct FileWriter {
     control: ControlClient,
     file: FileId,
     bytes: u64,
     items: u32,
-    piece_bytes: usize,
+    chunk_bytes: usize,
 }
 
 impl FileWriter {
-    fn new(control: ControlClient, file: FileId, piece_bytes: usize) -> Self {
+    fn new(control: ControlClient, file: FileId, chunk_bytes: usize) -> Self {
         FileWriter {
             control,
             file,
             bytes: 0,
             items: 0,
-            piece_bytes,
+            chunk_bytes,
         }
     }
 
     async fn copy(&mut self, upload: &mut Upload, fleet: &Fleet) -> Result<(), Failure> {
         let mut checker = LineChecker::new(fleet);
-        let mut checked = Checked::default();
+        let mut checked = CheckedLines::default();
         let mut received: u64 = 0;
         while let Some(bytes) = upload.next().await? {
             received += bytes.len() as u64;
@@ -133,11 +133,11 @@
             }
             checker.push(&bytes);
             while checker.check_next(fleet, &mut checked)? {
-                if checked.is_full(self.piece_bytes) {
+                if checked.is_full(self.chunk_bytes) {
                     self.send(&mut checked).await?;
                 }
             }
-            // Checking is computation: let streams of other callers have their turn.
+            // Validation is CPU-bound: yields so that streams of other callers make progress.
             tokio::task::yield_now().await;
         }
         checker.finish(fleet, &mut checked)?;
@@ -149,8 +149,8 @@
         self.send(&mut checked).await
     }
 
-    async fn send(&mut self, checked: &mut Checked) -> Result<(), Failure> {
-        let Checked { bytes, heads } = std::mem::take(checked);
+    async fn send(&mut self, checked: &mut CheckedLines) -> Result<(), Failure> {
+        let CheckedLines { bytes, heads } = std::mem::take(checked);
         if heads.is_empty() {
             return Ok(());
         }
--- a/crates/gateway/src/http/mod.rs
+++ b/crates/gateway/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! The HTTP interface towards callers.
+//! The HTTP interface for callers.
 
 pub(crate) mod page;
 pub(crate) mod routes;
@@ -9,10 +9,10 @@
 use linnethitch_http_server::ConnectionLimits;
 pub(crate) use linnethitch_http_server::{IncomingRequest, RequestHead, answer, body};
 
-/// Longest time that a caller may take nothing of an answer.
+/// Longest time that a caller may go without reading from a response.
 const WRITE_STALL_LIMIT: Duration = Duration::from_secs(30);
 
-/// The bounds of callers' connections that the settings give.
+/// The limits of callers' connections from the settings.
 pub(crate) fn connection_limits(limits: &GatewayLimits) -> ConnectionLimits {
     ConnectionLimits {
         connections: limits.max_connections as usize,
--- a/crates/gateway/src/http/page.rs
+++ b/crates/gateway/src/http/page.rs
@@ -1,4 +1,4 @@
-//! Paged lists in the words of the OpenAI interface.
+//! Paginated lists of the OpenAI interface.
 
 use gotham::helpers::http::Body;
 use http::{Response, StatusCode};
@@ -7,22 +7,22 @@
 
 use crate::http::{RequestHead, answer::json_response};
 
-/// Entries of a page when the caller names no limit.
+/// Entries per page when the caller gives no limit.
 const DEFAULT_LIMIT: u32 = 20;
-/// Most entries of a page.
+/// Maximum entries per page.
 const MAX_LIMIT: u32 = 100;
 
-/// Which part of a list is asked for.
+/// The requested page of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Page {
     /// Start after the entry with this id.
     pub(crate) after: Option<String>,
-    /// At most this many entries.
+    /// Maximum number of entries.
     pub(crate) limit: u32,
 }
 
 impl Page {
-    /// Reads `after` and `limit` of the query string.
+    /// Reads `after` and `limit` from the query string.
     pub(crate) fn of(head: &RequestHead) -> Result<Self, Failure> {
         let limit = match head.query("limit") {
             None => DEFAULT_LIMIT,
@@ -53,7 +53,7 @@
     has_more: bool,
 }
 
-/// A page of a list.
+/// The response with one page of a list.
 pub(crate) fn list_response<T: Serialize>(
     entries: Vec<T>,
     has_more: bool,
--- a/crates/gateway/src/http/routes.rs
+++ b/crates/gateway/src/http/routes.rs
@@ -1,4 +1,4 @@
-//! The routes of the callers' interface.
+//! The routes of the HTTP interface for callers.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 
 use crate::state::Gateway;
 
-/// What a route does.
+/// The operation of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Endpoint {
     /// `POST /v1/chat/completions`
@@ -78,8 +78,8 @@
     }
 }
 
-/// Every method that an application service may take.
-fn any() -> Vec<Method> {
+/// The methods that are forwarded to application services.
+fn service_methods() -> Vec<Method> {
     vec![
         Method::GET,
         Method::HEAD,
@@ -143,7 +143,7 @@
             .to_new_handler(to(Endpoint::Metrics));
         for path in ["/services/:service", "/services/:service/*"] {
             route
-                .request(any(), path)
+                .request(service_methods(), path)
                 .to_new_handler(to(Endpoint::Service));
         }
         route
--- a/crates/gateway/src/services/attempt.rs
+++ b/crates/gateway/src/services/attempt.rs
@@ -1,4 +1,4 @@
-//! Sends a request to one replica after another, as far as that is safe.
+//! Sends a request to a replica and retries on other replicas where a retry is safe.
 
 use std::sync::Arc;
 
@@ -26,17 +26,17 @@
 pub(super) struct ServiceRequest {
     pub(super) id: RequestId,
     pub(super) method: Method,
-    /// Path and query at the replica.
+    /// Path and query of the request to the replica.
     pub(super) path: String,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
-    /// Whether it may be sent again although a replica may have started it.
+    /// Whether the request may be sent again after a replica may have started it.
     pub(super) repeatable: bool,
     pub(super) at_most_once: bool,
     pub(super) wanted: Wanted,
 }
 
-/// A request with its way through the replicas.
+/// A request and the state of its attempts.
 pub(super) struct ServiceCall {
     pub(super) gateway: Arc<Gateway>,
     pub(super) request: ServiceRequest,
@@ -47,7 +47,7 @@
     started: bool,
 }
 
-/// A replica's answer with its body unread.
+/// A replica's response whose body has not been read.
 pub(super) struct ServiceAnswer {
     pub(super) placement: Placement,
     pub(super) response: Response<Incoming>,
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Sends the request until a replica answers it or no further attempt is allowed.
+    /// Sends the request until a replica responds or no further attempt is allowed.
     pub(super) async fn send(&mut self) -> Result<ServiceAnswer, Failure> {
         let sent = self.send_with_retries().await;
         let now = self.gateway.clock().now();
@@ -98,7 +98,7 @@
                 }
                 Err(fault) => fault,
             };
-            placement = self.after_fault(placement, &fault)?;
+            placement = self.handle_fault(placement, &fault)?;
         }
     }
 
@@ -147,17 +147,17 @@
             .uri(format!("http://{}{}", placement.address, self.request.path));
         if let Some(headers) = builder.headers_mut() {
             headers.clone_from(&self.request.headers);
-            let left = self.gateway.clock().until(self.request.wanted.deadline);
-            let left_ms = u64::try_from(left.as_millis()).unwrap_or(u64::MAX);
-            headers.insert("x-deadline-ms", HeaderValue::from(left_ms));
+            let remaining = self.gateway.clock().until(self.request.wanted.deadline);
+            let remaining_ms = u64::try_from(remaining.as_millis()).unwrap_or(u64::MAX);
+            headers.insert("x-deadline-ms", HeaderValue::from(remaining_ms));
         }
         builder
             .body(Full::new(self.request.body.clone()))
             .map_err(|error| AttemptFault::Connect(error.to_string()))
     }
 
-    /// The place of the next attempt, or the final answer.
-    fn after_fault(
+    /// Records a failed attempt; returns the placement of the next attempt or the final failure.
+    fn handle_fault(
         &mut self,
         placement: Placement,
         fault: &AttemptFault,
@@ -198,7 +198,8 @@
         Ok(placement)
     }
 
-    /// The answer after the last attempt; an earlier one may have run although the last did not.
+    /// The failure for the caller after the last attempt. An earlier attempt may have run even if
+    /// the last attempt did not.
     pub(super) fn final_failure(
         &self,
         kind: ErrorKind,
--- a/crates/gateway/src/services/headers.rs
+++ b/crates/gateway/src/services/headers.rs
@@ -1,12 +1,12 @@
-//! Which headers pass between callers and application replicas.
+//! Filters the headers that are forwarded between callers and application replicas.
 
 use http::{HeaderMap, HeaderName, HeaderValue, header};
 use linnethitch_protocol::ids::RequestId;
 
 use crate::http::answer::REQUEST_ID_HEADER;
 
-/// Headers that concern one connection only.
-const OF_ONE_CONNECTION: [HeaderName; 9] = [
+/// Hop-by-hop headers, which concern one connection only.
+const HOP_BY_HOP_HEADERS: [HeaderName; 9] = [
     header::CONNECTION,
     header::HOST,
     header::CONTENT_LENGTH,
@@ -18,41 +18,41 @@
     header::UPGRADE,
 ];
 
-/// Headers of replicas that are meant for linnethitch.
-const OF_BACK_ENDS: &str = "x-application-";
+/// Prefix of the response headers that replicas send to the gateway.
+const GATEWAY_HEADER_PREFIX: &str = "x-application-";
 
-fn is_of_one_connection(name: &HeaderName, headers: &HeaderMap) -> bool {
-    let named = headers
+fn is_hop_by_hop(name: &HeaderName, headers: &HeaderMap) -> bool {
+    let listed_in_connection = headers
         .get_all(header::CONNECTION)
         .iter()
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
-        .any(|listed| listed.trim().eq_ignore_ascii_case(name.as_str()));
-    named || OF_ONE_CONNECTION.contains(name) || name == "keep-alive"
+        .any(|option| option.trim().eq_ignore_ascii_case(name.as_str()));
+    listed_in_connection || HOP_BY_HOP_HEADERS.contains(name) || name == "keep-alive"
 }
 
-/// The headers of a request for a replica. The caller's key stays here.
-pub(super) fn forwarded(headers: &HeaderMap, id: &RequestId) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len() + 1);
+/// The headers of a request to a replica. The caller's API key is not forwarded.
+pub(super) fn request_headers(headers: &HeaderMap, id: &RequestId) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len() + 1);
     for (name, value) in headers {
-        if !is_of_one_connection(name, headers) && name != header::AUTHORIZATION {
-            passed.append(name, value.clone());
+        if !is_hop_by_hop(name, headers) && name != header::AUTHORIZATION {
+            forwarded.append(name, value.clone());
         }
     }
     if let Ok(value) = HeaderValue::from_str(id.as_str()) {
-        passed.insert(REQUEST_ID_HEADER, value);
+        forwarded.insert(REQUEST_ID_HEADER, value);
     }
-    passed
+    forwarded
 }
 
-/// The headers of a replica's answer for the caller.
-pub(super) fn returned(headers: &HeaderMap) -> HeaderMap {
-    let mut passed = HeaderMap::with_capacity(headers.len());
+/// The headers of a replica's response that are returned to the caller.
+pub(super) fn response_headers(headers: &HeaderMap) -> HeaderMap {
+    let mut forwarded = HeaderMap::with_capacity(headers.len());
     for (name, value) in headers {
-        let own = name.as_str().starts_with(OF_BACK_ENDS);
-        if !is_of_one_connection(name, headers) && !own {
-            passed.append(name, value.clone());
+        let for_gateway = name.as_str().starts_with(GATEWAY_HEADER_PREFIX);
+        if !is_hop_by_hop(name, headers) && !for_gateway {
+            forwarded.append(name, value.clone());
         }
     }
-    passed
+    forwarded
 }
--- a/crates/gateway/src/services/mod.rs
+++ b/crates/gateway/src/services/mod.rs
@@ -1,4 +1,4 @@
-//! Application services: `ANY /services/{name}/…`.
+//! Forwards requests to application services: `ANY /services/{name}/…`.
 
 mod attempt;
 mod headers;
@@ -22,15 +22,15 @@
     online::request::caller_deadline,
     services::{
         attempt::{ServiceCall, ServiceRequest},
-        headers::forwarded,
+        headers::request_headers,
     },
     state::Gateway,
 };
 
-/// Position of the name in `/services/{name}/…`.
+/// Index of the path segment with the name in `/services/{name}/…`.
 const NAME_SEGMENT: usize = 1;
 
-/// Passes a request on to a replica of the service that its path names.
+/// Forwards a request to a replica of the service that its path names.
 pub(crate) async fn answer(
     gateway: &Arc<Gateway>,
     incoming: IncomingRequest,
@@ -44,8 +44,8 @@
     let bytes = read_whole(&head.headers, body, active.body_limits()).await?;
     let digest = content_digest(&head, rules.at_most_once, &bytes);
     let request = ServiceRequest {
-        path: path_for_replica(&head),
-        headers: forwarded(&head.headers, &head.id),
+        path: replica_path(&head),
+        headers: request_headers(&head.headers, &head.id),
         repeatable: is_safe(&head.method),
         at_most_once: rules.at_most_once,
         wanted: wanted(service, deadline),
@@ -59,7 +59,7 @@
     match claimed {
         Claimed::NotNeeded => relay::respond(call).await,
         Claimed::Granted(claim) => relay::respond_claimed(gateway, claim, call).await,
-        Claimed::Answered(kept) => Ok(replay(kept)),
+        Claimed::Answered(stored) => Ok(replay(stored)),
     }
 }
 
@@ -75,37 +75,39 @@
     })
 }
 
-/// The caller's deadline, at most the service's own limit.
+/// The deadline of a request: the caller's, limited by the timeout of the service.
 fn deadline(
     head: &RequestHead,
     service: &ApplicationService,
     arrived: Timestamp,
 ) -> Result<Timestamp, Failure> {
-    let own = Duration::from_millis(service.timeout_ms);
-    let limit = caller_deadline(&head.headers)?.map_or(own, |wanted| wanted.min(own));
+    let service_timeout = Duration::from_millis(service.timeout_ms);
+    let limit = caller_deadline(&head.headers)?
+        .map_or(service_timeout, |requested| requested.min(service_timeout));
     let limit_ms = u64::try_from(limit.as_millis()).unwrap_or(u64::MAX);
     Ok(Timestamp(arrived.0.saturating_add(limit_ms)))
 }
 
-/// The path and query after `/services/{name}`.
-fn path_for_replica(head: &RequestHead) -> String {
-    let text = head
+/// The path and query after `/services/{name}`, for the request to the replica.
+fn replica_path(head: &RequestHead) -> String {
+    let path_and_query = head
         .uri
         .path_and_query()
-        .map_or("/", |whole| whole.as_str());
-    // The text begins with a slash, so the rest begins after the third one.
-    let rest = text
+        .map_or("/", |found| found.as_str());
+    // The first slash begins the text, the second the name, and the third slash or a question
+    // mark ends the name.
+    let remaining = path_and_query
         .match_indices(['/', '?'])
         .nth(NAME_SEGMENT + 1)
-        .map_or("/", |(position, _)| &text[position..]);
-    if rest.starts_with('/') {
-        rest.to_owned()
+        .map_or("/", |(position, _)| &path_and_query[position..]);
+    if remaining.starts_with('/') {
+        remaining.to_owned()
     } else {
-        format!("/{rest}")
+        format!("/{remaining}")
     }
 }
 
-/// Methods that change nothing, so that a request may be sent again after it was started.
+/// Whether the method is safe (read-only), so that a started request may be retried.
 fn is_safe(method: &Method) -> bool {
     method.is_safe()
 }
@@ -121,7 +123,8 @@
     }
 }
 
-/// Tells a resend from another request under the same key.
+/// Digest of a request, to distinguish a repeated request from another one under the same
+/// idempotency key.
 fn content_digest(head: &RequestHead, at_most_once: bool, body: &Bytes) -> u64 {
     let mut hasher = Xxh3::new();
     hasher.update(head.method.as_str().as_bytes());
--- a/crates/gateway/src/services/relay.rs
+++ b/crates/gateway/src/services/relay.rs
@@ -1,4 +1,4 @@
-//! Gives a replica's answer to the caller.
+//! Returns a replica's response to the caller.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -22,31 +22,31 @@
     http::answer::whole_body,
     services::{
         attempt::{ServiceAnswer, ServiceCall},
-        headers::returned,
+        headers::response_headers,
     },
     state::Gateway,
 };
 
-/// Sends a request and passes the answer on piece by piece.
+/// Sends a request and streams the response to the caller.
 pub(super) async fn respond(mut call: ServiceCall) -> Answered {
     let ServiceAnswer {
         placement,
         response,
     } = call.send().await?;
     let (head, body) = response.into_parts();
-    let left = call.gateway.clock().until(call.request.wanted.deadline);
+    let remaining = call.gateway.clock().until(call.request.wanted.deadline);
     let relayed = RelayedBody {
         body,
         status: head.status,
-        deadline: Instant::now() + left,
-        limit: left,
+        deadline: Instant::now() + remaining,
+        limit: remaining,
         placement: Some(placement),
         _pass: call.pass,
     };
     let frames = stream::unfold(relayed, RelayedBody::next);
     let mut answer = Response::new(Body::new(StreamBody::new(frames)));
     *answer.status_mut() = head.status;
-    *answer.headers_mut() = returned(&head.headers);
+    *answer.headers_mut() = response_headers(&head.headers);
     if let Some(length) = head.headers.get(header::CONTENT_LENGTH) {
         answer
             .headers_mut()
@@ -55,7 +55,8 @@
     Ok(answer)
 }
 
-/// A body on its way to the caller; the work counts at the replica until its end.
+/// A response body that is streamed to the caller. The request counts as running at the replica
+/// until the body ends.
 struct RelayedBody {
     body: Incoming,
     status: StatusCode,
@@ -68,25 +69,27 @@
 impl RelayedBody {
     async fn next(mut self) -> Option<(Result<Frame<Bytes>, io::Error>, Self)> {
         self.placement.as_ref()?;
-        let failed = match linnethitch_clock::timeout_at(self.deadline, self.body.frame()).await {
+        let fault = match linnethitch_clock::timeout_at(self.deadline, self.body.frame()).await {
             Ok(Some(Ok(frame))) => return Some((Ok(frame), self)),
             Ok(None) => {
-                end(self.placement.take(), self.status);
+                end_placement(self.placement.take(), self.status);
                 return None;
             }
             Ok(Some(Err(error))) => AttemptFault::Interrupted(error.to_string()),
             Err(_) => AttemptFault::TimedOut(self.limit),
         };
-        if let (Some(placement), Some(kind)) = (self.placement.take(), failed.as_failure_kind()) {
+        if let (Some(placement), Some(kind)) = (self.placement.take(), fault.as_failure_kind()) {
             placement.failed(kind);
         }
-        // The connection breaks, so that the caller does not take the part for the whole.
-        Some((Err(io::Error::other(failed.to_string())), self))
+        // Breaks the connection, so that the caller does not take a truncated body for a complete
+        // one.
+        Some((Err(io::Error::other(fault.to_string())), self))
     }
 }
 
-/// Ends the work of a whole answer; a server error speaks against the replica.
-fn end(placement: Option<Placement>, status: StatusCode) {
+/// Ends the placement of a completely received response; a server error counts as a failure of
+/// the replica.
+fn end_placement(placement: Option<Placement>, status: StatusCode) {
     let Some(placement) = placement else {
         return;
     };
@@ -97,7 +100,7 @@
     }
 }
 
-/// Sends a claimed request; its answer is kept before the caller gets it.
+/// Sends a request with an idempotency key; the response is stored before the caller receives it.
 pub(super) async fn respond_claimed(
     gateway: &Arc<Gateway>,
     claim: Claim,
@@ -115,39 +118,39 @@
     match collected {
         None => claim.free().await,
         Some(Err(failure)) => claim.fail(failure, caller).await,
-        Some(Ok((headers, kept))) => {
-            claim.keep(kept.clone()).await;
-            let mut answer = Response::new(whole_body(kept.body));
+        Some(Ok((headers, stored))) => {
+            claim.keep(stored.clone()).await;
+            let mut answer = Response::new(whole_body(stored.body));
             *answer.status_mut() =
-                StatusCode::from_u16(kept.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+                StatusCode::from_u16(stored.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
             *answer.headers_mut() = headers;
             let _ = caller.send(Ok(answer));
         }
     }
 }
 
-/// Reads a whole answer, within the bound of what can be kept.
+/// Reads a complete response, up to the maximum size that can be stored.
 async fn collect(call: &mut ServiceCall) -> Result<(HeaderMap, KeptAnswer), Failure> {
     let ServiceAnswer {
         placement,
         response,
     } = call.send().await?;
     let (head, body) = response.into_parts();
-    let left = call.gateway.clock().until(call.request.wanted.deadline);
-    let reading = Limited::new(body, MAX_KEPT_BYTES).collect();
-    let fault = match tokio::time::timeout(left, reading).await {
+    let remaining = call.gateway.clock().until(call.request.wanted.deadline);
+    let collecting = Limited::new(body, MAX_KEPT_BYTES).collect();
+    let fault = match tokio::time::timeout(remaining, collecting).await {
         Ok(Ok(collected)) => {
-            end(Some(placement), head.status);
-            let headers = returned(&head.headers);
-            let kept = KeptAnswer {
+            end_placement(Some(placement), head.status);
+            let headers = response_headers(&head.headers);
+            let stored = KeptAnswer {
                 status: head.status.as_u16(),
                 content_type: content_type(&headers),
                 body: collected.to_bytes().to_vec(),
             };
-            return Ok((headers, kept));
+            return Ok((headers, stored));
         }
         Ok(Err(error)) => AttemptFault::Interrupted(error.to_string()),
-        Err(_) => AttemptFault::TimedOut(left),
+        Err(_) => AttemptFault::TimedOut(remaining),
     };
     call.gateway.record_fault(placement, &fault);
     Err(call.final_failure(ErrorKind::BackEndFailed, Executed::Unknown, &fault))
