--- a/crates/gateway/src/configuration/follower.rs
+++ b/crates/gateway/src/configuration/follower.rs
@@ -104,9 +104,9 @@
 impl Follower {
     /// Creates a follower that starts from the configuration on disk, if there is one.
     #[must_use]
-    pub fn new(stored: Option<StoredConfiguration>) -> Self {
+    pub fn new(current: Option<StoredConfiguration>) -> Self {
         Follower {
-            current: stored,
+            current,
             shared: None,
         }
     }
--- a/crates/gateway/src/files/source.rs
+++ b/crates/gateway/src/files/source.rs
@@ -18,7 +18,7 @@
 const FORM_OVERHEAD_BYTES: u64 = 64 * 1024;
 /// Name of a file when the caller gives none.
 const DEFAULT_FILENAME: &str = "upload.jsonl";
-/// Maximum length of a stored file name; longer names are truncated_upload.
+/// Maximum length of a stored file name; longer names are truncated.
 const MAX_FILENAME_BYTES: usize = 255;
 
 /// Where the bytes of an upload come from.
@@ -47,7 +47,7 @@
 fn truncated_upload(reason: &str) -> Failure {
     Failure::new(
         ErrorKind::TruncatedUpload,
-        format!("the upload was truncated_upload: {reason}"),
+        format!("the upload was truncated: {reason}"),
     )
 }
 
@@ -189,7 +189,7 @@
         .map_err(|error| form_error(&error))
 }
 
-/// The caller's file name without directories, truncated_upload to [`MAX_FILENAME_BYTES`].
+/// The caller's file name without directories, truncated to [`MAX_FILENAME_BYTES`].
 fn sanitize_filename(name: Option<&str>) -> String {
     let base = name
         .and_then(|name| name.rsplit(['/', '\\']).next())
--- a/crates/gateway/src/services/mod.rs
+++ b/crates/gateway/src/services/mod.rs
@@ -94,7 +94,7 @@
         .uri
         .path_and_query()
         .map_or("/", |found| found.as_str());
-    // The first slash begins the text, the second the name, and the third slash or a question
+    // The first slash begins the path, the second the name, and the third slash or a question
     // mark ends the name.
     let remaining = path_and_query
         .match_indices(['/', '?'])
--- a/crates/gateway/tests/all/completions.rs
+++ b/crates/gateway/tests/all/completions.rs
@@ -1,4 +1,4 @@
-//! Completions against scripted engines: whole and streamed answers, every fault.
+//! Completions against scripted engines: streamed and non-streamed answers, and engine faults.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
 const CHAT: &str = "/v1/chat/completions";
 
 #[tokio::test]
-async fn a_streamed_answer_arrives_whole_and_in_order() {
+async fn a_streamed_answer_arrives_complete_and_in_order() {
     let engine = FakeEngine::start(vec![Script::Stream(whole(5))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let answer = call(chat(gateway.url(CHAT), true)).await;
@@ -27,7 +27,7 @@
     assert_eq!(events.last().map(String::as_str), Some("[DONE]"));
     assert!(
         !events.iter().any(|event| event.contains("usage")),
-        "usage was not asked for"
+        "usage was not requested"
     );
     let id = answer.header("x-request-id");
     let first: Value = serde_json::from_str(&events[0]).expect("JSON");
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test]
-async fn a_whole_answer_has_the_shape_of_the_openai_interface() {
+async fn a_non_streamed_answer_has_the_format_of_the_openai_interface() {
     let engine = FakeEngine::start(vec![Script::Stream(whole(5))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let answer = call(chat(gateway.url(CHAT), false)).await;
@@ -50,7 +50,7 @@
 }
 
 #[tokio::test]
-async fn a_text_completion_is_answered_in_its_own_shape() {
+async fn a_text_completion_is_answered_in_its_own_format() {
     let engine = FakeEngine::start(vec![Script::Stream(whole(3))]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let body = json!({"model": "m:a", "prompt": "p"}).to_string();
@@ -72,7 +72,8 @@
     assert_eq!(usage["usage"]["total_tokens"], 13);
 }
 
-/// Every way in which an engine can fail in the middle of a stream: another replica goes on.
+/// For each way in which an engine can fail in the middle of a stream, another replica resumes the
+/// generation.
 #[rstest]
 #[case::broken(vec![Step::Token(0), Step::Token(1), Step::Break])]
 #[case::ends_without_done(vec![Step::Token(0), Step::Token(1)])]
@@ -88,13 +89,13 @@
 #[case::broken_after_one_token(vec![Step::Token(0), Step::Break])]
 #[case::broken_after_the_last_token((0..9).map(Step::Token).chain([Step::Last(9), Step::Break]).collect())]
 #[tokio::test]
-async fn a_broken_stream_goes_on_elsewhere_without_a_lost_or_repeated_token(
+async fn an_interrupted_stream_resumes_on_another_replica_without_a_lost_or_repeated_token(
     #[case] steps: Vec<Step>,
     #[values(true, false)] stream: bool,
 ) {
     let first = FakeEngine::start(vec![Script::Stream(steps.clone())]).await;
     let second = FakeEngine::start(vec![Script::Stream(steps)]).await;
-    // Whichever is chosen first breaks; the other one, asked second, must complete.
+    // The first replica that is chosen fails; one of the next ones must complete the answer.
     let third = FakeEngine::start(vec![]).await;
     let gateway = TestGateway::start(&[first.address, second.address, third.address]).await;
     let answer = call(chat(gateway.url(CHAT), stream)).await;
@@ -111,7 +112,7 @@
 }
 
 #[tokio::test]
-async fn a_resumed_run_is_told_what_was_already_received() {
+async fn a_resumed_run_receives_the_text_generated_so_far() {
     let broken = vec![Script::Stream(vec![
         Step::Token(0),
         Step::Token(1),
@@ -148,24 +149,24 @@
     let events = answer.events();
     assert!(
         !events.contains(&"[DONE]".to_owned()),
-        "the answer is not whole"
+        "the answer is incomplete"
     );
     let last: Value = serde_json::from_str(events.last().expect("an event")).expect("JSON");
     assert_eq!(last["error"]["code"], "stream_broken");
     assert_eq!(last["error"]["executed"], "unknown");
 }
 
-/// What a caller is told when no engine serves the request.
+/// The error that a caller receives when no engine completes the request.
 #[rstest]
 #[case::refused_before_the_start(Script::Status(503, vec![("x-engine-started", "no")], "busy"), 503, "no_back_end", "no")]
 #[case::full(Script::Status(429, vec![("x-engine-started", "no")], "full"), 503, "no_back_end", "no")]
 #[case::failed_after_the_start(Script::Status(500, vec![], "oops"), 502, "back_end_failed", "unknown")]
-#[case::load_beyond_any_count(Script::Status(200, vec![("x-engine-load", r#"{"running_online":4294967295,"running":1}"#)], "no stream"), 502, "back_end_failed", "unknown")]
+#[case::load_sum_over_the_integer_range(Script::Status(200, vec![("x-engine-load", r#"{"running_online":4294967295,"running":1}"#)], "no stream"), 502, "back_end_failed", "unknown")]
 #[case::rejected(Script::Status(400, vec![], "bad temperature"), 400, "invalid_value", "no")]
 #[case::silent(Script::Silent, 502, "back_end_failed", "unknown")]
 #[case::protocol(Script::Stream(vec![Step::Foreign(0)]), 502, "back_end_protocol", "unknown")]
 #[tokio::test]
-async fn the_refusal_says_truly_whether_the_request_ran(
+async fn an_error_reports_correctly_whether_the_request_ran(
     #[case] script: Script,
     #[case] status: u16,
     #[case] code: &str,
@@ -182,7 +183,7 @@
 }
 
 #[tokio::test]
-async fn without_any_engine_the_caller_is_told_when_to_come_back() {
+async fn without_engines_the_caller_receives_a_retry_time() {
     let gateway = TestGateway::start(&[]).await;
     let answer = call(chat(gateway.url(CHAT), false)).await;
     assert_eq!(answer.status, StatusCode::SERVICE_UNAVAILABLE);
@@ -191,7 +192,7 @@
     assert!(answer.header("retry-after").parse::<u64>().is_ok());
 }
 
-/// Requests that are refused before any engine sees them.
+/// Requests that are refused before they reach an engine.
 #[rstest]
 #[case::not_json("{", 400, "malformed_request")]
 #[case::not_an_object("[]", 400, "malformed_request")]
@@ -234,7 +235,7 @@
     "invalid_value"
 )]
 #[tokio::test]
-async fn a_wrong_request_is_refused_before_it_runs(
+async fn an_invalid_request_is_refused_before_it_runs(
     #[case] body: &'static str,
     #[case] status: u16,
     #[case] code: &str,
@@ -313,7 +314,7 @@
 }
 
 #[tokio::test]
-async fn a_request_id_of_the_caller_that_is_not_text_does_no_harm() {
+async fn a_request_id_that_is_not_text_is_replaced() {
     let engine = FakeEngine::start(vec![]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let mut message = chat(gateway.url(CHAT), false);
@@ -325,7 +326,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_goes_away_cancels_its_stream_at_the_engine() {
+async fn a_caller_that_disconnects_cancels_its_stream_at_the_engine() {
     let steps = vec![Step::Token(0), Step::Hang];
     let engine = FakeEngine::start(vec![Script::Stream(steps)]).await;
     let gateway = TestGateway::start(&[engine.address]).await;
@@ -342,11 +343,11 @@
     panic!("the engine's stream was not closed");
 }
 
-/// Streams in progress at a planned stop.
+/// Streams in progress at the graceful shutdown.
 const STREAMS: usize = 200;
 
 #[tokio::test]
-async fn a_planned_stop_cuts_no_stream_off() {
+async fn a_graceful_shutdown_completes_all_streams() {
     let steps = [Step::Token(0), Step::Gate]
         .into_iter()
         .chain(whole(10).into_iter().skip(1));
@@ -369,9 +370,9 @@
     .await;
     engine.open_gate();
     for response in responses {
-        let rest = response.into_body().collect().await;
-        let rest = rest.expect("a whole body").to_bytes();
-        let text = String::from_utf8_lossy(&rest);
+        let body = response.into_body().collect().await;
+        let remaining = body.expect("a complete body").to_bytes();
+        let text = String::from_utf8_lossy(&remaining);
         assert!(text.ends_with("data: [DONE]\n\n"), "{text}");
     }
     stop.await.expect("stopped");
--- a/crates/gateway/tests/all/configuration.rs
+++ b/crates/gateway/tests/all/configuration.rs
@@ -1,4 +1,4 @@
-//! Following configurations: the sans-IO follower and a gateway attached to control.
+//! Configuration updates: the sans-IO follower and a gateway attached to control.
 
 use linnethitch_config::digest::content_digest;
 use linnethitch_gateway::{
@@ -73,7 +73,7 @@
     }
 }
 
-/// What happens to an update; the follower holds revision 5.
+/// The action for an update when the current revision is 5.
 #[derive(Debug, PartialEq)]
 enum Expected {
     Store(u64),
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_follower_never_steps_back() {
+fn a_follower_never_returns_to_an_older_revision() {
     let mut follower = Follower::new(Some(stored(5)));
     follower.on_stored(stored(4));
     assert_eq!(follower.revision(), Revision(5));
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_follower_that_holds_nothing_needs_the_whole() {
+fn a_follower_without_a_configuration_requests_the_full_text() {
     let follower = Follower::default();
     let action = follower.on_update(&delta(1, 2));
     let fault = UpdateFault::OtherBase {
@@ -157,11 +157,7 @@
             .or_default() += 1;
         let mut tried: Vec<_> = (0..4).filter_map(|_| order.next_address()).collect();
         tried.dedup();
-        assert_eq!(
-            tried.len(),
-            4,
-            "every member is tried before one comes again"
-        );
+        assert_eq!(tried.len(), 4, "every member is tried before one repeats");
     }
     assert_eq!(first.len(), 5);
     assert!(
@@ -171,13 +167,16 @@
 }
 
 #[rstest]
-#[case::only_itself(&["10.0.0.1:7000"], 2)]
-#[case::those_of_the_settings(&["10.0.0.2:7000", "10.0.0.1:7000"], 2)]
+#[case::only_the_member_itself(&["10.0.0.1:7000"], 2)]
+#[case::members_of_the_settings(&["10.0.0.2:7000", "10.0.0.1:7000"], 2)]
 #[case::a_replaced_machine(&["10.0.0.1:7000", "10.0.0.3:7000"], 3)]
-fn what_a_member_tells_adds_to_the_settings(#[case] told: &[&str], #[case] known: usize) {
+fn addresses_reported_by_a_member_extend_the_settings(
+    #[case] reported: &[&str],
+    #[case] known: usize,
+) {
     let settings = ["10.0.0.1:7000", "10.0.0.2:7000"].map(str::to_owned);
     let mut order = MemberOrder::new("gateway-1", &settings);
-    order.learn(&told.iter().map(ToString::to_string).collect::<Vec<_>>());
+    order.learn(&reported.iter().map(ToString::to_string).collect::<Vec<_>>());
     let tried = (0..2 * known).filter_map(|_| order.next_address());
     let tried: HashSet<String> = tried.collect();
     assert_eq!(tried.len(), known);
@@ -192,13 +191,13 @@
     assert!(watch.is_stale(STALE_AFTER + ms(1)));
     watch.on_stamp(ms(2_000), ms(100));
     assert!(!watch.is_stale(ms(2_000)));
-    // Stamps go on coming, but tell of an ever older quorum.
+    // Stamps still arrive, but the last contact with a quorum that they report grows older.
     watch.on_stamp(ms(4_000), ms(2_100));
     assert!(watch.is_stale(ms(4_000)));
 }
 
 #[tokio::test]
-async fn a_gateway_takes_new_revisions_and_confirms_them() {
+async fn a_gateway_puts_new_revisions_into_force_and_confirms_them() {
     let engine = FakeEngine::start(vec![]).await;
     let shared = Shared::new(&text(1), vec![gateway::engine(0, engine.address)]);
     let control = FakeControl::start(shared).await;
@@ -218,7 +217,7 @@
 }
 
 #[tokio::test]
-async fn a_restarted_gateway_serves_what_it_had_stored_without_control() {
+async fn a_restarted_gateway_serves_its_stored_configuration_without_control() {
     let engine = FakeEngine::start(vec![]).await;
     let shared = Shared::new(&text(1), vec![gateway::engine(0, engine.address)]);
     let control = FakeControl::start(Arc::clone(&shared)).await;
@@ -232,18 +231,18 @@
 }
 
 #[tokio::test]
-async fn a_gateway_moves_to_another_member_when_its_own_lags() {
+async fn a_gateway_attaches_to_another_member_when_its_own_is_stale() {
     let shared = Shared::new(&text(1), Vec::new());
     let one = FakeControl::start(Arc::clone(&shared)).await;
     let other_shared = Shared::new(&text(1), Vec::new());
     let two = FakeControl::start(Arc::clone(&other_shared)).await;
     let _gateway = TestGateway::attached(&[one.address, two.address]).await;
-    let (own, other) = if shared.attached() == 1 {
+    let (attached, other) = if shared.attached() == 1 {
         (shared, other_shared)
     } else {
         (other_shared, shared)
     };
-    own.set_fresh(false);
+    attached.set_fresh(false);
     wait_until("the other member has the gateway", async || {
         other.attached() == 1
     })
--- a/crates/gateway/tests/all/control_only.rs
+++ b/crates/gateway/tests/all/control_only.rs
@@ -1,4 +1,4 @@
-//! A hollow gateway does towards control what a real one does.
+//! Control-only gateways communicate with control as full gateways do.
 
 use std::sync::Arc;
 
@@ -14,7 +14,7 @@
 };
 
 #[tokio::test]
-async fn hollow_gateways_attach_open_sessions_and_confirm_revisions() {
+async fn control_only_gateways_attach_open_sessions_and_confirm_revisions() {
     let shared = Shared::new(&fleet_file(), Vec::new());
     let control = FakeControl::start(shared).await;
     let documents: Arc<SharedDocuments> = Arc::default();
@@ -25,23 +25,29 @@
             let mut settings = attached_settings(folder, &[control.address]);
             settings.gateway_id = (*name).to_owned();
             let logger = Logger::root(Discard, o!());
-            ControlOnlyGateway::start(settings, Arc::clone(&documents), logger).expect("it starts")
+            ControlOnlyGateway::start(settings, Arc::clone(&documents), logger)
+                .expect("the gateway starts")
         })
         .collect();
     control
         .shared
         .configure(&format!("{}\n# more\n", fleet_file()));
     for gateway in &gateways {
-        wait_until("revision 2 is in force and the session holds", async || {
-            gateway.revision() == Revision(2) && gateway.has_session()
-        })
+        wait_until(
+            "revision 2 is in force and the session is valid",
+            async || gateway.revision() == Revision(2) && gateway.has_session(),
+        )
         .await;
         assert!(gateway.is_attached());
         assert!(gateway.traffic().control.received_bytes > 0);
     }
     wait_until("both have confirmed", async || {
         let confirmed = control.shared.confirmed();
-        confirmed.iter().filter(|one| **one == Revision(2)).count() >= 2
+        confirmed
+            .iter()
+            .filter(|revision| **revision == Revision(2))
+            .count()
+            >= 2
     })
     .await;
 }
--- a/crates/gateway/tests/all/explain.rs
+++ b/crates/gateway/tests/all/explain.rs
@@ -1,4 +1,4 @@
-//! Journal and metrics: what a gateway tells of its decisions.
+//! Journal records and metrics of the decisions of a gateway.
 
 use std::{fs, path::PathBuf};
 
@@ -12,7 +12,7 @@
     gateway::{KEY, LIMITED_KEY, OPERATOR_KEY, TestGateway},
 };
 
-/// Routes of the callers' interface.
+/// Number of routes in the HTTP interface for callers.
 const ENDPOINTS: usize = 18;
 
 pub(crate) async fn explain(gateway: &TestGateway, id: &str, key: &str) -> Vec<Value> {
@@ -32,7 +32,7 @@
     reasons.map(|reason| reason.expect("a reason")).collect()
 }
 
-async fn ask(gateway: &TestGateway) -> (Answer, String) {
+async fn send_chat(gateway: &TestGateway) -> (Answer, String) {
     let answer = call(chat(gateway.url("/v1/chat/completions"), false)).await;
     let id = answer.header("x-request-id").to_owned();
     (answer, id)
@@ -44,16 +44,16 @@
     &["shortest_wait", "resumed_elsewhere", "shortest_wait", "answered"])]
 #[case::rejected(vec![Script::Status(400, vec![], "no")], &["shortest_wait", "final_answer", "invalid_value"])]
 #[tokio::test]
-async fn the_journal_tells_the_way_of_a_request(
+async fn the_journal_records_each_decision_about_a_request(
     #[case] scripts: Vec<Script>,
     #[case] expected: &[&str],
 ) {
     let engine = FakeEngine::start(scripts).await;
     let gateway = TestGateway::start(&[engine.address]).await;
-    let (_, id) = ask(&gateway).await;
+    let (_, id) = send_chat(&gateway).await;
     let records = explain(&gateway, &id, KEY).await;
-    let told = reasons(&records);
-    assert_eq!(told, expected);
+    let recorded = reasons(&records);
+    assert_eq!(recorded, expected);
     assert!(records.iter().all(|record| record["request"] == *id));
     assert_eq!(
         records[0]["replica"].as_str().map(|name| &name[..7]),
@@ -66,7 +66,7 @@
 }
 
 #[tokio::test]
-async fn refusals_are_told_and_counted() {
+async fn refusals_are_recorded_and_counted() {
     let engine = FakeEngine::start(Vec::new()).await;
     let gateway = TestGateway::start(&[engine.address]).await;
     let bearer = format!("Bearer {LIMITED_KEY}");
@@ -80,7 +80,7 @@
             refused = Some(answer);
         }
     }
-    let refused = refused.expect("one a second is allowed");
+    let refused = refused.expect("the limit is one request per second");
     let id = refused.header("x-request-id");
     let records = explain(&gateway, id, LIMITED_KEY).await;
     assert_eq!(reasons(&records), ["request_rate"]);
@@ -121,7 +121,7 @@
     );
 }
 
-/// A path for a route of the page.
+/// An example path for a route of the reference page.
 fn example(path: &str) -> String {
     path.replace("{id}", "x").replace("{name}/…", "tariffs/x")
 }
--- a/crates/gateway/tests/all/files.rs
+++ b/crates/gateway/tests/all/files.rs
@@ -17,21 +17,21 @@
     gateway::{KEY, TestGateway, fleet_file},
 };
 
-/// A correct line.
+/// A valid batch line.
 pub(crate) fn line(custom_id: &str) -> String {
     json!({"custom_id": custom_id, "method": "POST", "url": "/v1/chat/completions",
         "body": {"model": "m", "messages": [{"role": "user", "content": custom_id}]}})
     .to_string()
 }
 
-/// A file of correct lines.
+/// A file of valid batch lines.
 pub(crate) fn lines(count: usize) -> String {
     (0..count)
         .map(|number| line(&format!("item-{number}")) + "\n")
         .collect()
 }
 
-/// Control and a gateway attached to it.
+/// Starts a control and a gateway that is attached to it.
 pub(crate) async fn start() -> (FakeControl, TestGateway) {
     let control = FakeControl::start(Shared::new(&fleet_file(), Vec::new())).await;
     let gateway = TestGateway::attached(&[control.address]).await;
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn an_upload_is_stored_as_it_was_sent() {
+async fn an_upload_is_stored_unchanged() {
     let (_control, gateway) = start().await;
     let content = lines(3_000);
     let answer = upload(&gateway, content.clone()).await;
@@ -102,13 +102,13 @@
     ))
     .await;
     assert_eq!(deleted.json()["deleted"], true);
-    let gone = call(request(
+    let missing = call(request(
         Method::GET,
         gateway.url(&format!("/v1/files/{id}")),
         "",
     ))
     .await;
-    assert_eq!(gone.error_code(), "not_found");
+    assert_eq!(missing.error_code(), "not_found");
 }
 
 fn form(parts: &[(&str, Option<&str>, &str)], end: &str) -> String {
@@ -136,7 +136,7 @@
 #[case::purpose_first(&["purpose", "file"])]
 #[case::file_first(&["file", "purpose"])]
 #[tokio::test]
-async fn a_form_is_taken_in_any_order(#[case] order: &[&str]) {
+async fn form_fields_are_accepted_in_any_order(#[case] order: &[&str]) {
     let (_control, gateway) = start().await;
     let content = lines(3);
     let parts: Vec<_> = order
@@ -158,13 +158,13 @@
 #[case::other_purpose_after_the_file(&[("file", Some("f"), "LINE"), ("purpose", None, "vision")], "--frontier--\r\n", "invalid_value")]
 #[case::cut_off(&[("purpose", None, "batch"), ("file", Some("f"), "LINE")], "", "truncated_upload")]
 #[tokio::test]
-async fn a_wrong_form_is_refused_and_leaves_nothing(
+async fn an_invalid_form_is_refused_and_stores_nothing(
     #[case] parts: &[(&str, Option<&str>, &str)],
     #[case] end: &str,
     #[case] code: &str,
 ) {
     let (control, gateway) = start().await;
-    let correct = line("item") + "\n";
+    let valid = line("item") + "\n";
     let parts: Vec<_> = parts
         .iter()
         .map(|(name, filename, content)| {
@@ -172,7 +172,7 @@
                 *name,
                 *filename,
                 if *content == "LINE" {
-                    correct.as_str()
+                    valid.as_str()
                 } else {
                     *content
                 },
@@ -185,7 +185,7 @@
     assert_eq!(finished_files(&control.shared), 0);
 }
 
-/// A wrong line 17; the message names it.
+/// Line 17 is invalid, and the error message names it.
 #[rstest]
 #[case::not_json("{", "invalid_batch_line")]
 #[case::no_custom_id(
@@ -202,7 +202,7 @@
 #[case::unknown_run_mode(&line("x").replace("\"method\"", "\"run\":\"twice\",\"method\""), "invalid_batch_line")]
 #[case::too_long(&line(&"x".repeat(70_000)), "invalid_batch_line")]
 #[tokio::test]
-async fn a_bad_line_is_named_and_nothing_is_accepted(#[case] bad: &str, #[case] code: &str) {
+async fn an_invalid_line_is_named_and_nothing_is_stored(#[case] bad: &str, #[case] code: &str) {
     let (control, gateway) = start().await;
     let mut all: Vec<String> = (0..30)
         .map(|number| line(&format!("item-{number}")))
@@ -229,16 +229,16 @@
 }
 
 #[tokio::test]
-async fn blank_lines_and_a_missing_last_line_feed_are_taken() {
+async fn blank_lines_and_a_missing_last_line_feed_are_accepted() {
     let (_control, gateway) = start().await;
     let content = format!("{}\r\n\n{}", line("one"), line("two"));
     let answer = upload(&gateway, content).await;
     assert_eq!(answer.status, StatusCode::OK, "{answer:?}");
 }
 
-/// A body that ends before its announced length: the connection is not answered as if all were well.
+/// A body that ends before its announced length must not be answered with success.
 #[tokio::test]
-async fn a_truncated_upload_leaves_nothing() {
+async fn a_truncated_upload_stores_nothing() {
     let (control, gateway) = start().await;
     let mut connection = tokio::net::TcpStream::connect(gateway.address)
         .await
@@ -256,7 +256,7 @@
     assert_eq!(finished_files(&control.shared), 0);
 }
 
-/// A body that stops arriving is given up within the limit.
+/// An upload without further bytes ends with an error after the limit.
 #[tokio::test]
 async fn a_stalled_upload_times_out() {
     let (control, gateway) = start().await;
@@ -277,7 +277,7 @@
 }
 
 #[tokio::test]
-async fn lost_answers_of_control_do_not_harm_an_upload() {
+async fn an_upload_survives_lost_answers_of_control() {
     let (control, gateway) = start().await;
     control.shared.lose_answers(3);
     let content = lines(50);
--- a/crates/gateway/tests/all/main.rs
+++ b/crates/gateway/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the gateway against fake engines over loopback.
+//! Contract tests of the gateway against fake engines and a fake control over loopback.
 
 mod batch_execution;
 mod batch_executor;
--- a/crates/gateway/tests/all/services.rs
+++ b/crates/gateway/tests/all/services.rs
@@ -1,4 +1,4 @@
-//! Application services over emulated replicas.
+//! Requests to application services on emulated replicas.
 
 use bytes::Bytes;
 use http::{Method, Request, StatusCode};
@@ -16,7 +16,7 @@
     gateway::{TestGateway, application, fleet_file, wait_until},
 };
 
-/// Longer than any test waits.
+/// A delay longer than any test waits.
 const LATE: Fault = Fault::Late { millis: 30_000 };
 
 struct Fixture {
@@ -76,7 +76,7 @@
 )]
 #[case::escaped("/services/tariffs/a%2Fb", "/a%2Fb", None)]
 #[tokio::test]
-async fn a_request_reaches_a_replica_as_it_was_sent(
+async fn a_request_reaches_a_replica_unchanged(
     #[case] path: &str,
     #[case] expected: &str,
     #[case] query: Option<&str>,
@@ -96,7 +96,7 @@
     assert_eq!(
         answer.header("x-application-load"),
         "",
-        "meant for the gateway"
+        "the header is only for the gateway"
     );
 }
 
@@ -105,7 +105,7 @@
 #[case::no_name("/services", 404, "not_found")]
 #[case::too_large("/services/tariffs/x", 413, "body_too_large")]
 #[tokio::test]
-async fn a_wrong_request_reaches_no_replica(
+async fn an_invalid_request_reaches_no_replica(
     #[case] path: &str,
     #[case] status: u16,
     #[case] code: &str,
@@ -120,7 +120,7 @@
     assert_eq!(fixture.executions(), 0);
 }
 
-/// How the replicas behave, and what a caller then sees.
+/// The faults of the replicas, and the response that a caller receives.
 #[rstest]
 #[case::refused_then_served(Method::POST, &[Fault::Refuse], 200, "", "")]
 #[case::all_refuse(Method::POST, &[Fault::Refuse, Fault::Refuse], 503, "no_back_end", "no")]
@@ -128,7 +128,7 @@
 #[case::all_dead(Method::GET, &[Fault::Die, Fault::Die], 503, "no_back_end", "no")]
 #[case::hung(Method::POST, &[Fault::Hang, Fault::Hang], 504, "deadline_exceeded", "unknown")]
 #[tokio::test]
-async fn only_safe_retries_are_made(
+async fn requests_are_retried_only_where_that_is_safe(
     #[case] method: Method,
     #[case] faults: &[Fault],
     #[case] status: u16,
@@ -161,7 +161,7 @@
 #[case::safe(Method::GET, None, 200)]
 #[case::unsafe_to_repeat(Method::POST, Some("back_end_failed"), 502)]
 #[tokio::test]
-async fn a_replica_that_dies_at_work_is_replaced_only_for_safe_methods(
+async fn a_request_on_a_dying_replica_is_retried_only_for_safe_methods(
     #[case] method: Method,
     #[case] code: Option<&str>,
     #[case] status: u16,
@@ -172,7 +172,7 @@
     }
     let message = fixture.request(method, "/services/tariffs/x", "");
     let answer = tokio::spawn(call(message));
-    wait_until("it runs", async || fixture.executions() == 1).await;
+    wait_until("the request runs", async || fixture.executions() == 1).await;
     for replica in &fixture.replicas {
         let busy = replica.executions() == 1;
         replica.inject(if busy { Fault::Die } else { Fault::Recover });
@@ -188,7 +188,7 @@
 
 #[rstest]
 #[tokio::test]
-async fn a_keyed_request_runs_once_and_is_answered_again(
+async fn a_keyed_request_runs_once_and_its_answer_is_replayed(
     #[values(false, true)] at_most_once: bool,
 ) {
     let fixture = Fixture::start(2).await;
@@ -223,16 +223,16 @@
         )
     };
     let answer = tokio::spawn(call(message()));
-    wait_until("it runs", async || fixture.executions() == 1).await;
+    wait_until("the request runs", async || fixture.executions() == 1).await;
     for replica in &fixture.replicas {
         replica.inject(Fault::Die);
     }
     let answer = answer.await.expect("an answer");
     assert_eq!(answer.error_code(), "outcome_unknown");
     for replica in &fixture.replicas {
-        replica.restart().await.expect("the replica is back");
+        replica.restart().await.expect("the replica restarts");
     }
-    wait_until("the outcome is kept", async || {
+    wait_until("the outcome is stored", async || {
         call(message()).await.error_code() == "outcome_unknown"
     })
     .await;
@@ -240,13 +240,13 @@
 }
 
 #[tokio::test]
-async fn a_leaving_replica_gets_nothing_more() {
+async fn a_leaving_replica_receives_no_further_requests() {
     let fixture = Fixture::start(2).await;
     fixture.replicas[0].set_leaving(true);
     for _ in 0..20 {
         let message = fixture.request(Method::GET, "/services/tariffs/x", "");
         assert_eq!(call(message).await.status, StatusCode::OK);
     }
-    // At most the answer that told of it.
+    // At most the response that reported the leaving replica.
     assert!(fixture.replicas[0].executions() <= 1);
 }
