--- a/crates/gateway/tests/all/completions.rs
+++ b/crates/gateway/tests/all/completions.rs
@@ -363,7 +363,7 @@
     let responses = futures_util::future::join_all(started).await;
     let handle = gateway.handle.take().expect("running");
     let stop = tokio::spawn(handle.stop());
-    wait_until("no new connection is taken", async || {
+    wait_until("new connections are refused", async || {
         let connected = tokio::net::TcpStream::connect(gateway.address).await;
         connected.is_err()
     })
