--- a/crates/gateway/src/control/events.rs
+++ b/crates/gateway/src/control/events.rs
@@ -64,14 +64,14 @@
         } else {
             self.decisions.update_replicas(changed, removed);
         }
-        self.on_first_replicas();
+        self.on_replicas_received();
     }
 
     async fn on_configuration(self: &Arc<Self>, update: &ConfigurationUpdate) -> AfterMessage {
         let action = self.follower.lock().on_update(update);
         match action {
-            FollowerAction::ConfirmHeld(revision) => self.confirm(revision),
-            FollowerAction::AskForWhole(fault) => {
+            FollowerAction::ConfirmCurrent(revision) => self.confirm(revision),
+            FollowerAction::RequestFullText(fault) => {
                 warn!(self.logger, "configuration update not applied; requesting the full configuration"; "fault" => ?fault);
                 return AfterMessage::Reattach;
             }
@@ -82,7 +82,7 @@
                 let revision = stored.revision;
                 let fleet = Arc::clone(stored.fleet());
                 self.follower.lock().on_stored(stored);
-                self.put_in_force(revision, fleet);
+                self.activate(revision, fleet);
                 self.confirm(revision);
                 info!(self.logger, "configuration in force"; "revision" => revision.0);
             }
--- a/crates/gateway/src/hollow.rs
+++ b/crates/gateway/src/control_only.rs
@@ -1,10 +1,9 @@
-//! Gateways that do everything towards control and nothing for callers.
+//! Gateways that communicate with control but serve no callers, for load and scale tests.
 //!
-//! Hundreds run in one process, so that control meets a large fleet on one
-//! machine. Attachment, configuration, session, loads and confirmations are the
-//! code of a real gateway. What callers need is left out: listener, batch
-//! executor, lookup of tenants and the stored copy of the configuration, which
-//! the gateways of a process share.
+//! Hundreds of them run in one process, so that control can be tested with a large fleet on one
+//! machine. Attachment, configuration, session, load reports and confirmations use the code of a
+//! full gateway. The parts that serve callers are left out: listener, batch executor, index of
+//! tenants and the configuration on disk. The gateways of a process share parsed configurations.
 
 use std::sync::Arc;
 
@@ -28,14 +27,14 @@
     state::Gateway,
 };
 
-/// A running hollow gateway. Dropping it ends it at once, as a crash would.
-pub struct HollowGateway {
+/// A running control-only gateway. Dropping the gateway ends it immediately, as a crash does.
+pub struct ControlOnlyGateway {
     gateway: Arc<Gateway>,
     _background: JoinSet<()>,
 }
 
-impl HollowGateway {
-    /// Starts a hollow gateway; its settings' listen address is not used.
+impl ControlOnlyGateway {
+    /// Starts a control-only gateway; the listen address of its settings is not used.
     ///
     /// # Errors
     /// `Io` when the data folder or the cluster key cannot be used.
@@ -57,19 +56,19 @@
             batch_events,
             logger,
         );
-        let gateway = Arc::new(gateway.without_callers(documents));
+        let gateway = Arc::new(gateway.control_only(documents));
         let mut background = JoinSet::new();
         background.spawn(attachment::run(Arc::clone(&gateway), identity));
         background.spawn(session::maintain(Arc::clone(&gateway)));
         background.spawn(reports::run(Arc::clone(&gateway)));
-        background.spawn(ignore(events));
-        Ok(HollowGateway {
+        background.spawn(discard_events(events));
+        Ok(ControlOnlyGateway {
             gateway,
             _background: background,
         })
     }
 
-    /// The revision in force; 0 before the first.
+    /// The revision in force; 0 before the first configuration.
     #[must_use]
     pub fn revision(&self) -> Revision {
         let active = self.gateway.configuration.load();
@@ -78,20 +77,20 @@
             .map_or(Revision(0), |active| active.revision)
     }
 
-    /// Whether it is attached to a control member.
+    /// Whether the gateway is attached to a control member.
     #[must_use]
     pub fn is_attached(&self) -> bool {
         self.gateway.control.is_attached()
     }
 
-    /// Whether its session in the ledger holds.
+    /// Whether the session of the gateway in the ledger is valid.
     #[must_use]
     pub fn has_session(&self) -> bool {
         let now = self.gateway.clock().now();
         self.gateway.session.current(now).is_some()
     }
 
-    /// Tells it of a load as a response of the replica would.
+    /// Applies a load report as if a response of the replica had carried it.
     pub fn on_response_load(&self, replica: &ReplicaId, load: LoadReport) {
         self.gateway.decisions.on_observed_load(replica, load);
     }
@@ -103,7 +102,7 @@
     }
 }
 
-/// Takes what a batch executor would be told.
-async fn ignore(mut events: mpsc::Receiver<BatchEvent>) {
+/// Discards the events for the batch executor.
+async fn discard_events(mut events: mpsc::Receiver<BatchEvent>) {
     while events.recv().await.is_some() {}
 }
--- a/crates/gateway/src/decisions/mod.rs
+++ b/crates/gateway/src/decisions/mod.rs
@@ -179,7 +179,7 @@
         placement: Placement,
         fault: &AttemptFault,
     ) -> Option<ReasonCode> {
-        if fault.says_leaving() {
+        if fault.reports_leaving() {
             self.on_leaving(&placement.replica);
         }
         let replica = placement.replica.clone();
--- a/crates/gateway/src/online/generation/mod.rs
+++ b/crates/gateway/src/online/generation/mod.rs
@@ -162,10 +162,10 @@
             .prompt_tokens
             .saturating_add(self.progress.tokens);
         match event {
-            Err(AttemptFault::Hung(_)) if remaining <= limit => Err(self.deadline_passed()),
+            Err(AttemptFault::TimedOut(_)) if remaining <= limit => Err(self.deadline_passed()),
             Err(fault) if self.is_complete() => {
                 // Only the end of the stream was not received.
-                self.gateway.learn(attempt.placement, &fault);
+                self.gateway.record_fault(attempt.placement, &fault);
                 Ok(StreamEvent::Done)
             }
             Err(fault) => Err(Step::Fault(fault, Some(Box::new(attempt.placement)))),
--- a/crates/gateway/tests/all/main.rs
+++ b/crates/gateway/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Contract tests of the gateway against fake engines over loopback.
+//! Contract tests of the gateway against fake engines and a fake control over loopback.
 
 mod batch_execution;
 mod batch_executor;
@@ -7,9 +7,9 @@
 mod claims;
 mod completions;
 mod configuration;
+mod control_only;
 mod explain;
 mod files;
-mod hollow;
 mod killed_gateway;
 mod overload;
 mod services;
