--- a/crates/gateway/src/observe/records.rs
+++ b/crates/gateway/src/observe/records.rs
@@ -28,7 +28,12 @@
 
 impl Observer {
     /// Records a request that was refused by limits, by the queue or for lack of back ends.
-    pub(crate) fn refused(&self, now: Timestamp, request: &RequestSubject, refused: &Refused) {
+    pub(crate) fn refused(
+        &self,
+        now: Timestamp,
+        request: &RequestSubject,
+        refused: &RequestRefusal,
+    ) {
         let label = ReasonLabel::from(refused.reason);
         self.metrics.refusals.get_or_create(&label).inc();
         let code = refused.failure.kind.answer().code;
--- a/crates/gateway/src/online/generation/attempts.rs
+++ b/crates/gateway/src/online/generation/attempts.rs
@@ -141,7 +141,8 @@
         }
         // A hung engine is reported as a back-end failure, not as the caller's deadline. An
         // earlier attempt may have run although the last one did not start.
-        let hung = matches!(fault, AttemptFault::TimedOut(_)) && kind == ErrorKind::DeadlineExceeded;
+        let hung =
+            matches!(fault, AttemptFault::TimedOut(_)) && kind == ErrorKind::DeadlineExceeded;
         let (kind, executed) = if hung {
             (ErrorKind::BackEndFailed, executed)
         } else if self.started && executed == Executed::No {
