--- a/crates/relay/src/connections.rs
+++ b/crates/relay/src/connections.rs
@@ -41,7 +41,7 @@
 
 struct IdleConnection {
     sender: Sender,
-    deadline: Instant,
+    expires_at: Instant,
 }
 
 /// Why a connection was opened.
@@ -83,7 +83,7 @@
         for idle in all {
             if idle.sender.is_closed() {
                 self.note_closed(OpenReason::Closed);
-            } else if idle.deadline <= now {
+            } else if idle.expires_at <= now {
                 self.note_closed(OpenReason::Rested);
             } else {
                 self.idle.push(idle);
@@ -217,7 +217,7 @@
         if in_use.is_returned {
             pool.idle.push(IdleConnection {
                 sender: connection.sender,
-                deadline: Instant::now() + connection.idle_limit,
+                expires_at: Instant::now() + connection.idle_limit,
             });
         }
         drop(pools);
--- a/crates/relay/tests/all/support/registrations.rs
+++ b/crates/relay/tests/all/support/registrations.rs
@@ -43,7 +43,7 @@
             slots: 4,
             state,
             sequence,
-            incarnation: incarnation,
+            incarnation,
             cold_ms: 0,
         })
         .await;
