--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One caller's request: sent, retried where that is safe, answered.
+//! One caller's request: sends it, retries where that is safe, and answers the caller.
 
 use std::{sync::Arc, time::Duration};
 
@@ -21,71 +21,73 @@
     callers::KeyRefusal,
     counters::RequestEnd,
     dialect::Prompt,
-    exchange::{Exchange, Limits, Opened, Outgoing, Target, exchange, strip_connection_headers},
+    exchange::{
+        Exchange, Limits, OpenedResponse, Outgoing, Target, exchange, strip_connection_headers,
+    },
     homes::HomeZones,
     pump::{Pump, PumpSettings},
-    response::{BodyFailure, ResponseBody, error_response, whole},
-    search::{Placed, Search},
+    response::{BodyFailure, ResponseBody, error_response, full_body},
+    search::{Placement, Search},
     shared::Shared,
 };
 
-/// A caller is told to come back after this long where nothing says better.
-pub(crate) const COME_BACK_AFTER: Duration = Duration::from_millis(150);
-/// A caller is told to come back after this long where all replicas are in evacuated zones:
-/// evacuations last for seconds, and their end is known within one.
-const COME_BACK_AFTER_EVACUATION: Duration = Duration::from_secs(1);
-/// Callers that are refused since their gateway is cut off come back to it after this: cuts
-/// last for seconds.
-const COME_BACK_AFTER_CUT_OFF: Duration = Duration::from_secs(1);
-/// A caller is told to come back after this long at most where replicas are cold: for a gateway
-/// without a part it would be the whole time that one is cold, which may be a day, while
-/// other gateways have parts of each second and others may grow warm sooner.
-const LONGEST_COME_BACK_AFTER_COLD: Duration = Duration::from_secs(1);
-/// Longest body of an answer that is held back until it is whole.
-const MAX_HELD_BYTES: usize = 512 * 1024;
-/// A request waits this share of its target for a replica, then it is refused.
-const WAIT_SHARE_OF_TARGET: u32 = 5;
-/// Pause between two looks for a replica.
-const LOOK_AGAIN_AFTER: Duration = Duration::from_millis(10);
-/// A request that may be repeated is given to another replica when no answer
-/// begins within this, or within a multiple of the expected time.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(900);
-const PATIENCE: f64 = 4.0;
-/// A wait for a slot that is longer than this is logged.
+/// Default `Retry-After`, used where no better estimate is known.
+pub(crate) const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(150);
+/// `Retry-After` while all replicas are in evacuated zones: evacuations last for seconds, and
+/// gateways learn of their end within one second.
+const EVACUATION_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// `Retry-After` for requests refused because this gateway is isolated: network partitions last
+/// for seconds.
+const ISOLATION_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Maximum `Retry-After` while replicas are cold. For a gateway without a share of a cold
+/// replica's rate, the exact value would be the whole cold period, up to a day, while other
+/// gateways have shares of each second and other replicas may become warm sooner.
+const MAX_COLD_RETRY_AFTER: Duration = Duration::from_secs(1);
+/// Largest response body that is buffered completely before it is forwarded.
+const MAX_BUFFERED_RESPONSE_BYTES: usize = 512 * 1024;
+/// A request waits at most its target divided by this number for a replica; then it is refused.
+const TARGET_WAIT_DIVISOR: u32 = 5;
+const REPLICA_POLL_INTERVAL: Duration = Duration::from_millis(10);
+/// A repeatable request is sent to another replica when no response begins within this time, or
+/// within [`RESPONSE_TIMEOUT_FACTOR`] times the expected time if that is longer.
+const MIN_RESPONSE_TIMEOUT: Duration = Duration::from_millis(900);
+const RESPONSE_TIMEOUT_FACTOR: f64 = 4.0;
+/// Slot waits longer than this are logged.
 const LONG_SLOT_WAIT: Duration = Duration::from_millis(100);
-/// Pause after every replica has refused a request as full, while it can still be on time.
-/// A slot of an application replica falls free within milliseconds, and one whose
-/// fellows are gone clears a burst of 225 requests a second at 200 within a second, while
-/// callers have three. Until then callers were refused after four tries: 510 of 6,000 on a
-/// day on which two of three replicas were gone.
-const FULL_PAUSE: Duration = Duration::from_millis(15);
-/// The same once it is late: it comes back when the burst may be over, and leaves the slots
-/// that fall free meanwhile to those that can still be on time.
-const LATE_FULL_PAUSE: Duration = Duration::from_millis(250);
-/// A request pauses so until this part of its time is over: the rest is for its run.
-const LAST_CALL_SHARE: f64 = 0.6;
-/// Frames of a stream that wait for a slow caller.
-const STREAM_FRAMES: usize = 8;
-
-/// One request while it is worked on.
+/// Delay before the next round after every replica refused a request as full, while the request
+/// can still meet its target. A slot of an application replica becomes free within milliseconds,
+/// and a replica whose two peers are down clears a burst of 225 requests per second at 200 within
+/// a second, while callers allow three seconds. Without these rounds, callers were refused after
+/// four tries: 510 of 6,000 requests in a run with two of three replicas down.
+const FULL_RETRY_DELAY: Duration = Duration::from_millis(15);
+/// Delay once the request is past its target: the burst may be over by the next round, and slots
+/// that become free meanwhile go to requests that can still meet their targets.
+const LATE_FULL_RETRY_DELAY: Duration = Duration::from_millis(250);
+/// A request retries full replicas until this share of its time has passed; the remaining time is
+/// for its run.
+const FULL_RETRY_TIME_SHARE: f64 = 0.6;
+/// Frames of a stream that are queued for a slow caller.
+const STREAM_BUFFER_FRAMES: usize = 8;
+
+/// A request in progress.
 pub(crate) struct Attempt<'a> {
     pub(crate) shared: &'a Arc<Shared>,
     pub(crate) route: &'a Route,
     pub(crate) service: String,
     pub(crate) outgoing: Arc<Outgoing>,
     pub(crate) prompt: Prompt,
-    /// Its rank; 0 is the highest.
+    /// Priority rank; 0 is the highest.
     pub(crate) rank: u8,
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) arrived: Instant,
-    /// Replicas that it was sent to or that did not take it; it is not sent there again.
+    /// Replicas that the request was sent to or that declined it; it is not sent there again.
     pub(crate) tried: Vec<String>,
-    /// Sends that may have run.
+    /// Number of sends that may have run.
     pub(crate) runs: u32,
     pub(crate) refusals: usize,
-    /// Replicas that refused it as full since it paused last.
+    /// Replicas that refused the request as full since its last pause.
     pub(crate) full: Vec<String>,
-    /// Pauses since every replica refused it.
+    /// Number of pauses after every replica had refused the request as full.
     pub(crate) pauses: u32,
 }
 
@@ -93,13 +95,13 @@
     pub(crate) async fn run(mut self) -> Response<ResponseBody> {
         loop {
             let Some(known_ends) = self.shared.known_ends(&self.outgoing).await else {
-                return self.refuse_as_ending();
+                return self.refuse_as_suspected();
             };
-            if self.shared.is_tried_alone_enough(&known_ends) {
-                return self.refuse_while_cut_off();
+            if self.shared.is_refused_while_isolated(&known_ends) {
+                return self.refuse_while_isolated();
             }
             let homes = self.shared.homes(&self.outgoing);
-            if !self.turn_to_home(&homes) {
+            if !self.ensure_home_service(&homes) {
                 return self.refuse_outside_homes();
             }
             let except: Vec<String> = self.tried.iter().chain(&self.full).cloned().collect();
@@ -113,10 +115,10 @@
                 homes: &homes,
                 rank: self.rank,
                 due: self.due(),
-                until: self.until,
+                deadline: self.deadline,
             };
             let began = Instant::now();
-            let Some(Placed { chosen, lease }) = search.run().await else {
+            let Some(Placement { chosen, lease }) = search.run().await else {
                 if self.shared.is_service_evacuated(&self.service, &homes) {
                     return self.refuse_as_evacuated();
                 }
@@ -125,7 +127,7 @@
                 }
                 return self.give_up_unplaced();
             };
-            self.note_slot(&chosen.id, began.elapsed());
+            self.note_slot_wait(&chosen.id, began.elapsed());
             let limits = self.limits(chosen.expected_ms);
             let target = Target {
                 chosen: &chosen,
@@ -138,7 +140,7 @@
             let sending = exchange(self.shared, &self.outgoing, &self.prompt.parts, target);
             match sending.await {
                 Exchange::Answered(opened) => {
-                    if let Some(response) = self.pass_on(*opened).await {
+                    if let Some(response) = self.forward(*opened).await {
                         return response;
                     }
                     self.note_run(&chosen.id);
@@ -147,32 +149,33 @@
                     self.note_refusal(&chosen.id, kind);
                     continue;
                 }
-                // It was not sent, and is searched for again.
+                // The request was not sent; search for another replica.
                 Exchange::Suspected
                 | Exchange::Evacuated
                 | Exchange::OutsideHomes
                 | Exchange::Cold => continue,
                 Exchange::KeyRefused(refusal) => return self.refuse_key(refusal),
                 Exchange::Unknown => self.note_run(&chosen.id),
-                Exchange::TimedOut if limits.head_until < self.until => {
+                Exchange::TimedOut if limits.head_deadline < self.deadline => {
                     self.shared.note_failure(&chosen.id, FailureKind::Broken);
                     self.note_run(&chosen.id);
                 }
                 Exchange::TimedOut => {
                     self.runs += 1;
-                    return self.give_up("time is up");
+                    return self.give_up("deadline exceeded");
                 }
             }
-            if !self.may_send_after(self.runs) || Instant::now() >= self.until {
-                return self.give_up("the answer was lost");
+            if !self.may_send_after(self.runs) || Instant::now() >= self.deadline {
+                return self.give_up("response lost");
             }
             self.shared.counters.retries.inc();
         }
     }
 
-    /// Whether its service, or another one of its route, has a home for it: homes may have
-    /// changed since the service was picked.
-    fn turn_to_home(&mut self, homes: &HomeZones) -> bool {
+    /// Whether the selected service, or another service of the route, has a replica zone among
+    /// the request's homes. Selects another service if needed: homes may have changed since the
+    /// service was selected.
+    fn ensure_home_service(&mut self, homes: &HomeZones) -> bool {
         if !self.shared.has_no_home(&self.service, homes) {
             return true;
         }
@@ -181,33 +184,36 @@
         !self.shared.has_no_home(&self.service, homes)
     }
 
-    /// When it is late.
+    /// The time at which the request misses its target.
     fn due(&self) -> Instant {
         self.arrived + Duration::from_millis(self.route.target_ms)
     }
 
-    /// Until when it may wait for replicas that were full.
-    fn last_call(&self) -> Instant {
-        let time = self.until.saturating_duration_since(self.arrived);
-        self.arrived + time.mul_f64(LAST_CALL_SHARE)
+    /// The time until which the request retries replicas that were full.
+    fn full_retry_deadline(&self) -> Instant {
+        let time = self.deadline.saturating_duration_since(self.arrived);
+        self.arrived + time.mul_f64(FULL_RETRY_TIME_SHARE)
     }
 
-    /// Whether it may be sent again after so many runs.
+    /// Whether the request may be sent again after this number of runs.
     fn may_send_after(&self, runs: u32) -> bool {
         self.route.is_repeatable() && runs < self.route.max_attempts
     }
 
-    /// Where another replica may be tried, the first is not waited for too long.
+    /// Time limits of one send. Where another replica may be tried, the response head of the
+    /// first is awaited for a shorter time.
     fn limits(&self, expected_ms: f64) -> Limits {
-        let mut head_until = self.until;
+        let mut head_deadline = self.deadline;
         if self.may_send_after(self.runs + 1) {
             let expected = Duration::from_secs_f64(expected_ms / 1_000.0);
-            let patience = expected.mul_f64(PATIENCE).max(SHORTEST_PATIENCE);
-            head_until = head_until.min(Instant::now() + patience);
+            let response_timeout = expected
+                .mul_f64(RESPONSE_TIMEOUT_FACTOR)
+                .max(MIN_RESPONSE_TIMEOUT);
+            head_deadline = head_deadline.min(Instant::now() + response_timeout);
         }
         Limits {
-            until: self.until,
-            head_until,
+            deadline: self.deadline,
+            head_deadline,
         }
     }
 
@@ -219,12 +225,12 @@
 
     fn note_refusal(&mut self, replica: &str, kind: FailureKind) {
         self.refusals += 1;
-        // It goes to another one next.
+        // The request goes to another replica next.
         if kind == FailureKind::Full {
             self.full.push(replica.to_owned());
         } else {
             self.tried.push(replica.to_owned());
-            self.log("not taken", replica);
+            self.log("declined by replica", replica);
         }
     }
 
@@ -234,45 +240,51 @@
             "ms" => self.arrived.elapsed().as_millis() as u64);
     }
 
-    /// Notes how long it was until the request had a slot.
-    fn note_slot(&self, replica: &str, took: Duration) {
-        self.shared.counters.slot_after(took);
+    /// Records how long the request took to get a slot.
+    fn note_slot_wait(&self, replica: &str, took: Duration) {
+        self.shared.counters.record_slot_wait(took);
         if took > LONG_SLOT_WAIT {
             self.log("waited for a slot", replica);
         }
     }
 
-    /// Waits a little where that may help: where no replica is known for the moment, or
-    /// all that are known were full. False when it is to be refused at once.
+    /// Waits briefly where that may help: no replica is available at the moment, or all available
+    /// replicas were full. Returns false if the request is to be refused at once.
     async fn wait_for_replica(&mut self) -> bool {
-        // After a pause some are still left alone by this gateway: it goes on waiting.
+        // After a pause this gateway still avoids some of the replicas that were full, so it
+        // continues to wait.
         let were_full = !self.full.is_empty() || self.pauses > 0;
-        if were_full && Instant::now() < self.last_call() {
+        if were_full && Instant::now() < self.full_retry_deadline() {
             self.full.clear();
             self.pauses += 1;
             let is_late = Instant::now() >= self.due();
-            sleep(if is_late { LATE_FULL_PAUSE } else { FULL_PAUSE }).await;
+            sleep(if is_late {
+                LATE_FULL_RETRY_DELAY
+            } else {
+                FULL_RETRY_DELAY
+            })
+            .await;
             return true;
         }
-        if let Some(next) = self.next_cold() {
+        if let Some(next) = self.usable_cold_delay() {
             self.full.clear();
-            sleep(next.max(LOOK_AGAIN_AFTER)).await;
+            sleep(next.max(REPLICA_POLL_INTERVAL)).await;
             return true;
         }
         if self.may_wait() {
-            sleep(LOOK_AGAIN_AFTER).await;
+            sleep(REPLICA_POLL_INTERVAL).await;
             return true;
         }
         false
     }
 
-    /// How long until a cold replica that it was not sent to may be sent a request.
-    fn next_cold_in(&self) -> Option<Duration> {
+    /// Time until this gateway may send the request to a cold replica that has not been tried.
+    fn cold_send_delay(&self) -> Option<Duration> {
         let homes = self.shared.homes(&self.outgoing);
-        self.shared.next_cold_in(&self.need(&homes))
+        self.shared.cold_send_delay(&self.need(&homes))
     }
 
-    /// What it needs of a replica that it was not sent to.
+    /// What the request needs, excluding replicas that have been tried.
     fn need<'b>(&'b self, homes: &'b HomeZones) -> RequestNeeds<'b> {
         RequestNeeds {
             service: &self.service,
@@ -282,131 +294,131 @@
         }
     }
 
-    /// How long until a replica that is cold may be sent this request, where it can still
-    /// be on time then.
-    fn next_cold(&self) -> Option<Duration> {
-        let next = self.next_cold_in()?;
-        let left = self
+    /// Time until the request may be sent to a cold replica, if it can still meet its target
+    /// then.
+    fn usable_cold_delay(&self) -> Option<Duration> {
+        let next = self.cold_send_delay()?;
+        let remaining = self
             .due()
-            .min(self.until)
+            .min(self.deadline)
             .saturating_duration_since(Instant::now());
-        (!next.is_zero() && next < left / 2).then_some(next)
+        (!next.is_zero() && next < remaining / 2).then_some(next)
     }
 
-    /// When a caller that is refused is to come back.
-    fn come_back_after(&self) -> Duration {
-        let next = self.next_cold_in();
-        next.map_or(COME_BACK_AFTER, |next| {
-            next.clamp(COME_BACK_AFTER, LONGEST_COME_BACK_AFTER_COLD)
+    /// `Retry-After` for a refused caller.
+    fn retry_after(&self) -> Duration {
+        let next = self.cold_send_delay();
+        next.map_or(DEFAULT_RETRY_AFTER, |next| {
+            next.clamp(DEFAULT_RETRY_AFTER, MAX_COLD_RETRY_AFTER)
         })
     }
 
-    /// Whether it may wait a little for a replica; it was not sent yet.
+    /// Whether the request may wait briefly for a replica; only before its first send.
     fn may_wait(&self) -> bool {
-        let wait = Duration::from_millis(self.route.target_ms) / WAIT_SHARE_OF_TARGET;
-        self.tried.is_empty() && self.arrived.elapsed() < wait && Instant::now() < self.until
+        let wait = Duration::from_millis(self.route.target_ms) / TARGET_WAIT_DIVISOR;
+        self.tried.is_empty() && self.arrived.elapsed() < wait && Instant::now() < self.deadline
     }
 
-    fn served(&self) {
+    fn record_served(&self) {
         if self.shared.is_sampled() {
             self.log("served", "");
         }
         self.shared.note_served(&self.route.name, self.arrived);
         self.shared
             .counters
-            .first_byte_after(self.arrived.elapsed());
+            .record_first_byte(self.arrived.elapsed());
     }
 
-    fn ended(&self, end: RequestEnd) {
+    fn record_end(&self, end: RequestEnd) {
         self.shared.counters.request_ended(&self.route.name, end);
         self.shared
             .counters
-            .first_byte_after(self.arrived.elapsed());
+            .record_first_byte(self.arrived.elapsed());
     }
 
-    /// The final answer of a request under which replicas end, at once. Where this
-    /// attempt has not run it is one that clients do not repeat by themselves.
-    fn refuse_as_ending(&self) -> Response<ResponseBody> {
+    /// Refuses a request that is suspected of ending replicas. If this attempt has not run, the
+    /// response is one that clients do not retry by themselves.
+    fn refuse_as_suspected(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
-            return self.give_up("replicas end under it");
+            return self.give_up("suspected of ending replicas");
         }
-        info!(self.shared.logger, "request: refused, replicas end under it";
+        info!(self.shared.logger, "request: refused, suspected of ending replicas";
             "request" => self.outgoing.id(),
             "content" => self.outgoing.fingerprint().to_string());
-        self.ended(RequestEnd::EndsReplicas);
+        self.record_end(RequestEnd::EndsReplicas);
         error_response(ErrorKind::EndsReplicas, None)
     }
 
-    /// The final answer of a request under which replicas ended, at a gateway that is cut off.
-    fn refuse_while_cut_off(&self) -> Response<ResponseBody> {
+    /// Refuses a request that is suspected of ending replicas, at an isolated gateway.
+    fn refuse_while_isolated(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
-            return self.give_up("replicas end under it, and this gateway is cut off");
+            return self.give_up("suspected of ending replicas, and this gateway is isolated");
         }
         self.log(
-            "refused, replicas end under it and this gateway is cut off",
+            "refused, suspected of ending replicas and this gateway is isolated",
             "",
         );
-        self.ended(RequestEnd::EndsReplicas);
-        error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_CUT_OFF))
+        self.record_end(RequestEnd::EndsReplicas);
+        error_response(ErrorKind::NoBackEnd, Some(ISOLATION_RETRY_AFTER))
     }
 
-    /// The final answer of a request whose replicas are all in evacuated zones, at once:
-    /// waiting a little does not help.
+    /// Refuses a request whose replicas are all in evacuated zones, without waiting: a short wait
+    /// does not help.
     fn refuse_as_evacuated(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
-            return self.give_up("every replica is evacuated");
+            return self.give_up("all replicas are in evacuated zones");
         }
-        self.log("refused, every replica is evacuated", "");
-        self.ended(RequestEnd::Evacuated);
-        error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER_EVACUATION))
+        self.log("refused, all replicas are in evacuated zones", "");
+        self.record_end(RequestEnd::Evacuated);
+        error_response(ErrorKind::NoBackEnd, Some(EVACUATION_RETRY_AFTER))
     }
 
-    /// The final answer of a request that has no home at its service, at once.
+    /// Refuses a request that may not be served by any replica of its service.
     fn refuse_outside_homes(&self) -> Response<ResponseBody> {
         if self.runs > 0 {
-            return self.give_up("no replica is in its homes");
+            return self.give_up("no replica in its home regions");
         }
         let tenant = self.outgoing.tenant.as_deref();
         self.shared
             .counters
-            .first_byte_after(self.arrived.elapsed());
+            .record_first_byte(self.arrived.elapsed());
         self.shared
             .refuse_outside_homes(self.outgoing.id(), self.route, tenant)
     }
 
-    /// The final answer of a request whose key was taken away before it was sent.
+    /// Refuses a request whose key was revoked before it was sent.
     fn refuse_key(&self, refusal: KeyRefusal) -> Response<ResponseBody> {
         if self.runs > 0 {
-            return self.give_up("the key is no longer known");
+            return self.give_up("key revoked");
         }
-        self.ended(RequestEnd::KeyRefused);
+        self.record_end(RequestEnd::KeyRefused);
         refusal.answer()
     }
 
-    /// The final answer of a request that no replica may be given, at once.
+    /// Refuses a request for which no replica was found.
     fn give_up_unplaced(&self) -> Response<ResponseBody> {
-        match self.state_of_open() {
-            ColdState::Warm => self.give_up("no replica"),
+        match self.state_of_available() {
+            ColdState::Warm => self.give_up("no replica available"),
             ColdState::Cold => self.give_up("replicas are cold"),
             ColdState::Unsure => self.give_up("replicas may be cold"),
         }
     }
 
-    /// What keeps it from all the replicas that are open to it.
-    fn state_of_open(&self) -> ColdState {
+    /// Cold state of the replicas that are otherwise available to the request.
+    fn state_of_available(&self) -> ColdState {
         let homes = self.shared.homes(&self.outgoing);
-        self.shared.state_of_open(&self.need(&homes))
+        self.shared.state_of_available(&self.need(&homes))
     }
 
-    /// The final answer of a request that no replica answered, at once.
+    /// Ends a request that no replica answered.
     fn give_up(&self, why: &str) -> Response<ResponseBody> {
         self.log(why, "");
         if self.runs == 0 {
-            self.ended(RequestEnd::Refused);
-            return error_response(ErrorKind::NoBackEnd, Some(self.come_back_after()));
+            self.record_end(RequestEnd::Refused);
+            return error_response(ErrorKind::NoBackEnd, Some(self.retry_after()));
         }
-        self.ended(RequestEnd::Failed);
-        let kind = if Instant::now() >= self.until {
+        self.record_end(RequestEnd::Failed);
+        let kind = if Instant::now() >= self.deadline {
             ErrorKind::DeadlineExceeded
         } else {
             ErrorKind::BackEndFailed
@@ -414,26 +426,26 @@
         error_response(kind, None)
     }
 
-    /// Passes an answer on; `None` where it turned out not to be whole and
-    /// nothing of it was passed on yet.
-    async fn pass_on(&mut self, opened: Opened) -> Option<Response<ResponseBody>> {
+    /// Forwards a response; `None` if the response was incomplete and none of it has been
+    /// forwarded.
+    async fn forward(&mut self, opened: OpenedResponse) -> Option<Response<ResponseBody>> {
         let is_stream =
             self.route.kind == RouteKind::Streaming && opened.response.status() == StatusCode::OK;
-        let is_short = opened
+        let is_bufferable = opened
             .response
             .body()
             .size_hint()
             .upper()
-            .is_none_or(|bytes| bytes <= MAX_HELD_BYTES as u64);
-        if is_stream || !is_short || !self.shared.held.has_room() {
+            .is_none_or(|bytes| bytes <= MAX_BUFFERED_RESPONSE_BYTES as u64);
+        if is_stream || !is_bufferable || !self.shared.buffered.has_capacity() {
             return Some(self.stream(opened));
         }
-        self.hold(opened).await
+        self.buffer_response(opened).await
     }
 
-    /// Reads the whole answer before any of it is passed on.
-    async fn hold(&mut self, opened: Opened) -> Option<Response<ResponseBody>> {
-        let Opened {
+    /// Reads the complete response before any of it is forwarded.
+    async fn buffer_response(&mut self, opened: OpenedResponse) -> Option<Response<ResponseBody>> {
+        let OpenedResponse {
             replica,
             response,
             mut connection,
@@ -443,9 +455,9 @@
         let (mut head, mut body) = response.into_parts();
         let mut bytes = BytesMut::new();
         let expected = body.size_hint().lower();
-        let being_read = self.shared.held.hold(expected);
+        let reading_guard = self.shared.buffered.track(expected);
         loop {
-            match timeout_at(self.until, body.frame()).await {
+            match timeout_at(self.deadline, body.frame()).await {
                 Ok(None) => break,
                 Ok(Some(Ok(frame))) => {
                     if let Ok(data) = frame.into_data() {
@@ -453,7 +465,7 @@
                     }
                 }
                 Ok(Some(Err(_))) => {
-                    running.broke();
+                    running.interrupted();
                     return None;
                 }
                 Err(_) => {
@@ -462,28 +474,28 @@
                 }
             }
         }
-        running.came_to_an_end();
+        running.completed();
         if head.status.is_server_error() {
             running.report.note(RunOutcome::Failed);
         }
         drop(running);
         if connection.is_usable_again().await {
-            self.shared.connections.give_back(connection);
+            self.shared.connections.put_back(connection);
         }
         let is_server_failure = head.status.is_server_error();
         if is_server_failure && self.may_send_after(self.runs + 1) {
             return None;
         }
-        self.served();
+        self.record_served();
         strip_connection_headers(&mut head.headers);
         head.headers.remove(header::CONTENT_LENGTH);
-        let bytes = self.shared.held.keep(bytes.freeze());
-        drop(being_read);
-        Some(Response::from_parts(head, whole(bytes)))
+        let bytes = self.shared.buffered.wrap(bytes.freeze());
+        drop(reading_guard);
+        Some(Response::from_parts(head, full_body(bytes)))
     }
 
-    /// Passes an answer on as it comes.
-    fn stream(&mut self, opened: Opened) -> Response<ResponseBody> {
+    /// Forwards a response while it is being received.
+    fn stream(&mut self, opened: OpenedResponse) -> Response<ResponseBody> {
         let (mut head, body) = opened.response.into_parts();
         let length = head.headers.get(header::CONTENT_LENGTH).cloned();
         strip_connection_headers(&mut head.headers);
@@ -491,8 +503,8 @@
         let resumable = self.route.resumable && is_events && length.is_none();
         self.shared
             .counters
-            .first_byte_after(self.arrived.elapsed());
-        let (sender, receiver) = mpsc::channel(STREAM_FRAMES);
+            .record_first_byte(self.arrived.elapsed());
+        let (sender, receiver) = mpsc::channel(STREAM_BUFFER_FRAMES);
         let gap = Duration::from_millis(self.route.gap_target_ms);
         self.tried.push(opened.replica.clone());
         let pump = Pump::new(
@@ -504,9 +516,9 @@
                 outgoing: Arc::clone(&self.outgoing),
                 prompt: self.prompt.parts.clone(),
                 arrived: self.arrived,
-                until: self.until,
+                deadline: self.deadline,
                 resumable,
-                sends_left: self.route.max_attempts.saturating_sub(self.runs + 1),
+                remaining_sends: self.route.max_attempts.saturating_sub(self.runs + 1),
                 gap,
                 tried: std::mem::take(&mut self.tried),
             },
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -1,5 +1,5 @@
-//! Batch items under leases of the job store: which are asked for, what is told
-//! of them, and their tasks.
+//! Batch items leased from the job store: requesting work, reporting progress, and the items'
+//! tasks.
 
 use std::{sync::Arc, time::Duration};
 
@@ -12,30 +12,31 @@
 use crate::{
     item_run::{ItemEnding, ItemRun},
     relay::Relay,
-    running_items::{Made, RunningItems},
+    running_items::{GeneratedProgress, RunningItems},
 };
 
 /// Settings of batch execution.
 #[derive(Clone, Debug)]
 pub struct BatchSettings {
-    /// This gateway, as IP:PORT.
+    /// Address of this gateway, as IP:PORT.
     pub name: String,
-    /// Most items at once.
+    /// Maximum number of concurrent items.
     pub max_items: u32,
 }
 
-/// Pause between two looks at what to call the job store for.
+/// Interval at which the gateway decides whether to call the job store.
 const WORK_INTERVAL: Duration = Duration::from_millis(150);
-/// Items asked for at once, so that gateways share a heap.
+/// Maximum number of items per request for work, so that gateways share a batch of pending items.
 const ITEMS_AT_ONCE: u32 = 12;
-/// Longest time for a call for work.
-const WORK_LIMIT: Duration = Duration::from_millis(1_000);
+/// Time limit of a call for work.
+const WORK_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// Runs items until the process stops. What runs then is given back.
+/// Runs items until the process stops. Items that are running then are returned.
 pub async fn run_items(relay: Relay, settings: BatchSettings) {
     let running = RunningItems::default();
-    let mut rhythm = WorkCallSchedule::with_random_phase(relay.shared.draw(), gateways(&relay));
-    let mut growth = ItemRampUp::default();
+    let mut schedule =
+        WorkCallSchedule::with_random_phase(relay.shared.random_number(), gateways(&relay));
+    let mut ramp_up = ItemRampUp::default();
     let mut found_none = false;
     loop {
         sleep(WORK_INTERVAL).await;
@@ -46,52 +47,57 @@
         let want = if is_stopping {
             0
         } else {
-            let held = running.len() as u32;
-            let wanted = growth.items_to_request(room_for_items(&relay), held);
-            let left = settings.max_items.saturating_sub(held);
-            wanted.min(left).min(ITEMS_AT_ONCE)
+            let leased = running.len() as u32;
+            let ramp_limit = ramp_up.items_to_request(item_capacity(&relay), leased);
+            let free = settings.max_items.saturating_sub(leased);
+            ramp_limit.min(free).min(ITEMS_AT_ONCE)
         };
-        let calls = rhythm.after_interval(WorkState {
+        let calls = schedule.after_interval(WorkState {
             requested: want,
             holds_items: !running.is_empty(),
-            returned_item: running.has_given_back(),
+            returned_item: running.has_returned(),
             stopping: is_stopping,
             found_none,
             gateways: gateways(&relay),
         });
         if calls.report_progress {
-            tell_progress(&relay, &running).await;
+            report_progress(&relay, &running).await;
         }
         if calls.request_work {
-            let begun = call_for_work(&relay, &settings, &running, want).await;
+            let begun = request_work(&relay, &settings, &running, want).await;
             found_none = begun == 0;
-            growth.note_running(running.len() as u32);
+            ramp_up.note_running(running.len() as u32);
         }
     }
 }
 
-/// Gateways that ask the job store for work.
+/// Number of gateways that request work from the job store.
 fn gateways(relay: &Relay) -> u32 {
     relay.shared.gateway.coordinators().len() as u32
 }
 
-/// Lets the job store keep what runs have made, so that others can go on.
-async fn tell_progress(relay: &Relay, items: &RunningItems) {
-    let progress = items.to_tell();
+/// Reports the progress of runs, so that other gateways can continue the items.
+async fn report_progress(relay: &Relay, items: &RunningItems) {
+    let progress = items.progress_to_report();
     if progress.is_empty() {
         return;
     }
     let call = StoreCall::Progress(progress.clone());
-    match relay.shared.gateway.call_store(call, WORK_LIMIT).await {
+    match relay
+        .shared
+        .gateway
+        .call_store(call, WORK_CALL_TIMEOUT)
+        .await
+    {
         StoreReply::Done => {}
-        StoreReply::TellAgain(behind) => behind.iter().for_each(|item| items.tell_again(item)),
-        _ => items.not_told(progress),
+        StoreReply::TellAgain(behind) => behind.iter().for_each(|item| items.report_again(item)),
+        _ => items.restore_unreported(progress),
     }
 }
 
-/// Tells what runs, renews its leases and begins what is leased besides; returns
-/// how many items that are.
-async fn call_for_work(
+/// Reports the running items, which renews their leases, and starts newly leased items; returns
+/// the number of items started.
+async fn request_work(
     relay: &Relay,
     settings: &BatchSettings,
     items: &RunningItems,
@@ -102,16 +108,20 @@
         running: items.running(),
         want,
         item_ms: longest_item_ms(relay),
-        outside: relay.shared.work_outside(),
+        outside: relay.shared.excluded_work(),
     };
-    let reply = relay.shared.gateway.call_store(call, WORK_LIMIT).await;
+    let reply = relay
+        .shared
+        .gateway
+        .call_store(call, WORK_CALL_TIMEOUT)
+        .await;
     let StoreReply::Work { begin, stop } = reply else {
         return 0;
     };
     stop.iter().for_each(|item| items.stop(item));
     let begun = begin.len();
     for work in begin {
-        info!(relay.shared.logger, "item: begins"; "item" => &work.spec.id,
+        info!(relay.shared.logger, "item: started"; "item" => &work.spec.id,
             "job" => &work.item.job, "failures" => work.failures,
             "due_in_ms" => work.due_in_ms, "last_event" => work.made.made.last_event);
         start(relay, items, work);
@@ -119,7 +129,7 @@
     begun
 }
 
-/// Expected time of a whole item, of the service where it is longest.
+/// Expected duration of a complete item of the slowest batch service.
 fn longest_item_ms(relay: &Relay) -> u64 {
     let services = batch_services(relay);
     let times = services.iter().map(|service| {
@@ -138,19 +148,21 @@
     backends.map(|backend| backend.service.clone()).collect()
 }
 
-/// Room for items at the service that has most.
-fn room_for_items(relay: &Relay) -> ItemCapacity {
+/// Capacity for items at the service with the most free slots.
+fn item_capacity(relay: &Relay) -> ItemCapacity {
     let services = batch_services(relay);
-    let rooms = services
+    let capacities = services
         .iter()
-        .map(|service| relay.shared.slots.room_for_items(service));
-    rooms.max_by_key(|room| room.slots).unwrap_or_default()
+        .map(|service| relay.shared.slots.item_capacity(service));
+    capacities
+        .max_by_key(|capacity| capacity.slots)
+        .unwrap_or_default()
 }
 
 fn start(relay: &Relay, items: &RunningItems, mut work: ItemWork) {
     let item = work.item.clone();
-    let run = relay.shared.draw_run();
-    let made = Made::new(std::mem::take(&mut work.made), run);
+    let run = relay.shared.random_run_id();
+    let made = GeneratedProgress::new(std::mem::take(&mut work.made), run);
     let reference = item.clone();
     let task = ItemRun::new(
         Arc::clone(&relay.shared),
@@ -163,7 +175,7 @@
         let spawned = tokio::spawn(async move {
             match task.run().await {
                 ItemEnding::Reported => after.end(&reference, run),
-                ItemEnding::GivenBack => after.give_back(&reference, run),
+                ItemEnding::Returned => after.return_item(&reference, run),
             }
         });
         spawned.abort_handle()
--- a/crates/relay/src/body.rs
+++ b/crates/relay/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of callers' requests.
+//! Reading of request bodies.
 
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
@@ -6,22 +6,22 @@
 use linnethitch_clock::{Instant, timeout_at};
 use linnethitch_errors::ErrorKind;
 
-/// Reads a body within its bound.
+/// Reads a request body within its size limit.
 ///
 /// # Errors
-/// `BodyTooLarge`, `MalformedRequest` when it breaks off, `RequestTimeout`.
+/// `BodyTooLarge`; `MalformedRequest` if the body breaks off; `RequestTimeout`.
 pub async fn read_body(
     mut body: Incoming,
-    most_bytes: usize,
-    until: Instant,
+    max_bytes: usize,
+    deadline: Instant,
 ) -> Result<Bytes, ErrorKind> {
-    if body.size_hint().lower() > most_bytes as u64 {
+    if body.size_hint().lower() > max_bytes as u64 {
         return Err(ErrorKind::BodyTooLarge);
     }
     let mut first: Option<Bytes> = None;
-    let mut rest = BytesMut::new();
+    let mut remaining = BytesMut::new();
     loop {
-        let frame = match timeout_at(until, body.frame()).await {
+        let frame = match timeout_at(deadline, body.frame()).await {
             Ok(None) => break,
             Ok(Some(Ok(frame))) => frame,
             Ok(Some(Err(_))) => return Err(ErrorKind::MalformedRequest),
@@ -32,19 +32,19 @@
         };
         match &first {
             None => first = Some(data),
-            Some(_) => rest.extend_from_slice(&data),
+            Some(_) => remaining.extend_from_slice(&data),
         }
-        let length = first.as_ref().map_or(0, Bytes::len) + rest.len();
-        if length > most_bytes {
+        let length = first.as_ref().map_or(0, Bytes::len) + remaining.len();
+        if length > max_bytes {
             return Err(ErrorKind::BodyTooLarge);
         }
     }
     let first = first.unwrap_or_default();
-    if rest.is_empty() {
+    if remaining.is_empty() {
         return Ok(first);
     }
-    let mut whole = BytesMut::with_capacity(first.len() + rest.len());
-    whole.extend_from_slice(&first);
-    whole.extend_from_slice(&rest);
-    Ok(whole.freeze())
+    let mut body_bytes = BytesMut::with_capacity(first.len() + remaining.len());
+    body_bytes.extend_from_slice(&first);
+    body_bytes.extend_from_slice(&remaining);
+    Ok(body_bytes.freeze())
 }
--- a/crates/relay/src/buffered_bytes.rs
+++ b/crates/relay/src/buffered_bytes.rs
@@ -1,8 +1,8 @@
-//! Bytes that a gateway holds for others who read slowly, and what waits for one caller.
+//! Buffers for slow readers.
 //!
-//! What is held is bounded for each caller and for the process as a whole, by its own memory.
-//! While there is no room, new requests are refused, since one that was not begun is the
-//! cheapest to lose, and answers are read from replicas no faster than callers read them.
+//! Buffered data is bounded for each caller and for the whole process. While the process is at
+//! its limit, new requests are refused, since a request that has not begun is the cheapest to
+//! lose, and responses are read from replicas only as fast as callers take them.
 
 use std::{
     collections::VecDeque,
@@ -14,125 +14,129 @@
 
 use bytes::Bytes;
 
-/// Bytes that may wait for one caller before its replica is read no further: a stream of 500
-/// events of 130 bytes, so that a slow caller does not hold a slot of an engine.
-const MOST_UNREAD_BYTES: u64 = 64 * 1024;
+/// Bytes that may be buffered for one caller before reading from its replica stops: a stream of
+/// 500 events of 130 bytes, so that a slow caller does not occupy an engine slot.
+const MAX_UNREAD_BYTES: u64 = 64 * 1024;
 
-/// Bytes held by this process. Clones share the count.
+/// Count of the bytes buffered by this process. Clones share the count.
 #[derive(Clone, Debug)]
 pub struct BufferedBytes {
-    most: u64,
-    held: Arc<AtomicU64>,
+    max_bytes: u64,
+    buffered: Arc<AtomicU64>,
 }
 
-/// Counts bytes as held until this is dropped.
+/// Counts bytes as buffered until drop.
 #[derive(Debug)]
 pub struct BufferedGuard {
-    all: BufferedBytes,
+    total: BufferedBytes,
     bytes: u64,
 }
 
-/// Bytes that count as held until they, and all that share them, are dropped.
-struct KeptBytes {
+/// Bytes that count as buffered until the last reference to them is dropped.
+struct TrackedBytes {
     bytes: Bytes,
-    _held: BufferedGuard,
+    _guard: BufferedGuard,
 }
 
-impl AsRef<[u8]> for KeptBytes {
+impl AsRef<[u8]> for TrackedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.bytes
     }
 }
 
 impl BufferedBytes {
-    /// Nothing is held yet of at most so many bytes.
+    /// An empty count with this limit, in bytes.
     #[must_use]
-    pub fn new(most: u64) -> Self {
+    pub fn new(max_bytes: u64) -> Self {
         BufferedBytes {
-            most,
-            held: Arc::default(),
+            max_bytes,
+            buffered: Arc::default(),
         }
     }
 
-    /// Bytes that are held.
+    /// Number of buffered bytes.
     #[must_use]
     pub fn bytes(&self) -> u64 {
-        self.held.load(Ordering::Relaxed)
+        self.buffered.load(Ordering::Relaxed)
     }
 
-    /// Whether more may be begun.
+    /// Whether the count is below the limit, so that new requests may begin.
     #[must_use]
-    pub fn has_room(&self) -> bool {
-        self.bytes() < self.most
+    pub fn has_capacity(&self) -> bool {
+        self.bytes() < self.max_bytes
     }
 
-    /// Counts bytes that are held from now on.
+    /// Counts bytes as buffered until the returned guard is dropped.
     #[must_use]
-    pub fn hold(&self, bytes: u64) -> BufferedGuard {
-        self.held.fetch_add(bytes, Ordering::Relaxed);
+    pub fn track(&self, bytes: u64) -> BufferedGuard {
+        self.buffered.fetch_add(bytes, Ordering::Relaxed);
         BufferedGuard {
-            all: self.clone(),
+            total: self.clone(),
             bytes,
         }
     }
 
-    /// The same bytes, which count as held as long as anybody has them.
+    /// Wraps bytes so that they count as buffered until the last reference is dropped.
     #[must_use]
-    pub fn keep(&self, bytes: Bytes) -> Bytes {
-        let held = self.hold(bytes.len() as u64);
-        Bytes::from_owner(KeptBytes { bytes, _held: held })
+    pub fn wrap(&self, bytes: Bytes) -> Bytes {
+        let buffered = self.track(bytes.len() as u64);
+        Bytes::from_owner(TrackedBytes {
+            bytes,
+            _guard: buffered,
+        })
     }
 }
 
 impl Drop for BufferedGuard {
     fn drop(&mut self) {
-        self.all.held.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.total.buffered.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-/// Pieces of one answer that wait for its caller.
+/// Chunks of one response that its caller has not taken yet.
 #[derive(Debug)]
 pub struct UnreadBuffer {
-    all: BufferedBytes,
-    pieces: VecDeque<Bytes>,
+    total: BufferedBytes,
+    chunks: VecDeque<Bytes>,
     bytes: u64,
 }
 
 impl UnreadBuffer {
-    /// Nothing waits.
+    /// An empty buffer.
     #[must_use]
-    pub fn new(all: BufferedBytes) -> Self {
+    pub fn new(total: BufferedBytes) -> Self {
         UnreadBuffer {
-            all,
-            pieces: VecDeque::new(),
+            total,
+            chunks: VecDeque::new(),
             bytes: 0,
         }
     }
 
-    /// Whether nothing waits.
+    /// Whether the buffer is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.pieces.is_empty()
+        self.chunks.is_empty()
     }
 
-    /// Whether another piece may be read. One may always wait, so that every caller gets on.
+    /// Whether another chunk may be read. One chunk is always allowed, so that every caller makes
+    /// progress.
     #[must_use]
     pub fn may_grow(&self) -> bool {
-        self.is_empty() || (self.bytes < MOST_UNREAD_BYTES && self.all.has_room())
+        self.is_empty() || (self.bytes < MAX_UNREAD_BYTES && self.total.has_capacity())
     }
 
-    /// A piece waits.
-    pub fn push(&mut self, piece: Bytes) {
-        if !piece.is_empty() {
-            self.bytes += piece.len() as u64;
-            self.pieces.push_back(self.all.keep(piece));
+    /// Adds a chunk.
+    pub fn push(&mut self, chunk: Bytes) {
+        if !chunk.is_empty() {
+            self.bytes += chunk.len() as u64;
+            self.chunks.push_back(self.total.wrap(chunk));
         }
     }
 
-    /// The next piece that waits.
+    /// Takes the next chunk.
     pub fn pop(&mut self) -> Option<Bytes> {
-        let piece = self.pieces.pop_front()?;
-        self.bytes -= piece.len() as u64;
-        Some(piece)
+        let chunk = self.chunks.pop_front()?;
+        self.bytes -= chunk.len() as u64;
+        Some(chunk)
     }
 }
--- a/crates/relay/src/callers.rs
+++ b/crates/relay/src/callers.rs
@@ -1,4 +1,4 @@
-//! Whose a request is: by the key that it carries and the tenants in force here.
+//! Identifies the caller of a request by its key and the tenants in force here.
 
 use std::{sync::Arc, time::Duration};
 
@@ -8,33 +8,34 @@
 use linnethitch_tenants::{KeyDigest, Tenant, TenantDirectory, bearer_key};
 
 use crate::{
-    attempt::COME_BACK_AFTER,
+    attempt::DEFAULT_RETRY_AFTER,
     dialect::HeaderNames,
     response::{ResponseBody, error_response},
 };
 
-/// Of the time within which a key that was taken away must be refused everywhere, so much
-/// is kept for what a gateway cannot know: a control member that knows what is in force
-/// heard the leader within a second, and the leader its quorum within another.
-const UNKNOWN_FOR: Duration = Duration::from_secs(2);
+/// Part of the revocation limit that is reserved for delays a gateway cannot observe: a control
+/// member that knows the current state had contact with the leader within one second, and the
+/// leader with its quorum within another.
+const PROPAGATION_ALLOWANCE: Duration = Duration::from_secs(2);
 
-/// How strictly keys that were taken away are refused.
+/// How strictly revoked keys are refused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct KeyPolicy {
-    /// Time after which no gateway may take a key that was taken away, in touch with
-    /// control or not. `None` where one that is cut off goes on by what it knows.
+    /// Time after which no gateway may accept a revoked key, whether or not it is connected to
+    /// control. `None` if an isolated gateway continues with the keys it knows.
     pub revocation_limit: Option<Duration>,
 }
 
 impl KeyPolicy {
-    /// How old a gateway's knowledge of keys may be, in milliseconds.
-    fn most_age_ms(&self) -> u64 {
-        let kept = |within: Duration| within.saturating_sub(UNKNOWN_FOR).as_millis() as u64;
-        self.revocation_limit.map_or(u64::MAX, kept)
+    /// Maximum age of a gateway's knowledge of keys, in milliseconds.
+    fn max_age_ms(&self) -> u64 {
+        let max_age =
+            |within: Duration| within.saturating_sub(PROPAGATION_ALLOWANCE).as_millis() as u64;
+        self.revocation_limit.map_or(u64::MAX, max_age)
     }
 }
 
-/// A tenant that showed a key.
+/// A tenant that was identified by a key.
 #[derive(Clone, Debug)]
 pub struct Caller {
     /// The tenant.
@@ -42,25 +43,25 @@
     key: KeyDigest,
 }
 
-/// Why a request is not taken.
+/// Why a request is refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum KeyRefusal {
-    /// It carries no key.
+    /// The request carries no key.
     Missing,
-    /// No tenant holds its key.
+    /// The key belongs to no tenant.
     Unknown,
-    /// What is known here of keys is too old.
+    /// The keys known here are too old.
     TooOld,
 }
 
 impl KeyRefusal {
-    /// The answer to a request that has not run.
+    /// The response to a request that has not run.
     pub(crate) fn answer(self) -> Response<ResponseBody> {
         match self {
             KeyRefusal::Missing | KeyRefusal::Unknown => {
                 error_response(ErrorKind::InvalidKey, None)
             }
-            KeyRefusal::TooOld => error_response(ErrorKind::NotReady, Some(COME_BACK_AFTER)),
+            KeyRefusal::TooOld => error_response(ErrorKind::NotReady, Some(DEFAULT_RETRY_AFTER)),
         }
     }
 
@@ -73,11 +74,11 @@
     }
 }
 
-/// What is known here of keys.
+/// Keys known at this gateway.
 #[derive(Clone, Copy)]
 pub(crate) struct KnownKeys<'a> {
     pub(crate) tenants: &'a TenantDirectory,
-    /// How old that may be, in milliseconds.
+    /// Age of this knowledge, in milliseconds.
     pub(crate) age_ms: u64,
     pub(crate) policy: KeyPolicy,
 }
@@ -91,7 +92,7 @@
         }
     }
 
-    /// Whose a request is; `None` where it needs no key and shows none that is known.
+    /// Identifies the caller; `None` if the request needs no key and has no known key.
     pub(crate) fn caller(
         &self,
         headers: &HeaderMap,
@@ -104,7 +105,7 @@
         let shown = shown.and_then(|value| value.to_str().ok());
         let found = match shown.and_then(bearer_key).map(KeyDigest::of) {
             None => Err(KeyRefusal::Missing),
-            Some(_) if self.age_ms > self.policy.most_age_ms() => Err(KeyRefusal::TooOld),
+            Some(_) if self.age_ms > self.policy.max_age_ms() => Err(KeyRefusal::TooOld),
             Some(key) => self.holder(key).ok_or(KeyRefusal::Unknown),
         };
         match found {
@@ -119,13 +120,13 @@
         Some(Caller { tenant, key })
     }
 
-    /// Whether a request of a caller may still be sent: its key may have been taken away
-    /// while it waited, or while this process stood still.
-    pub(crate) fn still_admit(&self, caller: &Caller) -> Result<(), KeyRefusal> {
+    /// Whether a caller's request may still be sent: the key may have been revoked while the
+    /// request waited or while this process was paused.
+    pub(crate) fn verify_caller(&self, caller: &Caller) -> Result<(), KeyRefusal> {
         if !self.tenants.are_listed() {
             return Ok(());
         }
-        if self.age_ms > self.policy.most_age_ms() {
+        if self.age_ms > self.policy.max_age_ms() {
             return Err(KeyRefusal::TooOld);
         }
         let holder = self.tenants.holder(&caller.key);
@@ -136,9 +137,9 @@
     }
 }
 
-/// Replaces what a caller says of itself by whose the request is. Keys are never passed on
-/// where the configuration lists tenants.
-pub(crate) fn name_tenant(
+/// Replaces the caller's credentials and tenant header by the identified tenant. Keys are never
+/// forwarded if the configuration lists tenants.
+pub(crate) fn set_tenant_header(
     headers: &mut HeaderMap,
     names: &HeaderNames,
     are_listed: bool,
--- a/crates/relay/src/cold_replicas.rs
+++ b/crates/relay/src/cold_replicas.rs
@@ -1,5 +1,5 @@
-//! Sends to replicas that may be cold: asks [`ColdReplicas`] before each, and tells what
-//! became of it.
+//! Sends to replicas that may be cold: checks [`ColdReplicas`] before each send and reports its
+//! outcome.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,16 +14,16 @@
 
 use crate::{counters::Counters, exchange::Outgoing};
 
-/// Older knowledge of which gateways there are is not taken, in milliseconds: a member of
-/// control without the leader may hear of a part of them only.
-const CURRENT_MS: u64 = 2_000;
+/// The list of gateways is ignored if it is older than this, in milliseconds: a control member
+/// without contact to the leader may know only some of the gateways.
+const MAX_KNOWLEDGE_AGE_MS: u64 = 2_000;
 
-/// Which replicas may be given a request.
+/// Which replicas a request may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum ColdUse {
-    /// Warm ones.
+    /// Warm replicas only.
     Never,
-    /// Those that are not warm and to which this gateway may send now.
+    /// Replicas that are not warm and that this gateway may send to now.
     Only,
 }
 
@@ -54,8 +54,8 @@
         }
     }
 
-    /// Notes a replica as the fleet has it now. Only those of services that declare what cold
-    /// ones bear are kept.
+    /// Updates a replica from the fleet view. Only replicas of services that declare limits for
+    /// cold replicas are recorded.
     pub(crate) fn put(&self, fleet: &FleetView, record: &ReplicaRecord) {
         let now_ms = self.clock.now_ms();
         let mut replicas = self.replicas.lock();
@@ -65,17 +65,16 @@
         }
     }
 
-    /// Takes a replica off the list, by the key of its start.
+    /// Removes a replica by its incarnation key.
     pub(crate) fn remove(&self, key: &str) {
         self.replicas.lock().remove(key, self.clock.now_ms());
     }
 
-    /// Takes the gateways that control names now, and tells which replicas became cold or
-    /// warm.
-    pub(crate) fn upkeep(&self) {
+    /// Updates the gateways that control lists, and logs replicas that became cold or warm.
+    pub(crate) fn run_maintenance(&self) {
         let now_ms = self.clock.now_ms();
-        // The gateway has locks of its own.
-        let is_current = self.gateway.knowledge_age_ms() <= CURRENT_MS;
+        // Called before the lock is taken, since the gateway has its own locks.
+        let is_current = self.gateway.knowledge_age_ms() <= MAX_KNOWLEDGE_AGE_MS;
         let gateways = is_current.then(|| self.gateway.coordinators());
         let mut replicas = self.replicas.lock();
         if let Some(gateways) = gateways {
@@ -87,13 +86,13 @@
             .set(replicas.cold_count() as i64);
         drop(replicas);
         for change in changes {
-            info!(self.logger, "replica: cold or warm"; "replica" => change.replica,
+            info!(self.logger, "replica: cold state changed"; "replica" => change.replica,
                 "cold_ms" => change.cold_ms);
         }
     }
 
-    /// Replicas of a service that are not to be chosen now.
-    pub(crate) fn barred(&self, service: &str, cold_use: ColdUse) -> Vec<String> {
+    /// Replicas of a service that must not be chosen now.
+    pub(crate) fn excluded(&self, service: &str, cold_use: ColdUse) -> Vec<String> {
         let view = self.view();
         let replicas = self.replicas.lock();
         match cold_use {
@@ -102,8 +101,8 @@
         }
     }
 
-    /// Replicas of a service that are not warm and to which this gateway may send now.
-    pub(crate) fn open(&self, service: &str) -> Vec<String> {
+    /// Replicas of a service that are not warm and that this gateway may send to now.
+    pub(crate) fn sendable(&self, service: &str) -> Vec<String> {
         let view = self.view();
         let replicas = self.replicas.lock();
         let mut open = replicas.not_warm(service, view);
@@ -112,19 +111,19 @@
     }
 
     /// Whether any replica of a service may be cold.
-    pub(crate) fn concerns(&self, service: &str) -> bool {
+    pub(crate) fn may_be_cold(&self, service: &str) -> bool {
         self.replicas.lock().has_replicas_of(service)
     }
 
-    /// What keeps a request from all of these replicas.
+    /// Cold state shared by all of these replicas.
     pub(crate) fn state_of_all(&self, replicas: &[String]) -> ColdState {
         let view = self.view();
         self.replicas.lock().state_of_all(replicas, view)
     }
 
-    /// Items do not begin at replicas that are cold, and at others only where online
-    /// requests may.
-    pub(crate) fn bar_items(&self, engines: &mut [CoordinatedReplica]) {
+    /// Closes cold replicas to items. Other replicas are open to items only if online requests
+    /// may be sent to them.
+    pub(crate) fn close_cold_to_items(&self, engines: &mut [CoordinatedReplica]) {
         let view = self.view();
         let replicas = self.replicas.lock();
         for engine in engines {
@@ -133,21 +132,21 @@
         }
     }
 
-    /// How long until this gateway may send to one of these replicas that is not warm;
-    /// `None` where all are warm, or it is not known.
-    pub(crate) fn next_in(&self, candidates: &[String]) -> Option<Duration> {
+    /// Time until this gateway may send to one of these replicas that is not warm; `None` if all
+    /// are warm or the time is not known.
+    pub(crate) fn send_delay(&self, candidates: &[String]) -> Option<Duration> {
         let view = self.view();
         let next_ms = self.replicas.lock().next_in_ms(candidates, view)?;
         Some(Duration::from_millis(next_ms))
     }
 
-    /// A replica broke off or accepts no connection: it may be starting again.
-    pub(crate) fn may_have_ended(&self, replica: &str) {
+    /// The replica broke a connection or accepts none: it may be restarting.
+    pub(crate) fn note_possible_end(&self, replica: &str) {
         let now_ms = self.clock.now_ms();
         self.replicas.lock().note_possible_restart(replica, now_ms);
     }
 
-    /// A request is about to be sent; `None` where it must not be.
+    /// Counts a request that is about to be sent; `None` if it must not be sent.
     pub(crate) fn begin(
         self: &Arc<Self>,
         replica: &str,
@@ -171,13 +170,13 @@
                 })
             }
             Err(refusal) => {
-                self.turned_away(replica, outgoing, state, refusal);
+                self.log_refusal(replica, outgoing, state, refusal);
                 None
             }
         }
     }
 
-    fn turned_away(&self, replica: &str, outgoing: &Outgoing, state: ColdState, refusal: Refusal) {
+    fn log_refusal(&self, replica: &str, outgoing: &Outgoing, state: ColdState, refusal: Refusal) {
         self.counters.cold_turned_away.inc();
         info!(self.logger, "request: not sent, the replica is not warm";
             "request" => outgoing.id(), "replica" => replica, "state" => state.as_str(),
@@ -193,8 +192,7 @@
     }
 }
 
-/// A send that counts for a replica. Where this is dropped without a word it may still
-/// arrive.
+/// A counted send to a replica. If dropped without an outcome, the request may still arrive.
 pub(crate) struct CountedSend {
     sends: Arc<ColdSends>,
     replica: String,
@@ -203,7 +201,7 @@
 }
 
 impl CountedSend {
-    /// It is known what became of it.
+    /// Records the outcome of the send.
     pub(crate) fn ended(mut self, end: SendOutcome) {
         self.end = end;
     }
@@ -217,7 +215,7 @@
     }
 }
 
-/// A replica whose service declares what cold ones bear.
+/// The cold-replica entry of a replica whose service declares limits for cold replicas.
 fn cold_replica(fleet: &FleetView, record: &ReplicaRecord) -> Option<ColdReplica> {
     let table = fleet.table()?;
     let service = table.service(&record.reported.service)?;
--- a/crates/relay/src/connections.rs
+++ b/crates/relay/src/connections.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas, kept for further requests.
+//! Connection pools to replicas.
 
 use std::{
     collections::HashMap,
@@ -20,81 +20,80 @@
 
 use crate::counted_stream::{CountedStream, ReplicaBytes};
 
-/// Longest time to open a connection. A replica that takes longer is dark.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// Bytes that were sent and not acknowledged for this long end the connection.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(900);
-/// A connection on which nothing came for so long is asked by the kernel whether its
-/// peer is there, and so often before it is given up. One that went silent is found
-/// within 2.5 s, at rest or while an answer is awaited; a replica that is merely slow
-/// answers by its kernel.
+/// Time limit for opening a connection. A replica that takes longer counts as unresponsive.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A connection is closed when sent bytes stay unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_millis(900);
+/// After this idle time the kernel sends keep-alive probes, up to [`KEEP_ALIVE_PROBES`] of them.
+/// A connection that fails without a reset is detected within 2.5 s, whether idle or waiting for
+/// a response; a slow replica is not affected, since its kernel answers the probes.
 const KEEP_ALIVE_AFTER: Duration = Duration::from_secs(1);
 const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(500);
 const KEEP_ALIVE_PROBES: u32 = 3;
-/// A connection whose replica names no time rests this long at most.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
-/// Share of the time that a replica names after which a connection is not used again.
-const REST_SHARE: f64 = 0.7;
-/// Connections that rest per replica.
-const MAX_RESTING: usize = 64;
+/// Maximum idle time of a connection if the replica specifies none.
+const DEFAULT_IDLE_LIMIT: Duration = Duration::from_secs(4);
+/// A connection is reused only within this share of the idle time that the replica specifies.
+const IDLE_LIMIT_SHARE: f64 = 0.7;
+/// Maximum number of idle connections per replica.
+const MAX_IDLE: usize = 64;
 
 type Sender = SendRequest<Full<Bytes>>;
 
-struct Resting {
+struct IdleConnection {
     sender: Sender,
-    until: Instant,
+    expires_at: Instant,
 }
 
 /// Why a connection was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum OpenReason {
-    /// There was none to the replica yet.
+    /// There was no connection to the replica yet.
     First,
-    /// More are in use than ever before.
+    /// All existing connections are in use.
     AllInUse,
-    /// One was given up since its answer was not read to the end, or said so.
+    /// A connection was closed because its response was not read to the end or asked for that.
     NotKept,
-    /// One had rested for too long.
+    /// A connection was idle for too long.
     Rested,
-    /// One was closed by the replica while it rested.
+    /// The replica closed an idle connection.
     Closed,
-    /// One that rested was not trusted any more.
+    /// An idle connection was discarded because another one had failed without a reset.
     Distrusted,
 }
 
 /// Connections of one replica.
 #[derive(Default)]
 struct Pool {
-    resting: Vec<Resting>,
+    idle: Vec<IdleConnection>,
     in_use: usize,
-    /// Why connections went that were not opened again, the latest last.
-    gone: Vec<OpenReason>,
+    /// Reasons why connections were closed that have not been replaced, the latest last.
+    closed_reasons: Vec<OpenReason>,
 }
 
 impl Pool {
-    fn note_gone(&mut self, reason: OpenReason) {
-        if self.gone.len() < MAX_RESTING {
-            self.gone.push(reason);
+    fn note_closed(&mut self, reason: OpenReason) {
+        if self.closed_reasons.len() < MAX_IDLE {
+            self.closed_reasons.push(reason);
         }
     }
 
-    /// Forgets connections that can't be used again.
+    /// Removes idle connections that cannot be reused.
     fn drop_unusable(&mut self, now: Instant) {
-        let all = std::mem::take(&mut self.resting);
-        for resting in all {
-            if resting.sender.is_closed() {
-                self.note_gone(OpenReason::Closed);
-            } else if resting.until <= now {
-                self.note_gone(OpenReason::Rested);
+        let all = std::mem::take(&mut self.idle);
+        for idle in all {
+            if idle.sender.is_closed() {
+                self.note_closed(OpenReason::Closed);
+            } else if idle.expires_at <= now {
+                self.note_closed(OpenReason::Rested);
             } else {
-                self.resting.push(resting);
+                self.idle.push(idle);
             }
         }
     }
 
-    /// A further connection is opened.
+    /// Counts a new connection and returns the reason for opening it.
     fn reason_to_open(&mut self) -> OpenReason {
-        let reason = match self.gone.pop() {
+        let reason = match self.closed_reasons.pop() {
             Some(reason) => reason,
             None if self.in_use > 0 => OpenReason::AllInUse,
             None => OpenReason::First,
@@ -106,18 +105,18 @@
 
 type Pools = Arc<Mutex<HashMap<String, Pool>>>;
 
-/// Connections that rest, by replica.
+/// Idle connections by replica.
 #[derive(Clone, Default)]
 pub(crate) struct Connections {
     pools: Pools,
 }
 
-/// Counts a connection as in use until this is dropped.
+/// Counts a connection as in use until drop.
 struct InUse {
     pools: Pools,
     replica: String,
-    /// Whether it rests afterwards.
-    is_kept: bool,
+    /// Whether the connection is returned to the pool.
+    is_returned: bool,
 }
 
 impl Drop for InUse {
@@ -127,13 +126,13 @@
             return;
         };
         pool.in_use = pool.in_use.saturating_sub(1);
-        if !self.is_kept {
-            pool.note_gone(OpenReason::NotKept);
+        if !self.is_returned {
+            pool.note_closed(OpenReason::NotKept);
         }
     }
 }
 
-/// How a connection was opened.
+/// Details of opening a connection.
 pub(crate) struct Opening {
     pub(crate) took: Duration,
     pub(crate) reason: OpenReason,
@@ -143,19 +142,19 @@
 pub(crate) struct Connection {
     sender: Sender,
     in_use: InUse,
-    /// Whether it carried a request before.
+    /// Whether the connection has carried a request before.
     pub(crate) is_reused: bool,
-    /// Where it is new.
+    /// Set for a new connection.
     pub(crate) opened: Option<Opening>,
-    rest: Duration,
+    idle_limit: Duration,
 }
 
 /// Why a connection was not opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OpenFailure {
-    /// The replica's machine says that nobody listens there.
+    /// The replica's machine reports that no process listens at the address.
     Refused,
-    /// No answer within [`CONNECT_LIMIT`], or no way there.
+    /// No answer within [`CONNECT_TIMEOUT`], or no route to the replica.
     Silent,
 }
 
@@ -168,103 +167,102 @@
     }
 }
 
-/// Why a request got no answer.
+/// Why a request received no response.
 pub(crate) enum SendFailure {
-    /// No byte of it was sent.
+    /// No byte of the request was sent.
     NotSent,
-    /// It may have arrived.
+    /// The request may have arrived.
     MayHaveArrived,
 }
 
 impl Connections {
-    /// A resting connection, or a new one.
+    /// An idle connection, or a new one.
     ///
     /// # Errors
     ///
-    /// [`OpenFailure`] where none rests and no new one was opened.
+    /// [`OpenFailure`] if there is no idle connection and no new one was opened.
     pub(crate) async fn get(
         &self,
         replica: &str,
         address: &str,
         bytes: impl FnOnce() -> ReplicaBytes,
     ) -> Result<Connection, OpenFailure> {
-        if let Some(connection) = self.take_resting(replica) {
+        if let Some(connection) = self.take_idle(replica) {
             return Ok(connection);
         }
         let mut in_use = self.in_use(replica);
         let reason = self.reason_to_open(replica);
         let opened = open(address, bytes()).await;
-        // One that was not opened has not gone.
-        in_use.is_kept = opened.is_err();
+        // A connection that was never opened does not count as closed.
+        in_use.is_returned = opened.is_err();
         let (sender, took) = opened?;
         Ok(Connection {
             sender,
             in_use,
             is_reused: false,
             opened: Some(Opening { took, reason }),
-            rest: DEFAULT_REST,
+            idle_limit: DEFAULT_IDLE_LIMIT,
         })
     }
 
-    /// Gives a connection back once its answer was read whole.
-    pub(crate) fn give_back(&self, connection: Connection) {
+    /// Returns a connection to the pool after its response was read completely.
+    pub(crate) fn put_back(&self, connection: Connection) {
         let mut in_use = connection.in_use;
         if connection.sender.is_closed() {
             return;
         }
         let mut pools = self.pools.lock();
         let pool = pools.entry(in_use.replica.clone()).or_default();
-        in_use.is_kept = pool.resting.len() < MAX_RESTING;
-        if in_use.is_kept {
-            pool.resting.push(Resting {
+        in_use.is_returned = pool.idle.len() < MAX_IDLE;
+        if in_use.is_returned {
+            pool.idle.push(IdleConnection {
                 sender: connection.sender,
-                until: Instant::now() + connection.rest,
+                expires_at: Instant::now() + connection.idle_limit,
             });
         }
         drop(pools);
     }
 
-    /// Forgets the connections of a replica that rest: one that had rested beside them
-    /// has gone silent.
-    pub(crate) fn distrust(&self, replica: &str) {
+    /// Removes the idle connections of a replica after one of the pool failed without a reset.
+    pub(crate) fn discard_idle(&self, replica: &str) {
         let mut pools = self.pools.lock();
         let Some(pool) = pools.get_mut(replica) else {
             return;
         };
-        for _ in std::mem::take(&mut pool.resting) {
-            pool.note_gone(OpenReason::Distrusted);
+        for _ in std::mem::take(&mut pool.idle) {
+            pool.note_closed(OpenReason::Distrusted);
         }
     }
 
-    /// Forgets connections that rested too long.
+    /// Removes connections that were idle for too long.
     pub(crate) fn sweep(&self) {
         let now = Instant::now();
         let mut pools = self.pools.lock();
         pools.values_mut().for_each(|pool| pool.drop_unusable(now));
     }
 
-    /// Forgets the connections of a replica that is gone.
+    /// Removes the pool of a replica that has ended.
     pub(crate) fn forget(&self, replica: &str) {
         self.pools.lock().remove(replica);
     }
 
-    fn take_resting(&self, replica: &str) -> Option<Connection> {
+    fn take_idle(&self, replica: &str) -> Option<Connection> {
         let mut pools = self.pools.lock();
         let pool = pools.get_mut(replica)?;
         pool.drop_unusable(Instant::now());
-        let at = pool.resting.iter().rposition(|one| one.sender.is_ready())?;
-        let found = pool.resting.remove(at);
+        let at = pool.idle.iter().rposition(|one| one.sender.is_ready())?;
+        let found = pool.idle.remove(at);
         pool.in_use += 1;
         Some(Connection {
             sender: found.sender,
             in_use: self.in_use(replica),
             is_reused: true,
             opened: None,
-            rest: DEFAULT_REST,
+            idle_limit: DEFAULT_IDLE_LIMIT,
         })
     }
 
-    /// Why a connection is opened that counts as in use from now on.
+    /// The reason for opening a connection; the connection counts as in use from now on.
     fn reason_to_open(&self, replica: &str) -> OpenReason {
         let mut pools = self.pools.lock();
         pools
@@ -277,20 +275,20 @@
         InUse {
             pools: Arc::clone(&self.pools),
             replica: replica.to_owned(),
-            is_kept: false,
+            is_returned: false,
         }
     }
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of its answer.
+    /// Sends a request and waits for the head of the response.
     pub(crate) async fn send(
         &mut self,
         request: Request<Full<Bytes>>,
     ) -> Result<Response<Incoming>, SendFailure> {
         match self.sender.try_send_request(request).await {
             Ok(response) => {
-                self.rest = rest_of(response.headers());
+                self.idle_limit = idle_limit_of(response.headers());
                 Ok(response)
             }
             Err(mut error) => Err(match error.take_message() {
@@ -300,17 +298,17 @@
         }
     }
 
-    /// Waits until the connection can carry another request; false when it cannot.
+    /// Waits until the connection can carry another request; false if it cannot.
     pub(crate) async fn is_usable_again(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
 
-/// A new connection, and how long it took to open it.
+/// Opens a connection; returns the time taken as well.
 async fn open(address: &str, bytes: ReplicaBytes) -> Result<(Sender, Duration), OpenFailure> {
     let began = Instant::now();
     let connecting = TcpStream::connect(address);
-    let connected = timeout(CONNECT_LIMIT, connecting).await;
+    let connected = timeout(CONNECT_TIMEOUT, connecting).await;
     let connected = connected.map_err(|_| OpenFailure::Silent)?;
     let stream = connected.map_err(|error| OpenFailure::of(&error))?;
     let opened_in = began.elapsed();
@@ -321,27 +319,27 @@
         .with_time(KEEP_ALIVE_AFTER)
         .with_interval(KEEP_ALIVE_INTERVAL)
         .with_retries(KEEP_ALIVE_PROBES);
-    // Without them a silent peer is noticed late; that is no reason to fail.
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT));
+    // Without these options a failed peer is detected late; that is no reason to fail.
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
     let _ = socket.set_tcp_keepalive(&keep_alive);
     let handshake =
         hyper::client::conn::http1::handshake(TokioIo::new(CountedStream::new(stream, bytes)));
     let (sender, connection) = handshake.await.map_err(|_| OpenFailure::Silent)?;
     tokio::spawn(async move {
-        // Its end shows at the sender.
+        // The sender reports the end of the connection.
         let _ = connection.await;
     });
     Ok((sender, opened_in))
 }
 
-/// How long a connection may rest, by `Keep-Alive: timeout=N`.
-fn rest_of(headers: &HeaderMap) -> Duration {
+/// Idle limit of a connection, from `Keep-Alive: timeout=N`.
+fn idle_limit_of(headers: &HeaderMap) -> Duration {
     let value = headers.get("keep-alive").and_then(|v| v.to_str().ok());
     let seconds = value.and_then(|value| {
         let mut words = value.split(',');
         words.find_map(|word| word.trim().strip_prefix("timeout=")?.parse::<u64>().ok())
     });
-    seconds.map_or(DEFAULT_REST, |seconds| {
-        Duration::from_secs(seconds).mul_f64(REST_SHARE)
+    seconds.map_or(DEFAULT_IDLE_LIMIT, |seconds| {
+        Duration::from_secs(seconds).mul_f64(IDLE_LIMIT_SHARE)
     })
 }
--- a/crates/relay/src/counted_stream.rs
+++ b/crates/relay/src/counted_stream.rs
@@ -1,4 +1,4 @@
-//! A connection to a replica whose bytes are counted.
+//! A TCP stream to a replica that counts its bytes.
 
 use std::{
     io,
@@ -19,7 +19,7 @@
     pub(crate) received: Counter,
 }
 
-/// Passes everything on.
+/// Forwards all calls to the stream.
 pub(crate) struct CountedStream {
     stream: TcpStream,
     bytes: ReplicaBytes,
--- a/crates/relay/src/counters.rs
+++ b/crates/relay/src/counters.rs
@@ -1,4 +1,4 @@
-//! What a gateway counts, by the metrics library.
+//! Metrics of a gateway.
 
 use std::time::Duration;
 
@@ -12,47 +12,45 @@
 
 use crate::{connections::OpenReason, counted_stream::ReplicaBytes};
 
-/// Upper bounds of the buckets of latencies, in seconds.
+/// Upper bounds of the latency buckets, in seconds.
 const LATENCY_BUCKETS: [f64; 12] = [
     0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.5, 3.0, 6.0, 12.0,
 ];
 
-/// Upper bounds of the buckets of waits for leave, in seconds.
+/// Upper bounds of the buckets of permit waits, in seconds.
 const QUOTA_BUCKETS: [f64; 8] = [0.0001, 0.0005, 0.001, 0.002, 0.004, 0.008, 0.016, 0.03];
 
-/// How a request ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum RequestEnd {
-    /// With a replica's answer.
+    /// Answered with a replica's response.
     Served,
-    /// Refused; it did not run.
+    /// Refused; the request did not run.
     Refused,
-    /// Refused: replicas ended under such requests.
+    /// Refused: suspected of ending replicas.
     EndsReplicas,
     /// Refused: all replicas that could serve it are in evacuated zones.
     Evacuated,
-    /// Refused: no replica that could serve it stands in its homes.
+    /// Refused: no replica that could serve it is in its home regions.
     OutsideHomes,
-    /// Refused: it carries no key that is known here.
+    /// Refused: no key, or a key that is not known here.
     KeyRefused,
-    /// Refused: it is beyond its tenant's limit.
+    /// Refused: over the tenant's limit.
     OverLimit,
-    /// Refused: too much is held for others who read slowly.
+    /// Refused: the buffers for slow readers are full.
     NoRoom,
-    /// Refused: this gateway ends before it may be answered.
+    /// Refused: this gateway may stop before the request is answered.
     Stopping,
-    /// Without a replica's whole answer after it was sent.
+    /// Sent, but without a complete response.
     Failed,
 }
 
-/// How a batch item's run ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub(crate) enum ItemEnd {
-    /// With its whole answer.
+    /// With a complete response.
     Succeeded,
-    /// The replica ran it and failed, or says that it can never be done.
+    /// The replica failed the item or rejected it as unprocessable.
     Failed,
-    /// It gave way to an online request, or its replica broke off.
+    /// Preempted by an online request, or interrupted by its replica.
     Interrupted,
 }
 
@@ -68,16 +66,16 @@
     way: Way,
 }
 
-/// What coordinated slots are used by.
+/// Use of coordinated slots.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, EncodeLabelValue)]
 enum SlotUse {
-    /// Every slot, free ones included.
+    /// All slots, including free slots.
     All,
     /// Online requests.
     Online,
     /// Batch items.
     Items,
-    /// Online requests that wait for one.
+    /// Online requests that wait for a slot.
     Waiting,
 }
 
@@ -96,7 +94,7 @@
     end: ItemEnd,
 }
 
-/// Counts since the start.
+/// Metrics since the start of the process.
 pub(crate) struct Counters {
     registry: Registry,
     requests: Family<RequestLabels, Counter>,
@@ -107,17 +105,17 @@
     pub(crate) resumes: Counter,
     connections: Family<ConnectionLabels, Counter>,
     replica_bytes: Family<ReplicaLabels, Counter>,
-    first_event: Histogram,
+    first_byte: Histogram,
     slot_wait: Histogram,
     quota_wait: Histogram,
-    /// Requests whose leave no coordinator answered in time.
+    /// Permit requests that no coordinator answered in time.
     pub(crate) quota_unanswered: Counter,
     slots: Family<SlotLabels, Gauge>,
-    /// Replicas that are cold, as far as is known here.
+    /// Replicas that are known here to be cold.
     pub(crate) cold_replicas: Gauge,
     /// Requests sent to replicas that were not warm.
     pub(crate) cold_sends: Counter,
-    /// Requests that were not sent to a replica since it is cold.
+    /// Requests that were not sent to a replica because it is cold.
     pub(crate) cold_turned_away: Counter,
     /// The version of the route table in force.
     pub(crate) table_version: Gauge,
@@ -125,23 +123,24 @@
     pub(crate) ready_replicas: Gauge,
     /// Zones that are evacuated.
     pub(crate) evacuated_zones: Gauge,
-    /// Replicas that are ready, in evacuated zones.
+    /// Ready replicas in evacuated zones.
     pub(crate) evacuated_replicas: Gauge,
-    /// Sends that were stopped since the replica's zone was evacuated meanwhile.
+    /// Sends that were stopped because the replica's zone was evacuated after the choice.
     pub(crate) evacuated_sends: Counter,
-    /// Sends that were stopped since the replica is no longer in the request's homes.
+    /// Sends that were stopped because the replica was no longer in the request's homes.
     pub(crate) outside_homes_sends: Counter,
-    /// Requests under which replicas ended and that are suspected.
+    /// Requests that are suspected of ending replicas.
     pub(crate) suspected_requests: Gauge,
-    /// How long no control member has been heard of, in milliseconds.
+    /// Time since the last contact with a control member, in milliseconds.
     pub(crate) control_silent_ms: Gauge,
-    /// How old what this gateway acts on may be, in milliseconds.
+    /// Maximum age of the fleet view of this gateway, in milliseconds.
     pub(crate) knowledge_age_ms: Gauge,
-    /// Bytes of requests and answers that are held.
+    /// Bytes of requests and responses that are buffered.
     pub(crate) held_bytes: Gauge,
-    /// Members of control to which links are kept.
+    /// Control members to which links are open.
     pub(crate) control_links: Gauge,
-    /// Gateways that share the counts of limits, and those besides that may go on unheard.
+    /// Gateways that share tenant limits, and further gateways that are silent but may still be
+    /// running.
     pub(crate) listed_gateways: Gauge,
     pub(crate) silent_gateways: Gauge,
 }
@@ -156,7 +155,7 @@
             resumes: Counter::default(),
             connections: Family::default(),
             replica_bytes: Family::default(),
-            first_event: Histogram::new(LATENCY_BUCKETS),
+            first_byte: Histogram::new(LATENCY_BUCKETS),
             slot_wait: Histogram::new(LATENCY_BUCKETS),
             quota_wait: Histogram::new(QUOTA_BUCKETS),
             quota_unanswered: Counter::default(),
@@ -184,7 +183,7 @@
 }
 
 impl Counters {
-    /// Counts that show what a gateway sends to others as well.
+    /// Metrics that include the datagram bytes of a gateway.
     pub(crate) fn of(datagrams: &DatagramBytes) -> Self {
         let mut counters = Counters::default();
         datagrams.register(&mut counters.registry, "relay_datagram_bytes");
@@ -207,9 +206,9 @@
         let replica_bytes = self.replica_bytes.clone();
         let help = "Bytes of requests to replicas and of their answers, by zone";
         registry.register("relay_replica_bytes", help, replica_bytes);
-        let first_event = self.first_event.clone();
+        let first_byte = self.first_byte.clone();
         let help = "Seconds from a request's arrival to the first byte of its answer";
-        registry.register("relay_first_byte_seconds", help, first_event);
+        registry.register("relay_first_byte_seconds", help, first_byte);
         let slot_wait = self.slot_wait.clone();
         let help = "Seconds from the search for a replica to the lease of a slot";
         registry.register("relay_slot_wait_seconds", help, slot_wait);
@@ -254,9 +253,9 @@
         let listed = self.listed_gateways.clone();
         let help = "Gateways that share the counts of limits, as this one was told";
         registry.register("relay_listed_gateways", help, listed);
-        let unheard = self.silent_gateways.clone();
+        let silent_gateways = self.silent_gateways.clone();
         let help = "Gateways that control does not hear and whose parts of limits are kept back";
-        registry.register("relay_silent_gateways", help, unheard);
+        registry.register("relay_silent_gateways", help, silent_gateways);
         let suspected = self.suspected_requests.clone();
         let help = "Requests under which replicas ended and that are suspected";
         registry.register("relay_suspected_requests", help, suspected);
@@ -269,9 +268,9 @@
         let sends = self.cold_sends.clone();
         let help = "Requests sent to replicas that were cold or not known to be warm";
         registry.register("relay_cold_sends", help, sends);
-        let turned_away = self.cold_turned_away.clone();
+        let log_refusal = self.cold_turned_away.clone();
         let help = "Requests that were not sent to a replica since it is cold";
-        registry.register("relay_cold_turned_away", help, turned_away);
+        registry.register("relay_cold_turned_away", help, log_refusal);
     }
 
     pub(crate) fn request_ended(&self, route: &str, end: RequestEnd) {
@@ -305,15 +304,15 @@
         self.connections.get_or_create(&labels).inc();
     }
 
-    pub(crate) fn slot_after(&self, time: Duration) {
+    pub(crate) fn record_slot_wait(&self, time: Duration) {
         self.slot_wait.observe(time.as_secs_f64());
     }
 
-    pub(crate) fn quota_after(&self, time: Duration) {
+    pub(crate) fn record_quota_wait(&self, time: Duration) {
         self.quota_wait.observe(time.as_secs_f64());
     }
 
-    /// Notes the slots that this gateway coordinates.
+    /// Updates the use of the slots that this gateway coordinates.
     pub(crate) fn note_slots(&self, loads: &[SlotLoad]) {
         let sum =
             |count: fn(&SlotLoad) -> u16| loads.iter().map(|load| i64::from(count(load))).sum();
@@ -328,11 +327,11 @@
         }
     }
 
-    pub(crate) fn first_byte_after(&self, time: Duration) {
-        self.first_event.observe(time.as_secs_f64());
+    pub(crate) fn record_first_byte(&self, time: Duration) {
+        self.first_byte.observe(time.as_secs_f64());
     }
 
-    /// All of it as Prometheus text.
+    /// All metrics in the Prometheus text format.
     #[must_use]
     pub(crate) fn to_text(&self) -> String {
         let mut text = String::new();
--- a/crates/relay/src/dialect.rs
+++ b/crates/relay/src/dialect.rs
@@ -1,46 +1,46 @@
-//! The names and forms in which callers and replicas speak.
+//! Header names and formats used by callers and replicas.
 
 use http::{HeaderMap, HeaderName, HeaderValue};
 use linnethitch_routing::dispatch::{PromptPart, ReportedLoad};
 
-/// Names of the headers that matter to the relay.
+/// Names of the headers that the relay uses.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// The caller's id of a request.
+    /// Request id chosen by the caller.
     pub request_id: HeaderName,
-    /// Milliseconds for which the caller, or this gateway, will wait.
+    /// Remaining time of the caller or this gateway, in milliseconds.
     pub deadline_ms: HeaderName,
     /// The only replica that may run the request.
     pub expect_replica: HeaderName,
-    /// A replica's signature of an answer.
+    /// A replica's signature of a response.
     pub signature: HeaderName,
-    /// Set where a replica did not run the request.
+    /// Set if a replica did not run the request.
     pub not_run: HeaderName,
-    /// Whose a request is, as replicas are told.
+    /// The tenant of a request, sent to replicas.
     pub tenant: HeaderName,
-    /// The load of a replica.
+    /// Load reported by a replica.
     pub load: HeaderName,
-    /// The last event of a stream that the asker has.
+    /// The last event of a stream that the requester already has.
     pub last_event: HeaderName,
 }
 
-/// What a request says of its prompt.
+/// Description of a request's prompt.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Prompt {
-    /// Its parts, in order.
+    /// Parts of the prompt, in order.
     pub parts: Vec<PromptPart>,
-    /// Most tokens of the answer.
+    /// Maximum number of output tokens.
     pub max_output_tokens: u32,
 }
 
-/// How callers and replicas speak.
+/// Header names and formats used by callers and replicas.
 pub trait Dialect: Send + Sync + 'static {
     /// Names of headers.
     fn names(&self) -> &HeaderNames;
 
-    /// What a request's headers say of its prompt; empty where they say nothing.
+    /// The prompt described by a request's headers; empty if the headers do not describe it.
     fn prompt(&self, headers: &HeaderMap) -> Prompt;
 
-    /// The load that an answer carries.
+    /// The load reported in a response header.
     fn load(&self, value: &HeaderValue) -> Option<ReportedLoad>;
 }
--- a/crates/relay/src/events.rs
+++ b/crates/relay/src/events.rs
@@ -1,11 +1,11 @@
-//! Splitting a stream of server-sent events, without altering its bytes.
+//! Splits a stream of server-sent events without altering its bytes.
 
 use bytes::{Bytes, BytesMut};
 
-/// Longest event, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Holds back the bytes of an event until it is whole.
+/// Buffers the bytes of an event until the event is complete.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     pending: BytesMut,
@@ -14,44 +14,44 @@
 }
 
 impl EventSplitter {
-    /// Takes bytes and returns all whole events that they complete, as they
-    /// came; `None` where an event is longer than the bound.
+    /// Adds bytes and returns all events that they complete, unaltered; `None` if an event
+    /// exceeds the size limit.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.pending.extend_from_slice(bytes);
         let end = end_of_last_event(&self.pending).unwrap_or(0);
         if self.pending.len() - end > MAX_EVENT_BYTES {
             return None;
         }
-        let whole = self.pending.split_to(end).freeze();
-        self.note(&whole);
-        Some(whole)
+        let complete = self.pending.split_to(end).freeze();
+        self.note(&complete);
+        Some(complete)
     }
 
-    /// The id of the last whole event.
+    /// The id of the last complete event.
     #[must_use]
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Whole events so far.
+    /// Number of complete events so far.
     #[must_use]
     pub fn events(&self) -> u64 {
         self.events
     }
 
-    /// Whether part of an event is held back.
+    /// Whether part of an event is buffered.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Forgets a part of an event, before another replica goes on.
+    /// Drops a partial event before another replica resumes the stream.
     pub fn drop_partial(&mut self) {
         self.pending.clear();
     }
 
-    fn note(&mut self, whole: &[u8]) {
-        for line in whole.split(|byte| *byte == b'\n') {
+    fn note(&mut self, complete: &[u8]) {
+        for line in complete.split(|byte| *byte == b'\n') {
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             if line.is_empty() {
                 continue;
@@ -60,11 +60,11 @@
                 self.last_id = parse_number(id).or(self.last_id);
             }
         }
-        self.events += count_events(whole);
+        self.events += count_events(complete);
     }
 }
 
-/// The data lines of whole events, each event's joined by line feeds.
+/// The data of complete events; the data lines of an event are joined by line feeds.
 pub(crate) fn data_of(events: &[u8]) -> Vec<String> {
     let mut all = Vec::new();
     let mut data: Option<String> = None;
@@ -109,10 +109,10 @@
     end
 }
 
-fn count_events(whole: &[u8]) -> u64 {
+fn count_events(complete: &[u8]) -> u64 {
     let mut count = 0;
     let mut has_field = false;
-    for line in whole.split(|byte| *byte == b'\n') {
+    for line in complete.split(|byte| *byte == b'\n') {
         let is_empty = line.is_empty() || line == b"\r";
         if is_empty && has_field {
             count += 1;
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to one replica: what is sent, and what the head of the answer means.
+//! One request to one replica: what is sent, and what the head of the response means.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,13 +20,13 @@
 use crate::{
     callers::{Caller, KeyRefusal},
     connections::{Connection, OpenFailure, SendFailure},
-    quotas::Leave,
+    quotas::Permit,
     running_guard::RunningGuard,
     shared::Shared,
     slots::{RunReport, SlotLease},
 };
 
-/// Headers that pertain to one connection only.
+/// Headers that apply to one connection only.
 const CONNECTION_HEADERS: [HeaderName; 6] = [
     header::CONNECTION,
     header::TRANSFER_ENCODING,
@@ -38,38 +38,38 @@
 const KEEP_ALIVE: &str = "keep-alive";
 const PROXY_CONNECTION: &str = "proxy-connection";
 
-/// A request as it is sent to any replica.
+/// A request as it is sent to replicas.
 pub(crate) struct Outgoing {
     pub(crate) method: Method,
     pub(crate) uri: Uri,
-    /// Without those of the connection, and without what is set for each send.
+    /// Without connection headers and without the headers that are set for each send.
     pub(crate) headers: HeaderMap,
     pub(crate) body: Bytes,
-    /// The caller's id of it.
+    /// The request id that the caller chose.
     pub(crate) request_id: HeaderValue,
-    /// The tenant; `None` where no key is needed.
+    /// The tenant's name; `None` where no key is needed.
     pub(crate) tenant: Option<String>,
-    /// Homes of its route as it arrived.
+    /// Home regions of the route when the request arrived.
     pub(crate) homes: Vec<String>,
-    /// The version of the table that they are of; `None` for batch items.
+    /// The version of the route table that `homes` was read from; `None` for batch items.
     pub(crate) table_version: Option<u64>,
-    /// Whose it is; `None` for batch items, and where no key is needed.
+    /// The admitted caller; `None` for batch items, and where no key is needed.
     pub(crate) admitted: Option<Admitted>,
 }
 
-/// A tenant's request that was let in.
+/// A tenant's request that was admitted within the tenant's limit.
 pub(crate) struct Admitted {
     pub(crate) caller: Caller,
-    pub(crate) leave: Leave,
+    pub(crate) permit: Permit,
 }
 
 impl Outgoing {
-    /// The caller's id of it, for logs.
+    /// The request id, for logs.
     pub(crate) fn id(&self) -> &str {
         self.request_id.to_str().unwrap_or_default()
     }
 
-    /// Alike for all copies of it.
+    /// Fingerprint of the content; equal for all copies of the request.
     pub(crate) fn fingerprint(&self) -> RequestFingerprint {
         let tenant = self.admitted.as_ref();
         let tenant = tenant.map(|admitted| admitted.caller.tenant.name.as_bytes());
@@ -88,67 +88,67 @@
     }
 }
 
-/// An answer whose head has come.
-pub(crate) struct Opened {
+/// A response whose head has been received.
+pub(crate) struct OpenedResponse {
     pub(crate) replica: String,
     pub(crate) response: Response<Incoming>,
     pub(crate) connection: Connection,
     pub(crate) running: RunningGuard,
 }
 
-/// How an exchange came out, as far as the head.
+/// Outcome of an exchange, up to the head of the response.
 pub(crate) enum Exchange {
-    /// An answer of the replica.
-    Answered(Box<Opened>),
-    /// The replica did not run the request and never will.
+    /// The replica responded.
+    Answered(Box<OpenedResponse>),
+    /// The replica did not run the request and will not run it.
     NotRun(FailureKind),
-    /// The replica may have run it.
+    /// The replica may have run the request.
     Unknown,
-    /// Time was up; the replica may run it.
+    /// The time limit was reached; the replica may still run the request.
     TimedOut,
-    /// Its key was taken away, or keys are not known to be in force; it was not sent.
+    /// Not sent: the key was revoked, or the known keys are too old.
     KeyRefused(KeyRefusal),
-    /// The replica's zone is evacuated; it was not sent.
+    /// Not sent: the replica's zone is evacuated.
     Evacuated,
-    /// The replica stands outside its homes; it was not sent.
+    /// Not sent: the replica is outside the request's home regions.
     OutsideHomes,
-    /// The replica is cold and this gateway may send nothing to it now; it was not sent.
+    /// Not sent: the replica is cold and this gateway may not send to it now.
     Cold,
-    /// More replicas ended under such requests than was known at the search for this
-    /// one; it was not sent.
+    /// Not sent: more replicas have ended under copies of this request than was known when the
+    /// replica was chosen.
     Suspected,
 }
 
-/// How long an exchange may take.
+/// Time limits of an exchange.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Limits {
-    /// When the caller's time, or the route's, is over; the replica is told.
-    pub(crate) until: Instant,
-    /// When the head of the answer must have come.
-    pub(crate) head_until: Instant,
+    /// Deadline of the caller or the route, whichever is earlier; sent to the replica.
+    pub(crate) deadline: Instant,
+    /// Deadline for the head of the response.
+    pub(crate) head_deadline: Instant,
 }
 
-/// Where and how a request is sent.
+/// The replica that a request is sent to, and how.
 pub(crate) struct Target<'a> {
     pub(crate) chosen: &'a ChosenReplica,
-    /// Replicas that ended under such requests, as was known at the choice.
+    /// Ends of replicas under copies of this request, as known when the replica was chosen.
     pub(crate) known_ends: EndsInRow,
-    /// The slot of an online request, or of one that runs alone.
+    /// Slot lease of an online request, or of a suspected request that runs without other
+    /// suspected requests.
     pub(crate) lease: Option<SlotLease>,
-    /// How it came out, for the replica's coordinator.
+    /// Outcome of the run, for the replica's coordinator.
     pub(crate) report: RunReport,
-    /// The last event that the asker has.
+    /// The last event that the requester already has.
     pub(crate) last_event: Option<u64>,
     pub(crate) limits: Limits,
 }
 
-/// Whether a header pertains to one connection only.
+/// Whether a header applies to one connection only.
 pub(crate) fn is_connection_header(name: &HeaderName) -> bool {
     CONNECTION_HEADERS.contains(name) || name == KEEP_ALIVE || name == PROXY_CONNECTION
 }
 
-/// Drops the headers that pertain to one connection, the ones that
-/// `Connection` names among them.
+/// Removes headers that apply to one connection only, including those that `Connection` names.
 pub(crate) fn strip_connection_headers(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(header::CONNECTION)
@@ -170,11 +170,11 @@
     }
 }
 
-/// Sends a request to a replica and waits for the head of the answer. Online
-/// requests bring the lease of their slot.
+/// Sends a request to a replica and waits for the head of the response. Online requests pass the
+/// lease of their slot.
 ///
-/// Everything that is sent to replicas goes through here, so that nothing is sent
-/// again under which replicas ended.
+/// All sends to replicas go through this function, so that no request is sent again after it was
+/// refused for ending replicas.
 pub(crate) async fn exchange(
     shared: &Arc<Shared>,
     outgoing: &Arc<Outgoing>,
@@ -188,13 +188,14 @@
         ..
     } = target;
     let known_ends = target.known_ends.clone();
-    news_after_standstill(shared, limits).await;
+    wait_for_update_after_pause(shared, limits).await;
     if !known_ends.is_empty() {
-        news_while_cut_off(shared, limits).await;
+        wait_while_isolated(shared, limits).await;
     }
-    // Before it counts there, and before a connection is opened.
+    // Checked before the request counts as running at the replica and before a connection is
+    // opened.
     if shared.is_evacuated(&chosen.id) {
-        return evacuated(shared, outgoing, chosen);
+        return not_sent_evacuated(shared, outgoing, chosen);
     }
     let Some(mut running) = RunningGuard::begin(shared, outgoing, prompt, target) else {
         return Exchange::NotRun(FailureKind::Replaced);
@@ -202,11 +203,12 @@
     loop {
         let bytes = || shared.replica_bytes(&chosen.id);
         let connecting = shared.connections.get(&chosen.id, &chosen.address, bytes);
-        let mut connection = match timeout_at(limits.head_until, connecting).await {
+        let mut connection = match timeout_at(limits.head_deadline, connecting).await {
             Ok(Ok(connection)) => connection,
             Ok(Err(failure)) => {
-                // Each gateway finds out at once and at no cost that a replica is not there,
-                // but waits each time for one that is silent.
+                // A refused connection costs each gateway nothing and is noticed at once; an
+                // unresponsive replica costs a wait each time, so only that is reported to the
+                // coordinator.
                 if failure == OpenFailure::Silent {
                     running.report.note(RunOutcome::Failed);
                 }
@@ -219,13 +221,13 @@
             shared.counters.connection_opened(opened.reason);
             shared.note_connected(&chosen.id, opened.took);
         }
-        // The process may have stood still while the connection was opened.
-        news_after_standstill(shared, limits).await;
+        // The process may have been paused while the connection was opened.
+        wait_for_update_after_pause(shared, limits).await;
         if shared.is_evacuated(&chosen.id) {
-            return evacuated(shared, outgoing, chosen);
+            return not_sent_evacuated(shared, outgoing, chosen);
         }
         if shared.is_outside_homes(outgoing, &chosen.id) {
-            return shared.not_sent_outside(outgoing, &chosen.id);
+            return shared.not_sent_outside_homes(outgoing, &chosen.id);
         }
         if !shared.is_known_ready(&chosen.id) {
             return Exchange::NotRun(FailureKind::Replaced);
@@ -236,7 +238,7 @@
         {
             return Exchange::Suspected;
         }
-        if let Err(refusal) = shared.still_admits(outgoing) {
+        if let Err(refusal) = shared.verify_key(outgoing) {
             return Exchange::KeyRefused(refusal);
         }
         let Some(counted) = shared.cold.begin(&chosen.id, outgoing) else {
@@ -255,20 +257,20 @@
         .await
         {
             Ok(response) => {
-                counted.ended(arrival(&response));
-                return judge(shared, chosen, outgoing, running, connection, response);
+                counted.ended(send_outcome(&response));
+                return interpret_head(shared, chosen, outgoing, running, connection, response);
             }
-            Err(NoHead::Stale) => {
+            Err(NoResponse::Stale) => {
                 counted.ended(SendOutcome::NotCounted);
                 shared.not_sent(outgoing);
             }
-            Err(NoHead::Failed) => {
-                running.broke();
+            Err(NoResponse::Failed) => {
+                running.interrupted();
                 return Exchange::Unknown;
             }
-            Err(NoHead::TimedOut) => {
+            Err(NoResponse::TimedOut) => {
                 if connection.is_reused {
-                    shared.connections.distrust(&chosen.id);
+                    shared.connections.discard_idle(&chosen.id);
                 }
                 running.first_event();
                 return Exchange::TimedOut;
@@ -277,34 +279,36 @@
     }
 }
 
-/// Waits for news where the process stood still, for half of the request's time at most: then
-/// it is sent by what is known here. Its caller is not served by a longer wait.
-async fn news_after_standstill(shared: &Shared, limits: Limits) {
-    let left = limits.until.saturating_duration_since(Instant::now());
-    // Where time is over, the request goes on as well.
-    let _ = timeout(left / 2, shared.gateway.news_after_standstill()).await;
+/// After a process pause, waits for a current view of the fleet, for at most half of the
+/// request's remaining time. Then the request is sent with the view known here, since a longer
+/// wait does not help its caller.
+async fn wait_for_update_after_pause(shared: &Shared, limits: Limits) {
+    let remaining = limits.deadline.saturating_duration_since(Instant::now());
+    // On a time-out the request continues as well.
+    let _ = timeout(remaining / 2, shared.gateway.news_after_standstill()).await;
 }
 
-/// Waits for news of a suspected request where this gateway is cut off, for half of the
-/// request's time at most: others may know that it is refused, and each gateway that is cut
-/// off would let it end three replicas more.
-async fn news_while_cut_off(shared: &Shared, limits: Limits) {
-    let left = limits.until.saturating_duration_since(Instant::now());
-    // Where time is over, the request goes on as well.
-    let _ = timeout(left / 2, shared.news_while_cut_off()).await;
+/// While this gateway is isolated, waits for updates on a suspected request, for at most half of
+/// the request's remaining time: other gateways may know that the request is refused, and each
+/// isolated gateway could otherwise let the request end three more replicas.
+async fn wait_while_isolated(shared: &Shared, limits: Limits) {
+    let remaining = limits.deadline.saturating_duration_since(Instant::now());
+    // On a time-out the request continues as well.
+    let _ = timeout(remaining / 2, shared.wait_while_isolated()).await;
 }
 
-/// What was to be sent is not: its zone was evacuated since the replica was chosen.
-fn evacuated(shared: &Shared, outgoing: &Outgoing, chosen: &ChosenReplica) -> Exchange {
+/// Counts and logs a send that was stopped because the zone was evacuated after the replica was
+/// chosen.
+fn not_sent_evacuated(shared: &Shared, outgoing: &Outgoing, chosen: &ChosenReplica) -> Exchange {
     shared.counters.evacuated_sends.inc();
     info!(shared.logger, "request: not sent, zone evacuated"; "request" => outgoing.id(),
         "replica" => &chosen.id, "upto" => shared.gateway.fleet().up_to_index().0);
     Exchange::Evacuated
 }
 
-/// What an answer tells of its request's arrival at a cold replica: one that was meant for
+/// Whether a response shows that its request reached the cold replica. A request that expected
 /// another incarnation does not count.
-fn arrival(response: &Response<Incoming>) -> SendOutcome {
+fn send_outcome(response: &Response<Incoming>) -> SendOutcome {
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
         SendOutcome::NotCounted
     } else {
@@ -312,9 +316,9 @@
     }
 }
 
-/// Why no head of an answer came.
-enum NoHead {
-    /// A resting connection was closed before anything was sent.
+/// Why no response head was received.
+enum NoResponse {
+    /// An idle connection was closed before anything was sent.
     Stale,
     Failed,
     TimedOut,
@@ -327,16 +331,16 @@
     last_event: Option<u64>,
     connection: &mut Connection,
     limits: Limits,
-) -> Result<Response<Incoming>, NoHead> {
-    let left = limits.until.saturating_duration_since(Instant::now());
-    let Some(request) = build(shared, chosen, outgoing, last_event, left) else {
-        return Err(NoHead::Failed);
+) -> Result<Response<Incoming>, NoResponse> {
+    let remaining = limits.deadline.saturating_duration_since(Instant::now());
+    let Some(request) = build(shared, chosen, outgoing, last_event, remaining) else {
+        return Err(NoResponse::Failed);
     };
-    match timeout_at(limits.head_until, connection.send(request)).await {
+    match timeout_at(limits.head_deadline, connection.send(request)).await {
         Ok(Ok(response)) => Ok(response),
-        Ok(Err(SendFailure::NotSent)) => Err(NoHead::Stale),
-        Ok(Err(SendFailure::MayHaveArrived)) => Err(NoHead::Failed),
-        Err(_) => Err(NoHead::TimedOut),
+        Ok(Err(SendFailure::NotSent)) => Err(NoResponse::Stale),
+        Ok(Err(SendFailure::MayHaveArrived)) => Err(NoResponse::Failed),
+        Err(_) => Err(NoResponse::TimedOut),
     }
 }
 
@@ -345,7 +349,7 @@
     chosen: &ChosenReplica,
     outgoing: &Arc<Outgoing>,
     last_event: Option<u64>,
-    left: Duration,
+    remaining: Duration,
 ) -> Option<Request<Full<Bytes>>> {
     let names = shared.dialect.names();
     let mut request = Request::new(Full::new(outgoing.body.clone()));
@@ -357,16 +361,16 @@
         names.expect_replica.clone(),
         HeaderValue::from_str(parse_incarnation_key(&chosen.id).0).ok()?,
     );
-    let left_ms = left.as_millis().max(1) as u64;
-    headers.insert(names.deadline_ms.clone(), HeaderValue::from(left_ms));
+    let remaining_ms = remaining.as_millis().max(1) as u64;
+    headers.insert(names.deadline_ms.clone(), HeaderValue::from(remaining_ms));
     if let Some(last_event) = last_event {
         headers.insert(names.last_event.clone(), HeaderValue::from(last_event));
     }
     Some(request)
 }
 
-/// What the head of an answer means.
-fn judge(
+/// Interprets the head of a response.
+fn interpret_head(
     shared: &Shared,
     chosen: &ChosenReplica,
     outgoing: &Arc<Outgoing>,
@@ -383,9 +387,9 @@
         shared.note_load(&chosen.id, load);
     }
     let echoed = headers.get(&names.request_id);
-    let is_other = echoed.is_some_and(|id| *id != outgoing.request_id);
+    let is_mismatched = echoed.is_some_and(|id| *id != outgoing.request_id);
     let is_unproven = echoed.is_none() && connection.is_reused;
-    if is_other {
+    if is_mismatched {
         shared.note_failure(&chosen.id, FailureKind::Broken);
         return Exchange::Unknown;
     }
@@ -393,7 +397,7 @@
     let was_not_run =
         headers.contains_key(&names.not_run) || status == StatusCode::MISDIRECTED_REQUEST;
     if was_not_run {
-        // Without an id it might answer an earlier request of this connection.
+        // Without an id, the response may belong to an earlier request on this connection.
         if is_unproven && status != StatusCode::MISDIRECTED_REQUEST {
             return Exchange::Unknown;
         }
@@ -405,7 +409,7 @@
         shared.note_failure(&chosen.id, kind);
         shared.not_sent(outgoing);
         if kind == FailureKind::Replaced {
-            shared.tell_not_there(&chosen.id);
+            shared.report_replaced(&chosen.id);
         }
         return Exchange::NotRun(kind);
     }
@@ -414,7 +418,7 @@
         shared.note_failure(&chosen.id, FailureKind::Broken);
         return Exchange::Unknown;
     }
-    Exchange::Answered(Box::new(Opened {
+    Exchange::Answered(Box::new(OpenedResponse {
         replica: chosen.id.clone(),
         response,
         connection,
--- a/crates/relay/src/fleet_changes.rs
+++ b/crates/relay/src/fleet_changes.rs
@@ -1,32 +1,32 @@
-//! What differs between two views of the fleet, as the parts of a gateway take it.
+//! Differences between two views of the fleet, in the form that the parts of a gateway need.
 
 use linnethitch_registry::{
     FleetView, ReplicaDifference, ReplicaRecord, ReplicaState, ServiceTraits,
 };
 use linnethitch_routing::dispatch::ReplicaTraits;
 
-/// Replicas that are to be taken, and starts that are to be forgotten.
+/// Replicas to update and incarnations to remove.
 pub(crate) struct FleetChanges<'a> {
-    /// Keys of starts that are gone, or whose place another one took.
-    pub(crate) left: Vec<String>,
-    /// Replicas that are new, or about which something is.
-    pub(crate) came: Vec<&'a ReplicaRecord>,
+    /// Keys of incarnations that have ended or were replaced by another incarnation.
+    pub(crate) removed: Vec<String>,
+    /// Replicas that are new or have changed.
+    pub(crate) updated: Vec<&'a ReplicaRecord>,
 }
 
 impl<'a> FleetChanges<'a> {
-    /// What differs. It costs what differs, but where services have other traits: then every
-    /// replica may.
-    pub(crate) fn between(held: &'a FleetView, fleet: &'a FleetView) -> Self {
-        let has_other_services = services(held).ne(services(fleet));
+    /// Computes the differences. The cost is proportional to the changes, except when traits of
+    /// services have changed: then every replica is updated.
+    pub(crate) fn between(previous: &'a FleetView, fleet: &'a FleetView) -> Self {
+        let has_other_services = services(previous).ne(services(fleet));
         let mut changes = FleetChanges {
-            left: Vec::new(),
-            came: Vec::new(),
+            removed: Vec::new(),
+            updated: Vec::new(),
         };
-        for difference in fleet.differences(held) {
+        for difference in fleet.differences(previous) {
             changes.note(difference);
         }
         if has_other_services {
-            changes.came = fleet.live_replicas().collect();
+            changes.updated = fleet.live_replicas().collect();
         }
         changes
     }
@@ -35,12 +35,12 @@
         let is_live = |record: &&ReplicaRecord| record.reported.state.is_live();
         let before = difference.before.filter(is_live);
         let now = difference.now.filter(is_live);
-        let left = before.filter(|before| {
+        let removed = before.filter(|before| {
             now.is_none_or(|now| now.reported.incarnation != before.reported.incarnation)
         });
-        self.left
-            .extend(left.map(|left| left.reported.incarnation_key()));
-        self.came.extend(now);
+        self.removed
+            .extend(removed.map(|removed| removed.reported.incarnation_key()));
+        self.updated.extend(now);
     }
 }
 
@@ -49,7 +49,7 @@
     table.flat_map(|table| table.services.iter())
 }
 
-/// A replica as choices among replicas need it.
+/// Traits of a replica that are used to choose among replicas.
 pub(crate) fn replica_traits(fleet: &FleetView, record: &ReplicaRecord) -> ReplicaTraits {
     let service = fleet
         .table()
--- a/crates/relay/src/homes.rs
+++ b/crates/relay/src/homes.rs
@@ -1,4 +1,4 @@
-//! Where a request may be served: in regions that are homes of its route and of its tenant.
+//! Where a request may be served: in the home regions of its route and its tenant.
 
 use std::collections::BTreeSet;
 
@@ -17,10 +17,10 @@
     shared::Shared,
 };
 
-/// Zones in which something may be served; `None` where any may.
+/// Zones in which a request may be served; `None` if there is no restriction.
 pub(crate) type HomeZones = Option<BTreeSet<String>>;
 
-/// The zones for a route and a tenant. Where both have homes, both bind.
+/// The zones for a route and a tenant. If both have home regions, both restrict the zones.
 pub(crate) fn home_zones(
     zones: &ZoneMap,
     of_route: &[String],
@@ -30,8 +30,8 @@
     zones.home_zones(&[of_route, of_tenant])
 }
 
-/// Whether no replica can be given something: no zone is a home, or the service has
-/// replicas and none, gone ones included, was ever heard of in a home.
+/// Whether no replica can serve a request: no zone is a home, or the service has replicas and
+/// none of them, including ended ones, has ever been in a home zone.
 fn has_no_home(fleet: &FleetView, service: &str, homes: &HomeZones) -> bool {
     let Some(homes) = homes else {
         return false;
@@ -41,19 +41,20 @@
     homes.is_empty() || (is_served && !zones.any(|zone| homes.contains(zone)))
 }
 
-/// The weights of a route's services, 0 for those that are not wanted; `None` where none is.
-fn weights_of(route: &Route, is_wanted: impl Fn(&str) -> bool) -> Option<Vec<u32>> {
+/// The weights of a route's services, 0 for services that are not eligible; `None` if none is
+/// eligible.
+fn weights_of(route: &Route, is_eligible: impl Fn(&str) -> bool) -> Option<Vec<u32>> {
     let backends = route.backends.iter();
     let weights = backends.map(|backend| {
-        let wanted = is_wanted(&backend.service);
-        if wanted { backend.weight } else { 0 }
+        let eligible = is_eligible(&backend.service);
+        if eligible { backend.weight } else { 0 }
     });
     let weights: Vec<u32> = weights.collect();
     weights.iter().any(|weight| *weight > 0).then_some(weights)
 }
 
-/// Routes that items may have and outside whose homes a gateway stands, and those below.
-fn routes_outside(
+/// Batch routes whose homes exclude this gateway, and the routes below them.
+fn excluded_routes(
     table: &RouteTable,
     is_outside: impl Fn(&[String]) -> bool,
 ) -> Vec<RouteExclusion> {
@@ -76,10 +77,10 @@
 }
 
 impl Shared {
-    /// The zones in which a request may be served, by what is in force now.
+    /// The zones in which a request may be served, by the configuration in force now.
     pub(crate) fn homes(&self, outgoing: &Outgoing) -> HomeZones {
         let fleet = self.gateway.fleet();
-        // A table of a thousand routes is searched again only where it changed.
+        // The table may have a thousand routes, so it is searched again only if it has changed.
         let newer = fleet
             .table()
             .filter(|table| outgoing.table_version != Some(table.version));
@@ -87,7 +88,7 @@
             let host = outgoing.headers.get(header::HOST)?.to_str().ok()?;
             table.find(host, outgoing.uri.path())
         });
-        // One whose route is gone stays where it was bound to.
+        // A request whose route was removed keeps the homes it arrived with.
         let of_route = of_route.map_or(&outgoing.homes, |route| &route.homes);
         let tenant = outgoing.tenant.as_deref();
         let tenant = tenant.and_then(|name| fleet.tenants().get(name));
@@ -95,7 +96,7 @@
         home_zones(self.gateway.zones(), of_route, tenant)
     }
 
-    /// The zones in which requests of a route may be served, by what is in force now.
+    /// The zones in which requests of a route may be served, by the configuration in force now.
     pub(crate) fn homes_of(&self, route: &Route, tenant: Option<&str>) -> HomeZones {
         let fleet = self.gateway.fleet();
         let tenant = tenant.and_then(|name| fleet.tenants().get(name));
@@ -103,8 +104,9 @@
         home_zones(self.gateway.zones(), &route.homes, tenant)
     }
 
-    /// The service of a route whose turn it is. Where homes bind, those that can serve in
-    /// them now have the turns of the others; without any, those that may again.
+    /// Selects a service of a route by weight. If homes restrict the request, only services with
+    /// ready replicas in home zones take turns; if there are none, services that may have such
+    /// replicas again.
     pub(crate) fn pick_service(&self, route: &Route, homes: &HomeZones) -> Option<String> {
         if let [only] = route.backends.as_slice() {
             return Some(only.service.clone());
@@ -118,9 +120,9 @@
         Some(route.backends[index].service.clone())
     }
 
-    /// Items that this gateway must not be given: it stands outside their homes, and their
-    /// bodies are not to come here.
-    pub(crate) fn work_outside(&self) -> ExcludedWork {
+    /// Items that must not be leased to this gateway because it is outside their home regions:
+    /// their bodies must not leave those regions.
+    pub(crate) fn excluded_work(&self) -> ExcludedWork {
         let fleet = self.gateway.fleet();
         let is_outside = |homes: &[String]| {
             let zones = self.gateway.zones().home_zones(&[homes]);
@@ -131,17 +133,18 @@
         ExcludedWork {
             routes: fleet
                 .table()
-                .map_or_else(Vec::new, |table| routes_outside(table, is_outside)),
+                .map_or_else(Vec::new, |table| excluded_routes(table, is_outside)),
             tenants: tenants.map(|tenant| tenant.name.clone()).collect(),
         }
     }
 
-    /// Whether a request has no home at a service: waiting does not help.
+    /// Whether no replica of a service can ever serve a request in its homes, so that waiting
+    /// does not help.
     pub(crate) fn has_no_home(&self, service: &str, homes: &HomeZones) -> bool {
         has_no_home(&self.gateway.fleet(), service, homes)
     }
 
-    /// Whether a request must not be sent to a replica. One whose zone is not known is in
+    /// Whether a replica is outside a request's homes. A replica whose zone is unknown belongs to
     /// no region.
     pub(crate) fn is_outside_homes(&self, outgoing: &Outgoing, replica: &str) -> bool {
         let Some(homes) = self.homes(outgoing) else {
@@ -152,17 +155,18 @@
         !zone.is_some_and(|zone| homes.contains(zone))
     }
 
-    /// What was to be sent is not: homes changed since the replica was chosen.
-    pub(crate) fn not_sent_outside(&self, outgoing: &Outgoing, replica: &str) -> Exchange {
+    /// Counts and logs a send that was stopped because the homes changed after the replica was
+    /// chosen.
+    pub(crate) fn not_sent_outside_homes(&self, outgoing: &Outgoing, replica: &str) -> Exchange {
         self.counters.outside_homes_sends.inc();
         let version = self.table().map(|table| table.version);
-        info!(self.logger, "request: not sent, outside its homes"; "request" => outgoing.id(),
-            "replica" => replica, "version" => version);
+        info!(self.logger, "request: not sent, replica outside its home regions";
+            "request" => outgoing.id(), "replica" => replica, "version" => version);
         Exchange::OutsideHomes
     }
 
-    /// The final answer to what must not be served where it could be, at once. Clients do
-    /// not repeat it by themselves.
+    /// Refuses a request that must not be served by any replica of its service. Clients do not
+    /// retry this response by themselves.
     pub(crate) fn refuse_outside_homes(
         &self,
         request: &str,
@@ -172,7 +176,7 @@
         let fleet = self.gateway.fleet();
         let of_tenant = tenant.and_then(|name| fleet.tenants().get(name));
         let of_tenant = of_tenant.map(|tenant| tenant.homes.join(","));
-        info!(self.logger, "request: outside its homes"; "request" => request,
+        info!(self.logger, "request: refused, no replica in its home regions"; "request" => request,
             "route" => &route.name, "tenant" => tenant, "homes" => route.homes.join(","),
             "tenant_homes" => of_tenant, "version" => fleet.table().map(|table| table.version));
         self.counters
@@ -181,17 +185,16 @@
     }
 }
 
-/// All regions share one job store: jobs whose homes leave any region out cannot be kept in
-/// the right place.
+/// All regions share one job store, so jobs whose homes exclude any region cannot be stored.
 impl Relay {
-    /// Whether jobs of a route and a tenant may be kept, by the tenants in force now.
+    /// Whether jobs of a route and a tenant may be stored, by the configuration in force now.
     #[must_use]
     pub fn may_store_jobs(&self, route: &Route, tenant: Option<&str>) -> bool {
         self.shared.homes_of(route, tenant).is_none()
     }
 
-    /// A route of a job or of its items because of which it may not be kept, by what is in
-    /// force now.
+    /// The first route of a job or its items that forbids storing the job, by the configuration
+    /// in force now.
     #[must_use]
     pub fn unstorable_route(&self, job: &JobSpec, tenant: Option<&str>) -> Option<Route> {
         let table = self.shared.table()?;
@@ -204,7 +207,7 @@
         bound.next().cloned()
     }
 
-    /// The final answer to a job that cannot be kept in its homes.
+    /// Refuses a job that cannot be stored within its home regions.
     #[must_use]
     pub fn refuse_job(
         &self,
--- a/crates/relay/src/item_run.rs
+++ b/crates/relay/src/item_run.rs
@@ -1,5 +1,5 @@
-//! One leased batch item: it runs on slots that online requests leave free, goes
-//! on after its last event, and ends with a report or is given back.
+//! One leased batch item. It runs on slots that online requests leave free, resumes after its
+//! last event, and ends with a report or is returned to the job store.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,106 +16,104 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    callers::name_tenant,
+    callers::set_tenant_header,
     counters::ItemEnd,
     events::{EventSplitter, data_of},
-    exchange::{Exchange, Limits, Opened, Outgoing, Target, exchange},
-    running_items::Made,
-    search::{Placed, Search},
+    exchange::{Exchange, Limits, OpenedResponse, Outgoing, Target, exchange},
+    running_items::GeneratedProgress,
+    search::{Placement, Search},
     shared::Shared,
     slots::{ItemSlot, SlotLease},
 };
 
-/// Longest time for a report; the lease ends and the item runs again after it.
-const REPORT_LIMIT: Duration = Duration::from_secs(10);
-/// Longest silence of a replica in the middle of an item.
-const SILENCE_LIMIT: Duration = Duration::from_millis(2_500);
-/// Longest wait for the first event.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_secs(6);
-/// Time given to a replica for an item.
-const ITEM_LIMIT: Duration = Duration::from_secs(60);
-/// Longest wait for a slot before the item is given back, so that another
-/// gateway goes on with it.
-const SLOT_WAIT: Duration = Duration::from_millis(400);
-/// How long an item that cannot be run for now rests at a gateway. Each gateway that it
-/// rests at costs two calls of the job store.
-const SET_ASIDE_FOR: Duration = Duration::from_secs(5);
-/// Pause after a replica did not take an item.
-const NOT_TAKEN_PAUSE: Duration = Duration::from_millis(100);
-/// Status that says that an item can never be done.
+/// Time limit for a report; after it the lease ends and the item runs again.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum time without data from a replica in the middle of an item.
+const STALL_TIMEOUT: Duration = Duration::from_millis(2_500);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time limit of a run of an item.
+const ITEM_TIMEOUT: Duration = Duration::from_secs(60);
+/// Maximum wait for a slot before the item is returned, so that another gateway can continue it.
+const SLOT_WAIT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long an item that cannot run at present is deferred at a gateway. Each gateway where it is
+/// deferred costs two calls to the job store.
+const DEFER_DURATION: Duration = Duration::from_secs(5);
+/// Delay after a replica declined an item.
+const DECLINED_RETRY_DELAY: Duration = Duration::from_millis(100);
+/// Status of an item that can never be processed.
 const UNPROCESSABLE: u16 = 422;
 
-/// One item while it runs.
+/// A running item.
 pub(crate) struct ItemRun {
     shared: Arc<Shared>,
     stopping: CancellationToken,
     work: ItemWork,
     splitter: EventSplitter,
-    made: Made,
-    /// Replicas that failed it.
+    generated: GeneratedProgress,
+    /// Replicas that failed the item.
     tried: Vec<String>,
     due: Instant,
 }
 
-/// Where an item runs.
-struct ItemPlace {
+/// The replica and slot of an item.
+struct ItemPlacement {
     chosen: ChosenReplica,
-    /// The slot that it has while online requests do not need it.
+    /// A slot that online requests may preempt.
     slot: Option<ItemSlot>,
-    /// The slot of an item that runs alone.
+    /// The slot of a suspected item, which runs without other suspected requests.
     lease: Option<SlotLease>,
 }
 
 /// How an item's task ended.
 pub(crate) enum ItemEnding {
-    /// Its outcome was reported.
+    /// The outcome was reported.
     Reported,
-    /// Another gateway goes on.
-    GivenBack,
+    /// Another gateway continues the item.
+    Returned,
 }
 
-/// How one send of an item ended.
+/// How one run of an item ended.
 enum RunEnd {
     Outcome(ItemOutcome),
-    /// It goes on at another replica after the last whole event.
-    GoOn,
-    /// It goes on at another gateway.
-    GiveBack,
+    /// The item continues at another replica after its last complete event.
+    Continue,
+    /// The item continues at another gateway.
+    Return,
 }
 
 impl ItemRun {
-    /// A run of leased work that goes on after what was made.
+    /// A run of leased work that continues after the generated events.
     pub(crate) fn new(
         shared: Arc<Shared>,
         stopping: CancellationToken,
         work: ItemWork,
-        made: Made,
+        generated: GeneratedProgress,
     ) -> Self {
         ItemRun {
             shared,
             stopping,
             splitter: EventSplitter::default(),
-            made,
+            generated,
             tried: Vec::new(),
             due: Instant::now() + Duration::from_millis(work.due_in_ms),
             work,
         }
     }
 
-    /// Runs it until it is done or has to be given back.
+    /// Runs the item until it is done or has to be returned.
     pub(crate) async fn run(mut self) -> ItemEnding {
-        let until = Instant::now() + ITEM_LIMIT;
-        while Instant::now() < until && !self.stopping.is_cancelled() {
-            match self.send_once(until).await {
-                RunEnd::GoOn => {}
-                RunEnd::GiveBack => break,
+        let deadline = Instant::now() + ITEM_TIMEOUT;
+        while Instant::now() < deadline && !self.stopping.is_cancelled() {
+            match self.send_once(deadline).await {
+                RunEnd::Continue => {}
+                RunEnd::Return => break,
                 RunEnd::Outcome(outcome) => {
                     self.report(outcome).await;
                     return ItemEnding::Reported;
                 }
             }
         }
-        ItemEnding::GivenBack
+        ItemEnding::Returned
     }
 
     async fn report(&self, outcome: ItemOutcome) {
@@ -142,65 +140,67 @@
             item: self.work.item.clone(),
             outcome,
         };
-        self.shared.gateway.call_store(call, REPORT_LIMIT).await;
+        self.shared.gateway.call_store(call, REPORT_TIMEOUT).await;
     }
 
-    /// Reports the last events of a whole answer; false when the job store does not
-    /// hold those before them.
+    /// Reports the last events of a complete response; false if the job store lacks the events
+    /// before them.
     async fn finish(&self) -> bool {
-        let call = StoreCall::Finish(self.made.last_part(&self.work.item));
-        let reply = self.shared.gateway.call_store(call, REPORT_LIMIT).await;
+        let call = StoreCall::Finish(self.generated.unreported_part(&self.work.item));
+        let reply = self.shared.gateway.call_store(call, REPORT_TIMEOUT).await;
         !matches!(reply, StoreReply::TellAgain(_))
     }
 
-    /// The route as of now: a changed one holds for items too.
+    /// The current route: changes of the route apply to items too.
     fn route(&self) -> Option<Route> {
         let table = self.shared.table()?;
         let route = table.find(&self.work.host, &self.work.spec.path)?;
         (route.kind == RouteKind::Batch).then(|| route.clone())
     }
 
-    async fn send_once(&mut self, until: Instant) -> RunEnd {
+    async fn send_once(&mut self, deadline: Instant) -> RunEnd {
         let Some(route) = self.route() else {
             return RunEnd::Outcome(ItemOutcome::RouteRemoved);
         };
         let homes = self.shared.homes_of(&route, self.work.tenant.as_deref());
         let Some(service) = self.shared.pick_service(&route, &homes) else {
-            return RunEnd::GiveBack;
+            return RunEnd::Return;
         };
         let Some(outgoing) = outgoing(&self.shared, &self.work) else {
             return RunEnd::Outcome(ItemOutcome::Unprocessable);
         };
         if self.shared.has_no_home(&service, &homes) {
-            return self.set_aside("outside its homes", &outgoing).await;
+            return self
+                .defer("no replica in its home regions", &outgoing)
+                .await;
         }
         let prompt = self.shared.dialect.prompt(&outgoing.headers);
         let Some(known_ends) = self.shared.known_ends(&outgoing).await else {
-            return self.set_aside("replicas end under it", &outgoing).await;
+            return self.defer("suspected of ending replicas", &outgoing).await;
         };
-        if self.shared.is_tried_alone_enough(&known_ends) {
-            return self.set_aside("replicas end under it", &outgoing).await;
+        if self.shared.is_refused_while_isolated(&known_ends) {
+            return self.defer("suspected of ending replicas", &outgoing).await;
         }
         let placed = if known_ends.is_empty() {
             self.wait_for_slot(&service, &outgoing).await
         } else {
-            self.place_apart(&service, &outgoing).await
+            self.place_isolated(&service, &outgoing).await
         };
-        let Some(ItemPlace {
+        let Some(ItemPlacement {
             chosen,
             slot,
             lease,
         }) = placed
         else {
-            return RunEnd::GiveBack;
+            return RunEnd::Return;
         };
-        // One that runs alone has an online request's slot and does not give way.
+        // A suspected item holds the slot of an online request and is not preempted.
         let stop = slot.as_ref().map(|slot| slot.stop.clone());
         let stop = stop.unwrap_or_default();
-        let last_event = self.made.last_event();
+        let last_event = self.generated.last_event();
         let limits = Limits {
-            until,
-            head_until: until.min(Instant::now() + FIRST_EVENT_LIMIT),
+            deadline,
+            head_deadline: deadline.min(Instant::now() + FIRST_EVENT_TIMEOUT),
         };
         let slot_report = slot.as_ref().map(|slot| slot.report.clone());
         let lease_report = lease.as_ref().map(|lease| lease.report.clone());
@@ -215,68 +215,70 @@
         let exchanged = exchange(&self.shared, &outgoing, &prompt.parts, target);
         let exchanged = tokio::select! {
             exchanged = exchanged => exchanged,
-            () = stop.cancelled() => return self.give_way(&chosen.id),
-            () = self.stopping.cancelled() => return RunEnd::GiveBack,
+            () = stop.cancelled() => return self.preempt(&chosen.id),
+            () = self.stopping.cancelled() => return RunEnd::Return,
         };
         match exchanged {
             Exchange::Answered(opened) => {
                 let stopping = self.stopping.clone();
                 tokio::select! {
                     end = self.read(&service, *opened) => end,
-                    () = stop.cancelled() => self.give_way(&chosen.id),
-                    () = stopping.cancelled() => RunEnd::GiveBack,
+                    () = stop.cancelled() => self.preempt(&chosen.id),
+                    () = stopping.cancelled() => RunEnd::Return,
                 }
             }
             Exchange::NotRun(_) => {
                 self.tried.push(chosen.id);
-                sleep(NOT_TAKEN_PAUSE).await;
-                RunEnd::GoOn
+                sleep(DECLINED_RETRY_DELAY).await;
+                RunEnd::Continue
             }
             Exchange::Cold | Exchange::OutsideHomes => {
-                sleep(NOT_TAKEN_PAUSE).await;
-                RunEnd::GoOn
+                sleep(DECLINED_RETRY_DELAY).await;
+                RunEnd::Continue
             }
-            // Items carry no key.
-            Exchange::Suspected | Exchange::KeyRefused(_) | Exchange::Evacuated => RunEnd::GoOn,
+            // `KeyRefused` does not occur: items carry no key.
+            Exchange::Suspected | Exchange::KeyRefused(_) | Exchange::Evacuated => RunEnd::Continue,
             Exchange::Unknown => {
                 self.tried.push(chosen.id);
-                RunEnd::GoOn
+                RunEnd::Continue
             }
             Exchange::TimedOut => {
                 self.shared.note_failure(&chosen.id, FailureKind::Broken);
                 self.tried.push(chosen.id);
-                RunEnd::GoOn
+                RunEnd::Continue
             }
         }
     }
 
-    /// Waits for a slot of a replica; not too long, since the route may change.
-    async fn wait_for_slot(&self, service: &str, outgoing: &Outgoing) -> Option<ItemPlace> {
+    /// Waits briefly for a slot of a replica, since the route may change.
+    async fn wait_for_slot(&self, service: &str, outgoing: &Outgoing) -> Option<ItemPlacement> {
         let homes = self.shared.homes(outgoing);
         let outside = self.shared.coordinated_outside(&homes);
-        let left_ms = self
+        let remaining_ms = self
             .shared
             .item_pace(service)
-            .remaining_ms(self.made.events());
+            .remaining_ms(self.generated.events());
         let now = Instant::now();
         let time = self.due.saturating_duration_since(now);
-        let begin_by = now + time.saturating_sub(Duration::from_millis(left_ms));
+        let begin_by = now + time.saturating_sub(Duration::from_millis(remaining_ms));
         let mut slot = self
             .shared
             .slots
-            .want_slot(service, begin_by, self.tried.clone(), outside);
-        let replica = timeout(SLOT_WAIT, slot.granted()).await.ok()??;
+            .queue_item(service, begin_by, self.tried.clone(), outside);
+        let replica = timeout(SLOT_WAIT_TIMEOUT, slot.wait_for_grant())
+            .await
+            .ok()??;
         let chosen = self.shared.chosen_at(&replica)?;
-        Some(ItemPlace {
+        Some(ItemPlacement {
             chosen,
             slot: Some(slot),
             lease: None,
         })
     }
 
-    /// A slot where no other request runs under which replicas ended.
-    async fn place_apart(&self, service: &str, outgoing: &Outgoing) -> Option<ItemPlace> {
-        let by = Instant::now() + SLOT_WAIT;
+    /// A slot at a replica that runs no other suspected request.
+    async fn place_isolated(&self, service: &str, outgoing: &Outgoing) -> Option<ItemPlacement> {
+        let by = Instant::now() + SLOT_WAIT_TIMEOUT;
         let homes = self.shared.homes(outgoing);
         let search = Search {
             shared: &self.shared,
@@ -288,39 +290,40 @@
             homes: &homes,
             rank: u8::MAX,
             due: by,
-            until: by,
+            deadline: by,
         };
-        let Placed { chosen, lease } = search.run().await?;
-        Some(ItemPlace {
+        let Placement { chosen, lease } = search.run().await?;
+        Some(ItemPlacement {
             chosen,
             slot: None,
             lease: Some(lease),
         })
     }
 
-    /// It is not run now: replicas end under it, or it has no home. It cannot be given up
-    /// either before its time is over, so it rests here for a while, then elsewhere.
-    async fn set_aside(&self, why: &str, outgoing: &Outgoing) -> RunEnd {
-        info!(self.shared.logger, "item: set aside, {}", why;
+    /// Defers an item that is suspected of ending replicas or has no replica in its home regions.
+    /// It cannot fail before its time is over, so it waits here for a while and is then returned
+    /// for another gateway.
+    async fn defer(&self, why: &str, outgoing: &Outgoing) -> RunEnd {
+        info!(self.shared.logger, "item: deferred, {}", why;
             "item" => &self.work.spec.id, "job" => &self.work.item.job,
             "content" => outgoing.fingerprint().to_string());
         tokio::select! {
-            () = sleep(SET_ASIDE_FOR) => {}
+            () = sleep(DEFER_DURATION) => {}
             () = self.stopping.cancelled() => {}
         }
-        RunEnd::GiveBack
+        RunEnd::Return
     }
 
-    /// It goes on after its last whole event, once there is room.
-    fn give_way(&mut self, replica: &str) -> RunEnd {
+    /// The item was preempted. It continues after its last complete event once a slot is free.
+    fn preempt(&mut self, replica: &str) -> RunEnd {
         self.shared.counters.item_ended(ItemEnd::Interrupted);
         self.splitter.drop_partial();
-        info!(self.shared.logger, "item: gives way"; "item" => &self.work.spec.id,
-            "replica" => replica, "last_event" => self.made.last_event());
-        RunEnd::GoOn
+        info!(self.shared.logger, "item: preempted"; "item" => &self.work.spec.id,
+            "replica" => replica, "last_event" => self.generated.last_event());
+        RunEnd::Continue
     }
 
-    async fn read(&mut self, service: &str, mut opened: Opened) -> RunEnd {
+    async fn read(&mut self, service: &str, mut opened: OpenedResponse) -> RunEnd {
         let status = opened.response.status();
         if status.as_u16() == UNPROCESSABLE {
             return RunEnd::Outcome(ItemOutcome::Unprocessable);
@@ -330,33 +333,33 @@
                 failures_before: self.work.failures,
             });
         }
-        let whole = self.read_events(service, &mut opened).await;
-        if !whole {
-            opened.running.broke();
+        let is_complete = self.read_events(service, &mut opened).await;
+        if !is_complete {
+            opened.running.interrupted();
             self.tried.push(opened.replica);
             self.splitter.drop_partial();
-            return RunEnd::GoOn;
+            return RunEnd::Continue;
         }
-        opened.running.came_to_an_end();
+        opened.running.completed();
         drop(opened.running);
         if opened.connection.is_usable_again().await {
-            self.shared.connections.give_back(opened.connection);
+            self.shared.connections.put_back(opened.connection);
         }
-        let events = self.made.events();
+        let events = self.generated.events();
         self.shared
             .learn_item_pace(service, |pace| pace.note_item(events));
-        RunEnd::Outcome(ItemOutcome::Succeeded(self.made.text()))
+        RunEnd::Outcome(ItemOutcome::Succeeded(self.generated.text()))
     }
 
-    /// Whether the stream came to its whole end.
-    async fn read_events(&mut self, service: &str, opened: &mut Opened) -> bool {
-        let before = self.made.events();
+    /// Reads the events; true if the stream was complete.
+    async fn read_events(&mut self, service: &str, opened: &mut OpenedResponse) -> bool {
+        let before = self.generated.events();
         let mut began = None;
         let body: &mut Incoming = opened.response.body_mut();
         loop {
-            match timeout(SILENCE_LIMIT, body.frame()).await {
+            match timeout(STALL_TIMEOUT, body.frame()).await {
                 Ok(None) => {
-                    let events = self.made.events() - before;
+                    let events = self.generated.events() - before;
                     let took = began.map_or(Duration::ZERO, |began: Instant| began.elapsed());
                     let took_ms = took.as_millis() as u64;
                     self.shared
@@ -373,7 +376,8 @@
                         return false;
                     };
                     if !events.is_empty() {
-                        self.made.push(data_of(&events), self.splitter.last_id());
+                        self.generated
+                            .push(data_of(&events), self.splitter.last_id());
                     }
                 }
                 Ok(Some(Err(_))) | Err(_) => return false,
@@ -391,7 +395,7 @@
     }
     let request_id = HeaderValue::from_str(&work.spec.id).ok()?;
     headers.insert(names.request_id.clone(), request_id.clone());
-    name_tenant(&mut headers, names, false, work.tenant.as_deref());
+    set_tenant_header(&mut headers, names, false, work.tenant.as_deref());
     headers.insert(http::header::HOST, HeaderValue::from_str(&work.host).ok()?);
     Some(Arc::new(Outgoing {
         method: Method::POST,
--- a/crates/relay/src/lib.rs
+++ b/crates/relay/src/lib.rs
@@ -1,9 +1,8 @@
-//! Passing callers' requests through to replicas, byte for byte, and running
-//! batch items for the job store.
+//! Relays callers' requests to replicas, byte for byte, and runs batch items for the job store.
 //!
-//! Decisions are [`linnethitch_routing::dispatch`]'s; what is sent where and
-//! what an answer means for the next step is decided here. The names of headers
-//! come from a [`Dialect`], so that this crate knows no platform.
+//! [`linnethitch_routing::dispatch`] makes the routing decisions; this crate decides what is sent
+//! where and what a response means for the next step. Header names come from a [`Dialect`], so
+//! this crate does not depend on any platform.
 
 mod attempt;
 mod batch;
--- a/crates/relay/src/planned_stop.rs
+++ b/crates/relay/src/planned_stop.rs
@@ -1,4 +1,4 @@
-//! What a gateway still takes while it stops.
+//! Which requests a gateway still accepts while it stops.
 
 use std::{
     sync::{Arc, OnceLock},
@@ -10,44 +10,46 @@
 use parking_lot::Mutex;
 use tokio_util::sync::CancellationToken;
 
-/// Whether a request that comes now can be answered before this process ends. One that can
-/// not is refused at once, while its caller has time to go elsewhere: an answer that is cut
-/// is lost.
+/// Whether a request that arrives now can be answered before this process ends. A request that
+/// cannot is refused at once, while its caller has time to use another gateway; a response that
+/// is cut off is lost.
 pub(crate) struct PlannedStop {
     ends_at: OnceLock<Instant>,
     answer_times: Mutex<AnswerTimes>,
 }
 
 impl PlannedStop {
-    /// For a process that ends within a time after it is told to stop.
+    /// For a process that ends within the given time after it is asked to stop.
     pub(crate) fn new(stopping: CancellationToken, stop_within: Duration) -> Arc<Self> {
         let stop = Arc::new(PlannedStop {
             ends_at: OnceLock::new(),
             answer_times: Mutex::default(),
         });
-        let told = Arc::clone(&stop);
+        let planned = Arc::clone(&stop);
         tokio::spawn(async move {
             stopping.cancelled().await;
-            // It is told to stop once.
-            let _ = told.ends_at.set(Instant::now() + stop_within);
+            // The token is cancelled only once.
+            let _ = planned.ends_at.set(Instant::now() + stop_within);
         });
         stop
     }
 
-    /// Notes how long an answer took, from its request's arrival to its end.
+    /// Records how long a response took, from the arrival of the request to the end of the
+    /// response.
     pub(crate) fn note_answer(&self, route: &str, took: Duration, now_ms: u64) {
         let took_ms = took.as_millis() as u64;
         self.answer_times.lock().record(route, took_ms, now_ms);
     }
 
-    /// What is left until the end of the process, where that may cut a request with this limit.
-    pub(crate) fn too_short_for(
+    /// Time remaining until the process ends, if that may be too short for a request with this
+    /// time limit.
+    pub(crate) fn remaining_if_too_short(
         &self,
         route: &str,
         limit: Duration,
         now_ms: u64,
     ) -> Option<Duration> {
-        let left = self
+        let remaining = self
             .ends_at
             .get()?
             .saturating_duration_since(Instant::now());
@@ -56,6 +58,6 @@
             .answer_times
             .lock()
             .max_expected_ms(route, limit_ms, now_ms);
-        (Duration::from_millis(may_take_ms) > left).then_some(left)
+        (Duration::from_millis(may_take_ms) > remaining).then_some(remaining)
     }
 }
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -1,5 +1,5 @@
-//! Passing a stream on as it comes, and going on at another replica where the
-//! route allows it.
+//! Forwards a stream while it is received, and resumes it at another replica where the route
+//! allows that.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,45 +20,44 @@
     homes::HomeZones,
     response::BodyFailure,
     running_guard::RunningGuard,
-    search::{Placed, Search},
+    search::{Placement, Search},
     shared::Shared,
 };
 
-/// A resumable stream that pauses for this many times its allowed gap goes on elsewhere.
-const PATIENCE: u32 = 3;
-/// Shortest such pause.
-const SHORTEST_PATIENCE: Duration = Duration::from_millis(900);
+/// A resumable stream that stalls for this multiple of its gap target is resumed elsewhere.
+const STALL_TIMEOUT_GAPS: u32 = 3;
+const MIN_STALL_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// What a stream needs beside its first replica.
+/// Settings of a stream, besides its first replica.
 pub(crate) struct PumpSettings {
     pub(crate) route: String,
     pub(crate) service: String,
-    /// Its rank; 0 is the highest.
+    /// Priority rank; 0 is the highest.
     pub(crate) rank: u8,
     pub(crate) outgoing: Arc<Outgoing>,
     pub(crate) prompt: Vec<PromptPart>,
-    /// When its request came.
+    /// Arrival of the request.
     pub(crate) arrived: Instant,
-    pub(crate) until: Instant,
+    pub(crate) deadline: Instant,
     pub(crate) resumable: bool,
-    /// Further replicas that it may be sent to.
-    pub(crate) sends_left: u32,
-    /// Longest pause between events that is on time; 0 where there is none.
+    /// Remaining sends to further replicas.
+    pub(crate) remaining_sends: u32,
+    /// Target for the maximum gap between events; 0 if there is none.
     pub(crate) gap: Duration,
     pub(crate) tried: Vec<String>,
 }
 
-/// Passes one stream on.
+/// Forwards one stream.
 pub(crate) struct Pump {
     shared: Arc<Shared>,
     settings: PumpSettings,
     splitter: EventSplitter,
     source: Source,
-    /// What came and its caller has not taken.
+    /// Data received from the replica and not yet taken by the caller.
     unread: UnreadBuffer,
 }
 
-/// The replica that the stream comes from.
+/// The replica that sends the stream.
 struct Source {
     replica: String,
     body: Incoming,
@@ -68,10 +67,10 @@
 
 /// How one source ended.
 enum SourceEnd {
-    Whole,
+    Complete,
     Broken,
-    CallerGone,
-    TimeUp,
+    CallerDisconnected,
+    DeadlineExceeded,
 }
 
 type Sender = mpsc::Sender<Result<Bytes, BodyFailure>>;
@@ -86,7 +85,7 @@
         running: RunningGuard,
     ) -> Self {
         Pump {
-            unread: UnreadBuffer::new(shared.held.clone()),
+            unread: UnreadBuffer::new(shared.buffered.clone()),
             shared,
             settings,
             splitter: EventSplitter::default(),
@@ -101,14 +100,14 @@
 
     pub(crate) async fn run(mut self, sender: Sender) {
         loop {
-            match self.pass_source(&sender).await {
-                SourceEnd::Whole => return self.finish(&sender).await,
-                SourceEnd::CallerGone => return,
-                SourceEnd::TimeUp => {
-                    self.log("stream out of time");
-                    return self.cut(&sender, "time is up").await;
+            match self.forward_source(&sender).await {
+                SourceEnd::Complete => return self.finish(&sender).await,
+                SourceEnd::CallerDisconnected => return,
+                SourceEnd::DeadlineExceeded => {
+                    self.log("stream deadline exceeded");
+                    return self.abort(&sender, "deadline exceeded").await;
                 }
-                SourceEnd::Broken => self.source.running.broke(),
+                SourceEnd::Broken => self.source.running.interrupted(),
             }
             let resumed = tokio::select! {
                 resumed = self.resume() => resumed,
@@ -116,46 +115,46 @@
             };
             let Some(source) = resumed else {
                 self.log("stream broken");
-                self.ended(RequestEnd::Failed);
-                return self.cut(&sender, "the stream broke").await;
+                self.record_end(RequestEnd::Failed);
+                return self.abort(&sender, "stream broken").await;
             };
             self.source = source;
         }
     }
 
-    /// Reads the source and hands on what came, each as fast as it goes: a caller who reads
-    /// slowly holds the replica up only once too much waits for it, and is no sign that the
-    /// replica is silent.
-    async fn pass_source(&mut self, sender: &Sender) -> SourceEnd {
-        let patience = (self.settings.gap * PATIENCE).max(SHORTEST_PATIENCE);
-        let mut silent_until = self.silence_limit(patience);
+    /// Reads the source and forwards its data, each at its own speed: a slow caller delays the
+    /// replica only once too much data is buffered, and does not count as a sign that the replica
+    /// is unresponsive.
+    async fn forward_source(&mut self, sender: &Sender) -> SourceEnd {
+        let stall_timeout = (self.settings.gap * STALL_TIMEOUT_GAPS).max(MIN_STALL_TIMEOUT);
+        let mut stalled_at = self.stall_deadline(stall_timeout);
         loop {
             let may_read = self.unread.may_grow();
             let frame = tokio::select! {
                 biased;
                 permit = sender.reserve(), if !self.unread.is_empty() => {
                     let Ok(permit) = permit else {
-                        return SourceEnd::CallerGone;
+                        return SourceEnd::CallerDisconnected;
                     };
                     if let Some(piece) = self.unread.pop() {
                         permit.send(Ok(piece));
                     }
                     if !may_read {
-                        silent_until = self.silence_limit(patience);
+                        stalled_at = self.stall_deadline(stall_timeout);
                     }
                     continue;
                 }
                 frame = self.source.body.frame(), if may_read => frame,
-                () = sender.closed() => return SourceEnd::CallerGone,
-                () = sleep_until(silent_until), if may_read => {
-                    let is_out_of_time = Instant::now() >= self.settings.until;
-                    return if is_out_of_time { SourceEnd::TimeUp } else { SourceEnd::Broken };
+                () = sender.closed() => return SourceEnd::CallerDisconnected,
+                () = sleep_until(stalled_at), if may_read => {
+                    let is_past_deadline = Instant::now() >= self.settings.deadline;
+                    return if is_past_deadline { SourceEnd::DeadlineExceeded } else { SourceEnd::Broken };
                 }
-                () = sleep_until(self.settings.until), if !may_read => return SourceEnd::TimeUp,
+                () = sleep_until(self.settings.deadline), if !may_read => return SourceEnd::DeadlineExceeded,
             };
             let data = match frame {
                 None if self.splitter.has_partial() => return SourceEnd::Broken,
-                None => return SourceEnd::Whole,
+                None => return SourceEnd::Complete,
                 Some(Err(_)) => return SourceEnd::Broken,
                 Some(Ok(frame)) => match frame.into_data() {
                     Ok(data) => data,
@@ -163,10 +162,10 @@
                 },
             };
             self.source.running.first_event();
-            silent_until = self.silence_limit(patience);
+            stalled_at = self.stall_deadline(stall_timeout);
             let passed = if self.settings.resumable {
                 match self.splitter.push(&data) {
-                    Some(whole) => whole,
+                    Some(complete) => complete,
                     None => return SourceEnd::Broken,
                 }
             } else {
@@ -176,8 +175,8 @@
         }
     }
 
-    /// Hands on what waits for the caller; false where it has gone.
-    async fn hand_rest_on(unread: &mut UnreadBuffer, sender: &Sender) -> bool {
+    /// Forwards the buffered data; false if the caller has disconnected.
+    async fn forward_remaining(unread: &mut UnreadBuffer, sender: &Sender) -> bool {
         while let Some(piece) = unread.pop() {
             if sender.send(Ok(piece)).await.is_err() {
                 return false;
@@ -186,36 +185,38 @@
         true
     }
 
-    /// Hands on what came, then cuts the answer. The replica is let go before that.
-    async fn cut(self, sender: &Sender, why: &'static str) {
+    /// Forwards the buffered data, then aborts the response. The replica is released first.
+    async fn abort(self, sender: &Sender, why: &'static str) {
         let Pump {
             source, mut unread, ..
         } = self;
         drop(source);
-        if Self::hand_rest_on(&mut unread, sender).await {
+        if Self::forward_remaining(&mut unread, sender).await {
             let _ = sender.send(Err(why.into())).await;
         }
     }
 
-    /// A stream that cannot go on elsewhere is waited for until its time is up.
-    fn silence_limit(&self, patience: Duration) -> Instant {
-        let until = self.settings.until;
-        let can_move =
-            self.settings.resumable && self.settings.sends_left > 0 && self.splitter.events() > 0;
+    /// Time until which the next data is awaited. For a stream that cannot be resumed elsewhere
+    /// that is its deadline.
+    fn stall_deadline(&self, stall_timeout: Duration) -> Instant {
+        let deadline = self.settings.deadline;
+        let can_move = self.settings.resumable
+            && self.settings.remaining_sends > 0
+            && self.splitter.events() > 0;
         if can_move {
-            until.min(Instant::now() + patience)
+            deadline.min(Instant::now() + stall_timeout)
         } else {
-            until
+            deadline
         }
     }
 
-    /// Goes on after the last whole event at another replica.
+    /// Resumes at another replica after the last complete event.
     async fn resume(&mut self) -> Option<Source> {
         self.splitter.drop_partial();
-        while self.settings.resumable && self.settings.sends_left > 0 {
+        while self.settings.resumable && self.settings.remaining_sends > 0 {
             let outgoing = &self.settings.outgoing;
             let known_ends = self.shared.known_ends(outgoing).await?;
-            if self.shared.is_tried_alone_enough(&known_ends) {
+            if self.shared.is_refused_while_isolated(&known_ends) {
                 return None;
             }
             let homes = self.shared.homes(outgoing);
@@ -229,13 +230,13 @@
                 homes: &homes,
                 rank: self.settings.rank,
                 due: Instant::now() + self.settings.gap,
-                until: self.settings.until,
+                deadline: self.settings.deadline,
             };
-            let Some(Placed { chosen, lease }) = search.run().await else {
+            let Some(Placement { chosen, lease }) = search.run().await else {
                 self.wait_for_cold(&homes).await?;
                 continue;
             };
-            self.settings.sends_left -= 1;
+            self.settings.remaining_sends -= 1;
             self.settings.tried.push(chosen.id.clone());
             let target = Target {
                 chosen: &chosen,
@@ -244,8 +245,8 @@
                 lease: Some(lease),
                 last_event: self.splitter.last_id(),
                 limits: Limits {
-                    until: self.settings.until,
-                    head_until: self.settings.until,
+                    deadline: self.settings.deadline,
+                    head_deadline: self.settings.deadline,
                 },
             };
             let sending = exchange(&self.shared, outgoing, &self.settings.prompt, target);
@@ -260,12 +261,12 @@
                         running: opened.running,
                     });
                 }
-                Exchange::Evacuated | Exchange::OutsideHomes => self.not_sent(),
-                Exchange::NotRun(_) | Exchange::Suspected => self.settings.sends_left += 1,
+                Exchange::Evacuated | Exchange::OutsideHomes => self.undo_send(),
+                Exchange::NotRun(_) | Exchange::Suspected => self.settings.remaining_sends += 1,
                 Exchange::Cold => {
-                    // It may go there later.
+                    // The stream may be sent to this replica later.
                     self.settings.tried.pop();
-                    self.settings.sends_left += 1;
+                    self.settings.remaining_sends += 1;
                 }
                 Exchange::Answered(_) | Exchange::Unknown => {}
                 Exchange::TimedOut | Exchange::KeyRefused(_) => return None,
@@ -274,7 +275,8 @@
         None
     }
 
-    /// Waits until a cold replica may be sent the stream; `None` where none may in its time.
+    /// Waits until the stream may be sent to a cold replica; `None` if that is not possible
+    /// before the deadline.
     async fn wait_for_cold(&self, homes: &HomeZones) -> Option<()> {
         let need = RequestNeeds {
             service: &self.settings.service,
@@ -282,26 +284,26 @@
             except: &self.settings.tried,
             homes: homes.as_ref(),
         };
-        let next = self.shared.next_cold_in(&need)?;
-        let left = self
+        let next = self.shared.cold_send_delay(&need)?;
+        let remaining = self
             .settings
-            .until
+            .deadline
             .saturating_duration_since(Instant::now());
-        if next.is_zero() || next >= left {
+        if next.is_zero() || next >= remaining {
             return None;
         }
         sleep(next).await;
         Some(())
     }
 
-    /// The replica that it was to go on at was not sent it, and may be once its zone is no
-    /// longer evacuated, or is a home again.
-    fn not_sent(&mut self) {
-        self.settings.sends_left += 1;
+    /// Takes a send back: the stream was not sent to the replica and may be once the zone is no
+    /// longer evacuated or is a home again.
+    fn undo_send(&mut self) {
+        self.settings.remaining_sends += 1;
         self.settings.tried.pop();
     }
 
-    /// The whole answer came. The replica is let go before its caller has taken it all.
+    /// Completes a stream. The replica is released before the caller has taken all data.
     async fn finish(self, sender: &Sender) {
         let is_sampled = self.shared.is_sampled();
         let Pump {
@@ -317,14 +319,14 @@
             running,
             ..
         } = source;
-        running.came_to_an_end();
+        running.completed();
         drop(running);
         let keep = async {
             if connection.is_usable_again().await {
-                shared.connections.give_back(connection);
+                shared.connections.put_back(connection);
             }
         };
-        let (is_taken, ()) = tokio::join!(Self::hand_rest_on(&mut unread, sender), keep);
+        let (is_taken, ()) = tokio::join!(Self::forward_remaining(&mut unread, sender), keep);
         if !is_taken {
             return;
         }
@@ -335,7 +337,7 @@
         shared.note_served(&settings.route, settings.arrived);
     }
 
-    fn ended(&self, end: RequestEnd) {
+    fn record_end(&self, end: RequestEnd) {
         let counters = &self.shared.counters;
         counters.request_ended(&self.settings.route, end);
     }
--- a/crates/relay/src/quotas.rs
+++ b/crates/relay/src/quotas.rs
@@ -1,5 +1,5 @@
-//! Limits of tenants: asks [`FleetQuota`] for leave, carries its messages, and counts what
-//! is sent.
+//! Tenant limits: requests permits from [`FleetQuota`], carries its messages between gateways,
+//! and counts sends.
 
 use std::{
     collections::HashMap,
@@ -22,16 +22,16 @@
 
 use crate::counters::Counters;
 
-/// A gateway that does not answer within this is asked once more, and then no longer
-/// waited for. Gateways are a few milliseconds apart.
-const ANSWER_LIMIT: Duration = Duration::from_millis(12);
-/// Leave that was given longer ago than this counts as of the send, in milliseconds: as
-/// long as a lease of requests holds.
-const LEAVE_MS: u64 = 1_000;
-/// Leave that was used, in place of when it was given.
-const USED: u64 = u64::MAX;
+/// A gateway that does not answer within this time is asked once more and then no longer waited
+/// for. Gateways are a few milliseconds apart.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(12);
+/// A permit granted longer ago than this is counted at the time of the send, in milliseconds.
+/// Equal to the duration of a lease of requests.
+const PERMIT_MS: u64 = 1_000;
+/// Marks a used permit, in place of its grant time.
+const PERMIT_USED: u64 = u64::MAX;
 
-/// Limits of tenants at this gateway.
+/// Tenant limits at this gateway.
 pub(crate) struct Quotas {
     gateway: GatewayNode,
     clock: Clock,
@@ -45,10 +45,10 @@
     last_ticket: u64,
 }
 
-/// Leave to send a tenant's request once.
+/// Permit to send a tenant's request once.
 #[derive(Debug)]
-pub(crate) struct Leave {
-    given_ms: AtomicU64,
+pub(crate) struct Permit {
+    granted_ms: AtomicU64,
 }
 
 impl Quotas {
@@ -69,79 +69,82 @@
         }
     }
 
-    /// Leave for a request of a tenant; where it is beyond the limit, when to come back.
-    pub(crate) async fn admit(&self, tenant: &Tenant) -> Result<Leave, Duration> {
+    /// Requests a permit for a tenant's request. If the tenant is over the limit, returns the
+    /// time after which to retry.
+    pub(crate) async fn admit(&self, tenant: &Tenant) -> Result<Permit, Duration> {
         let began = Instant::now();
         let (ticket, mut verdict) = self.ask(tenant);
         let verdict = loop {
-            match timeout(ANSWER_LIMIT, &mut verdict).await {
+            match timeout(ANSWER_TIMEOUT, &mut verdict).await {
                 Ok(Ok(verdict)) => break verdict,
-                // The teller is only dropped with this relay.
+                // The sender is dropped only with this relay.
                 Ok(Err(_)) => break QuotaVerdict::Admitted,
-                Err(_) => self.no_answer(ticket, tenant),
+                Err(_) => self.handle_answer_timeout(ticket, tenant),
             }
         };
-        self.counters.quota_after(began.elapsed());
+        self.counters.record_quota_wait(began.elapsed());
         match verdict {
-            QuotaVerdict::Admitted => Ok(Leave {
-                given_ms: AtomicU64::new(self.clock.now_ms()),
+            QuotaVerdict::Admitted => Ok(Permit {
+                granted_ms: AtomicU64::new(self.clock.now_ms()),
             }),
             QuotaVerdict::Refused { retry_after_ms } => Err(Duration::from_millis(retry_after_ms)),
         }
     }
 
-    /// A tenant's request is about to be sent.
-    pub(crate) fn count_send(&self, tenant: &Tenant, leave: &Leave) {
-        let given_ms = leave.given_ms.swap(USED, Ordering::Relaxed);
+    /// Counts a tenant's request that is about to be sent.
+    pub(crate) fn count_send(&self, tenant: &Tenant, permit: &Permit) {
+        let granted_ms = permit.granted_ms.swap(PERMIT_USED, Ordering::Relaxed);
         let now_ms = self.clock.now_ms();
-        if given_ms == USED {
+        if granted_ms == PERMIT_USED {
             self.with_view(|state, view| state.quota.record_resend(tenant, view));
-        } else if now_ms > given_ms.saturating_add(LEAVE_MS) {
+        } else if now_ms > granted_ms.saturating_add(PERMIT_MS) {
             self.with_view(|state, view| state.quota.record_late_send(tenant, view));
         }
     }
 
-    /// What was about to be sent was not: no replica ran it.
-    pub(crate) fn not_sent(&self, leave: &Leave) {
-        leave.given_ms.store(self.clock.now_ms(), Ordering::Relaxed);
+    /// Makes the permit usable again: the request was not sent, or no replica ran it.
+    pub(crate) fn not_sent(&self, permit: &Permit) {
+        permit
+            .granted_ms
+            .store(self.clock.now_ms(), Ordering::Relaxed);
     }
 
-    /// Takes what another gateway says of limits.
-    pub(crate) fn take_message(&self, from: MachineId, message: QuotaMessage) {
-        self.carry_out(|state, view| state.quota.handle_message(from, message, view));
+    /// Handles a quota message from another gateway.
+    pub(crate) fn handle_message(&self, from: MachineId, message: QuotaMessage) {
+        self.apply_actions(|state, view| state.quota.handle_message(from, message, view));
     }
 
-    pub(crate) fn upkeep(&self) {
-        self.carry_out(|state, view| state.quota.run_maintenance(view));
+    pub(crate) fn run_maintenance(&self) {
+        self.apply_actions(|state, view| state.quota.run_maintenance(view));
     }
 
     fn ask(&self, tenant: &Tenant) -> (Ticket, oneshot::Receiver<QuotaVerdict>) {
-        let (teller, verdict) = oneshot::channel();
+        let (sender, verdict) = oneshot::channel();
         let mut asked = Ticket(0);
-        self.carry_out(|state, view| {
+        self.apply_actions(|state, view| {
             state.last_ticket += 1;
             asked = Ticket(state.last_ticket);
-            state.waiting.insert(asked, teller);
+            state.waiting.insert(asked, sender);
             state.quota.request(asked, tenant, view)
         });
         (asked, verdict)
     }
 
-    /// Nobody answered: the decision is made here, or somebody is asked once more.
-    fn no_answer(&self, ticket: Ticket, tenant: &Tenant) {
+    /// No answer in time: the quota decides locally or asks another gateway.
+    fn handle_answer_timeout(&self, ticket: Ticket, tenant: &Tenant) {
         self.counters.quota_unanswered.inc();
-        self.carry_out(|state, view| state.quota.answer_timed_out(ticket, tenant, view));
+        self.apply_actions(|state, view| state.quota.answer_timed_out(ticket, tenant, view));
     }
 
-    fn carry_out(&self, decide: impl FnOnce(&mut State, &QuotaView<'_>) -> Vec<QuotaAction>) {
+    fn apply_actions(&self, decide: impl FnOnce(&mut State, &QuotaView<'_>) -> Vec<QuotaAction>) {
         let actions = self.with_view(decide);
         for action in actions {
             match action {
                 QuotaAction::Decide { ticket, verdict } => {
                     let waiting = self.state.lock().waiting.remove(&ticket);
-                    if let Some(teller) = waiting {
-                        // A caller who left meanwhile is not told.
-                        let _ = teller.send(verdict);
+                    if let Some(sender) = waiting {
+                        // The caller may have disconnected.
+                        let _ = sender.send(verdict);
                     }
                 }
                 QuotaAction::Send { to, message } => self.send(to, message),
--- a/crates/relay/src/relay.rs
+++ b/crates/relay/src/relay.rs
@@ -1,4 +1,4 @@
-//! Callers' requests as they come in.
+//! Entry point of callers' requests.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,13 +14,13 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::{
-    attempt::{Attempt, COME_BACK_AFTER},
+    attempt::{Attempt, DEFAULT_RETRY_AFTER},
     body::read_body,
-    callers::{Caller, KeyPolicy, name_tenant},
+    callers::{Caller, KeyPolicy, set_tenant_header},
     counters::RequestEnd,
     dialect::Dialect,
     exchange::{Admitted, Outgoing, strip_connection_headers},
-    following::{follow_fleet, follow_gateways, keep_slots},
+    following::{follow_fleet, follow_gateways, maintain},
     planned_stop::PlannedStop,
     response::{ResponseBody, error_response},
     shared::Shared,
@@ -31,25 +31,25 @@
 pub struct RelaySettings {
     /// The zone of this gateway.
     pub zone: String,
-    /// Seed of choices between equals.
+    /// Seed of random choices between equal candidates.
     pub seed: u64,
-    /// How strictly keys that were taken away are refused.
+    /// How strictly revoked keys are refused.
     pub keys: KeyPolicy,
-    /// How tenants' limits are counted.
+    /// Settings of tenant limits.
     pub quota: QuotaSettings,
-    /// How far the fleet may go beyond what cold replicas bear.
+    /// How far the fleet may exceed the declared limits of cold replicas.
     pub cold: ColdSettings,
-    /// Bytes of requests and answers that may be held before new requests are refused.
+    /// Bytes of requests and responses that may be buffered before new requests are refused.
     pub max_buffered_bytes: u64,
-    /// Longest time from being told to stop to the end of the process.
+    /// Maximum time from the request to stop to the end of the process.
     pub stop_within: Duration,
 }
 
-/// A quarter of a small machine of 160 MB: the rest is the process itself, the fleet as it
-/// knows it, and what its connections hold.
-const DEFAULT_HELD_BYTES: u64 = 40 * 1024 * 1024;
-/// What service managers allow by default before they kill a process.
-const DEFAULT_ENDS_WITHIN: Duration = Duration::from_secs(30);
+/// A quarter of the memory of a small machine of 160 MB; the remaining memory is for the process
+/// itself, its view of the fleet and its connections.
+const DEFAULT_MAX_BUFFERED_BYTES: u64 = 40 * 1024 * 1024;
+/// Default time that service managers allow before they kill a process.
+const DEFAULT_STOP_WITHIN: Duration = Duration::from_secs(30);
 
 impl Default for RelaySettings {
     fn default() -> Self {
@@ -59,13 +59,13 @@
             keys: KeyPolicy::default(),
             quota: QuotaSettings::default(),
             cold: ColdSettings::default(),
-            max_buffered_bytes: DEFAULT_HELD_BYTES,
-            stop_within: DEFAULT_ENDS_WITHIN,
+            max_buffered_bytes: DEFAULT_MAX_BUFFERED_BYTES,
+            stop_within: DEFAULT_STOP_WITHIN,
         }
     }
 }
 
-/// Relays callers' requests. Clones share it.
+/// Relays callers' requests. Clones share the state.
 #[derive(Clone)]
 pub struct Relay {
     pub(crate) shared: Arc<Shared>,
@@ -73,7 +73,7 @@
 }
 
 impl Relay {
-    /// A relay of this gateway.
+    /// Starts the relay of a gateway.
     #[must_use]
     pub fn new(
         gateway: GatewayNode,
@@ -87,18 +87,18 @@
         let shared = Arc::new(shared);
         tokio::spawn(follow_fleet(Arc::clone(&shared), gateway.clone()));
         tokio::spawn(follow_gateways(Arc::clone(&shared), gateway));
-        tokio::spawn(keep_slots(Arc::clone(&shared)));
+        tokio::spawn(maintain(Arc::clone(&shared)));
         Relay { shared, stopping }
     }
 
-    /// The table in force here; `None` before one was learned.
+    /// The route table in force here; `None` before one was received.
     #[must_use]
     pub fn table(&self) -> Option<Arc<RouteTable>> {
         self.shared.table()
     }
 
-    /// The fleet as it is known here, once a table is in force; where none was learned
-    /// yet, the first that comes within the limit.
+    /// The current view of the fleet if a route table is in force; otherwise the first such view
+    /// within the limit.
     pub async fn wait_for_fleet(&self, limit: Duration) -> Option<Arc<FleetView>> {
         let mut views = self.shared.gateway.follow();
         let arrives = views.wait_for(|view| view.table().is_some());
@@ -109,10 +109,10 @@
         Some(Arc::clone(&view))
     }
 
-    /// Whose a call is; `None` where it needs no key and shows none that is known.
+    /// Identifies the caller; `None` if the call needs no key and has no known key.
     ///
     /// # Errors
-    /// The answer to a caller whose key is not known.
+    /// The response to a caller whose key is missing, unknown or cannot be checked.
     pub fn caller(
         &self,
         fleet: &FleetView,
@@ -123,7 +123,7 @@
         caller.map_err(|refusal| Box::new(refusal.answer()))
     }
 
-    /// Takes out of a job's items what its caller said of itself: keys are not kept.
+    /// Removes credentials and tenant headers from a job's items, so that keys are not stored.
     pub fn strip_credentials(&self, fleet: &FleetView, items: &mut [ItemSpec]) {
         if !fleet.tenants().are_listed() {
             return;
@@ -138,13 +138,13 @@
         }
     }
 
-    /// Requests and items under way at a service.
+    /// Number of requests and items that this gateway is running at a service.
     #[must_use]
     pub fn own_running(&self, service: &str) -> u32 {
         self.shared.own_running(service)
     }
 
-    /// Figures since the start, as Prometheus text.
+    /// Metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics_text(&self) -> String {
         let gateway = &self.shared.gateway;
@@ -154,7 +154,7 @@
         let age_ms = gateway.knowledge_age_ms();
         counters.knowledge_age_ms.set(age_ms as i64);
         counters.control_links.set(gateway.control_links() as i64);
-        counters.held_bytes.set(self.shared.held.bytes() as i64);
+        counters.held_bytes.set(self.shared.buffered.bytes() as i64);
         let listed = gateway.coordinators().len();
         counters.listed_gateways.set(listed as i64);
         let silent = gateway.silent_coordinators().len();
@@ -162,24 +162,24 @@
         counters.to_text()
     }
 
-    /// The gateway that this relay serves.
+    /// The gateway node of this relay.
     #[must_use]
     pub fn gateway(&self) -> &GatewayNode {
         &self.shared.gateway
     }
 
-    /// Whether the process is to stop.
+    /// Whether the process was asked to stop.
     #[must_use]
     pub fn is_stopping(&self) -> bool {
         self.stopping.is_cancelled()
     }
 
-    /// Cancelled when the process is to stop.
+    /// Cancelled when the process is asked to stop.
     pub(crate) fn stopping(&self) -> CancellationToken {
         self.stopping.clone()
     }
 
-    /// Relays a request of a route.
+    /// Relays a request that matched a route.
     pub async fn relay(
         &self,
         fleet: &FleetView,
@@ -203,15 +203,19 @@
         };
         let limit = time_limit(&head.headers, names, route);
         let now_ms = self.shared.clock.now_ms();
-        if let Some(left) = self.shared.stop.too_short_for(&route.name, limit, now_ms) {
-            return self.refuse_before_the_end(&request_id, route, left);
+        if let Some(remaining) = self
+            .shared
+            .stop
+            .remaining_if_too_short(&route.name, limit, now_ms)
+        {
+            return self.refuse_as_stopping(&request_id, route, remaining);
         }
-        if !self.shared.held.has_room() {
-            return self.refuse_without_room(&request_id, route);
+        if !self.shared.buffered.has_capacity() {
+            return self.refuse_over_buffer_limit(&request_id, route);
         }
-        let until = arrived + limit;
-        let body = match read_body(body, table.limits.body_bytes, until).await {
-            Ok(body) => self.shared.held.keep(body),
+        let deadline = arrived + limit;
+        let body = match read_body(body, table.limits.body_bytes, deadline).await {
+            Ok(body) => self.shared.buffered.wrap(body),
             Err(kind) => return error_response(kind, None),
         };
         let tenant = caller.as_ref().map(|caller| caller.tenant.name.clone());
@@ -222,7 +226,7 @@
         };
         let homes = self.shared.homes_of(route, tenant.as_deref());
         let Some(service) = self.shared.pick_service(route, &homes) else {
-            return error_response(ErrorKind::NoBackEnd, Some(COME_BACK_AFTER));
+            return error_response(ErrorKind::NoBackEnd, Some(DEFAULT_RETRY_AFTER));
         };
         let prompt = self.shared.dialect.prompt(&head.headers);
         let mut headers = head.headers;
@@ -230,7 +234,7 @@
         headers.remove(header::CONTENT_LENGTH);
         headers.remove(&names.deadline_ms);
         let are_listed = fleet.tenants().are_listed();
-        name_tenant(&mut headers, names, are_listed, tenant.as_deref());
+        set_tenant_header(&mut headers, names, are_listed, tenant.as_deref());
         let attempt = Attempt {
             shared: &self.shared,
             route,
@@ -248,7 +252,7 @@
             }),
             rank: rank.unwrap_or(route.priority),
             prompt,
-            until,
+            deadline,
             arrived,
             tried: Vec::new(),
             runs: 0,
@@ -259,37 +263,37 @@
         attempt.run().await
     }
 
-    /// The answer to a request that may outlast this process. Other gateways take it at once.
-    fn refuse_before_the_end(
+    /// Refuses a request that may outlast this process; other gateways accept it at once.
+    fn refuse_as_stopping(
         &self,
         request_id: &HeaderValue,
         route: &Route,
-        left: Duration,
+        remaining: Duration,
     ) -> Response<ResponseBody> {
         let counters = &self.shared.counters;
         counters.request_ended(&route.name, RequestEnd::Stopping);
-        info!(self.shared.logger, "request: refused, this gateway ends before it may";
+        info!(self.shared.logger, "request: refused, gateway stops before it could be answered";
             "request" => request_id.to_str().unwrap_or_default(), "route" => &route.name,
-            "left_ms" => left.as_millis() as u64);
+            "left_ms" => remaining.as_millis() as u64);
         error_response(ErrorKind::Stopping, Some(Duration::ZERO))
     }
 
-    /// The answer to a request that comes while too much is held for others who read slowly.
-    fn refuse_without_room(
+    /// Refuses a request while the buffers for slow readers are full.
+    fn refuse_over_buffer_limit(
         &self,
         request_id: &HeaderValue,
         route: &Route,
     ) -> Response<ResponseBody> {
         let counters = &self.shared.counters;
         counters.request_ended(&route.name, RequestEnd::NoRoom);
-        info!(self.shared.logger, "request: refused, too much is held for slow readers";
+        info!(self.shared.logger, "request: refused, buffers for slow readers are full";
             "request" => request_id.to_str().unwrap_or_default(),
-            "held_bytes" => self.shared.held.bytes());
-        error_response(ErrorKind::Overloaded, Some(COME_BACK_AFTER))
+            "held_bytes" => self.shared.buffered.bytes());
+        error_response(ErrorKind::Overloaded, Some(DEFAULT_RETRY_AFTER))
     }
 
-    /// Lets a tenant's request in, if it is within the tenant's limit. What is beyond it
-    /// is refused before it takes anything.
+    /// Admits a tenant's request if it is within the tenant's limit. A request over the limit is
+    /// refused before it uses any resources.
     async fn admit(
         &self,
         caller: Option<Caller>,
@@ -300,24 +304,26 @@
             return Ok(None);
         };
         match self.shared.quotas.admit(&caller.tenant).await {
-            Ok(leave) => Ok(Some(Admitted { caller, leave })),
-            Err(again_in) => {
+            Ok(permit) => Ok(Some(Admitted { caller, permit })),
+            Err(retry_in) => {
                 let counters = &self.shared.counters;
                 counters.request_ended(&route.name, RequestEnd::OverLimit);
-                info!(self.shared.logger, "request: beyond the tenant's limit";
+                info!(self.shared.logger, "request: over the tenant's limit";
                     "request" => request_id.to_str().unwrap_or_default(),
-                    "tenant" => &caller.tenant.name, "again_in_ms" => again_in.as_millis() as u64);
+                    "tenant" => &caller.tenant.name, "again_in_ms" => retry_in.as_millis() as u64);
                 let kind = ErrorKind::RequestRateLimited;
-                Err(Box::new(error_response(kind, Some(again_in))))
+                Err(Box::new(error_response(kind, Some(retry_in))))
             }
         }
     }
 }
 
-/// How long a request may be held: the caller's time, but no more than the route's.
+/// Time limit of a request: the caller's deadline, but at most the route's time-out.
 fn time_limit(headers: &HeaderMap, names: &crate::dialect::HeaderNames, route: &Route) -> Duration {
-    let told = headers.get(&names.deadline_ms).and_then(parse_number);
-    let limit_ms = told.map_or(route.timeout_ms, |told| told.min(route.timeout_ms));
+    let requested = headers.get(&names.deadline_ms).and_then(parse_number);
+    let limit_ms = requested.map_or(route.timeout_ms, |requested| {
+        requested.min(route.timeout_ms)
+    });
     Duration::from_millis(limit_ms)
 }
 
