--- a/crates/relay/src/replica_ends.rs
+++ b/crates/relay/src/replica_ends.rs
@@ -1,10 +1,9 @@
-//! Finding out whether a replica ended under the requests that broke off there.
+//! Determines whether a replica ended under the requests that were interrupted there.
 //!
-//! A broken connection tells little: it may have been reset on the way, or the
-//! answer cut short, while the replica lives on. Its process has ended if its
-//! address takes no connections any more, or if control tells within seconds that
-//! another incarnation has its place. A replica that was told to be leaving ends
-//! by plan, and nobody is to blame.
+//! A broken connection is weak evidence: it may have been reset on the way, or the response cut,
+//! while the replica is still running. A replica process has ended if its address refuses
+//! connections, or if control reports within seconds that another incarnation has replaced it. A
+//! replica that was known to be draining ends as planned and raises no suspicion.
 
 use std::{
     collections::HashMap, future::Future, io::ErrorKind as IoErrorKind, sync::Arc, time::Duration,
@@ -19,185 +18,192 @@
     sync::{mpsc, watch},
 };
 
-use crate::{shared::Shared, suspicions::TELL_LIMIT};
+use crate::{shared::Shared, suspicions::CONTROL_REPORT_TIMEOUT};
 
-/// Runs that break off within this of each other are looked into together: a
-/// process that ends breaks all its connections within two milliseconds.
-const GATHER_FOR: Duration = Duration::from_millis(3);
-/// Longest wait for an answer of the replica's machine. A dead port answers
-/// within a round trip; a dark machine never does.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// A replica that ended and could not be asked is followed by another incarnation
-/// within this time, else it is taken for alive.
-const SUCCESSOR_LIMIT: Duration = Duration::from_secs(6);
-/// Runs of one replica that are remembered; an engine has some tens of slots.
-const MOST_RUNS: usize = 256;
+/// Runs that are interrupted within this time of each other are investigated together: a process
+/// that ends breaks all its connections within two milliseconds.
+const GATHER_INTERVAL: Duration = Duration::from_millis(3);
+/// Maximum wait for an answer of the replica's machine. A closed port answers within a round
+/// trip; a machine that is down never does.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A replica that ended and could not be probed is replaced by another incarnation within this
+/// time; otherwise it counts as running.
+const SUCCESSOR_TIMEOUT: Duration = Duration::from_secs(6);
+/// Maximum number of recorded runs per replica; an engine has some tens of slots.
+const MAX_RUNS: usize = 256;
 
-/// A request whose run broke off.
+/// A request whose run was interrupted.
 #[derive(Clone, Debug)]
-pub(crate) struct BrokenRun {
+pub(crate) struct InterruptedRun {
     pub(crate) run: EndedRun,
-    /// The caller's id of it.
+    /// The request id.
     pub(crate) request: String,
 }
 
-/// Runs that broke off lately, by replica, each with a task that finds out why.
+/// Recently interrupted runs by replica, each with a task that investigates the cause.
 #[derive(Default)]
-pub(crate) struct BrokenRuns {
+pub(crate) struct InterruptedRuns {
     state: Mutex<State>,
-    /// Changes whenever a replica was asked.
-    asked: watch::Sender<()>,
+    /// Notified whenever a replica has been probed.
+    probed: watch::Sender<()>,
 }
 
 #[derive(Default)]
 struct State {
-    /// Inquiries under way, by replica.
-    inquiries: HashMap<String, mpsc::Sender<BrokenRun>>,
-    /// Requests that broke off at replicas that were not asked yet.
-    unasked: Vec<Unasked>,
+    /// Ongoing investigations by replica.
+    investigations: HashMap<String, mpsc::Sender<InterruptedRun>>,
+    /// Interrupted requests at replicas that have not been probed yet.
+    unprobed: Vec<UnprobedRun>,
 }
 
-struct Unasked {
+struct UnprobedRun {
     fingerprint: RequestFingerprint,
     replica: String,
 }
 
-impl BrokenRuns {
-    /// Whether every replica where something broke off was asked.
-    pub(crate) fn is_settled(&self) -> bool {
-        self.state.lock().unasked.is_empty()
+impl InterruptedRuns {
+    /// Whether every replica with interrupted runs has been probed.
+    pub(crate) fn all_probed(&self) -> bool {
+        self.state.lock().unprobed.is_empty()
     }
 
-    /// Waits until the replicas where copies of a request broke off were asked, some
-    /// milliseconds: the next copy is not to be sent in ignorance of the one before.
-    pub(crate) async fn settled(&self, fingerprint: &RequestFingerprint) {
-        let mut asked = self.asked.subscribe();
-        let until = Instant::now() + GATHER_FOR + CONNECT_LIMIT;
-        while self.is_unasked(fingerprint) {
-            if timeout_at(until, asked.changed()).await.is_err() {
+    /// Waits until the replicas where copies of a request were interrupted have been probed,
+    /// which takes some milliseconds: the next copy must not be sent without the result for the
+    /// previous one.
+    pub(crate) async fn wait_until_probed(&self, fingerprint: &RequestFingerprint) {
+        let mut probed = self.probed.subscribe();
+        let deadline = Instant::now() + GATHER_INTERVAL + CONNECT_TIMEOUT;
+        while self.is_unprobed(fingerprint) {
+            if timeout_at(deadline, probed.changed()).await.is_err() {
                 return;
             }
         }
     }
 
-    fn is_unasked(&self, fingerprint: &RequestFingerprint) -> bool {
+    fn is_unprobed(&self, fingerprint: &RequestFingerprint) -> bool {
         let state = self.state.lock();
-        let mut unasked = state.unasked.iter();
-        unasked.any(|unasked| unasked.fingerprint == *fingerprint)
+        let mut unprobed = state.unprobed.iter();
+        unprobed.any(|unprobed| unprobed.fingerprint == *fingerprint)
     }
 
-    /// Notes a run; the receiver of further ones, where a new inquiry is to begin.
-    fn note(&self, replica: &str, run: BrokenRun) -> Option<mpsc::Receiver<BrokenRun>> {
+    /// Records a run. Returns a receiver for further runs if a new investigation is to begin.
+    fn note(&self, replica: &str, run: InterruptedRun) -> Option<mpsc::Receiver<InterruptedRun>> {
         let mut state = self.state.lock();
-        state.unasked.push(Unasked {
+        state.unprobed.push(UnprobedRun {
             fingerprint: run.run.fingerprint,
             replica: replica.to_owned(),
         });
-        if let Some(open) = state.inquiries.get(replica) {
-            // Beyond the bound the replica has more witnesses than it needs.
+        if let Some(open) = state.investigations.get(replica) {
+            // Runs over the limit are not needed as evidence.
             let _ = open.try_send(run);
             return None;
         }
-        let (sender, runs) = mpsc::channel(MOST_RUNS);
+        let (sender, runs) = mpsc::channel(MAX_RUNS);
         let _ = sender.try_send(run);
-        state.inquiries.insert(replica.to_owned(), sender);
+        state.investigations.insert(replica.to_owned(), sender);
         Some(runs)
     }
 
-    fn note_asked(&self, replica: &str) {
+    fn mark_probed(&self, replica: &str) {
         let mut state = self.state.lock();
-        state.unasked.retain(|unasked| unasked.replica != replica);
-        self.asked.send_replace(());
+        state
+            .unprobed
+            .retain(|unprobed| unprobed.replica != replica);
+        self.probed.send_replace(());
     }
 
-    fn end_inquiry(&self, replica: &str) {
-        self.state.lock().inquiries.remove(replica);
-        self.note_asked(replica);
+    fn end_investigation(&self, replica: &str) {
+        self.state.lock().investigations.remove(replica);
+        self.mark_probed(replica);
     }
 }
 
-/// Notes that a run broke off at a replica, and finds out whether that has ended.
-pub(crate) fn find_out(shared: &Arc<Shared>, replica: &str, address: &str, run: BrokenRun) {
-    let Some(incoming) = shared.broken_runs.note(replica, run) else {
+/// Records that a run was interrupted at a replica, and investigates whether the replica has
+/// ended.
+pub(crate) fn investigate(shared: &Arc<Shared>, replica: &str, address: &str, run: InterruptedRun) {
+    let Some(incoming) = shared.interrupted_runs.note(replica, run) else {
         return;
     };
-    let inquiry = Inquiry {
+    let investigation = Investigation {
         shared: Arc::clone(shared),
         replica: replica.to_owned(),
         address: address.to_owned(),
         incoming,
         runs: Vec::new(),
     };
-    tokio::spawn(inquiry.run());
+    tokio::spawn(investigation.run());
 }
 
-/// What shows that a replica ended.
+/// Evidence that a replica ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Evidence {
-    /// Its address refuses connections.
+    /// The address refuses connections.
     Refused,
-    /// Control told that its place was taken, or that it is gone.
+    /// Control reported that the replica was replaced or has ended.
     Replaced,
 }
 
-/// What happened while an inquiry waited.
-enum News {
-    /// Another run broke off there.
-    BrokeAgain,
-    /// The replica is gone and had not been leaving.
+/// What happened while an investigation waited.
+enum Event {
+    /// Another run was interrupted at the replica.
+    AnotherInterruption,
+    /// The replica has ended and was not draining.
     Replaced,
-    /// It is leaving, or nothing happened.
+    /// The replica is draining, or nothing happened in time.
     None,
 }
 
-/// Looks into the end of one replica.
-struct Inquiry {
+/// Investigates the end of one replica.
+struct Investigation {
     shared: Arc<Shared>,
     replica: String,
     address: String,
-    incoming: mpsc::Receiver<BrokenRun>,
-    runs: Vec<BrokenRun>,
+    incoming: mpsc::Receiver<InterruptedRun>,
+    runs: Vec<InterruptedRun>,
 }
 
-impl Inquiry {
+impl Investigation {
     async fn run(mut self) {
         let evidence = self.look_for_evidence().await;
-        self.gather();
+        self.collect_runs();
         self.log(evidence);
-        let telling = evidence.map(|_| self.blame());
-        self.shared.broken_runs.end_inquiry(&self.replica);
-        if let Some(telling) = telling
-            && !telling.await
+        let reporting = evidence.map(|_| self.suspect_runs());
+        self.shared
+            .interrupted_runs
+            .end_investigation(&self.replica);
+        if let Some(reporting) = reporting
+            && !reporting.await
         {
-            warn!(self.shared.logger, "end of a replica not told"; "replica" => &self.replica);
+            warn!(self.shared.logger, "replica end not reported to control";
+                "replica" => &self.replica);
         }
     }
 
     async fn look_for_evidence(&mut self) -> Option<Evidence> {
         loop {
-            sleep(GATHER_FOR).await;
-            self.gather();
-            let until = Instant::now() + SUCCESSOR_LIMIT;
+            sleep(GATHER_INTERVAL).await;
+            self.collect_runs();
+            let deadline = Instant::now() + SUCCESSOR_TIMEOUT;
             if refuses_connections(&self.address).await {
                 return Some(Evidence::Refused);
             }
-            self.shared.broken_runs.note_asked(&self.replica);
-            match self.wait_for_news(until).await {
-                News::BrokeAgain => {}
-                News::Replaced => return Some(Evidence::Replaced),
-                News::None => return None,
+            self.shared.interrupted_runs.mark_probed(&self.replica);
+            match self.wait_for_event(deadline).await {
+                Event::AnotherInterruption => {}
+                Event::Replaced => return Some(Evidence::Replaced),
+                Event::None => return None,
             }
         }
     }
 
-    /// Takes the runs that broke off meanwhile.
-    fn gather(&mut self) {
+    /// Collects the runs that were interrupted meanwhile.
+    fn collect_runs(&mut self) {
         while let Ok(run) = self.incoming.try_recv() {
             self.runs.push(run);
         }
     }
 
-    async fn wait_for_news(&mut self, until: Instant) -> News {
+    async fn wait_for_event(&mut self, deadline: Instant) -> Event {
         let mut views = self.shared.gateway.follow();
         loop {
             let state = {
@@ -206,57 +212,62 @@
             };
             match state {
                 Some(ReplicaState::Ready) => {}
-                Some(ReplicaState::Ended | ReplicaState::Displaced) => return News::Replaced,
-                Some(ReplicaState::Draining) | None => return News::None,
+                Some(ReplicaState::Ended | ReplicaState::Displaced) => return Event::Replaced,
+                Some(ReplicaState::Draining) | None => return Event::None,
             }
             tokio::select! {
                 run = self.incoming.recv() => match run {
                     Some(run) => {
                         self.runs.push(run);
-                        return News::BrokeAgain;
+                        return Event::AnotherInterruption;
                     }
-                    None => return News::None,
+                    None => return Event::None,
                 },
-                changed = timeout_at(until, views.changed()) => match changed {
+                changed = timeout_at(deadline, views.changed()) => match changed {
                     Ok(Ok(())) => {}
-                    Ok(Err(_)) | Err(_) => return News::None,
+                    Ok(Err(_)) | Err(_) => return Event::None,
                 },
             }
         }
     }
 
-    /// Suspects everything that broke off here, at once at this gateway and, if datagrams
-    /// arrive, at all others: the bound holds for the fleet while control has no leader.
-    /// The returned future tells control and is true once that holds it.
-    fn blame(&self) -> impl Future<Output = bool> + use<> {
+    /// Suspects all runs that were interrupted at the replica: at once at this gateway and, if
+    /// datagrams arrive, at all others, so that the limit holds for the fleet while control has
+    /// no leader. The returned future reports to control and yields true once control has
+    /// recorded the report.
+    fn suspect_runs(&self) -> impl Future<Output = bool> + use<> {
         let runs: Vec<EndedRun> = self.runs.iter().map(|b| b.run.clone()).collect();
         self.shared.note_ends(&self.replica, runs.iter());
         let gateway = self.shared.gateway.clone();
         let replica = self.replica.clone();
-        async move { gateway.tell_replica_ended(&replica, runs, TELL_LIMIT).await }
+        async move {
+            gateway
+                .tell_replica_ended(&replica, runs, CONTROL_REPORT_TIMEOUT)
+                .await
+        }
     }
 
     fn log(&self, evidence: Option<Evidence>) {
         let logger = &self.shared.logger;
         let Some(evidence) = evidence else {
-            info!(logger, "replica lives on"; "replica" => &self.replica,
+            info!(logger, "replica still running"; "replica" => &self.replica,
                 "requests" => self.runs.len());
             return;
         };
         info!(logger, "replica ended"; "replica" => &self.replica,
             "evidence" => ?evidence, "requests" => self.runs.len());
-        for broken in &self.runs {
-            info!(logger, "request: replica ended under it"; "request" => &broken.request,
-                "replica" => &self.replica, "content" => broken.run.fingerprint.to_string(),
-                "known_ends" => broken.run.known.lengths_ms.len(),
-                "known_clearings" => broken.run.known.clearings,
-                "ran_ms" => broken.run.ran_ms);
+        for interrupted in &self.runs {
+            info!(logger, "request: replica ended while running it";
+                "request" => &interrupted.request, "replica" => &self.replica, "content" => interrupted.run.fingerprint.to_string(),
+                "known_ends" => interrupted.run.known.lengths_ms.len(),
+                "known_clearings" => interrupted.run.known.clearings,
+                "ran_ms" => interrupted.run.ran_ms);
         }
     }
 }
 
-/// Whether nobody listens at an address any more, and its machine says so.
+/// Whether the machine at an address reports that no process listens there.
 async fn refuses_connections(address: &str) -> bool {
-    let connecting = timeout(CONNECT_LIMIT, TcpStream::connect(address)).await;
+    let connecting = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     matches!(connecting, Ok(Err(error)) if error.kind() == IoErrorKind::ConnectionRefused)
 }
--- a/crates/relay/src/running_guard.rs
+++ b/crates/relay/src/running_guard.rs
@@ -1,4 +1,4 @@
-//! A request under way at a replica.
+//! A request that is running at a replica.
 
 use std::{sync::Arc, time::Duration};
 
@@ -9,32 +9,32 @@
 
 use crate::{
     exchange::{Outgoing, Target},
-    replica_ends::{self, BrokenRun},
+    replica_ends::{self, InterruptedRun},
     shared::Shared,
     slots::{RunReport, SlotLease},
 };
 
-/// A run without its first event that ends after so long tells that the replica is silent:
-/// three times the longest target of a first event on the users' sheets.
+/// A run that ends without its first event after this time shows that the replica is
+/// unresponsive. Three times the longest first-event target that users have set.
 const SILENT_AFTER: Duration = Duration::from_millis(1_000);
 
-/// A request under way at a replica; it counts there until this is dropped.
+/// A request that is running at a replica; counted there until drop.
 pub(crate) struct RunningGuard {
     shared: Arc<Shared>,
     replica: String,
     address: String,
     outgoing: Arc<Outgoing>,
-    /// Replicas that had ended under it, as was known when it was sent.
+    /// Ends of replicas under copies of the request, as known when it was sent.
     known_ends: EndsInRow,
     began: Instant,
-    /// When it was sent last: opening a connection is no part of its run.
+    /// The time of the last send. Opening a connection is not part of the run.
     sent: Instant,
-    /// How long this process had stood still by then, since its start.
-    still_before: Duration,
+    /// Total process pauses before the last send, since the process started.
+    paused_before: Duration,
     work: RunningWork,
-    /// How it came out, for the replica's coordinator.
+    /// Outcome of the run, for the replica's coordinator.
     pub(crate) report: RunReport,
-    /// The slot that it has; a batch item keeps its own elsewhere.
+    /// The slot lease of the request; a batch item stores its slot elsewhere.
     _lease: Option<SlotLease>,
 }
 
@@ -57,7 +57,10 @@
             None => WorkKind::Item,
         };
         let now_ms = shared.clock.now_ms();
-        let work = shared.board.lock().begin(chosen, prompt, kind, now_ms)?;
+        let work = shared
+            .replica_table
+            .lock()
+            .begin(chosen, prompt, kind, now_ms)?;
         let began = Instant::now();
         Some(RunningGuard {
             shared: Arc::clone(shared),
@@ -67,35 +70,34 @@
             known_ends,
             began,
             sent: began,
-            still_before: shared.gateway.stood_still(),
+            paused_before: shared.gateway.stood_still(),
             work,
             report,
             _lease: lease,
         })
     }
 
-    /// Notes that it is about to be sent.
+    /// Records that the request is about to be sent.
     pub(crate) fn note_sent(&mut self) {
         self.sent = Instant::now();
-        self.still_before = self.shared.gateway.stood_still();
+        self.paused_before = self.shared.gateway.stood_still();
     }
 
-    /// How long it has run, without the time for which this process stood still: that is no
-    /// sign of when the request ends its replica.
+    /// Duration of the run without process pauses, which say nothing about when the request ends
+    /// its replica.
     fn ran(&self) -> Duration {
-        let still = self.shared.gateway.stood_still();
-        let still = still.saturating_sub(self.still_before);
-        self.sent.elapsed().saturating_sub(still)
+        let paused = self.shared.gateway.stood_still();
+        let paused = paused.saturating_sub(self.paused_before);
+        self.sent.elapsed().saturating_sub(paused)
     }
 
-    /// The connection broke, or the answer ended before it was whole: perhaps the
-    /// replica ended.
-    pub(crate) fn broke(&self) {
+    /// The connection broke, or the response was incomplete: the replica may have ended.
+    pub(crate) fn interrupted(&self) {
         self.report.note(RunOutcome::Failed);
         self.shared.note_failure(&self.replica, FailureKind::Broken);
-        self.shared.cold.may_have_ended(&self.replica);
+        self.shared.cold.note_possible_end(&self.replica);
         if self.shared.is_known_ready(&self.replica) {
-            let run = BrokenRun {
+            let run = InterruptedRun {
                 run: EndedRun {
                     fingerprint: self.outgoing.fingerprint(),
                     known: self.known_ends.clone(),
@@ -103,23 +105,23 @@
                 },
                 request: self.outgoing.id().to_owned(),
             };
-            replica_ends::find_out(&self.shared, &self.replica, &self.address, run);
+            replica_ends::investigate(&self.shared, &self.replica, &self.address, run);
         }
     }
 
-    /// The whole answer came: the replica lives on, whatever it was asked.
-    pub(crate) fn came_to_an_end(&self) {
+    /// The response was complete: the replica survived the request.
+    pub(crate) fn completed(&self) {
         self.report.note(RunOutcome::Served);
         self.shared.note_success(&self.replica);
         self.shared.clear(&self.outgoing);
     }
 
-    /// The first event came: the prompt was read.
+    /// The first event was received: the prompt has been processed.
     pub(crate) fn first_event(&mut self) {
         if self.work.is_awaited() {
             let now_ms = self.shared.clock.now_ms();
-            let mut board = self.shared.board.lock();
-            board.first_event(&self.replica, &mut self.work, now_ms);
+            let mut replica_table = self.shared.replica_table.lock();
+            replica_table.first_event(&self.replica, &mut self.work, now_ms);
         }
     }
 }
@@ -130,6 +132,9 @@
         if was_silent && self.report.outcome() == RunOutcome::Unknown {
             self.report.note(RunOutcome::Silent);
         }
-        self.shared.board.lock().end(&self.replica, self.work);
+        self.shared
+            .replica_table
+            .lock()
+            .end(&self.replica, self.work);
     }
 }
--- a/crates/relay/src/running_items.rs
+++ b/crates/relay/src/running_items.rs
@@ -1,4 +1,4 @@
-//! Batch items that this gateway has leased, and what their runs have made.
+//! Batch items leased by this gateway, and the events their runs have generated.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -8,93 +8,91 @@
 use parking_lot::Mutex;
 use tokio::task::AbortHandle;
 
-/// What a run has made, shared with who tells the job store of it.
+/// Events that a run has generated, shared with the task that reports progress to the job store.
 #[derive(Clone)]
-pub(crate) struct Made(Arc<Mutex<MadeState>>);
+pub(crate) struct GeneratedProgress(Arc<Mutex<GeneratedState>>);
 
-struct MadeState {
-    made: GeneratedEvents,
-    /// Marks this run, from the beginning of its lease on.
+struct GeneratedState {
+    generated: GeneratedEvents,
+    /// Identifies this run from the beginning of its lease.
     run: RunId,
-    /// The run whose text the next part continues: its own once it told anything.
+    /// The run that the next reported part continues: this run once it has reported anything.
     continues: RunId,
-    /// Events of which the job store was told.
-    told: u32,
+    /// Number of events reported to the job store.
+    reported: u32,
 }
 
-impl Made {
-    /// What earlier runs made, as the job store holds it, and a run that goes on with it.
-    pub(crate) fn new(held: StoredProgress, run: RunId) -> Self {
-        let told = held.made.events.len() as u32;
-        Made(Arc::new(Mutex::new(MadeState {
-            made: held.made,
+impl GeneratedProgress {
+    /// Starts a run that continues the progress stored by the job store.
+    pub(crate) fn new(stored: StoredProgress, run: RunId) -> Self {
+        let reported = stored.made.events.len() as u32;
+        GeneratedProgress(Arc::new(Mutex::new(GeneratedState {
+            generated: stored.made,
             run,
-            continues: held.told_by,
-            told,
+            continues: stored.told_by,
+            reported,
         })))
     }
 
-    /// The run's mark.
     pub(crate) fn run(&self) -> RunId {
         self.0.lock().run
     }
 
-    /// The id of the last event.
     pub(crate) fn last_event(&self) -> Option<u64> {
-        self.0.lock().made.last_event
+        self.0.lock().generated.last_event
     }
 
-    /// Events so far.
+    /// Number of events so far.
     pub(crate) fn events(&self) -> u32 {
-        self.0.lock().made.events.len() as u32
+        self.0.lock().generated.events.len() as u32
     }
 
-    /// Adds whole events.
+    /// Adds complete events.
     pub(crate) fn push(&self, events: Vec<String>, last_event: Option<u64>) {
-        let made = &mut self.0.lock().made;
-        made.events.extend(events);
-        made.last_event = last_event.or(made.last_event);
+        let generated = &mut self.0.lock().generated;
+        generated.events.extend(events);
+        generated.last_event = last_event.or(generated.last_event);
     }
 
-    /// All of it as one text.
+    /// All events as one text.
     pub(crate) fn text(&self) -> String {
-        self.0.lock().made.events.join("\n")
+        self.0.lock().generated.events.join("\n")
     }
 
-    /// What the job store was not told of, possibly nothing.
-    pub(crate) fn last_part(&self, item: &ItemRef) -> RunProgress {
-        self.0.lock().last_part(item)
+    /// The part not yet reported to the job store, possibly empty.
+    pub(crate) fn unreported_part(&self, item: &ItemRef) -> RunProgress {
+        self.0.lock().unreported_part(item)
     }
 
-    /// What the job store was not told of; it counts as told from now on. `None`
-    /// when that is nothing.
-    fn take_untold(&self, item: &ItemRef) -> Option<RunProgress> {
+    /// The part not yet reported to the job store, which is marked as reported. `None` if the
+    /// part is empty.
+    fn take_unreported(&self, item: &ItemRef) -> Option<RunProgress> {
         let mut state = self.0.lock();
-        let part = state.last_part(item);
+        let part = state.unreported_part(item);
         let events = part.progress.made.events.len() as u32;
         if events == 0 {
             return None;
         }
-        state.told += events;
+        state.reported += events;
         state.continues = state.run;
         Some(part)
     }
 
-    /// The job store has to be told all of it.
-    fn forget_told(&self) {
-        self.0.lock().told = 0;
+    /// Marks all events as unreported.
+    fn reset_reported(&self) {
+        self.0.lock().reported = 0;
     }
 }
 
-impl MadeState {
-    fn last_part(&self, item: &ItemRef) -> RunProgress {
-        let events = self.made.events.get(self.told as usize..);
+impl GeneratedState {
+    fn unreported_part(&self, item: &ItemRef) -> RunProgress {
+        let events = self.generated.events.get(self.reported as usize..);
         let progress = ItemProgress {
             item: item.clone(),
-            told_before: self.told,
+            told_before: self.reported,
             made: GeneratedEvents {
                 events: events.unwrap_or_default().to_vec(),
-                last_event: self.made.last_event,
+                last_event: self.generated.last_event,
             },
         };
         RunProgress {
@@ -107,10 +105,10 @@
 
 struct RunningItem {
     task: AbortHandle,
-    made: Made,
+    generated: GeneratedProgress,
 }
 
-/// Leased items. Clones share them.
+/// Leased items. Clones share the state.
 #[derive(Clone, Default)]
 pub(crate) struct RunningItems {
     inner: Arc<Mutex<Inner>>,
@@ -119,43 +117,48 @@
 #[derive(Default)]
 struct Inner {
     running: BTreeMap<ItemRef, RunningItem>,
-    /// Progress of items that were given back and of which nobody was told yet.
-    given_back: Vec<RunProgress>,
+    /// Progress of returned items that has not been reported yet.
+    returned: Vec<RunProgress>,
 }
 
 impl RunningItems {
-    /// Begins an item's task and notes it, before the task can end.
-    pub(crate) fn begin(&self, item: ItemRef, made: Made, spawn: impl FnOnce() -> AbortHandle) {
+    /// Spawns an item's task and records it before the task can end.
+    pub(crate) fn begin(
+        &self,
+        item: ItemRef,
+        generated: GeneratedProgress,
+        spawn: impl FnOnce() -> AbortHandle,
+    ) {
         let mut inner = self.inner.lock();
         let task = spawn();
-        inner.running.insert(item, RunningItem { task, made });
+        inner.running.insert(item, RunningItem { task, generated });
     }
 
-    /// A run ended and its outcome was reported.
+    /// Removes a run whose outcome was reported.
     pub(crate) fn end(&self, item: &ItemRef, run: RunId) {
         self.inner.lock().take(item, run);
     }
 
-    /// A run ended before its item did: the next gateway goes on.
-    pub(crate) fn give_back(&self, item: &ItemRef, run: RunId) {
+    /// Removes a run that ended before its item was done; another gateway continues the item.
+    pub(crate) fn return_item(&self, item: &ItemRef, run: RunId) {
         let mut inner = self.inner.lock();
-        if let Some(held) = inner.take(item, run) {
-            let progress = held.made.take_untold(item);
-            inner.given_back.extend(progress);
+        if let Some(running_item) = inner.take(item, run) {
+            let progress = running_item.generated.take_unreported(item);
+            inner.returned.extend(progress);
         }
     }
 
-    /// Ends the task of an item that need not be finished.
+    /// Aborts the task of an item that need not be finished.
     pub(crate) fn stop(&self, item: &ItemRef) {
-        if let Some(held) = self.inner.lock().running.remove(item) {
-            held.task.abort();
+        if let Some(running_item) = self.inner.lock().running.remove(item) {
+            running_item.task.abort();
         }
     }
 
-    /// All of an item has to be told again.
-    pub(crate) fn tell_again(&self, item: &ItemRef) {
-        if let Some(held) = self.inner.lock().running.get(item) {
-            held.made.forget_told();
+    /// Marks all progress of an item to be reported again.
+    pub(crate) fn report_again(&self, item: &ItemRef) {
+        if let Some(running_item) = self.inner.lock().running.get(item) {
+            running_item.generated.reset_reported();
         }
     }
 
@@ -163,52 +166,60 @@
         self.inner.lock().running.len()
     }
 
-    /// Whether there is anything to tell.
+    /// Whether there are no running items and no progress to report.
     pub(crate) fn is_empty(&self) -> bool {
         let inner = self.inner.lock();
-        inner.running.is_empty() && inner.given_back.is_empty()
+        inner.running.is_empty() && inner.returned.is_empty()
     }
 
-    /// Whether progress of an item that was given back waits to be told.
-    pub(crate) fn has_given_back(&self) -> bool {
-        !self.inner.lock().given_back.is_empty()
+    /// Whether there is unreported progress of a returned item.
+    pub(crate) fn has_returned(&self) -> bool {
+        !self.inner.lock().returned.is_empty()
     }
 
-    /// Items that run here: leased, and not given back.
+    /// Items leased by this gateway, including returned items whose progress has not been
+    /// reported.
     pub(crate) fn running(&self) -> Vec<ItemRef> {
         let inner = self.inner.lock();
-        let waiting = inner.given_back.iter().map(|told| &told.progress.item);
+        let waiting = inner
+            .returned
+            .iter()
+            .map(|reported| &reported.progress.item);
         inner.running.keys().chain(waiting).cloned().collect()
     }
 
-    /// Progress to tell now. [`Self::not_told`] takes it back where it did not arrive.
-    pub(crate) fn to_tell(&self) -> Vec<RunProgress> {
+    /// Progress to report now. [`Self::restore_unreported`] takes it back if it did not arrive.
+    pub(crate) fn progress_to_report(&self) -> Vec<RunProgress> {
         let mut inner = self.inner.lock();
-        let mut progress = std::mem::take(&mut inner.given_back);
+        let mut progress = std::mem::take(&mut inner.returned);
         let running = inner.running.iter();
-        progress.extend(running.filter_map(|(item, held)| held.made.take_untold(item)));
+        progress.extend(
+            running.filter_map(|(item, running_item)| running_item.generated.take_unreported(item)),
+        );
         progress
     }
 
-    /// Progress may not have arrived: it is told again.
-    pub(crate) fn not_told(&self, progress: Vec<RunProgress>) {
+    /// Marks progress that may not have arrived to be reported again.
+    pub(crate) fn restore_unreported(&self, progress: Vec<RunProgress>) {
         let mut inner = self.inner.lock();
-        for told in progress {
-            match inner.running.get(&told.progress.item) {
-                Some(held) if held.made.run() == told.run => held.made.forget_told(),
-                // A newer run of the item tells what it goes on with itself.
+        for reported in progress {
+            match inner.running.get(&reported.progress.item) {
+                Some(running_item) if running_item.generated.run() == reported.run => {
+                    running_item.generated.reset_reported()
+                }
+                // A newer run of the item reports the progress that it continues.
                 Some(_) => {}
-                None => inner.given_back.push(told),
+                None => inner.returned.push(reported),
             }
         }
     }
 }
 
 impl Inner {
-    /// Takes a run off the list, unless a newer one of the same item has its place.
+    /// Removes a run, unless a newer run of the same item has replaced it.
     fn take(&mut self, item: &ItemRef, run: RunId) -> Option<RunningItem> {
-        let held = self.running.get(item)?;
-        if held.made.run() != run {
+        let running_item = self.running.get(item)?;
+        if running_item.generated.run() != run {
             return None;
         }
         self.running.remove(item)
--- a/crates/relay/src/server.rs
+++ b/crates/relay/src/server.rs
@@ -1,5 +1,4 @@
-//! The callers' interface: connections within bounds, and a planned stop that
-//! cuts nothing off.
+//! HTTP server for callers: bounded connections, and a graceful stop that completes all requests.
 
 use std::{
     future::Future,
@@ -28,22 +27,22 @@
 
 /// Smallest read buffer that hyper takes, in bytes.
 const MIN_BUFFER_BYTES: usize = 8 * 1024;
-/// How often connections are looked at for those that rest or dawdle.
+/// Interval of the check for connections that are idle or slow for too long.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
-/// After a planned stop begins, callers may come for this long: they learn of it
-/// from the directory only after a while.
-const LINGER: Duration = Duration::from_millis(3_500);
-/// Wait after a failed accept, so that exhausted descriptors do not spin.
+/// After a planned stop begins, new connections are accepted for this long: callers learn of the
+/// stop from the directory only after a while.
+const DRAIN_PERIOD: Duration = Duration::from_millis(3_500);
+/// Delay after a failed accept, to avoid a busy loop when file descriptors are exhausted.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// Bounds of callers' connections; they may change while the server runs.
+/// Limits of callers' connections; may be changed while the server runs.
 #[derive(Debug)]
 pub struct ServerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request head, in bytes.
     pub header_bytes: AtomicU64,
-    /// Time to send the head, in milliseconds.
+    /// Time limit for sending the head, in milliseconds.
     pub header_ms: AtomicU64,
-    /// Time that a connection may rest, in milliseconds.
+    /// Maximum idle time of a connection, in milliseconds.
     pub idle_ms: AtomicU64,
 }
 
@@ -57,7 +56,7 @@
     }
 }
 
-/// Answers a caller's request.
+/// Handler of callers' requests.
 pub trait CallerServer: Clone + Send + Sync + 'static {
     /// Answers one request.
     fn answer(
@@ -66,7 +65,7 @@
     ) -> impl Future<Output = Response<ResponseBody>> + Send;
 }
 
-/// Serves callers until told to stop, then until all that was begun has ended.
+/// Serves callers until asked to stop, then until all accepted requests have ended.
 pub async fn serve_callers<S: CallerServer>(
     listener: TcpListener,
     server: S,
@@ -78,14 +77,14 @@
     let closing = CancellationToken::new();
     let open: Arc<Mutex<Vec<Arc<Activity>>>> = Arc::default();
     let sweeper = tokio::spawn(sweep(Arc::clone(&open), Arc::clone(&limits), clock));
-    let linger_over = async {
+    let drain_over = async {
         stopping.cancelled().await;
-        linnethitch_clock::sleep(LINGER).await;
+        linnethitch_clock::sleep(DRAIN_PERIOD).await;
     };
-    tokio::pin!(linger_over);
+    tokio::pin!(drain_over);
     loop {
         let accepted = tokio::select! {
-            () = &mut linger_over => break,
+            () = &mut drain_over => break,
             accepted = listener.accept() => accepted,
         };
         let Ok((stream, _)) = accepted else {
@@ -111,16 +110,17 @@
     sweeper.abort();
 }
 
-/// What a connection does, as the sweep sees it.
+/// Activity of a connection, as checked by the sweep.
 struct Activity {
-    /// When the phase began: rest, or the first byte of a head; steady milliseconds.
+    /// Start of the current phase (idle, or receiving a head), in milliseconds of the monotonic
+    /// clock.
     since_ms: AtomicU64,
-    /// A head has begun and is not complete.
+    /// Whether a request head has begun and is not complete.
     in_head: AtomicBool,
-    /// A request is being answered.
+    /// Whether a request is being answered.
     in_request: AtomicBool,
     ended: AtomicBool,
-    cut: Notify,
+    close: Notify,
 }
 
 impl Activity {
@@ -130,30 +130,30 @@
             in_head: AtomicBool::new(false),
             in_request: AtomicBool::new(false),
             ended: AtomicBool::new(false),
-            cut: Notify::new(),
+            close: Notify::new(),
         }
     }
 
-    fn bytes_came(&self, now_ms: u64) {
-        let is_resting =
+    fn bytes_received(&self, now_ms: u64) {
+        let is_idle =
             !self.in_request.load(Ordering::Relaxed) && !self.in_head.load(Ordering::Relaxed);
-        if is_resting {
+        if is_idle {
             self.in_head.store(true, Ordering::Relaxed);
             self.since_ms.store(now_ms, Ordering::Relaxed);
         }
     }
 
-    fn request_begins(&self) {
+    fn begin_request(&self) {
         self.in_head.store(false, Ordering::Relaxed);
         self.in_request.store(true, Ordering::Relaxed);
     }
 
-    fn answer_sent(&self, now_ms: u64) {
+    fn response_sent(&self, now_ms: u64) {
         self.in_request.store(false, Ordering::Relaxed);
         self.since_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    fn is_over(&self, limits: &ServerLimits, now_ms: u64) -> bool {
+    fn is_expired(&self, limits: &ServerLimits, now_ms: u64) -> bool {
         if self.in_request.load(Ordering::Relaxed) {
             return false;
         }
@@ -171,8 +171,8 @@
         linnethitch_clock::sleep(SWEEP_INTERVAL).await;
         let now_ms = clock.now_ms();
         open.lock().retain(|activity| {
-            if activity.is_over(&limits, now_ms) {
-                activity.cut.notify_one();
+            if activity.is_expired(&limits, now_ms) {
+                activity.close.notify_one();
             }
             !activity.ended.load(Ordering::Relaxed)
         });
@@ -191,7 +191,7 @@
 impl<S: CallerServer> ServedConnection<S> {
     async fn run(self, stream: TcpStream) {
         let _ = stream.set_nodelay(true);
-        let watched = Watched {
+        let watched = WatchedStream {
             stream,
             activity: Arc::clone(&self.activity),
             clock: self.clock,
@@ -201,15 +201,15 @@
             .max_buf_size(self.header_bytes.max(MIN_BUFFER_BYTES))
             .serve_connection(TokioIo::new(watched), service);
         tokio::pin!(connection);
-        let mut told = false;
+        let mut shutting_down = false;
         loop {
             tokio::select! {
                 _ = connection.as_mut() => break,
-                () = self.closing.cancelled(), if !told => {
-                    told = true;
+                () = self.closing.cancelled(), if !shutting_down => {
+                    shutting_down = true;
                     connection.as_mut().graceful_shutdown();
                 }
-                () = self.activity.cut.notified() => break,
+                () = self.activity.close.notified() => break,
             }
         }
         self.activity.ended.store(true, Ordering::Relaxed);
@@ -219,7 +219,7 @@
         &self,
         request: Request<Incoming>,
     ) -> Result<Response<TrackedBody>, std::convert::Infallible> {
-        self.activity.request_begins();
+        self.activity.begin_request();
         let mut response = self.server.answer(request).await;
         if self.stopping.is_cancelled() {
             let close = HeaderValue::from_static("close");
@@ -233,7 +233,7 @@
     }
 }
 
-/// Notes when an answer has been taken.
+/// Records when a response has been sent completely.
 struct TrackedBody {
     body: ResponseBody,
     activity: Arc<Activity>,
@@ -242,7 +242,7 @@
 
 impl Drop for TrackedBody {
     fn drop(&mut self) {
-        self.activity.answer_sent(self.clock.now_ms());
+        self.activity.response_sent(self.clock.now_ms());
     }
 }
 
@@ -266,14 +266,14 @@
     }
 }
 
-/// A stream that notes when bytes come.
-struct Watched {
+/// A stream that records when bytes are received.
+struct WatchedStream {
     stream: TcpStream,
     activity: Arc<Activity>,
     clock: Clock,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for WatchedStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
@@ -282,13 +282,13 @@
         let before = buffer.filled().len();
         let polled = Pin::new(&mut self.stream).poll_read(context, buffer);
         if buffer.filled().len() > before {
-            self.activity.bytes_came(self.clock.now_ms());
+            self.activity.bytes_received(self.clock.now_ms());
         }
         polled
     }
 }
 
-impl AsyncWrite for Watched {
+impl AsyncWrite for WatchedStream {
     fn poll_write(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
--- a/crates/relay/src/shared.rs
+++ b/crates/relay/src/shared.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share.
+//! State shared by all requests of a gateway.
 
 use std::{
     collections::{BTreeSet, HashMap, HashSet},
@@ -41,16 +41,16 @@
     planned_stop::PlannedStop,
     quotas::Quotas,
     relay::RelaySettings,
-    replica_ends::BrokenRuns,
+    replica_ends::InterruptedRuns,
     slots::Slots,
-    suspicions::{SuspicionNews, TELL_LIMIT},
+    suspicions::{CONTROL_REPORT_TIMEOUT, SuspicionUpdates},
 };
 
-/// Successes for each one that is logged; failures, refusals, retries and resumes
-/// always are.
+/// One of this number of successful requests is logged; failures, refusals, retries and resumes
+/// are always logged.
 const SUCCESSES_PER_LINE: u64 = 64;
 
-/// Shared state; one lock at a time, none held over a wait.
+/// Shared state. At most one lock is taken at a time, and no lock is held across an await.
 pub(crate) struct Shared {
     pub(crate) gateway: GatewayNode,
     /// The zone of this gateway.
@@ -61,21 +61,21 @@
     pub(crate) quotas: Quotas,
     pub(crate) cold: Arc<ColdSends>,
     keys: KeyPolicy,
-    pub(crate) broken_runs: BrokenRuns,
-    pub(crate) news: SuspicionNews,
-    /// When another gateway was heard of last.
-    pub(crate) gateways_heard_ms: AtomicU64,
-    /// Bytes of requests and answers that are held.
-    pub(crate) held: BufferedBytes,
+    pub(crate) interrupted_runs: InterruptedRuns,
+    pub(crate) suspicion_updates: SuspicionUpdates,
+    /// Time of the last contact with another gateway.
+    pub(crate) gateway_contact_ms: AtomicU64,
+    /// Bytes of requests and responses that are buffered.
+    pub(crate) buffered: BufferedBytes,
     pub(crate) stop: Arc<PlannedStop>,
     pub(crate) counters: Arc<Counters>,
     pub(crate) clock: Clock,
     pub(crate) logger: Logger,
     successes: AtomicU64,
-    pub(crate) board: Mutex<ReplicaTable>,
+    pub(crate) replica_table: Mutex<ReplicaTable>,
     pub(crate) random: Mutex<Pcg64Mcg>,
     turns: Mutex<HashMap<String, WeightedRoundRobin>>,
-    /// How long items take, by service.
+    /// Duration of batch items, by service.
     item_paces: Mutex<HashMap<String, ItemPace>>,
 }
 
@@ -106,45 +106,45 @@
             gateway,
             dialect,
             connections: Connections::default(),
-            broken_runs: BrokenRuns::default(),
-            news: SuspicionNews::default(),
-            gateways_heard_ms: AtomicU64::new(0),
-            held: BufferedBytes::new(settings.max_buffered_bytes),
+            interrupted_runs: InterruptedRuns::default(),
+            suspicion_updates: SuspicionUpdates::default(),
+            gateway_contact_ms: AtomicU64::new(0),
+            buffered: BufferedBytes::new(settings.max_buffered_bytes),
             stop,
             counters,
             logger,
             successes: AtomicU64::new(0),
-            board: Mutex::new(ReplicaTable::new(&settings.zone)),
+            replica_table: Mutex::new(ReplicaTable::new(&settings.zone)),
             random: Mutex::new(Pcg64Mcg::seed_from_u64(seed)),
             turns: Mutex::default(),
             item_paces: Mutex::default(),
         }
     }
 
-    /// Notes that a request of a route got a replica's whole answer.
+    /// Records that a request of a route received a complete response.
     pub(crate) fn note_served(&self, route: &str, arrived: Instant) {
         self.counters.request_ended(route, RequestEnd::Served);
         let now_ms = self.clock.now_ms();
         self.stop.note_answer(route, arrived.elapsed(), now_ms);
     }
 
-    /// Takes what differs in a newer view of the fleet.
-    pub(crate) fn take_fleet(&self, held: &FleetView, fleet: &FleetView) {
-        let changes = FleetChanges::between(held, fleet);
-        for key in &changes.left {
-            self.board.lock().remove(key);
+    /// Applies the differences between two views of the fleet.
+    pub(crate) fn apply_fleet(&self, previous: &FleetView, fleet: &FleetView) {
+        let changes = FleetChanges::between(previous, fleet);
+        for key in &changes.removed {
+            self.replica_table.lock().remove(key);
             self.slots.remove_engine(key);
             self.cold.remove(key);
             self.connections.forget(key);
         }
-        for record in &changes.came {
+        for record in &changes.updated {
             let traits = replica_traits(fleet, record);
             if traits.kv_tokens > 0 {
-                self.slots.put_engine(&traits.id, &traits.zone);
+                self.slots.add_engine(&traits.id, &traits.zone);
             } else {
                 self.slots.remove_engine(&traits.id);
             }
-            self.board.lock().put(traits);
+            self.replica_table.lock().put(traits);
             self.cold.put(fleet, record);
         }
         let zones: BTreeSet<String> = fleet.evacuations().zones().map(str::to_owned).collect();
@@ -154,34 +154,36 @@
         let version = fleet.table().map_or(0, |table| table.version);
         self.counters.table_version.set(version as i64);
         let ready = {
-            let mut board = self.board.lock();
-            board.set_evacuated(zones);
-            board.ready_replicas()
+            let mut replica_table = self.replica_table.lock();
+            replica_table.set_evacuated(zones);
+            replica_table.ready_replicas()
         };
         self.counters.ready_replicas.set(ready.open as i64);
         let evacuated = ready.evacuated as i64;
         self.counters.evacuated_replicas.set(evacuated);
-        self.cold.upkeep();
+        self.cold.run_maintenance();
     }
 
-    /// Brings the engines that are coordinated here up to date.
-    pub(crate) fn keep_coordinated(&self) {
+    /// Updates the engines that are coordinated here.
+    pub(crate) fn update_coordinated(&self) {
         let engines = self.engines(&self.slots.coordinated());
-        self.leave_evacuated();
+        self.cancel_evacuated_waits();
         self.slots.set_coordinated(engines);
     }
 
-    /// What waits for slots of evacuated engines waits no longer.
-    fn leave_evacuated(&self) {
-        if !self.board.lock().has_evacuated() {
+    /// Stops requests from waiting for slots of evacuated engines.
+    fn cancel_evacuated_waits(&self) {
+        if !self.replica_table.lock().has_evacuated() {
             return;
         }
-        let held = self.slots.held_engines();
-        let board = self.board.lock();
-        let evacuated = held.into_iter().filter(|engine| board.is_evacuated(engine));
+        let held = self.slots.leased_engines();
+        let replica_table = self.replica_table.lock();
+        let evacuated = held
+            .into_iter()
+            .filter(|engine| replica_table.is_evacuated(engine));
         let evacuated: HashSet<String> = evacuated.collect();
-        drop(board);
-        self.slots.leave(&evacuated);
+        drop(replica_table);
+        self.slots.cancel_waits(&evacuated);
     }
 
     /// Counts bytes to and from a replica, by its zone.
@@ -191,12 +193,12 @@
         self.counters.replica_bytes(zone)
     }
 
-    /// The table in force here.
+    /// The route table in force here.
     pub(crate) fn table(&self) -> Option<Arc<RouteTable>> {
         self.gateway.fleet().table().cloned()
     }
 
-    /// Whose a request is. What is refused is logged, without its key.
+    /// Identifies the caller of a request. Refusals are logged without the key.
     pub(crate) fn caller(
         &self,
         fleet: &FleetView,
@@ -213,19 +215,19 @@
         caller
     }
 
-    /// Whether a request may still be sent by its key.
-    pub(crate) fn still_admits(&self, outgoing: &Outgoing) -> Result<(), KeyRefusal> {
+    /// Whether a request's key still allows it to be sent.
+    pub(crate) fn verify_key(&self, outgoing: &Outgoing) -> Result<(), KeyRefusal> {
         let Some(admitted) = &outgoing.admitted else {
             return Ok(());
         };
         let fleet = self.gateway.fleet();
         let age_ms = self.gateway.knowledge_age_ms();
         let known = KnownKeys::of(&fleet, age_ms, self.keys);
-        let still = known.still_admit(&admitted.caller);
-        if let Err(refusal) = still {
+        let verified = known.verify_caller(&admitted.caller);
+        if let Err(refusal) = verified {
             self.log_key_refused(Some(&outgoing.request_id), refusal, &fleet, age_ms);
         }
-        still
+        verified
     }
 
     fn log_key_refused(
@@ -242,34 +244,34 @@
             "knowledge_age_ms" => age_ms);
     }
 
-    /// A request is about to be sent: it counts for its tenant's limit.
+    /// Counts a request that is about to be sent against its tenant's limit.
     pub(crate) fn count_send(&self, outgoing: &Outgoing) {
         if let Some(admitted) = &outgoing.admitted {
             self.quotas
-                .count_send(&admitted.caller.tenant, &admitted.leave);
+                .count_send(&admitted.caller.tenant, &admitted.permit);
         }
     }
 
-    /// No replica ran what was about to be sent.
+    /// Takes a counted send back: no replica ran the request.
     pub(crate) fn not_sent(&self, outgoing: &Outgoing) {
         if let Some(admitted) = &outgoing.admitted {
-            self.quotas.not_sent(&admitted.leave);
+            self.quotas.not_sent(&admitted.permit);
         }
     }
 
-    /// The index of the back end of a route whose turn it is.
+    /// The index of the next back end of a route by weighted round robin.
     pub(crate) fn next_turn(&self, route: &str, weights: &[u32]) -> Option<usize> {
         let mut turns = self.turns.lock();
         turns.entry(route.to_owned()).or_default().next(weights)
     }
 
-    /// Any number.
-    pub(crate) fn draw(&self) -> u32 {
+    /// A random number.
+    pub(crate) fn random_number(&self) -> u32 {
         self.random.lock().random()
     }
 
-    /// A mark for a run of an item that begins.
-    pub(crate) fn draw_run(&self) -> RunId {
+    /// A random id for a new run of an item.
+    pub(crate) fn random_run_id(&self) -> RunId {
         RunId::from_random(self.random.lock().random())
     }
 
@@ -281,52 +283,53 @@
         let now_ms = self.clock.now_ms();
         match cold_use {
             ColdUse::Never => {
-                let mut except = self.cold.barred(need.service, ColdUse::Never);
+                let mut except = self.cold.excluded(need.service, ColdUse::Never);
                 except.extend_from_slice(need.except);
                 let need = &RequestNeeds {
                     except: &except,
                     ..*need
                 };
                 let mut random = self.random.lock();
-                self.board.lock().choose(need, now_ms, &mut *random)
+                self.replica_table.lock().choose(need, now_ms, &mut *random)
             }
             ColdUse::Only => {
-                let open = self.cold.open(need.service);
+                let open = self.cold.sendable(need.service);
                 let mut random = self.random.lock();
-                let board = self.board.lock();
-                board.choose_among(&open, need, now_ms, &mut *random)
+                let replica_table = self.replica_table.lock();
+                replica_table.choose_among(&open, need, now_ms, &mut *random)
             }
         }
     }
 
-    /// How long until this gateway may send to a cold replica that is open otherwise and
-    /// not excluded; `None` where there is none, or it is not known.
-    pub(crate) fn next_cold_in(&self, need: &RequestNeeds<'_>) -> Option<Duration> {
-        if !self.cold.concerns(need.service) {
+    /// Time until this gateway may send to a cold replica that is otherwise available and not
+    /// excluded; `None` if there is none or the time is not known.
+    pub(crate) fn cold_send_delay(&self, need: &RequestNeeds<'_>) -> Option<Duration> {
+        if !self.cold.may_be_cold(need.service) {
             return None;
         }
         let now_ms = self.clock.now_ms();
-        let candidates = self.board.lock().available_ids(need, now_ms);
-        self.cold.next_in(&candidates)
+        let candidates = self.replica_table.lock().available_ids(need, now_ms);
+        self.cold.send_delay(&candidates)
     }
 
-    /// What keeps a request from all replicas that are open otherwise and not excluded.
-    pub(crate) fn state_of_open(&self, need: &RequestNeeds<'_>) -> ColdState {
-        if !self.cold.concerns(need.service) {
+    /// Cold state shared by all replicas that are otherwise available and not excluded.
+    pub(crate) fn state_of_available(&self, need: &RequestNeeds<'_>) -> ColdState {
+        if !self.cold.may_be_cold(need.service) {
             return ColdState::Warm;
         }
         let now_ms = self.clock.now_ms();
-        let candidates = self.board.lock().available_ids(need, now_ms);
+        let candidates = self.replica_table.lock().available_ids(need, now_ms);
         self.cold.state_of_all(&candidates)
     }
 
-    /// Where a request goes under which replicas ended: each to a replica of its own.
-    pub(crate) fn choose_apart(
+    /// Chooses the replica of a suspected request by hash, so that different suspected requests
+    /// go to different replicas.
+    pub(crate) fn choose_isolated(
         &self,
         need: &RequestNeeds<'_>,
         outgoing: &Outgoing,
     ) -> Option<ChosenReplica> {
-        let mut except = self.cold.barred(need.service, ColdUse::Only);
+        let mut except = self.cold.excluded(need.service, ColdUse::Only);
         except.extend_from_slice(need.except);
         let need = &RequestNeeds {
             except: &except,
@@ -334,51 +337,52 @@
         };
         let now_ms = self.clock.now_ms();
         let number = outgoing.fingerprint().number();
-        self.board.lock().choose_by_hash(need, number, now_ms)
+        self.replica_table
+            .lock()
+            .choose_by_hash(need, number, now_ms)
     }
 
-    /// One replica as a choice, if it may be given new work.
+    /// A given replica as a choice, if it may be sent new work.
     pub(crate) fn chosen_at(&self, replica: &str) -> Option<ChosenReplica> {
         let now_ms = self.clock.now_ms();
-        self.board.lock().chosen_at(replica, now_ms)
+        self.replica_table.lock().chosen_at(replica, now_ms)
     }
 
-    /// Engines that are coordinated here and outside these homes.
     pub(crate) fn coordinated_outside(&self, homes: &HomeZones) -> Vec<String> {
         let Some(homes) = homes else {
             return Vec::new();
         };
         let coordinated = self.slots.coordinated();
-        self.board.lock().outside_homes(&coordinated, homes)
+        self.replica_table.lock().outside_homes(&coordinated, homes)
     }
 
-    /// Engines, as their coordinators need them.
+    /// Engines in the form that their coordinator needs.
     fn engines(&self, ids: &[String]) -> Vec<CoordinatedReplica> {
         let now_ms = self.clock.now_ms();
-        let board = self.board.lock();
-        let engines = ids.iter().filter_map(|id| board.engine(id, now_ms));
+        let replica_table = self.replica_table.lock();
+        let engines = ids.iter().filter_map(|id| replica_table.engine(id, now_ms));
         let mut engines: Vec<CoordinatedReplica> = engines.collect();
-        drop(board);
-        self.cold.bar_items(&mut engines);
+        drop(replica_table);
+        self.cold.close_cold_to_items(&mut engines);
         engines
     }
 
-    /// Takes what coordinators told of replicas.
-    pub(crate) fn note_told(&self, loads: &[SlotLoad]) {
+    /// Records loads of replicas as reported by their coordinators.
+    pub(crate) fn note_reported_loads(&self, loads: &[SlotLoad]) {
         let now_ms = self.clock.now_ms();
-        let mut board = self.board.lock();
+        let mut replica_table = self.replica_table.lock();
         for load in loads {
-            board.note_coordinator_load(load, now_ms);
+            replica_table.note_coordinator_load(load, now_ms);
         }
     }
 
-    /// How long a service's items take.
+    /// Expected duration of a service's items.
     pub(crate) fn item_pace(&self, service: &str) -> ItemPace {
         let paces = self.item_paces.lock();
         paces.get(service).copied().unwrap_or_default()
     }
 
-    /// Learns how long a service's items take.
+    /// Updates the expected duration of a service's items.
     pub(crate) fn learn_item_pace(&self, service: &str, learn: impl FnOnce(&mut ItemPace)) {
         learn(
             self.item_paces
@@ -388,24 +392,28 @@
         );
     }
 
-    /// Another incarnation answered at a replica's address; control learns it, unless it
-    /// knows already.
-    pub(crate) fn tell_not_there(&self, replica: &str) {
+    /// Another incarnation answered at a replica's address. Reports that to control, unless
+    /// control knows it already.
+    pub(crate) fn report_replaced(&self, replica: &str) {
         let fleet = self.gateway.fleet();
         let state = fleet.state_of_incarnation(replica);
         if !state.is_some_and(ReplicaState::is_live) {
             return;
         }
-        info!(self.logger, "replica is not there"; "replica" => replica);
+        info!(self.logger, "replica replaced by another incarnation"; "replica" => replica);
         let gateway = self.gateway.clone();
         let replica = replica.to_owned();
-        // Where control does not hear of it, the next request that goes there tells it.
-        tokio::spawn(async move { gateway.tell_not_there(&replica, TELL_LIMIT).await });
+        // If the report does not reach control, the next request to the replica repeats it.
+        tokio::spawn(async move {
+            gateway
+                .tell_not_there(&replica, CONTROL_REPORT_TIMEOUT)
+                .await
+        });
     }
 
-    /// Own requests and items under way at a service.
+    /// Number of requests and items that this gateway is running at a service.
     pub(crate) fn own_running(&self, service: &str) -> u32 {
-        self.board.lock().own_running(service)
+        self.replica_table.lock().own_running(service)
     }
 
     /// Whether a success is to be logged: one in [`SUCCESSES_PER_LINE`].
@@ -414,24 +422,25 @@
         number.is_multiple_of(SUCCESSES_PER_LINE)
     }
 
-    /// Notes how long it took to open a connection to a replica.
+    /// Records the time taken to open a connection to a replica.
     pub(crate) fn note_connected(&self, replica: &str, opened_in: Duration) {
         let round_trip_ms = opened_in.as_secs_f64() * 1_000.0;
-        self.board.lock().note_connected(replica, round_trip_ms);
+        self.replica_table
+            .lock()
+            .note_connected(replica, round_trip_ms);
     }
 
     /// The round trip to a replica, as connections to its zone took.
     pub(crate) fn round_trip(&self, replica: &str) -> Duration {
-        let round_trip_ms = self.board.lock().round_trip_ms(replica);
+        let round_trip_ms = self.replica_table.lock().round_trip_ms(replica);
         Duration::from_secs_f64(round_trip_ms / 1_000.0)
     }
 
-    /// Whether a replica's zone is evacuated: nothing more is sent there.
+    /// Whether a replica's zone is evacuated, so that no new work is sent to it.
     pub(crate) fn is_evacuated(&self, replica: &str) -> bool {
-        self.board.lock().is_evacuated(replica)
+        self.replica_table.lock().is_evacuated(replica)
     }
 
-    /// Whether all replicas of a service that could serve in these homes are in evacuated zones.
     pub(crate) fn is_service_evacuated(&self, service: &str, homes: &HomeZones) -> bool {
         let need = RequestNeeds {
             service,
@@ -439,10 +448,10 @@
             except: &[],
             homes: homes.as_ref(),
         };
-        self.board.lock().is_service_evacuated(&need)
+        self.replica_table.lock().is_service_evacuated(&need)
     }
 
-    /// Whether a service has a replica in these homes that control says to be ready.
+    /// Whether a service has a replica in these homes that is ready according to control.
     pub(crate) fn has_ready_replica(&self, service: &str, homes: &HomeZones) -> bool {
         let need = RequestNeeds {
             service,
@@ -450,29 +459,30 @@
             except: &[],
             homes: homes.as_ref(),
         };
-        self.board.lock().has_ready_replica(&need)
+        self.replica_table.lock().has_ready_replica(&need)
     }
 
-    /// Whether control has not said meanwhile that a replica leaves or that its zone is
-    /// evacuated.
+    /// Whether a replica is ready according to control and its zone is not evacuated.
     pub(crate) fn is_known_ready(&self, replica: &str) -> bool {
-        self.board.lock().is_known_ready(replica)
+        self.replica_table.lock().is_known_ready(replica)
     }
 
     pub(crate) fn note_load(&self, replica: &str, load: ReportedLoad) {
         let now_ms = self.clock.now_ms();
-        self.board.lock().note_load(replica, load, now_ms);
+        self.replica_table.lock().note_load(replica, load, now_ms);
     }
 
     pub(crate) fn note_success(&self, replica: &str) {
-        self.board.lock().note_success(replica);
+        self.replica_table.lock().note_success(replica);
     }
 
     pub(crate) fn note_failure(&self, replica: &str, kind: FailureKind) {
         if kind == FailureKind::Unreachable {
-            self.cold.may_have_ended(replica);
+            self.cold.note_possible_end(replica);
         }
         let now_ms = self.clock.now_ms();
-        self.board.lock().note_failure(replica, kind, now_ms);
+        self.replica_table
+            .lock()
+            .note_failure(replica, kind, now_ms);
     }
 }
--- a/crates/relay/src/slots/coordination.rs
+++ b/crates/relay/src/slots/coordination.rs
@@ -1,5 +1,5 @@
-//! What a gateway does as the coordinator of some engines' slots, and how it
-//! learns who coordinates the others.
+//! Coordination of engine slots: granting those of the engines that this gateway coordinates, and
+//! tracking the coordinators of the others.
 
 use std::{
     collections::{BTreeMap, HashSet},
@@ -19,22 +19,22 @@
 use super::{Slots, State};
 
 impl Slots {
-    /// Notes an engine, and the zone where it is by now.
-    pub(crate) fn put_engine(&self, engine: &str, zone: &str) {
+    /// Adds an engine or updates its zone.
+    pub(crate) fn add_engine(&self, engine: &str, zone: &str) {
         let region = self.gateway.zones().region_of(zone);
         let mut state = self.state.lock();
         state.coordinators.put(engine, zone, region);
-        state.may_have_moved = true;
+        state.coordinators_may_have_changed = true;
     }
 
-    /// Forgets an engine.
+    /// Removes an engine.
     pub(crate) fn remove_engine(&self, engine: &str) {
         let mut state = self.state.lock();
         state.coordinators.remove(engine);
-        state.may_have_moved = true;
+        state.coordinators_may_have_changed = true;
     }
 
-    /// Engines that this gateway coordinates among the gateways that control names now.
+    /// Engines that this gateway coordinates, given the gateways that control lists now.
     pub(crate) fn coordinated(&self) -> Vec<String> {
         let gateways = self.gateway.placed_coordinators();
         let mut state = self.state.lock();
@@ -43,31 +43,31 @@
         coordinated.map(str::to_owned).collect()
     }
 
-    /// Takes the engines that this gateway coordinates, as they are now.
+    /// Replaces the engines that this gateway coordinates by their current state.
     pub(crate) fn set_coordinated(&self, engines: Vec<CoordinatedReplica>) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.lock();
         let mut actions = state.coordinator.set_replicas(engines, now_ms);
         actions.extend(state.coordinator.tick(now_ms));
-        self.carry_out(&mut state, actions);
-        let has_moved = state.has_moved();
+        self.apply_actions(&mut state, actions);
+        let has_coordinator_changed = state.has_coordinator_changed();
         drop(state);
-        if has_moved {
-            self.tell_held();
+        if has_coordinator_changed {
+            self.report_held_leases();
         }
     }
 
-    /// Engines of which this gateway holds leases.
-    pub(crate) fn held_engines(&self) -> HashSet<String> {
+    /// Engines for which this gateway holds leases.
+    pub(crate) fn leased_engines(&self) -> HashSet<String> {
         let state = self.state.lock();
         let held = state.held.values();
         held.map(|held| held.replica.clone()).collect()
     }
 
-    /// Own requests that wait for a slot of an evacuated engine wait no longer, also where
-    /// its coordinator does not know yet. They find the engine evacuated before they are
-    /// sent, give their place back and choose again.
-    pub(crate) fn leave(&self, evacuated: &HashSet<String>) {
+    /// Stops own requests from waiting for slots of evacuated engines, even where the coordinator
+    /// does not know of the evacuation yet. The requests find the engine evacuated before they
+    /// are sent, release their slot and choose again.
+    pub(crate) fn cancel_waits(&self, evacuated: &HashSet<String>) {
         let state = self.state.lock();
         for (number, held) in &state.held {
             if evacuated.contains(&held.replica) {
@@ -76,8 +76,8 @@
         }
     }
 
-    /// Tells each coordinator which leases this gateway holds of it.
-    pub(crate) fn tell_held(&self) {
+    /// Reports to each coordinator the leases that this gateway holds from it.
+    pub(crate) fn report_held_leases(&self) {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.lock();
         let mut by_coordinator: BTreeMap<MachineId, Vec<HeldLease>> = BTreeMap::new();
@@ -100,15 +100,19 @@
                 let actions = state
                     .coordinator
                     .reconcile_leases(self.own, &leases, now_ms);
-                self.carry_out(&mut state, actions);
+                self.apply_actions(&mut state, actions);
             } else {
                 self.send(coordinator, &GatewayDatagram::Held { leases });
             }
         }
     }
 
-    /// Takes a datagram of another gateway; returns loads that it told.
-    pub(crate) fn take_message(&self, from: MachineId, message: GatewayDatagram) -> Vec<SlotLoad> {
+    /// Handles a datagram of another gateway; returns the loads reported in it.
+    pub(crate) fn handle_message(
+        &self,
+        from: MachineId,
+        message: GatewayDatagram,
+    ) -> Vec<SlotLoad> {
         let now_ms = self.clock.now_ms();
         let mut state = self.state.lock();
         let actions = match message {
@@ -154,24 +158,24 @@
             GatewayDatagram::Held { leases } => {
                 state.coordinator.reconcile_leases(from, &leases, now_ms)
             }
-            // Not about slots.
+            // Handled elsewhere.
             GatewayDatagram::Suspicions(_) | GatewayDatagram::Quota(_) => Vec::new(),
         };
-        self.carry_out(&mut state, actions);
+        self.apply_actions(&mut state, actions);
         Vec::new()
     }
 
-    /// Loads of the replicas that are coordinated here, beside one.
-    pub(crate) fn own_loads_beside(&self, replica: &str) -> Vec<SlotLoad> {
+    /// Loads of the replicas coordinated here that serve the same service as the given one.
+    pub(crate) fn loads_of_same_service(&self, replica: &str) -> Vec<SlotLoad> {
         self.state.lock().coordinator.loads_of_same_service(replica)
     }
 
-    /// Loads of all replicas that are coordinated here.
+    /// Loads of all replicas coordinated here.
     pub(crate) fn own_loads(&self) -> Vec<SlotLoad> {
         self.state.lock().coordinator.all_loads()
     }
 
-    pub(super) fn carry_out(&self, state: &mut State, actions: Vec<SlotAction>) {
+    pub(super) fn apply_actions(&self, state: &mut State, actions: Vec<SlotAction>) {
         for action in actions {
             match action {
                 SlotAction::Answer { key, verdict, .. } if key.holder == self.own => {
@@ -190,8 +194,8 @@
                     self.send(key.holder, &answer);
                 }
                 SlotAction::ReportHealth { replica, closed } => {
-                    info!(self.logger, "replica: fails for all gateways"; "replica" => replica,
-                        "closed" => closed);
+                    info!(self.logger, "replica: ejection changed for all gateways";
+                        "replica" => replica, "closed" => closed);
                 }
                 SlotAction::Stop(run) => {
                     if let Some(item) = state.runs.get(&run) {
@@ -201,7 +205,7 @@
                 SlotAction::Start { run, replica } => {
                     let item = state.runs.get_mut(&run);
                     if let Some(start) = item.and_then(|item| item.start.take()) {
-                        // Its task ends the run if it is gone.
+                        // A run whose task has ended is released by the drop of its slot.
                         let _ = start.send(replica);
                     }
                 }
@@ -221,13 +225,12 @@
         }
         self.coordinators.set_gateways(near);
         self.gateways = gateways;
-        self.may_have_moved = true;
+        self.coordinators_may_have_changed = true;
     }
 
-    /// Whether an engine of which this gateway holds a lease has another coordinator since
-    /// this was asked last.
-    fn has_moved(&mut self) -> bool {
-        if !std::mem::take(&mut self.may_have_moved) {
+    /// Whether the coordinator of any held lease has changed since the last call.
+    fn has_coordinator_changed(&mut self) -> bool {
+        if !std::mem::take(&mut self.coordinators_may_have_changed) {
             return false;
         }
         self.held.values().any(|held| {
@@ -237,7 +240,7 @@
     }
 }
 
-/// Takes the datagrams of other gateways; returns when there are none to come.
+/// Receives the datagrams of other gateways until the channel is closed.
 pub(crate) async fn receive_messages(
     gateway: GatewayNode,
     mut take: impl FnMut(MachineId, GatewayDatagram),
--- a/crates/relay/src/slots/items.rs
+++ b/crates/relay/src/slots/items.rs
@@ -1,5 +1,4 @@
-//! Batch items that wait for a slot of the engines that are coordinated here, or
-//! have one.
+//! Batch items that wait for or hold a slot of an engine that is coordinated here.
 
 use std::sync::Arc;
 
@@ -11,26 +10,26 @@
 
 use super::{RunReport, Slots};
 
-/// A batch item that waits for a slot or has one, until this is dropped.
+/// A batch item that waits for or holds a slot; released on drop.
 pub(crate) struct ItemSlot {
     pub(crate) report: RunReport,
     slots: Arc<Slots>,
     run: RunNumber,
-    /// Cancelled when the item is to stop.
+    /// Cancelled when the item is preempted.
     pub(crate) stop: CancellationToken,
     start: oneshot::Receiver<String>,
 }
 
-/// What an item's task is told.
+/// Channels to an item's task.
 pub(super) struct ItemHandle {
     pub(super) start: Option<oneshot::Sender<String>>,
     pub(super) stop: CancellationToken,
 }
 
 impl Slots {
-    /// Lets an item wait for a slot of a service's replicas that are coordinated here, other
-    /// than those it must not have.
-    pub(crate) fn want_slot(
+    /// Queues an item for a slot of the service's replicas that are coordinated here, excluding
+    /// `except`.
+    pub(crate) fn queue_item(
         self: &Arc<Self>,
         service: &str,
         due: Instant,
@@ -39,12 +38,12 @@
     ) -> ItemSlot {
         let due_in = due.saturating_duration_since(Instant::now());
         let now_ms = self.clock.now_ms();
-        let (starter, start) = oneshot::channel();
+        let (start_sender, start) = oneshot::channel();
         let stop = CancellationToken::new();
         let mut state = self.state.lock();
         let run = RunNumber(state.next_number());
         let held = ItemHandle {
-            start: Some(starter),
+            start: Some(start_sender),
             stop: stop.clone(),
         };
         state.runs.insert(run, held);
@@ -58,7 +57,7 @@
             except,
         };
         let actions = state.coordinator.enqueue_item(item, now_ms);
-        self.carry_out(&mut state, actions);
+        self.apply_actions(&mut state, actions);
         drop(state);
         ItemSlot {
             report: RunReport::default(),
@@ -76,11 +75,11 @@
         let coordinator = &mut state.coordinator;
         let mut actions = coordinator.record_item_run(run, self.own, outcome, now_ms);
         actions.extend(coordinator.item_ended(run, now_ms));
-        self.carry_out(&mut state, actions);
+        self.apply_actions(&mut state, actions);
     }
 
-    /// Room for further items of a service.
-    pub(crate) fn room_for_items(&self, service: &str) -> ItemCapacity {
+    /// Capacity for further items of a service.
+    pub(crate) fn item_capacity(&self, service: &str) -> ItemCapacity {
         let now_ms = self.clock.now_ms();
         let state = self.state.lock();
         state.coordinator.item_capacity(service, now_ms)
@@ -88,8 +87,8 @@
 }
 
 impl ItemSlot {
-    /// Waits for a slot; returns its replica.
-    pub(crate) async fn granted(&mut self) -> Option<String> {
+    /// Waits for a slot and returns its replica.
+    pub(crate) async fn wait_for_grant(&mut self) -> Option<String> {
         (&mut self.start).await.ok()
     }
 }
--- a/crates/relay/src/slots/mod.rs
+++ b/crates/relay/src/slots/mod.rs
@@ -1,5 +1,5 @@
-//! Leases of engines' slots: asked of each replica's coordinator, kept while a
-//! request runs, and given out here for the replicas that this gateway coordinates.
+//! Leases of engine slots: requested from each replica's coordinator, held while a request runs,
+//! and granted here for the replicas that this gateway coordinates.
 
 mod coordination;
 mod items;
@@ -27,10 +27,10 @@
 use self::items::ItemHandle;
 pub(crate) use self::{coordination::receive_messages, items::ItemSlot};
 
-/// Verdicts on one ask.
-const VERDICTS: usize = 2;
+/// Maximum number of verdicts on one ask.
+const VERDICT_CAPACITY: usize = 2;
 
-/// Slots of all engines, as this gateway asks for them and gives them out.
+/// Slots of all engines, as requested and granted by this gateway.
 pub(crate) struct Slots {
     gateway: GatewayNode,
     own: MachineId,
@@ -41,47 +41,48 @@
 
 struct State {
     coordinator: SlotCoordinator,
-    /// The coordinator of each engine, as found among `gateways`.
+    /// The coordinator of each engine, determined from `gateways`.
     coordinators: CoordinatorTable,
     gateways: Arc<Vec<PlacedGateway>>,
-    /// Gateways or engines are others than when held leases were looked at last.
-    may_have_moved: bool,
-    /// Asks whose verdict is outstanding.
+    /// Whether gateways or engines have changed since the coordinators of held leases were last
+    /// checked.
+    coordinators_may_have_changed: bool,
+    /// Asks without a final verdict.
     asks: HashMap<u64, mpsc::Sender<Verdict>>,
-    /// Leases of this gateway.
-    held: BTreeMap<u64, Held>,
+    /// Leases held by this gateway.
+    held: BTreeMap<u64, OwnLease>,
     runs: HashMap<RunNumber, ItemHandle>,
     silent: SilentCoordinators,
     last_number: u64,
 }
 
-struct Held {
+struct OwnLease {
     replica: String,
     coordinator: MachineId,
-    /// Asked for by [`AskMode::Alone`].
+    /// Whether the lease was requested with [`AskMode::Alone`].
     alone: bool,
 }
 
-/// A request's place among others that wait for a slot.
+/// Priority of a request among those that wait for a slot.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Place {
-    /// When it is late.
+pub(crate) struct SlotPriority {
+    /// The time at which the request misses its target.
     pub(crate) due: Instant,
-    /// Its rank; 0 is the highest.
+    /// Priority rank; 0 is the highest.
     pub(crate) rank: u8,
     /// The round trip to the replica; its coordinator is near it.
     pub(crate) round_trip: Duration,
 }
 
-/// How an ask for a slot came out.
-pub(crate) enum Asked {
+/// Outcome of an ask for a slot.
+pub(crate) enum AskOutcome {
     /// The request may be sent.
     Leased(SlotLease),
-    /// Online requests have every slot.
+    /// Online requests hold every slot.
     Full,
 }
 
-/// How a run came out, for whoever coordinates its replica. Clones share it.
+/// Outcome of a run, for the coordinator of the replica. Clones share the value.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RunReport(Arc<Mutex<RunOutcome>>);
 
@@ -95,11 +96,11 @@
     }
 }
 
-/// A lease of a slot, given back when this is dropped.
+/// A lease of a slot, released on drop.
 pub(crate) struct SlotLease {
     pub(crate) report: RunReport,
     slots: Arc<Slots>,
-    /// `None` where nobody coordinates the replica.
+    /// `None` if no gateway coordinates the replica.
     number: Option<u64>,
 }
 
@@ -115,7 +116,7 @@
                 coordinator: SlotCoordinator::default(),
                 coordinators: CoordinatorTable::new(own),
                 gateways: Arc::default(),
-                may_have_moved: false,
+                coordinators_may_have_changed: false,
                 asks: HashMap::new(),
                 held: BTreeMap::new(),
                 runs: HashMap::new(),
@@ -125,47 +126,47 @@
         }
     }
 
-    /// Asks for a slot of a replica, waiting no longer than until the given time.
+    /// Asks for a slot of a replica and waits at most until the given time.
     pub(crate) async fn ask(
         self: &Arc<Self>,
         replica: &str,
-        place: Place,
+        priority: SlotPriority,
         mode: AskMode,
         wait_until: Instant,
-    ) -> Asked {
-        let (sender, mut verdicts) = mpsc::channel(VERDICTS);
-        let Some((mut lease, is_silent)) = self.send_ask(replica, place, mode, sender) else {
-            return Asked::Leased(self.no_lease());
+    ) -> AskOutcome {
+        let (sender, mut verdicts) = mpsc::channel(VERDICT_CAPACITY);
+        let Some((mut lease, is_silent)) = self.send_ask(replica, priority, mode, sender) else {
+            return AskOutcome::Leased(self.untracked_lease());
         };
         if is_silent || mode == AskMode::Take {
-            return Asked::Leased(lease);
+            return AskOutcome::Leased(lease);
         }
-        let Ok(first) = timeout(answer_timeout(place.round_trip), verdicts.recv()).await else {
+        let Ok(first) = timeout(answer_timeout(priority.round_trip), verdicts.recv()).await else {
             self.note_silence(&lease);
-            return Asked::Leased(lease);
+            return AskOutcome::Leased(lease);
         };
         match first {
             Some(Verdict::Full) => {
                 lease.forget();
-                return Asked::Full;
+                return AskOutcome::Full;
             }
             Some(Verdict::Queued) => {}
-            Some(Verdict::Granted | Verdict::NotHere) | None => return Asked::Leased(lease),
+            Some(Verdict::Granted | Verdict::NotHere) | None => return AskOutcome::Leased(lease),
         }
         match timeout_at(wait_until, verdicts.recv()).await {
             Ok(Some(Verdict::Full)) => {
-                // The replica fails what it is given: its queue was sent away.
+                // The replica fails its requests, so its queue was rejected.
                 lease.forget();
-                return Asked::Full;
+                return AskOutcome::Full;
             }
             Ok(_) => {}
-            Err(_) if mode == AskMode::Alone => return Asked::Full,
+            Err(_) if mode == AskMode::Alone => return AskOutcome::Full,
             Err(_) => self.take(&lease),
         }
-        Asked::Leased(lease)
+        AskOutcome::Leased(lease)
     }
 
-    fn no_lease(self: &Arc<Self>) -> SlotLease {
+    fn untracked_lease(self: &Arc<Self>) -> SlotLease {
         SlotLease {
             report: RunReport::default(),
             slots: Arc::clone(self),
@@ -173,11 +174,11 @@
         }
     }
 
-    /// The lease, and whether its coordinator is known to be silent.
+    /// Sends the ask. Returns the lease, and whether its coordinator is known to be unresponsive.
     fn send_ask(
         self: &Arc<Self>,
         replica: &str,
-        place: Place,
+        priority: SlotPriority,
         mode: AskMode,
         verdicts: mpsc::Sender<Verdict>,
     ) -> Option<(SlotLease, bool)> {
@@ -186,13 +187,13 @@
         let coordinator = state.coordinators.coordinator_of(replica)?;
         let number = state.next_number();
         state.asks.insert(number, verdicts);
-        let held = Held {
+        let held = OwnLease {
             replica: replica.to_owned(),
             coordinator,
             alone: mode == AskMode::Alone,
         };
         state.held.insert(number, held);
-        self.ask_coordinator(&mut state, number, place, mode);
+        self.ask_coordinator(&mut state, number, priority, mode);
         let is_silent = state.silent.is_silent(coordinator, now_ms);
         let lease = SlotLease {
             report: RunReport::default(),
@@ -202,12 +203,18 @@
         Some((lease, is_silent))
     }
 
-    fn ask_coordinator(&self, state: &mut State, number: u64, place: Place, mode: AskMode) {
+    fn ask_coordinator(
+        &self,
+        state: &mut State,
+        number: u64,
+        priority: SlotPriority,
+        mode: AskMode,
+    ) {
         let Some(held) = state.held.get(&number) else {
             return;
         };
         let replica = held.replica.clone();
-        let due_in = place.due.saturating_duration_since(Instant::now());
+        let due_in = priority.due.saturating_duration_since(Instant::now());
         let due_in_ms = due_in.as_millis() as u64;
         if held.coordinator == self.own {
             let now_ms = self.clock.now_ms();
@@ -217,33 +224,33 @@
                 due: Due {
                     at_ms: now_ms + due_in_ms,
                 },
-                rank: place.rank,
+                rank: priority.rank,
                 mode,
             };
             let actions = state.coordinator.ask(ask, now_ms);
-            self.carry_out(state, actions);
+            self.apply_actions(state, actions);
             return;
         }
         let ask = GatewayDatagram::Ask {
             number,
             replica,
             due_in_ms: due_in_ms.min(u64::from(u32::MAX)) as u32,
-            rank: place.rank,
+            rank: priority.rank,
             mode,
         };
         self.send(held.coordinator, &ask);
     }
 
-    /// The request is sent although no slot is free; its coordinator counts it.
+    /// Takes a slot although none is free; the coordinator counts the request.
     fn take(&self, lease: &SlotLease) {
         if let Some(number) = lease.number {
             let mut state = self.state.lock();
-            let place = Place {
+            let priority = SlotPriority {
                 due: Instant::now(),
                 rank: u8::MAX,
                 round_trip: Duration::ZERO,
             };
-            self.ask_coordinator(&mut state, number, place, AskMode::Take);
+            self.ask_coordinator(&mut state, number, priority, AskMode::Take);
         }
     }
 
@@ -255,7 +262,7 @@
         }
     }
 
-    fn give_back(&self, number: u64, outcome: RunOutcome) {
+    fn release(&self, number: u64, outcome: RunOutcome) {
         let mut state = self.state.lock();
         state.asks.remove(&number);
         let Some(held) = state.held.remove(&number) else {
@@ -266,7 +273,7 @@
             let key = self.own_key(number);
             let mut actions = state.coordinator.record_run(key, outcome, now_ms);
             actions.extend(state.coordinator.end(key, now_ms));
-            self.carry_out(&mut state, actions);
+            self.apply_actions(&mut state, actions);
         } else {
             let end = GatewayDatagram::End { number, outcome };
             self.send(held.coordinator, &end);
@@ -293,14 +300,14 @@
 
     fn deliver(&self, number: u64, verdict: Verdict) {
         if let Some(ask) = self.asks.get(&number) {
-            // An asker that no longer waits ends its lease itself.
+            // A requester that no longer waits releases its lease itself.
             let _ = ask.try_send(verdict);
         }
     }
 }
 
 impl SlotLease {
-    /// There is nothing to give back.
+    /// Drops the lease without releasing it: no slot was granted.
     fn forget(&mut self) {
         if let Some(number) = self.number.take() {
             let mut state = self.slots.state.lock();
@@ -313,7 +320,7 @@
 impl Drop for SlotLease {
     fn drop(&mut self) {
         if let Some(number) = self.number {
-            self.slots.give_back(number, self.report.outcome());
+            self.slots.release(number, self.report.outcome());
         }
     }
 }
--- a/crates/relay/src/suspected_requests.rs
+++ b/crates/relay/src/suspected_requests.rs
@@ -1,5 +1,5 @@
-//! What a gateway does about requests under which replicas ended: it asks for what is known
-//! of one, tells others what it finds, and takes what they tell.
+//! Handling of requests under which replicas ended: looks up what is known of a request, reports
+//! findings to control and other gateways, and handles theirs.
 
 use std::{
     sync::{Arc, atomic::Ordering},
@@ -12,35 +12,37 @@
 use rand::Rng as _;
 use slog::info;
 
-use crate::{exchange::Outgoing, shared::Shared, suspicions::TELL_LIMIT};
+use crate::{exchange::Outgoing, shared::Shared, suspicions::CONTROL_REPORT_TIMEOUT};
 
-/// Gateways that are told again at a time what ends replicas; each of them tells others.
-const MOST_TOLD_AGAIN: usize = 3;
+/// Gateways to which suspicions are resent at a time; each of them resends to others.
+const MAX_RESEND_GATEWAYS: usize = 3;
 
-/// Other gateways count as lost when none was heard of for so long, in milliseconds: each
-/// has told its leases three times meanwhile.
-const GATEWAYS_LOST_MS: u64 = 1_800;
-/// Pause between two looks whether this gateway is still cut off.
-const CUT_OFF_LOOK_INTERVAL: Duration = Duration::from_millis(10);
+/// Other gateways count as unreachable when there was no contact with any of them for this long,
+/// in milliseconds. Each gateway reports its leases three times in this period.
+const GATEWAY_CONTACT_TIMEOUT_MS: u64 = 1_800;
+const ISOLATION_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// Suspicions in one datagram of 8 KiB at most: some 100 bytes each, 400 after sixty ends.
-const MOST_IN_DATAGRAM: usize = 16;
+/// Maximum number of suspicions per datagram of 8 KiB: each takes about 100 bytes, 400 after
+/// sixty ends.
+const MAX_SUSPICIONS_PER_DATAGRAM: usize = 16;
 
 impl Shared {
-    /// Replicas that ended under copies of a request in a row; it is to be sent alone
-    /// if there are any. `None` where it is refused. Waits until a replica where a copy
-    /// has just broken off was asked.
+    /// Consecutive ends of replicas under copies of a request. If there are any, the request must
+    /// run without other suspected requests. `None` if the request is refused. Waits until a
+    /// replica where a copy was just interrupted has been probed.
     pub(crate) async fn known_ends(&self, outgoing: &Outgoing) -> Option<EndsInRow> {
-        if !self.broken_runs.is_settled() {
-            self.broken_runs.settled(&outgoing.fingerprint()).await;
+        if !self.interrupted_runs.all_probed() {
+            self.interrupted_runs
+                .wait_until_probed(&outgoing.fingerprint())
+                .await;
         }
         self.ends(outgoing)
     }
 
-    /// The same without waiting.
+    /// Like [`Self::known_ends`], without waiting.
     pub(crate) fn ends(&self, outgoing: &Outgoing) -> Option<EndsInRow> {
         let fleet = self.gateway.fleet();
-        if fleet.suspicions().is_empty() && self.news.is_empty() {
+        if fleet.suspicions().is_empty() && self.suspicion_updates.is_empty() {
             return Some(EndsInRow::default());
         }
         match self.suspicion(&outgoing.fingerprint()) {
@@ -52,112 +54,121 @@
 
     fn suspicion(&self, fingerprint: &RequestFingerprint) -> Option<Suspicion> {
         let now_ms = self.clock.now_ms();
-        self.news
+        self.suspicion_updates
             .suspicion(fingerprint, &self.gateway.fleet(), now_ms)
     }
 
-    /// A replica ended under runs: this gateway acts on it before control tells it, and so
-    /// do all others that are told by a datagram.
+    /// Records that a replica ended under runs. This gateway acts on it before control reports
+    /// it, and so do all gateways that receive the datagram.
     pub(crate) fn note_ends<'a>(&self, replica: &str, runs: impl Iterator<Item = &'a EndedRun>) {
-        let upto = self.gateway.fleet().up_to_index();
-        let mut to_tell = Vec::new();
+        let up_to_index = self.gateway.fleet().up_to_index();
+        let mut to_send = Vec::new();
         for run in runs {
-            let held = self.suspicion(&run.fingerprint);
-            if let Some(news) = Suspicion::after_end(held.as_ref(), replica, run, upto) {
-                to_tell.push(news.to_report());
-                self.news.note(news, self.clock.now_ms());
+            let known = self.suspicion(&run.fingerprint);
+            if let Some(suspicion) = Suspicion::after_end(known.as_ref(), replica, run, up_to_index)
+            {
+                to_send.push(suspicion.to_report());
+                self.suspicion_updates.note(suspicion, self.clock.now_ms());
             }
         }
-        self.tell_suspicions(&self.gateway.other_gateways(), &to_tell);
+        self.send_suspicions(&self.gateway.other_gateways(), &to_send);
     }
 
-    /// Another gateway told what it knows of a request.
-    pub(crate) fn take_told(&self, from: MachineId, told: ToldSuspicion) {
-        let held = self.suspicion(&told.fingerprint);
-        let held = held.map(|held| held.row).unwrap_or_default();
-        if !told.row.outweighs(&held) {
+    /// Handles what another gateway knows of a request.
+    pub(crate) fn handle_suspicion(&self, from: MachineId, reported: ToldSuspicion) {
+        let known = self.suspicion(&reported.fingerprint);
+        let known = known.map(|known| known.row).unwrap_or_default();
+        if !reported.row.outweighs(&known) {
             return;
         }
-        info!(self.logger, "request: told that replicas end under it"; "from" => from.0,
-            "content" => told.fingerprint.to_string(), "replica" => &told.replica,
-            "ends" => told.row.lengths_ms.len(), "clearings" => told.row.clearings,
-            "known_ends" => held.lengths_ms.len(), "known_clearings" => held.clearings);
-        let upto = self.gateway.fleet().up_to_index();
-        self.news
-            .note(Suspicion::from_report(told, upto), self.clock.now_ms());
+        info!(self.logger, "request: suspicion received from another gateway"; "from" => from.0,
+            "content" => reported.fingerprint.to_string(), "replica" => &reported.replica,
+            "ends" => reported.row.lengths_ms.len(), "clearings" => reported.row.clearings,
+            "known_ends" => known.lengths_ms.len(), "known_clearings" => known.clearings);
+        let up_to_index = self.gateway.fleet().up_to_index();
+        self.suspicion_updates.note(
+            Suspicion::from_report(reported, up_to_index),
+            self.clock.now_ms(),
+        );
     }
 
-    /// Another gateway was heard of.
-    pub(crate) fn note_gateway_heard(&self) {
+    /// Records contact with another gateway.
+    pub(crate) fn note_gateway_contact(&self) {
         let now_ms = self.clock.now_ms();
-        self.gateways_heard_ms.store(now_ms, Ordering::Relaxed);
+        self.gateway_contact_ms.store(now_ms, Ordering::Relaxed);
     }
 
-    /// Whether neither control nor any other gateway is heard of: what they know of requests
-    /// under which replicas ended is not known here.
-    fn is_cut_off(&self) -> bool {
-        let heard_ms = self.gateways_heard_ms.load(Ordering::Relaxed);
-        let silent_ms = self.clock.now_ms().saturating_sub(heard_ms);
+    /// Whether neither control nor any other gateway is reachable, so that their findings on
+    /// suspected requests are not known here.
+    fn is_isolated(&self) -> bool {
+        let contact_ms = self.gateway_contact_ms.load(Ordering::Relaxed);
+        let silent_ms = self.clock.now_ms().saturating_sub(contact_ms);
         self.gateway.is_control_lost()
-            && silent_ms >= GATEWAYS_LOST_MS
+            && silent_ms >= GATEWAY_CONTACT_TIMEOUT_MS
             && !self.gateway.other_gateways().is_empty()
     }
 
-    /// Whether this gateway is cut off and one more end is enough for a request to be refused:
-    /// others may know of it. Its caller may go to another gateway, which knows more.
-    pub(crate) fn is_tried_alone_enough(&self, known_ends: &EndsInRow) -> bool {
-        is_almost_refused(known_ends) && self.is_cut_off()
+    /// Whether this gateway is isolated and one more end would refuse the request: other gateways
+    /// may know of such an end. The caller may retry at another gateway, which knows more.
+    pub(crate) fn is_refused_while_isolated(&self, known_ends: &EndsInRow) -> bool {
+        is_almost_refused(known_ends) && self.is_isolated()
     }
 
-    /// Waits while this gateway is cut off.
-    pub(crate) async fn news_while_cut_off(&self) {
-        while self.is_cut_off() {
-            sleep(CUT_OFF_LOOK_INTERVAL).await;
+    /// Waits while this gateway is isolated.
+    pub(crate) async fn wait_while_isolated(&self) {
+        while self.is_isolated() {
+            sleep(ISOLATION_POLL_INTERVAL).await;
         }
     }
 
-    /// Tells a few other gateways again what is new here: datagrams are lost, and a gateway
-    /// may have started since.
-    pub(crate) fn tell_news_again(&self) {
-        if self.news.is_empty() {
+    /// Resends recent updates to a few other gateways: datagrams may be lost, and a gateway may
+    /// have started since.
+    pub(crate) fn resend_suspicions(&self) {
+        if self.suspicion_updates.is_empty() {
             return;
         }
         let fleet = self.gateway.fleet();
-        let to_tell = self.news.to_tell(&fleet, self.clock.now_ms());
+        let to_send = self
+            .suspicion_updates
+            .updates_to_send(&fleet, self.clock.now_ms());
         let mut gateways = self.gateway.other_gateways();
-        if gateways.len() > MOST_TOLD_AGAIN {
+        if gateways.len() > MAX_RESEND_GATEWAYS {
             let first = self.random.lock().random_range(0..gateways.len());
             gateways.rotate_left(first);
-            gateways.truncate(MOST_TOLD_AGAIN);
+            gateways.truncate(MAX_RESEND_GATEWAYS);
         }
-        self.tell_suspicions(&gateways, &to_tell);
+        self.send_suspicions(&gateways, &to_send);
     }
 
-    fn tell_suspicions(&self, gateways: &[MachineId], to_tell: &[ToldSuspicion]) {
-        for told in to_tell.chunks(MOST_IN_DATAGRAM) {
-            let message = GatewayDatagram::Suspicions(told.to_vec());
+    fn send_suspicions(&self, gateways: &[MachineId], to_send: &[ToldSuspicion]) {
+        for reported in to_send.chunks(MAX_SUSPICIONS_PER_DATAGRAM) {
+            let message = GatewayDatagram::Suspicions(reported.to_vec());
             self.gateway.tell_gateways(gateways, &message);
         }
     }
 
-    /// A copy of a request came to a whole answer: it is no longer suspected.
+    /// Clears a request of suspicion: a copy of it received a complete response.
     pub(crate) fn clear(self: &Arc<Self>, outgoing: &Outgoing) {
         let fleet = self.gateway.fleet();
-        if fleet.suspicions().is_empty() && self.news.is_empty() {
+        if fleet.suspicions().is_empty() && self.suspicion_updates.is_empty() {
             return;
         }
         let fingerprint = outgoing.fingerprint();
-        let Some(held) = self.suspicion(&fingerprint).filter(Suspicion::is_open) else {
+        let Some(known) = self.suspicion(&fingerprint).filter(Suspicion::is_open) else {
             return;
         };
-        let cleared = held.cleared(fleet.up_to_index());
+        let cleared = known.cleared(fleet.up_to_index());
         info!(self.logger, "request: cleared of suspicion"; "request" => outgoing.id(),
             "content" => fingerprint.to_string(), "clearings" => cleared.row.clearings);
-        let told = vec![cleared.to_report()];
-        self.news.note(cleared, self.clock.now_ms());
-        self.tell_suspicions(&self.gateway.other_gateways(), &told);
+        let reported = vec![cleared.to_report()];
+        self.suspicion_updates.note(cleared, self.clock.now_ms());
+        self.send_suspicions(&self.gateway.other_gateways(), &reported);
         let gateway = self.gateway.clone();
-        // Where control does not hear of it, the next copy that ends well clears it.
-        tokio::spawn(async move { gateway.tell_cleared(fingerprint, TELL_LIMIT).await });
+        // If the report does not reach control, the next copy that succeeds clears the request.
+        tokio::spawn(async move {
+            gateway
+                .tell_cleared(fingerprint, CONTROL_REPORT_TIMEOUT)
+                .await
+        });
     }
 }
--- a/crates/relay/tests/all/cold.rs
+++ b/crates/relay/tests/all/cold.rs
@@ -1,4 +1,4 @@
-//! Replicas that bear little for some time after a start get few requests.
+//! Replicas that can serve few requests for some time after a start.
 
 use std::time::Duration;
 
@@ -13,16 +13,16 @@
 
 /// Longer than any test.
 pub(crate) const LONG_MS: u64 = 600_000;
-/// A gateway sends nothing to cold replicas for so long after it heard of others.
-pub(crate) const FIRST: Duration = Duration::from_secs(3);
-/// Until control was heard of, also after a suspension.
-pub(crate) const HEARD: Duration = Duration::from_millis(400);
+/// A gateway sends nothing to cold replicas for this long after it learned of other gateways.
+pub(crate) const SETTLING_TIME: Duration = Duration::from_secs(3);
+/// Time until there is contact with control, also after a suspension.
+pub(crate) const CONTACT_TIME: Duration = Duration::from_millis(400);
 /// Longer than a request waits for a slot before it is sent without one.
 const LONGER_THAN_THE_WAIT: Duration = Duration::from_millis(900);
-/// What one gateway alone may send in a second: half of 2 x 1.5 + 5.
-pub(crate) const PART: usize = 4;
+/// Requests per second that the only gateway may send: half of 2 x 1.5 + 5.
+pub(crate) const SHARE: usize = 4;
 
-pub(crate) fn bearing_two_a_second(mut table: RouteTable) -> RouteTable {
+pub(crate) fn limited_to_two_per_second(mut table: RouteTable) -> RouteTable {
     table.services[0].cold = Some(ColdTraits {
         start_ms: 3_000,
         rate_milli: 2_000,
@@ -35,20 +35,20 @@
 }
 
 /// A gateway that has run for a while and knows one replica, which is cold.
-async fn before_a_cold(replica: &Replica, table: RouteTable) -> Fleet {
-    let fleet = Fleet::start_with(bearing_two_a_second(table), &[]).await;
+async fn start_with_cold_replica(replica: &Replica, table: RouteTable) -> Fleet {
+    let fleet = Fleet::start_with(limited_to_two_per_second(table), &[]).await;
     fleet.register_cold(0, replica.address, LONG_MS).await;
     fleet.wait_for(1).await;
-    has_run_for_a_while(&fleet).await;
+    wait_for_share(&fleet).await;
     fleet
 }
 
-/// Lets a gateway have heard of all gateways for so long that it has a part.
-pub(crate) async fn has_run_for_a_while(fleet: &Fleet) {
-    sleep(HEARD).await;
-    suspend_for(FIRST);
-    sleep(HEARD).await;
-    // After a suspension nothing is sent before control has spoken.
+/// Lets a gateway know all gateways for long enough to have a share.
+pub(crate) async fn wait_for_share(fleet: &Fleet) {
+    sleep(CONTACT_TIME).await;
+    suspend_for(SETTLING_TIME);
+    sleep(CONTACT_TIME).await;
+    // After a suspension nothing is sent before an update from control.
     fleet.relay.gateway().news_after_standstill().await;
 }
 
@@ -58,7 +58,7 @@
         Replica::start(vec![Act::Send(OK)]).await,
         Replica::start(vec![Act::Send(OK)]).await,
     ];
-    let table = bearing_two_a_second(table(safe_route()));
+    let table = limited_to_two_per_second(table(safe_route()));
     let fleet = Fleet::start_with(table, &replicas[..1]).await;
     fleet.register_cold(1, replicas[1].address, LONG_MS).await;
     fleet.wait_for(2).await;
@@ -72,16 +72,17 @@
 #[tokio::test]
 async fn a_gateway_that_has_just_started_sends_nothing_to_a_cold_replica() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
-    let table = bearing_two_a_second(table(safe_route()));
+    let table = limited_to_two_per_second(table(safe_route()));
     let fleet = Fleet::start_with(table, &[]).await;
     fleet.register_cold(0, replica.address, LONG_MS).await;
     fleet.wait_for(1).await;
     let answer = fleet.ask("request").await;
     assert_eq!(answer.status, 503);
     assert_eq!(replica.requests(), 0);
-    // Other gateways may send there: the caller is not told to wait until it is warm.
+    // Other gateways may send to the replica, so the caller is not asked to wait until it is
+    // warm.
     assert!(fleet.log.contains("request: replicas are cold"));
-    let come_back = header(&answer.head, "retry-after").expect("it is told when");
+    let come_back = header(&answer.head, "retry-after").expect("the response says when to retry");
     assert!(
         come_back.parse::<f64>().expect("seconds") <= 1.0,
         "{come_back}"
@@ -94,15 +95,15 @@
     "HTTP/1.1 500 Failed\r\nrequest-id: {id}\r\nsignature: s\r\ncontent-length: 0\r\n\r\n"
 )]
 #[tokio::test]
-async fn a_cold_replica_gets_the_part_of_its_gateway(#[case] answer: &'static str) {
+async fn a_cold_replica_gets_the_share_of_its_gateway(#[case] answer: &'static str) {
     let replica = Replica::start(vec![Act::Send(answer)]).await;
-    let fleet = before_a_cold(&replica, table(safe_route())).await;
+    let fleet = start_with_cold_replica(&replica, table(safe_route())).await;
     let asks = (0..20).map(|number| {
         let fleet = &fleet;
         async move { fleet.ask(&format!("request-{number}")).await }
     });
     let answers = futures_util::future::join_all(asks).await;
-    assert_eq!(replica.requests(), PART);
+    assert_eq!(replica.requests(), SHARE);
     let refused: Vec<_> = answers.iter().filter(|a| a.status == 503).collect();
     assert!(!refused.is_empty());
     assert!(refused.iter().all(|a| a.head.contains("retry-after: ")));
@@ -111,40 +112,40 @@
 #[tokio::test]
 async fn refusals_of_another_incarnation_do_not_count() {
     let replica = Replica::start(vec![Act::Send(OTHER_INCARNATION)]).await;
-    let fleet = before_a_cold(&replica, table(safe_route())).await;
+    let fleet = start_with_cold_replica(&replica, table(safe_route())).await;
     fleet.ask("request").await;
     assert!(fleet.relay.metrics_text().contains("cold_sends_total 1"));
     assert_eq!(replica.requests(), 1);
 }
 
-/// A request whose wait for a slot is over is sent without one; not to a cold replica.
+/// A request that has waited too long for a slot is sent without one, but not to a cold replica.
 #[tokio::test]
-async fn no_request_is_sent_in_spite_of_the_bound_once_its_wait_is_over() {
+async fn no_request_exceeds_the_rate_after_its_slot_wait() {
     let engine = Replica::start(vec![Act::Silence]).await;
     let streaming = route(RouteKind::Streaming, 1, false);
-    let fleet = before_a_cold(&engine, engine_table(streaming)).await;
+    let fleet = start_with_cold_replica(&engine, engine_table(streaming)).await;
     let mut streams = Vec::new();
-    for number in 0..2 * PART {
+    for number in 0..2 * SHARE {
         streams.push(fleet.open(&format!("request-{number}"), "").await);
     }
     sleep(LONGER_THAN_THE_WAIT).await;
-    assert_eq!(engine.requests(), PART);
+    assert_eq!(engine.requests(), SHARE);
 }
 
-/// Another replica of the service was tried and accepts no connection. Neither that one nor
-/// a cold one in an evacuated zone can help: the caller is not told to wait for them.
+/// Another replica of the service was tried and accepts no connection. Neither that one nor a
+/// cold one in an evacuated zone can help, so the caller is not asked to wait for them.
 #[rstest]
 #[case::tried(false)]
 #[case::tried_and_evacuated(true)]
 #[tokio::test]
-async fn a_time_of_replicas_that_cannot_help_is_not_told(#[case] evacuated: bool) {
+async fn retry_after_ignores_replicas_that_cannot_help(#[case] evacuated: bool) {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
-    // It is bound, so that nobody else takes the port, and does not listen.
+    // Bound, so that no other process takes the port, and not listening.
     let nobody = TcpSocket::new_v4().expect("a socket");
     let any_port = "127.0.0.1:0".parse().expect("an address");
     nobody.bind(any_port).expect("a port");
     let address = nobody.local_addr().expect("its address");
-    let fleet = Fleet::start_with(bearing_two_a_second(table(safe_route())), &[]).await;
+    let fleet = Fleet::start_with(limited_to_two_per_second(table(safe_route())), &[]).await;
     if evacuated {
         fleet.register_cold(0, replica.address, LONG_MS).await;
         fleet.wait_for(1).await;
@@ -157,18 +158,18 @@
     assert_eq!(replica.requests(), 0);
 }
 
-/// How long replicas that started together are cold.
+/// How long replicas that started together are cold, in milliseconds.
 const SHORT_MS: u64 = 1_000;
 /// Replicas of a small service.
 const FEW: usize = 3;
 
-/// A service whose few replicas are all cold, at a gateway without a part of any.
-async fn before_few_cold(replicas: &[Replica], cold_ms: u64, target_ms: u64) -> Fleet {
+/// A service whose few replicas are all cold, at a gateway without a share of any.
+async fn start_with_few_cold(replicas: &[Replica], cold_ms: u64, target_ms: u64) -> Fleet {
     let patient = Route {
         target_ms,
         ..safe_route()
     };
-    let fleet = Fleet::start_with(bearing_two_a_second(table(patient)), &[]).await;
+    let fleet = Fleet::start_with(limited_to_two_per_second(table(patient)), &[]).await;
     for (number, replica) in replicas.iter().enumerate() {
         let address = replica.address;
         fleet.register_cold(number, address, cold_ms).await;
@@ -186,21 +187,21 @@
     replicas.iter().map(Replica::requests).sum()
 }
 
-/// It waits where they are warm while it can still be on time.
+/// The request waits until the replicas are warm while it can still meet its target.
 #[tokio::test]
 async fn a_request_that_can_still_be_on_time_waits_until_all_are_warm() {
     let replicas = few().await;
-    let fleet = before_few_cold(&replicas, SHORT_MS, 3_000).await;
+    let fleet = start_with_few_cold(&replicas, SHORT_MS, 3_000).await;
     let answer = fleet.ask("request").await;
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(requests(&replicas), 1);
 }
 
-/// It is refused before its time is up, and served once they are warm.
+/// The request is refused before its deadline, and served once the replicas are warm.
 #[tokio::test]
-async fn a_request_that_cannot_is_told_to_come_back() {
+async fn a_request_that_would_be_late_is_asked_to_retry() {
     let replicas = few().await;
-    let fleet = before_few_cold(&replicas, LONG_MS, 300).await;
+    let fleet = start_with_few_cold(&replicas, LONG_MS, 300).await;
     let answer = fleet.ask("request").await;
     assert_eq!(answer.status, 503, "{answer:?}");
     assert_eq!(header(&answer.head, "retry-after"), Some("1.00"));
--- a/crates/relay/tests/all/kept_connections.rs
+++ b/crates/relay/tests/all/connection_reuse.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas are used again, and those that are opened count by why.
+//! Connections to replicas are reused, and new ones are counted by reason.
 
 use std::{sync::Arc, time::Duration};
 
@@ -7,7 +7,7 @@
 
 use crate::support::{Act, Fleet, LIMIT, OK, Replica, route};
 
-/// An answer after which the connection is not to be used again.
+/// A response after which the connection must not be reused.
 const LAST: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: s\r\nconnection: close\r\n\
     content-length: 5\r\n\r\nhello";
 
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn connections_count_by_why_they_were_opened() {
+async fn connections_are_counted_by_reason() {
     let end = Arc::new(Notify::new());
     let acts = vec![
         Act::Send(OK),
--- a/crates/relay/tests/all/ending_requests.rs
+++ b/crates/relay/tests/all/ending_requests.rs
@@ -1,12 +1,12 @@
 //! Requests under which replicas end.
 //!
-//! Seen: three times within a minute, 13 to 15 replicas of a service of twelve ended
-//! one after the other. A caller sent one and the same request again and again, at
-//! any gateway; each replica that began to run it ended some 80 ms later and was back
-//! after three seconds. Nothing remembered it: a gateway bounds the sends of one
-//! attempt of a caller, and the next attempt with the same content began with none.
-//! Each end broke off up to a dozen other requests. What proved it: the fingerprints
-//! of the requests that broke off have one in common over all ends of a wave.
+//! These tests guard against a request that ends every replica that runs it. In the observed
+//! failure a caller sent the same request repeatedly to several gateways: three times within a
+//! minute, 13 to 15 ends hit a service of twelve replicas. Each replica ended about 80 ms after
+//! it began to run the request and was back after three seconds; each end interrupted up to a
+//! dozen other requests. A gateway limited the sends of one attempt of a caller only, so the next
+//! attempt with the same content started from zero. In each wave, the fingerprints of the
+//! interrupted requests had exactly one in common.
 
 use std::{
     net::SocketAddr,
@@ -32,29 +32,29 @@
 use tokio_util::sync::CancellationToken;
 
 use crate::support::{
-    Fleet, Gateway, LIMIT, OK, engine_table, header, listen_apart, read_whole_request, route, table,
+    Fleet, Gateway, LIMIT, OK, engine_table, header, listen_on_own_address, read_whole_request,
+    route, table,
 };
 
-/// A replica ends when it runs a request whose body begins so.
+/// A replica ends when it runs a request whose body begins with this.
 const FATAL: &str = "fatal";
-/// A replica takes a while over requests that begin so.
+/// A replica takes [`SLOW_FOR`] for requests whose body begins with this.
 const SLOW: &str = "slow";
-/// How long that is.
 const SLOW_FOR: Duration = Duration::from_millis(100);
-/// How long a replica runs a request before it ends under it.
+/// How long a replica runs a fatal request before it ends.
 const FATAL_FOR: Duration = Duration::from_millis(30);
-/// The machine is suspended during the second run of this one: longer than runs that count as
-/// alike differ.
+/// The machine is suspended during the second run of this request, for longer than the run
+/// lengths of one cause may differ.
 const STALLED: &str = "fatal, stalled once";
 const STALLED_FOR: Duration = Duration::from_millis(1_500);
-/// A caller's pause before it sends a request again.
+/// Pause of a caller before it repeats a request.
 const CALLER_PAUSE: Duration = Duration::from_millis(120);
-/// Replicas that may end under one request before it is known as what it is.
-const MOST_ENDS: usize = 3;
+/// Replicas that may end under one request before the request is refused.
+const MAX_ENDS: usize = 3;
 
 /// Starts a replica whose process ends when it runs [`FATAL`]; returns its address.
-async fn start_mortal_replica(ended: &Arc<AtomicUsize>) -> SocketAddr {
-    let listener = listen_apart().await;
+async fn start_killable_replica(ended: &Arc<AtomicUsize>) -> SocketAddr {
+    let listener = listen_on_own_address().await;
     let address = listener.local_addr().expect("an address");
     let process = CancellationToken::new();
     let ended = Arc::clone(ended);
@@ -96,7 +96,7 @@
     }
 }
 
-/// Replicas of a service; what ends is followed by a new incarnation elsewhere.
+/// Replicas of a service that end under fatal requests.
 struct Service {
     fleet: Fleet,
     ended: Arc<AtomicUsize>,
@@ -113,7 +113,7 @@
         let fleet = Fleet::start_with(table, &[]).await;
         let ended = Arc::default();
         for number in 0..replicas {
-            let address = start_mortal_replica(&ended).await;
+            let address = start_killable_replica(&ended).await;
             fleet
                 .register(number, address, ReplicaState::Ready, 1)
                 .await;
@@ -127,8 +127,8 @@
     }
 }
 
-/// A caller sends a request that ends replicas, at all gateways in turn.
-async fn send_again_and_again(gateways: &[Gateway], times: usize) -> Vec<u16> {
+/// A caller sends a fatal request to all gateways in turn.
+async fn repeat_fatal_request(gateways: &[Gateway], times: usize) -> Vec<u16> {
     let mut statuses = Vec::new();
     for number in 0..times {
         let gateway = &gateways[number % gateways.len()];
@@ -144,7 +144,7 @@
 #[case::must_not_be_repeated(RouteKind::AtMostOnce, 1, false)]
 #[case::engines(RouteKind::Streaming, 1, true)]
 #[tokio::test]
-async fn a_request_that_ends_replicas_ends_few(
+async fn a_fatal_request_ends_few_replicas(
     #[case] kind: RouteKind,
     #[case] max_attempts: u32,
     #[case] engines: bool,
@@ -155,25 +155,25 @@
         service.fleet.add_gateway().await,
         service.fleet.add_gateway().await,
     ];
-    let statuses = send_again_and_again(&gateways, 9).await;
+    let statuses = repeat_fatal_request(&gateways, 9).await;
     assert!(
-        service.ended() <= MOST_ENDS,
+        service.ended() <= MAX_ENDS,
         "{} replicas ended, answers {statuses:?}",
         service.ended()
     );
-    // What clients do not repeat by themselves.
+    // A status that clients do not retry by themselves.
     assert_eq!(statuses.last(), Some(&400), "{statuses:?}");
     let other = gateways[0].ask("other-1", "other").await;
     assert_eq!(other.status, 200);
-    // A gateway that has just started refuses it too.
+    // A gateway that has just started refuses the request too.
     let new = service.fleet.add_gateway().await;
     assert_eq!(new.ask("fatal-new", FATAL).await.status, 400);
 }
 
-/// Seen in a run of faults: while control had no leader each gateway counted for itself,
-/// and eight replicas ended.
+/// Guards against separate counting: in a fault run, each gateway counted for itself while
+/// control had no leader, and eight replicas ended.
 #[tokio::test]
-async fn gateways_tell_each_other_while_control_takes_no_changes() {
+async fn gateways_exchange_suspicions_while_control_takes_no_changes() {
     let service = Service::start(RouteKind::Streaming, 1, true, 10).await;
     let gateways = [
         service.fleet.first_gateway(),
@@ -186,18 +186,18 @@
         }
     }
     service.fleet.stop_control();
-    let statuses = send_again_and_again(&gateways, 9).await;
+    let statuses = repeat_fatal_request(&gateways, 9).await;
     assert!(
-        service.ended() <= MOST_ENDS,
+        service.ended() <= MAX_ENDS,
         "{} replicas ended, answers {statuses:?}",
         service.ended()
     );
     assert_eq!(statuses.last(), Some(&400), "{statuses:?}");
 }
 
-/// A gateway that control no longer names serves on, while it stops or is cut off.
+/// A gateway that control no longer lists continues to serve while it stops or is isolated.
 #[tokio::test]
-async fn gateways_tell_one_that_control_no_longer_names() {
+async fn gateways_send_suspicions_to_one_that_control_no_longer_lists() {
     let service = Service::start(RouteKind::Streaming, 1, true, 10).await;
     let gateways = [
         service.fleet.first_gateway(),
@@ -217,38 +217,41 @@
         }
     }
     service.fleet.stop_control();
-    let statuses = send_again_and_again(&gateways, 9).await;
+    let statuses = repeat_fatal_request(&gateways, 9).await;
     assert!(
-        service.ended() <= MOST_ENDS,
+        service.ended() <= MAX_ENDS,
         "{} replicas ended, answers {statuses:?}",
         service.ended()
     );
     assert_eq!(statuses.last(), Some(&400), "{statuses:?}");
 }
 
-/// What a gateway without callers is told next of requests under which replicas ended, by
-/// what is looked for.
-async fn told_next(
+/// The next matching suspicion that a gateway without callers receives.
+async fn next_suspicion(
     other: &GatewayNode,
     is_looked_for: impl Fn(&ToldSuspicion) -> bool,
 ) -> ToldSuspicion {
     let datagrams = other.datagrams().expect("its port is free");
-    let told = async {
+    let suspicion = async {
         loop {
             let (_, message) = datagrams.receive().await.expect("a datagram");
-            let GatewayDatagram::Suspicions(told) = message else {
+            let GatewayDatagram::Suspicions(suspicion) = message else {
                 continue;
             };
-            if let Some(told) = told.into_iter().find(|told| is_looked_for(told)) {
-                break told;
+            if let Some(suspicion) = suspicion
+                .into_iter()
+                .find(|suspicion| is_looked_for(suspicion))
+            {
+                break suspicion;
             }
         }
     };
-    timeout(LIMIT, told).await.expect("in time")
+    timeout(LIMIT, suspicion).await.expect("in time")
 }
 
-/// A service, its only gateway, and another one without callers that both know of.
-async fn beside_another_gateway(replicas: usize) -> (Service, Gateway, GatewayNode) {
+/// A service, its only gateway, and another gateway without callers; both gateways know of each
+/// other.
+async fn start_with_other_gateway(replicas: usize) -> (Service, Gateway, GatewayNode) {
     let service = Service::start(RouteKind::Safe, 1, false, replicas).await;
     let first = service.fleet.first_gateway();
     let other = service.fleet.add_bare_gateway();
@@ -258,23 +261,23 @@
     (service, first, other)
 }
 
-/// Datagrams are lost, and a gateway that starts while control takes no changes has not
-/// heard those before.
+/// Datagrams may be lost, and a gateway that starts while control takes no changes has missed the
+/// earlier ones.
 #[tokio::test]
-async fn news_are_told_again() {
-    let (service, first, other) = beside_another_gateway(2).await;
+async fn suspicions_are_resent() {
+    let (service, first, other) = start_with_other_gateway(2).await;
     service.fleet.stop_control();
     first.ask("fatal-1", FATAL).await;
-    let told = told_next(&other, |_| true).await;
-    assert_eq!(told.row.lengths_ms.len(), 1);
-    assert_eq!(told_next(&other, |_| true).await, told);
-    assert_eq!(told_next(&other, |_| true).await, told);
+    let suspicion = next_suspicion(&other, |_| true).await;
+    assert_eq!(suspicion.row.lengths_ms.len(), 1);
+    assert_eq!(next_suspicion(&other, |_| true).await, suspicion);
+    assert_eq!(next_suspicion(&other, |_| true).await, suspicion);
 }
 
-/// A gateway that hears neither control nor other gateways does not know what they found.
+/// A gateway that reaches neither control nor other gateways does not know what they found.
 #[tokio::test]
-async fn a_suspected_request_waits_for_news_where_its_gateway_is_cut_off() {
-    let (service, first, other) = beside_another_gateway(3).await;
+async fn a_suspected_request_waits_for_updates_at_an_isolated_gateway() {
+    let (service, first, other) = start_with_other_gateway(3).await;
     first.ask("fatal-1", FATAL).await;
     assert_eq!(service.ended(), 1);
     service.fleet.lose_control();
@@ -282,28 +285,29 @@
         sleep(Duration::from_millis(10)).await;
     }
     let waiting = first.ask("fatal-2", FATAL);
-    let told_later = async {
+    let sent_later = async {
         sleep(CALLER_PAUSE).await;
-        let told = ToldSuspicion {
+        let suspicion = ToldSuspicion {
             fingerprint: fingerprint(FATAL),
             replica: "i-9".to_owned(),
             row: EndsInRow {
                 clearings: 0,
-                lengths_ms: vec![30; MOST_ENDS],
+                lengths_ms: vec![30; MAX_ENDS],
             },
         };
         let receivers = [first.relay.gateway().machine()];
-        other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![told]));
+        other.tell_gateways(&receivers, &GatewayDatagram::Suspicions(vec![suspicion]));
     };
-    let (answer, ()) = tokio::join!(waiting, told_later);
+    let (answer, ()) = tokio::join!(waiting, sent_later);
     assert_eq!((answer.status, service.ended()), (400, 1));
 }
 
-/// Seen in a run of faults: one that was cut off ended three, the others three, and those that
-/// were killed as they found an end two more.
+/// Guards against too many ends during a partition: in a fault run, an isolated gateway let three
+/// replicas end, the other gateways three more, and gateways that were killed while they found an
+/// end two more.
 #[tokio::test]
-async fn a_gateway_that_is_cut_off_tries_a_suspected_request_no_more_than_twice() {
-    let (service, first, _other) = beside_another_gateway(3).await;
+async fn an_isolated_gateway_sends_a_suspected_request_at_most_twice() {
+    let (service, first, _other) = start_with_other_gateway(3).await;
     first.ask("fatal-1", FATAL).await;
     first.ask("fatal-2", FATAL).await;
     assert_eq!(service.ended(), 2);
@@ -327,30 +331,34 @@
     })
 }
 
-/// Seen in a run of faults: innocent requests were refused by what gateways knew that had
-/// not heard that they were cleared.
+/// Guards against refusals of innocent requests: in a fault run, gateways that had missed a
+/// clearing refused them.
 #[tokio::test]
-async fn clearings_are_told_like_ends_and_hold_against_those_before() {
-    let (service, first, other) = beside_another_gateway(1).await;
+async fn clearings_are_sent_like_ends_and_outweigh_earlier_ends() {
+    let (service, first, other) = start_with_other_gateway(1).await;
     let (fatal, innocent) =
         tokio::join!(first.ask("fatal-1", FATAL), first.ask("innocent-1", SLOW));
     assert_eq!((fatal.status, innocent.status), (502, 502));
-    let about_innocent = |told: &ToldSuspicion| told.fingerprint == fingerprint(SLOW);
-    let told = told_next(&other, about_innocent).await;
-    assert_eq!((told.row.clearings, told.row.lengths_ms.len()), (0, 1));
-    let address = start_mortal_replica(&service.ended).await;
+    let about_innocent = |suspicion: &ToldSuspicion| suspicion.fingerprint == fingerprint(SLOW);
+    let suspicion = next_suspicion(&other, about_innocent).await;
+    assert_eq!(
+        (suspicion.row.clearings, suspicion.row.lengths_ms.len()),
+        (0, 1)
+    );
+    let address = start_killable_replica(&service.ended).await;
     let fleet = &service.fleet;
     fleet.register(1, address, ReplicaState::Ready, 1).await;
     fleet.wait_for(2).await;
     assert_eq!(first.ask("innocent-2", SLOW).await.status, 200);
-    let is_cleared = |told: &ToldSuspicion| about_innocent(told) && told.row.clearings > 0;
-    assert!(told_next(&other, is_cleared).await.row.is_empty());
+    let is_cleared =
+        |suspicion: &ToldSuspicion| about_innocent(suspicion) && suspicion.row.clearings > 0;
+    assert!(next_suspicion(&other, is_cleared).await.row.is_empty());
     let refused_elsewhere = |body| ToldSuspicion {
         fingerprint: fingerprint(body),
         replica: "i-9".to_owned(),
         row: EndsInRow {
             clearings: 0,
-            lengths_ms: vec![30; MOST_ENDS],
+            lengths_ms: vec![30; MAX_ENDS],
         },
     };
     let late = ["other", SLOW].map(refused_elsewhere);
@@ -362,17 +370,17 @@
     assert_eq!(first.ask("innocent-3", SLOW).await.status, 200);
 }
 
-/// Guards against innocent requests that are refused during an upgrade: control tells of clearings
-/// without their number, and what a gateway had counted before went on to count.
+/// Guards against refusals of innocent requests during an upgrade: older control reports
+/// clearings without their number, and ends that a gateway had counted before continued to count.
 #[tokio::test]
-async fn a_clearing_that_older_control_tells_holds_against_what_was_known_before() {
+async fn a_clearing_from_older_control_outweighs_earlier_ends() {
     let table = table(route(RouteKind::Safe, 1, false));
     let fleet = Fleet::start_with_older_control(table).await;
     let service = Service {
         fleet,
         ended: Arc::default(),
     };
-    let address = start_mortal_replica(&service.ended).await;
+    let address = start_killable_replica(&service.ended).await;
     service
         .fleet
         .register(0, address, ReplicaState::Ready, 1)
@@ -385,7 +393,7 @@
         replica: "i-9".to_owned(),
         row: EndsInRow {
             clearings: 1,
-            lengths_ms: vec![30; MOST_ENDS],
+            lengths_ms: vec![30; MAX_ENDS],
         },
     };
     let receivers = [first.relay.gateway().machine()];
@@ -395,7 +403,9 @@
             sleep(CALLER_PAUSE).await;
         }
     };
-    timeout(LIMIT, answered(400)).await.expect("it is refused");
+    timeout(LIMIT, answered(400))
+        .await
+        .expect("the request is refused");
     let ended = EndedRun {
         fingerprint: fingerprint(SLOW),
         known: EndsInRow::default(),
@@ -403,31 +413,34 @@
     };
     assert!(other.tell_replica_ended("i-9", vec![ended], LIMIT).await);
     other.tell_cleared(fingerprint(SLOW), LIMIT).await;
-    timeout(LIMIT, answered(200)).await.expect("it is served");
+    timeout(LIMIT, answered(200))
+        .await
+        .expect("the request is served");
 }
 
-/// Seen in a run of faults: a gateway that stood still during a run told it as so long that the
-/// ends before and after it looked like other causes, and one replica more ended.
+/// Guards against wrong run lengths: in a fault run, a gateway that was paused during a run
+/// reported a much longer run, so the ends before and after it seemed to have other causes, and
+/// one more replica ended.
 #[tokio::test]
-async fn a_stall_of_the_gateway_does_not_lengthen_a_run() {
-    let service = Service::start(RouteKind::AtMostOnce, 1, false, MOST_ENDS + 2).await;
+async fn a_pause_of_the_gateway_does_not_lengthen_a_run() {
+    let service = Service::start(RouteKind::AtMostOnce, 1, false, MAX_ENDS + 2).await;
     let gateway = service.fleet.first_gateway();
-    for number in 0..MOST_ENDS {
+    for number in 0..MAX_ENDS {
         let answer = gateway.ask(&format!("fatal-{number}"), STALLED).await;
         assert_eq!(answer.status, 502);
         sleep(CALLER_PAUSE).await;
     }
     assert_eq!(gateway.ask("fatal-last", STALLED).await.status, 400);
-    assert_eq!(service.ended(), MOST_ENDS);
+    assert_eq!(service.ended(), MAX_ENDS);
 }
 
-/// What runs beside a request that ends replicas is broken off with it, and is suspected
-/// like it. Sent again, it is served, at whatever gateway, and is never refused.
+/// Requests that run beside a fatal request are interrupted with it and are suspected like it.
+/// When repeated, they are served at any gateway and never refused.
 #[rstest]
 #[case::popular(true)]
 #[case::each_of_its_own(false)]
 #[tokio::test]
-async fn requests_beside_it_are_served(#[case] popular: bool) {
+async fn requests_beside_a_fatal_request_are_served(#[case] popular: bool) {
     let service = Service::start(RouteKind::Streaming, 1, true, 8).await;
     let first = service.fleet.first_gateway();
     let second = service.fleet.add_gateway().await;
@@ -450,9 +463,9 @@
     });
     let (beside, guilty) = tokio::join!(
         futures_util::future::join_all(callers),
-        send_again_and_again(std::slice::from_ref(&first), 9)
+        repeat_fatal_request(std::slice::from_ref(&first), 9)
     );
-    assert!(service.ended() <= MOST_ENDS, "{} ended", service.ended());
+    assert!(service.ended() <= MAX_ENDS, "{} ended", service.ended());
     assert_eq!(guilty.last(), Some(&400), "{guilty:?}");
     for statuses in beside {
         assert_eq!(statuses.last(), Some(&200), "{statuses:?}");
@@ -460,10 +473,9 @@
     }
 }
 
-/// Replicas that end by themselves, one after the other, under a request that has
-/// nothing to do with it.
+/// Replicas that end one after the other under an unrelated request.
 #[tokio::test]
-async fn replicas_that_end_of_something_else_make_nobody_refused() {
+async fn unrelated_ends_of_replicas_refuse_no_request() {
     let service = Service::start(RouteKind::Safe, 1, false, 10).await;
     let gateway = service.fleet.first_gateway();
     for number in 0..8 {
--- a/crates/relay/tests/all/evacuations.rs
+++ b/crates/relay/tests/all/evacuations.rs
@@ -1,4 +1,4 @@
-//! Nothing new is sent to the replicas of an evacuated zone.
+//! No new requests are sent to replicas of an evacuated zone.
 
 use std::{sync::Arc, time::Duration};
 
@@ -11,16 +11,16 @@
 };
 
 use crate::{
-    streams::{BOTH, BROKEN, REST},
+    streams::{ALL_EVENTS, BROKEN, CONTINUATION},
     support::{
-        Act, Answer, Fleet, LIMIT, OK, OTHER_ZONE, Replica, ZONE, header, reached_by, read_answer,
-        route,
+        Act, Answer, Fleet, LIMIT, OK, OTHER_ZONE, Replica, ZONE, header, read_answer, route,
+        wait_for_requests,
     },
 };
 
-/// Requests that would be spread over two replicas.
+/// Enough requests to reach both replicas of a pair.
 const REQUESTS: usize = 20;
-/// Slots of an engine of the tests.
+/// Slots per test engine.
 const SLOTS: usize = 4;
 
 /// A replica in each zone.
@@ -51,7 +51,7 @@
     route(RouteKind::Safe, 2, false)
 }
 
-/// A route whose requests wait for a slot for longer than a test takes.
+/// A route whose requests wait for a slot longer than a test takes.
 fn patient_route() -> Route {
     Route {
         target_ms: LIMIT.as_millis() as u64,
@@ -69,7 +69,7 @@
 }
 
 #[tokio::test]
-async fn requests_go_to_other_zones_until_the_evacuation_is_taken_back() {
+async fn requests_go_to_other_zones_until_the_zone_is_restored() {
     let pair = Pair::start(safe_route()).await;
     pair.fleet.evacuate(ZONE, true).await;
     pair.ask_all("evacuated").await;
@@ -82,7 +82,7 @@
     assert_eq!(figure(&pair.fleet, "relay_evacuated_replicas"), "0");
 }
 
-/// A gateway that starts does not send there before it has heard of the evacuation.
+/// A gateway that starts does not send to the zone before it knows of the evacuation.
 #[tokio::test]
 async fn a_gateway_that_starts_knows_the_evacuations_of_its_first_table() {
     let pair = Pair::start(safe_route()).await;
@@ -100,7 +100,7 @@
     assert_eq!(header(&answer.head, "retry-after"), Some("1.00"));
 }
 
-/// Not after the wait for a replica that is replaced, whose end has another name.
+/// The refusal is immediate, without the wait for a replacement, and is counted separately.
 #[rstest]
 #[case::of_a_service(false)]
 #[case::of_engines(true)]
@@ -121,10 +121,11 @@
     assert_eq!(fleet.ask("request-2").await.status, 200);
 }
 
-/// It would wait for most of a minute; those that have a slot keep it. It is released with
-/// a place that it must not use: the last look before the send stops it.
+/// Without the check the request would wait for most of a minute; requests that hold a slot keep
+/// it. The request leaves the queue with a replica that it must not use: the check before the
+/// send stops it.
 #[tokio::test]
-async fn a_request_that_waits_for_a_slot_there_is_not_sent_and_goes_elsewhere() {
+async fn a_queued_request_of_an_evacuated_zone_is_sent_elsewhere() {
     let here = Replica::start(vec![Act::Silence]).await;
     let there = Replica::start(vec![Act::Silence]).await;
     let fleet = Fleet::start_engines(patient_route(), std::slice::from_ref(&here)).await;
@@ -132,42 +133,42 @@
     for number in 0..=SLOTS {
         streams.push(fleet.open(&format!("request-{number}"), "").await);
     }
-    reached_by(&here, SLOTS).await;
+    wait_for_requests(&here, SLOTS).await;
     let waits = async {
         while figure(&fleet, r#"used_by="Waiting""#) != "1" {
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waits).await.expect("one waits");
+    timeout(LIMIT, waits).await.expect("one request waits");
     fleet.add_in_other_zone(1, &there).await;
     fleet.evacuate(ZONE, true).await;
-    reached_by(&there, 1).await;
+    wait_for_requests(&there, 1).await;
     assert_eq!(here.requests(), SLOTS);
     assert_eq!(figure(&fleet, "relay_evacuated_sends"), "1");
 }
 
-/// Its stream broke off after the evacuation; a fellow of its replica waits for work there.
+/// The stream breaks after the evacuation; another replica of the evacuated zone is available.
 #[tokio::test]
-async fn a_stream_goes_on_outside_the_evacuated_zone() {
+async fn a_stream_resumes_outside_the_evacuated_zone() {
     let breaks: Arc<Notify> = Arc::default();
     let act = Act::SendAndResetWhen(BROKEN, Arc::clone(&breaks));
-    let here = Replica::start(vec![act, Act::Send(REST)]).await;
-    let there = Replica::start(vec![Act::Send(REST)]).await;
+    let here = Replica::start(vec![act, Act::Send(CONTINUATION)]).await;
+    let there = Replica::start(vec![Act::Send(CONTINUATION)]).await;
     let resumable = route(RouteKind::Streaming, 2, true);
     let fleet = Fleet::start(resumable, std::slice::from_ref(&here)).await;
     fleet.add_twin(&here).await;
     let mut caller = fleet.open("request-1", "").await;
-    reached_by(&here, 1).await;
+    wait_for_requests(&here, 1).await;
     fleet.add_in_other_zone(2, &there).await;
     fleet.evacuate(ZONE, true).await;
     breaks.notify_one();
     let answer = read_answer(&mut caller).await;
     assert!(answer.complete, "{answer:?}");
-    assert_eq!(answer.body, BOTH);
+    assert_eq!(answer.body, ALL_EVENTS);
     assert_eq!((here.requests(), there.requests()), (1, 1));
 }
 
-/// Another zone's evacuation concerns nobody here.
+/// The evacuation of another zone has no effect here.
 #[tokio::test]
 async fn replicas_of_other_zones_serve_as_before() {
     let pair = Pair::start(safe_route()).await;
--- a/crates/relay/tests/all/events.rs
+++ b/crates/relay/tests/all/events.rs
@@ -1,11 +1,11 @@
-//! Splitting streams of events without altering their bytes.
+//! Streams of events are split without altering their bytes.
 
 use linnethitch_relay::EventSplitter;
 use proptest::prelude::*;
 use rstest::rstest;
 
-/// Pieces as they arrive, what is passed on at once, the last id, and whether
-/// part of an event is held back.
+/// Pieces as they arrive, what is forwarded at once, the last id, and whether part of an event is
+/// buffered.
 #[rstest]
 #[case::whole(&["id: 1\ndata: a\n\n"], "id: 1\ndata: a\n\n", Some(1), false)]
 #[case::in_two_pieces(&["id: 1\nda", "ta: a\n\n"], "id: 1\ndata: a\n\n", Some(1), false)]
@@ -13,7 +13,7 @@
 #[case::carriage_returns(&["id: 3\r\ndata: a\r\n\r\n"], "id: 3\r\ndata: a\r\n\r\n", Some(3), false)]
 #[case::without_blanks(&["id:4\ndata:a\n\n"], "id:4\ndata:a\n\n", Some(4), false)]
 #[case::no_id(&["data: a\n\n"], "data: a\n\n", None, false)]
-fn only_whole_events_are_passed_on(
+fn only_complete_events_are_forwarded(
     #[case] pieces: &[&str],
     #[case] passed: &str,
     #[case] last_id: Option<u64>,
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_part_that_is_dropped_is_not_passed_on_later() {
+fn a_dropped_partial_event_is_not_forwarded_later() {
     let mut splitter = EventSplitter::default();
     splitter
         .push(b"id: 1\ndata: a\n\nid: 2\ndata: lost")
@@ -48,19 +48,19 @@
 }
 
 proptest! {
-    /// However the bytes are cut, the same bytes come out.
+    /// The output does not depend on how the input is split.
     #[test]
-    fn cuts_change_nothing(cuts in prop::collection::vec(1_usize..9, 0..40)) {
+    fn splits_do_not_change_the_output(cuts in prop::collection::vec(1_usize..9, 0..40)) {
         let stream = b"id: 1\ndata: a\n\nid: 2\ndata: b\ndata: c\n\nid: 3\n\n";
         let mut splitter = EventSplitter::default();
         let mut out = Vec::new();
-        let mut rest = &stream[..];
+        let mut remaining = &stream[..];
         for cut in cuts {
-            let (piece, after) = rest.split_at(cut.min(rest.len()));
+            let (piece, after) = remaining.split_at(cut.min(remaining.len()));
             out.extend_from_slice(&splitter.push(piece).expect("short"));
-            rest = after;
+            remaining = after;
         }
-        out.extend_from_slice(&splitter.push(rest).expect("short"));
+        out.extend_from_slice(&splitter.push(remaining).expect("short"));
         prop_assert_eq!(&out[..], &stream[..]);
         prop_assert_eq!(splitter.last_id(), Some(3));
     }
--- a/crates/relay/tests/all/homes.rs
+++ b/crates/relay/tests/all/homes.rs
@@ -1,4 +1,4 @@
-//! Requests are served in homes of their route and of their tenant only.
+//! Requests are served only in the home regions of their route and their tenant.
 
 use std::{sync::Arc, time::Duration};
 
@@ -15,16 +15,16 @@
 };
 
 use crate::{
-    streams::{BROKEN, REST},
+    streams::{BROKEN, CONTINUATION},
     support::{
         Act, Answer, Fleet, LIMIT, OK, OTHER_REGION, OTHER_ZONE, REGION, Replica, engine_table,
-        header, reached_by, read_answer, route, table,
+        header, read_answer, route, table, wait_for_requests,
     },
 };
 
-/// Requests that would be spread over two replicas.
+/// Enough requests to reach both replicas of a pair.
 const REQUESTS: usize = 20;
-/// Slots of an engine of the tests.
+/// Slots per test engine.
 const SLOTS: usize = 4;
 const OTHER_SERVICE: &str = "other-service";
 const KEY: &str = "Authorization: Bearer key\r\n";
@@ -80,7 +80,7 @@
         let there = Replica::start(vec![Act::Send(OK)]).await;
         let configuration = configuration(table, of_tenant);
         let replicas = std::slice::from_ref(&here);
-        let fleet = Fleet::start_by(configuration, KeyPolicy::default(), replicas).await;
+        let fleet = Fleet::start_configured(configuration, KeyPolicy::default(), replicas).await;
         fleet.add_in_zone(1, &there, other_zone).await;
         Pair { fleet, here, there }
     }
@@ -122,12 +122,12 @@
     assert_eq!(refusals(&pair.fleet), "none");
 }
 
-/// Either replica may be given them, and the near one is given some at least.
+/// Either replica may serve the requests; the near one serves some at least.
 #[rstest]
 #[case::none(&[])]
 #[case::every_region(&[REGION, OTHER_REGION])]
 #[tokio::test]
-async fn a_list_that_leaves_no_region_out_binds_nothing(#[case] homes: &[&str]) {
+async fn a_list_of_all_regions_is_no_restriction(#[case] homes: &[&str]) {
     let pair = Pair::start(safe_route(homes), &[], vec![Act::Send(OK)]).await;
     for number in 0..REQUESTS {
         let answer = pair.ask(&format!("request-{number}")).await;
@@ -137,12 +137,12 @@
     assert!(here > 0 && here + there == REQUESTS, "{here} {there}");
 }
 
-/// One whose zone nobody knows is in no region.
+/// A replica in an unknown zone belongs to no region.
 #[rstest]
 #[case::nothing_in_common(&[OTHER_REGION], &[REGION], OTHER_ZONE)]
 #[case::no_replica(&[OTHER_REGION], &[], "unknown-zone")]
 #[tokio::test]
-async fn what_has_no_home_is_refused_finally(
+async fn a_request_without_a_home_is_refused_finally(
     #[case] of_route: &[&str],
     #[case] of_tenant: &[&str],
     #[case] other_zone: &str,
@@ -159,7 +159,7 @@
     assert_eq!(refusals(&pair.fleet), "1");
 }
 
-/// A table whose route is served by two services alike.
+/// A table whose route is served by two services of equal weight.
 fn two_services(homes: &[&str]) -> RouteTable {
     let mut table = table(safe_route(homes));
     let other = ServiceTraits {
@@ -174,24 +174,25 @@
     table
 }
 
-/// A replica of one service in this region, and one of the other service in the other.
+/// A replica of one service in this region, and a replica of the other service in the other
+/// region.
 async fn two_services_apart(homes: &[&str]) -> Pair {
     let here = Replica::start(vec![Act::Send(OK)]).await;
     let there = Replica::start(vec![Act::Send(OK)]).await;
     let configuration = configuration(two_services(homes), &[]);
     let replicas = std::slice::from_ref(&here);
-    let fleet = Fleet::start_by(configuration, KeyPolicy::default(), replicas).await;
+    let fleet = Fleet::start_configured(configuration, KeyPolicy::default(), replicas).await;
     let zone = OTHER_ZONE;
     fleet.add_of_service(1, &there, zone, OTHER_SERVICE).await;
     Pair { fleet, here, there }
 }
 
-/// The service whose turn it is has no replica at home: the one that has serves.
+/// The service selected by weight may have no replica at home; the other service then serves.
 #[rstest]
 #[case::the_first(&[REGION], (REQUESTS, 0))]
 #[case::the_second(&[OTHER_REGION], (0, REQUESTS))]
 #[tokio::test]
-async fn a_service_that_is_at_home_takes_the_turns_of_one_that_is_not(
+async fn a_service_at_home_replaces_one_that_is_not(
     #[case] homes: &[&str],
     #[case] reached: (usize, usize),
 ) {
@@ -203,9 +204,9 @@
     assert_eq!(pair.requests(), reached);
 }
 
-/// Both services were heard of at home, and one of them serves there now.
+/// Both services have had replicas at home, and one of them has a ready replica there now.
 #[tokio::test]
-async fn a_service_that_is_at_home_now_serves_before_one_that_was() {
+async fn a_service_with_a_ready_replica_at_home_is_preferred() {
     let pair = two_services_apart(&[OTHER_REGION]).await;
     let fleet = &pair.fleet;
     let gone = Replica::start(vec![Act::Send(OK)]).await;
@@ -221,9 +222,9 @@
     assert_eq!(gone.requests(), 0);
 }
 
-/// One of them is at home, though nobody is there for the moment: callers come back.
+/// One service has had a replica at home, but none is there at the moment: callers should retry.
 #[tokio::test]
-async fn a_route_of_which_one_service_may_be_at_home_again_is_worth_coming_back_to() {
+async fn a_route_whose_service_may_be_at_home_again_asks_to_retry() {
     let pair = two_services_apart(&[OTHER_REGION]).await;
     pair.fleet
         .remove_of_service(1, &pair.there, OTHER_ZONE, OTHER_SERVICE)
@@ -235,9 +236,9 @@
     assert_eq!(pair.requests(), (0, 0));
 }
 
-/// With none of them at home it is refused.
+/// If no service has ever been at home, the request is refused.
 #[tokio::test]
-async fn a_route_of_which_no_service_is_at_home_refuses() {
+async fn a_route_without_a_service_at_home_refuses() {
     let mut table = two_services(&[OTHER_REGION]);
     table.routes[0].homes = owned(&[OTHER_REGION]);
     let pair = Pair::start_with(table, &[REGION], vec![Act::Send(OK)], OTHER_ZONE).await;
@@ -250,9 +251,7 @@
 #[case::leaving(ReplicaState::Draining)]
 #[case::gone(ReplicaState::Ended)]
 #[tokio::test]
-async fn a_home_without_a_replica_for_the_moment_is_worth_coming_back_to(
-    #[case] state: ReplicaState,
-) {
+async fn a_home_temporarily_without_a_replica_asks_to_retry(#[case] state: ReplicaState) {
     let pair = Pair::start(safe_route(&[REGION]), &[], vec![Act::Send(OK)]).await;
     let fleet = &pair.fleet;
     fleet.register(0, pair.here.address, state, 2).await;
@@ -273,7 +272,7 @@
 }
 
 #[tokio::test]
-async fn a_stream_does_not_go_on_outside_its_homes() {
+async fn a_stream_is_not_resumed_outside_its_homes() {
     let resumable = homed(route(RouteKind::Streaming, 2, true), &[REGION]);
     let pair = Pair::start(resumable, &[], vec![Act::SendAndReset(BROKEN)]).await;
     let answer = pair.ask("request-1").await;
@@ -281,27 +280,27 @@
     assert_eq!(pair.requests(), (1, 0));
 }
 
-/// A newer configuration with these homes of the route.
+/// Puts a newer configuration with these homes of the route.
 async fn put(fleet: &Fleet, mut table: RouteTable, homes: &[&str]) {
     table.version += 1;
     table.routes[0].homes = owned(homes);
     fleet.put(configuration(table, &[])).await;
 }
 
-/// It breaks off after its homes have changed.
+/// The stream breaks after its homes have changed.
 #[tokio::test]
-async fn a_stream_goes_on_in_its_homes_of_then() {
+async fn a_stream_resumes_in_its_current_homes() {
     let breaks: Arc<Notify> = Arc::default();
     let act = Act::SendAndResetWhen(BROKEN, Arc::clone(&breaks));
-    let here = Replica::start(vec![act, Act::Send(REST)]).await;
-    let there = Replica::start(vec![Act::Send(REST)]).await;
+    let here = Replica::start(vec![act, Act::Send(CONTINUATION)]).await;
+    let there = Replica::start(vec![Act::Send(CONTINUATION)]).await;
     let table = table(route(RouteKind::Streaming, 2, true));
     let replicas = std::slice::from_ref(&here);
     let first = configuration(table.clone(), &[]);
-    let fleet = Fleet::start_by(first, KeyPolicy::default(), replicas).await;
+    let fleet = Fleet::start_configured(first, KeyPolicy::default(), replicas).await;
     fleet.add_twin(&here).await;
     let mut caller = fleet.open("request-1", KEY).await;
-    reached_by(&here, 1).await;
+    wait_for_requests(&here, 1).await;
     fleet.add_in_other_zone(2, &there).await;
     put(&fleet, table, &[OTHER_REGION]).await;
     breaks.notify_one();
@@ -310,10 +309,10 @@
     assert_eq!((here.requests(), there.requests()), (1, 1));
 }
 
-/// It waits for a slot at a place that is no home by the time that one falls free: the last
-/// look before the send stops it.
+/// The request waits for a slot of a replica that is no longer at home when the slot becomes
+/// free: the check before the send stops it.
 #[tokio::test]
-async fn a_request_that_waits_for_a_slot_is_sent_to_its_homes_of_then() {
+async fn a_queued_request_is_sent_to_its_current_homes() {
     let patient = Route {
         target_ms: LIMIT.as_millis() as u64,
         timeout_ms: 2 * LIMIT.as_millis() as u64,
@@ -324,13 +323,13 @@
     let there = Replica::start(vec![Act::Silence]).await;
     let replicas = std::slice::from_ref(&here);
     let first = configuration(table.clone(), &[]);
-    let fleet = Fleet::start_by(first, KeyPolicy::default(), replicas).await;
+    let fleet = Fleet::start_configured(first, KeyPolicy::default(), replicas).await;
     fleet.wait_until_coordinated().await;
     let mut streams: Vec<TcpStream> = Vec::new();
     for number in 0..=SLOTS {
         streams.push(fleet.open(&format!("request-{number}"), KEY).await);
     }
-    reached_by(&here, SLOTS).await;
+    wait_for_requests(&here, SLOTS).await;
     let waits = async {
         while !fleet
             .relay
@@ -340,12 +339,12 @@
             sleep(Duration::from_millis(5)).await;
         }
     };
-    timeout(LIMIT, waits).await.expect("one waits");
+    timeout(LIMIT, waits).await.expect("one request waits");
     fleet.add_in_other_zone(1, &there).await;
     put(&fleet, table, &[OTHER_REGION]).await;
-    // Callers that leave free their slots.
+    // Callers that disconnect free their slots.
     streams.drain(..SLOTS - 1);
-    reached_by(&there, 1).await;
+    wait_for_requests(&there, 1).await;
     assert_eq!(here.requests(), SLOTS);
     let figures = fleet.relay.metrics_text();
     assert!(figures.contains("relay_outside_homes_sends_total 1"));
--- a/crates/relay/tests/all/items.rs
+++ b/crates/relay/tests/all/items.rs
@@ -1,4 +1,4 @@
-//! Batch items run in homes of their route and of their tenant only, whenever these were
+//! Batch items run only in the home regions of their route and their tenant, whenever these were
 //! declared.
 
 use std::{sync::Arc, time::Duration};
@@ -17,18 +17,18 @@
 };
 
 use crate::{
-    streams::{BROKEN, REST, WHOLE},
+    streams::{BROKEN, COMPLETE, CONTINUATION},
     support::{
-        Act, Fleet, LIMIT, OTHER_REGION, OTHER_ZONE, REGION, Replica, engine_table, header,
-        reached_by, route,
+        Act, Fleet, LIMIT, OTHER_REGION, OTHER_ZONE, REGION, Replica, engine_table, header, route,
+        wait_for_requests,
     },
 };
 
 const JOB: &str = "job";
 const OTHER_SERVICE: &str = "other-service";
-/// Items that would be spread over two engines.
+/// Enough items to reach two engines.
 const ITEMS: u32 = 8;
-/// Longer than an item rests or waits for a slot before another gateway may go on with it.
+/// Longer than an item waits for a slot before another gateway may continue it.
 const SEVERAL_TRIES: Duration = Duration::from_secs(2);
 
 fn owned(regions: &[&str]) -> Vec<String> {
@@ -69,7 +69,8 @@
         let here = Replica::start(acts_here).await;
         let there = Replica::start(acts_there).await;
         let replicas = std::slice::from_ref(&here);
-        let fleet = Fleet::start_by(homed(1, &[], &[]), KeyPolicy::default(), replicas).await;
+        let fleet =
+            Fleet::start_configured(homed(1, &[], &[]), KeyPolicy::default(), replicas).await;
         fleet.wait_until_coordinated().await;
         fleet.start_store().await;
         Pair { fleet, here, there }
@@ -107,7 +108,7 @@
     fleet.relay.gateway().call_store(call, LIMIT).await
 }
 
-/// Submits a job of so many items of the tenant.
+/// Submits a job of the tenant with this number of items.
 pub(crate) async fn submit(fleet: &Fleet, items: u32) {
     let items = (0..items).map(|number| ItemSpec {
         id: format!("item-{number}"),
@@ -142,7 +143,7 @@
     tokio::spawn(run_items(relay.clone(), settings));
 }
 
-/// The results, once all are there.
+/// Waits for all results.
 pub(crate) async fn results(fleet: &Fleet) -> ResultsPage {
     let all = async {
         loop {
@@ -160,7 +161,9 @@
             }
         }
     };
-    timeout(LIMIT, all).await.expect("all are done in time")
+    timeout(LIMIT, all)
+        .await
+        .expect("all items are done in time")
 }
 
 #[rstest]
@@ -168,11 +171,11 @@
 #[case::of_the_tenant(&[], &[OTHER_REGION])]
 #[case::of_both(&[REGION, OTHER_REGION], &[OTHER_REGION])]
 #[tokio::test]
-async fn items_of_a_job_from_before_run_in_the_homes(
+async fn items_of_an_earlier_job_run_in_the_homes(
     #[case] of_route: &[&str],
     #[case] of_tenant: &[&str],
 ) {
-    let pair = Pair::start(vec![Act::Send(WHOLE)], vec![Act::Send(WHOLE)]).await;
+    let pair = Pair::start(vec![Act::Send(COMPLETE)], vec![Act::Send(COMPLETE)]).await;
     pair.add_there().await;
     pair.submit(ITEMS).await;
     pair.fleet.put(homed(2, of_route, of_tenant)).await;
@@ -182,11 +185,14 @@
     assert_eq!(pair.requests(), (0, ITEMS as usize));
 }
 
-/// The other engine at home takes it; the one that is nearer to its gateway never does.
+/// The other engine at home runs the item; the engine that is nearer to its gateway never does.
 #[tokio::test]
 async fn a_failed_item_runs_again_in_the_homes() {
-    let acts = vec![Act::SendAndReset("HTTP/1.1 200 OK\r\n"), Act::Send(WHOLE)];
-    let pair = Pair::start(vec![Act::Send(WHOLE)], acts).await;
+    let acts = vec![
+        Act::SendAndReset("HTTP/1.1 200 OK\r\n"),
+        Act::Send(COMPLETE),
+    ];
+    let pair = Pair::start(vec![Act::Send(COMPLETE)], acts).await;
     pair.add_there().await;
     pair.fleet
         .add_twin_in_zone(2, &pair.there, OTHER_ZONE)
@@ -199,7 +205,7 @@
     assert_eq!(pair.requests(), (0, 2));
 }
 
-/// What another gateway's run told before it gave the item back.
+/// Leases an item for another gateway, which reports progress and returns the item.
 async fn run_elsewhere(pair: &Pair) {
     let item = ItemRef {
         job: JOB.to_owned(),
@@ -220,7 +226,9 @@
             }
         }
     };
-    timeout(LIMIT, leases).await.expect("it is leased in time");
+    timeout(LIMIT, leases)
+        .await
+        .expect("the item is leased in time");
     let progress = ItemProgress {
         item: item.clone(),
         told_before: 0,
@@ -240,8 +248,8 @@
 }
 
 #[tokio::test]
-async fn an_item_that_goes_on_at_another_gateway_does_so_in_the_homes() {
-    let pair = Pair::start(vec![Act::Send(REST)], vec![Act::Send(REST)]).await;
+async fn an_item_resumed_by_another_gateway_stays_in_the_homes() {
+    let pair = Pair::start(vec![Act::Send(CONTINUATION)], vec![Act::Send(CONTINUATION)]).await;
     pair.add_there().await;
     pair.submit(1).await;
     run_elsewhere(&pair).await;
@@ -255,17 +263,21 @@
     assert_eq!(header(&heads[0], "last-event-id"), Some("1"));
 }
 
-/// What runs already goes on to its end; where it breaks off, it goes on at home.
+/// A run in progress continues to its end; if it breaks, the item continues at home.
 #[tokio::test]
-async fn homes_that_change_while_an_item_runs_bind_what_is_left_of_it() {
+async fn changed_homes_apply_to_the_remaining_part_of_an_item() {
     let breaks: Arc<Notify> = Arc::default();
     let act = Act::SendAndResetWhen(BROKEN, Arc::clone(&breaks));
-    let pair = Pair::start(vec![act, Act::Send(REST)], vec![Act::Send(REST)]).await;
+    let pair = Pair::start(
+        vec![act, Act::Send(CONTINUATION)],
+        vec![Act::Send(CONTINUATION)],
+    )
+    .await;
     pair.fleet.add_twin(&pair.here).await;
     pair.submit(1).await;
     pair.run();
     pair.run_there().await;
-    reached_by(&pair.here, 1).await;
+    wait_for_requests(&pair.here, 1).await;
     pair.fleet.add_in_zone(2, &pair.there, OTHER_ZONE).await;
     pair.fleet.put(homed(2, &[OTHER_REGION], &[])).await;
     breaks.notify_one();
@@ -274,22 +286,22 @@
     assert_eq!(pair.requests(), (1, 1));
 }
 
-/// A gateway in no home is not given what it has no part in, with the bodies.
+/// A gateway outside the homes receives neither the items nor their bodies.
 #[tokio::test]
-async fn items_are_not_given_to_gateways_outside_their_homes() {
-    let pair = Pair::start(vec![Act::Send(WHOLE)], vec![Act::Send(WHOLE)]).await;
+async fn items_are_not_leased_to_gateways_outside_their_homes() {
+    let pair = Pair::start(vec![Act::Send(COMPLETE)], vec![Act::Send(COMPLETE)]).await;
     pair.add_there().await;
     pair.fleet.put(homed(2, &[OTHER_REGION], &[])).await;
     pair.submit(ITEMS).await;
     pair.run();
     sleep(SEVERAL_TRIES).await;
-    assert_eq!(pair.fleet.log.count("item: begins"), 0);
+    assert_eq!(pair.fleet.log.count("item: started"), 0);
     pair.run_there().await;
     pair.results().await;
     assert_eq!(pair.requests(), (0, ITEMS as usize));
 }
 
-/// A configuration whose other batch route has a service of its own, which is at home.
+/// A configuration whose other batch route has its own service, which has a replica at home.
 fn with_other_service() -> Configuration {
     let mut configuration = homed(2, &[OTHER_REGION], &[]);
     let table = &mut configuration.table;
@@ -309,27 +321,30 @@
     configuration
 }
 
-/// It rests instead of being handed from gateway to gateway, and runs once it has a home. A
-/// gateway that has room for the other service's items is given it.
+/// The item is deferred instead of being passed between gateways, and runs once it has a home. A
+/// gateway with capacity for the other service's items leases it.
 #[tokio::test]
-async fn an_item_without_a_home_rests_until_it_has_one() {
-    let pair = Pair::start(vec![Act::Send(WHOLE)], vec![Act::Send(WHOLE)]).await;
+async fn an_item_without_a_home_is_deferred_until_it_has_one() {
+    let pair = Pair::start(vec![Act::Send(COMPLETE)], vec![Act::Send(COMPLETE)]).await;
     let fleet = &pair.fleet;
     fleet.put(with_other_service()).await;
-    let other = Replica::start(vec![Act::Send(WHOLE)]).await;
+    let other = Replica::start(vec![Act::Send(COMPLETE)]).await;
     fleet
         .add_of_service(2, &other, OTHER_ZONE, OTHER_SERVICE)
         .await;
     pair.submit(1).await;
     pair.run_there().await;
     let rests = async {
-        while !fleet.log.contains("item: set aside, outside its homes") {
+        while !fleet
+            .log
+            .contains("item: deferred, no replica in its home regions")
+        {
             sleep(Duration::from_millis(20)).await;
         }
     };
-    timeout(LIMIT, rests).await.expect("it is set aside");
+    timeout(LIMIT, rests).await.expect("the item is deferred");
     sleep(SEVERAL_TRIES).await;
-    assert_eq!(fleet.log.count("item: begins"), 1);
+    assert_eq!(fleet.log.count("item: started"), 1);
     assert_eq!((pair.requests(), other.requests()), ((0, 0), 0));
     pair.add_there().await;
     pair.results().await;
--- a/crates/relay/tests/all/keys.rs
+++ b/crates/relay/tests/all/keys.rs
@@ -1,5 +1,4 @@
-//! Keys of tenants: whose a request is, what a replica is shown, and what happens to a
-//! key that was taken away.
+//! Tenant keys: identification of the caller, what a replica receives, and revoked keys.
 
 use std::time::Duration;
 
@@ -42,7 +41,7 @@
 
 async fn start(route: Route, tenants: Vec<Tenant>, replicas: &[Replica]) -> Fleet {
     let configuration = configuration(1, route, tenants);
-    Fleet::start_by(configuration, KeyPolicy::default(), replicas).await
+    Fleet::start_configured(configuration, KeyPolicy::default(), replicas).await
 }
 
 async fn ask(fleet: &Fleet, id: &str, headers: &str) -> Answer {
@@ -50,8 +49,7 @@
     read_answer(&mut stream).await
 }
 
-/// What a caller says of itself, the status of its answer, and whose the replica is told
-/// the request is.
+/// The caller's headers, the status of the response, and the tenant that the replica receives.
 #[rstest]
 #[case::known("Authorization: Bearer desk-key\r\n", false, "200", Some("desk"))]
 #[case::second_key("authorization: bearer second-key\r\n", false, "200", Some("desk"))]
@@ -82,7 +80,7 @@
 #[case::public_known("Authorization: Bearer night-key\r\n", true, "200", Some("night"))]
 #[case::public_unknown("Authorization: Bearer other\r\n", true, "200", None)]
 #[tokio::test]
-async fn a_replica_is_told_the_tenant_and_never_the_key(
+async fn a_replica_receives_the_tenant_and_never_the_key(
     #[case] said: &str,
     #[case] public: bool,
     #[case] status: &str,
@@ -107,7 +105,7 @@
     }
 }
 
-/// Every way on which a request comes to a further replica.
+/// All ways in which a request reaches a further replica.
 #[rstest]
 #[case::refused_by_the_first(RouteKind::Safe, vec![Act::Send(FULL), Act::Send(OK)])]
 #[case::broken_off(RouteKind::Safe, vec![Act::SendAndReset(""), Act::Send(OK)])]
@@ -141,7 +139,7 @@
 }
 
 #[tokio::test]
-async fn without_tenants_what_callers_say_is_passed_on() {
+async fn without_tenants_caller_headers_are_forwarded() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let route = route(RouteKind::Safe, 1, false);
     let fleet = Fleet::start(route, std::slice::from_ref(&replica)).await;
@@ -152,7 +150,7 @@
 }
 
 #[tokio::test]
-async fn a_key_that_was_taken_away_is_refused_on_a_kept_connection() {
+async fn a_revoked_key_is_refused() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let kept = route(RouteKind::Safe, 1, false);
     let fleet = start(kept.clone(), two_tenants(), std::slice::from_ref(&replica)).await;
@@ -182,16 +180,16 @@
     assert_eq!(replica.requests(), 2);
 }
 
-/// A request waits for a slot while its key is taken away.
+/// A request waits for a slot while its key is revoked.
 #[tokio::test]
-async fn a_request_that_waited_is_not_sent_by_a_key_that_was_taken_away() {
+async fn a_queued_request_is_not_sent_with_a_revoked_key() {
     let replica = Replica::start(vec![Act::Silence]).await;
     let mut waiting = route(RouteKind::Safe, 1, false);
     waiting.target_ms = 3_000;
     let mut first = configuration(1, waiting.clone(), two_tenants());
     first.table = engine_table(waiting.clone());
     let replicas = std::slice::from_ref(&replica);
-    let fleet = Fleet::start_by(first.clone(), KeyPolicy::default(), replicas).await;
+    let fleet = Fleet::start_configured(first.clone(), KeyPolicy::default(), replicas).await;
     fleet.wait_until_coordinated().await;
     let mut holders = Vec::new();
     for number in 0..4 {
@@ -213,26 +211,26 @@
     first.table.version = 2;
     first.tenants = Some(two_tenants().split_off(1));
     fleet.put(first).await;
-    // Callers leave: their slots are free.
+    // Callers disconnect and free their slots.
     drop(holders);
     let answer = read_answer(&mut stream).await;
     assert!(answer.head.starts_with("HTTP/1.1 401"), "{answer:?}");
     assert_eq!(replica.requests(), 4);
 }
 
-/// What a gateway that no longer hears of control does with a key, by policy.
+/// What a gateway without contact to control does with a key, by policy.
 #[rstest]
 #[case::goes_on(None, "200")]
 #[case::refuses_in_time(Some(Duration::from_millis(2_600)), "503")]
 #[tokio::test]
-async fn a_gateway_that_is_cut_off_follows_the_policy(
+async fn an_isolated_gateway_follows_the_key_policy(
     #[case] revocation_limit: Option<Duration>,
     #[case] status: &str,
 ) {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let first = configuration(1, route(RouteKind::Safe, 1, false), two_tenants());
     let policy = KeyPolicy { revocation_limit };
-    let fleet = Fleet::start_by(first, policy, std::slice::from_ref(&replica)).await;
+    let fleet = Fleet::start_configured(first, policy, std::slice::from_ref(&replica)).await;
     let key = "Authorization: Bearer desk-key\r\n";
     assert!(
         ask(&fleet, "r-1", key)
@@ -241,7 +239,7 @@
             .starts_with("HTTP/1.1 200")
     );
     fleet.stop_control();
-    // Longer than a member without a leader counts as current, and the rest of the time.
+    // Longer than a member without a leader counts as current, and than the remaining time.
     sleep(Duration::from_millis(4_000)).await;
     let answer = ask(&fleet, "r-2", key).await;
     assert!(
@@ -251,7 +249,7 @@
 }
 
 #[tokio::test]
-async fn what_is_beyond_a_limit_is_refused_at_once_and_told_when_to_come_back() {
+async fn a_request_over_the_limit_is_refused_at_once_with_a_retry_time() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let tenants = vec![
         tenant("desk", &["desk-key"], Some((2.0, 0.0))),
@@ -271,14 +269,14 @@
             refused.push(answer);
         }
     }
-    // A limit of 2 a second, 10 in a window, and 20 besides: no more than that may run.
+    // A limit of 2 per second, 10 in a window, and 20 in addition: no more than that may run.
     assert!(replica.requests() <= 31, "{}", replica.requests());
     assert!(!refused.is_empty());
     for answer in &refused {
         assert!(answer.head.starts_with("HTTP/1.1 429"), "{answer:?}");
         let again_in: f64 = header(&answer.head, "retry-after")
             .and_then(|value| value.parse().ok())
-            .expect("it is told when");
+            .expect("the response says when to retry");
         assert!(again_in > 0.0 && again_in <= 5.0, "{again_in}");
     }
     let before = replica.requests();
--- a/crates/relay/tests/all/main.rs
+++ b/crates/relay/tests/all/main.rs
@@ -2,19 +2,19 @@
 
 mod cold;
 mod cold_runs;
+mod connection_reuse;
 mod ending_requests;
 mod evacuations;
 mod events;
 mod homes;
+mod incarnations;
 mod items;
-mod kept_connections;
 mod keys;
 mod planned_stop;
 mod requests;
 mod silent_connections;
 mod slots;
 mod slow_readers;
-mod starts;
 mod streams;
 mod support;
 mod unopened_connections;
--- a/crates/relay/tests/all/planned_stop.rs
+++ b/crates/relay/tests/all/planned_stop.rs
@@ -1,20 +1,21 @@
-//! Requests that come while a gateway stops.
+//! Requests that arrive while a gateway stops.
 
 use linnethitch_registry::{Route, RouteKind};
 use rstest::rstest;
 
 use crate::support::{Act, ENDS_WITHIN, Fleet, OK, Replica, header, read_answer, route};
 
-/// Time of the route; longer than what is left until the process ends.
+/// Time-out of the route; longer than the time remaining until the process ends.
 const ROUTE_MS: u64 = 2 * ENDS_WITHIN.as_millis() as u64;
 
-/// Guards against answers that are cut since their request was taken too late in a planned stop.
+/// Guards against responses that are cut off because their request was accepted too late in a
+/// planned stop.
 #[rstest]
 #[case::nothing_is_known_of_its_route(false, "", 503)]
 #[case::its_route_answers_in_time(true, "", 200)]
 #[case::its_caller_waits_for_less(false, "deadline-ms: 1000\r\n", 200)]
 #[tokio::test]
-async fn only_what_can_be_answered_before_the_end_is_taken(
+async fn only_requests_that_can_end_in_time_are_accepted(
     #[case] answered_before: bool,
     #[case] headers: &str,
     #[case] expected: u16,
@@ -30,7 +31,7 @@
     }
     let before = replica.requests();
     fleet.stopping.cancel();
-    // The task that notes the stop runs next.
+    // The task that records the stop runs next.
     tokio::task::yield_now().await;
     let mut stream = fleet.open("request-1", headers).await;
     let answer = read_answer(&mut stream).await;
--- a/crates/relay/tests/all/requests.rs
+++ b/crates/relay/tests/all/requests.rs
@@ -1,4 +1,4 @@
-//! What a caller gets for what a replica does, and how often replicas are sent
+//! Responses that callers receive for each behaviour of a replica, and how often replicas receive
 //! the request.
 
 use std::time::Duration;
@@ -9,11 +9,11 @@
 use rstest::rstest;
 
 use crate::support::{
-    Act, FULL, Fleet, LIMIT, OK, OTHER_INCARNATION, Replica, header, listen_apart, route,
+    Act, FULL, Fleet, LIMIT, OK, OTHER_INCARNATION, Replica, header, listen_on_own_address, route,
 };
 
-/// No link outlives a standstill of this.
-const LONGER_THAN_LINKS_LAST: Duration = Duration::from_secs(3);
+/// Longer than any cluster connection survives a process pause.
+const LONGER_THAN_LINKS_SURVIVE: Duration = Duration::from_secs(3);
 const UNSIGNED: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\ncontent-length: 5\r\n\r\nwrong";
 const OTHERS: &str =
     "HTTP/1.1 200 OK\r\nrequest-id: other\r\nsignature: s\r\ncontent-length: 5\r\n\r\nother";
@@ -23,8 +23,8 @@
 const ERROR: &str =
     "HTTP/1.1 500 Oops\r\nrequest-id: {id}\r\nsignature: s\r\ncontent-length: 4\r\n\r\noops";
 
-/// The first act of the first replica asked; everything after it succeeds.
-/// The last two columns: status, and requests that replicas read.
+/// The first action of the first replica; every later action succeeds. The last two columns:
+/// status, and requests that replicas read.
 #[rstest]
 #[case::whole(RouteKind::AtMostOnce, Act::Send(OK), 200, 1)]
 #[case::full(RouteKind::AtMostOnce, Act::Send(FULL), 200, 2)]
@@ -44,14 +44,14 @@
 #[case::safe_noise(RouteKind::Safe, Act::SendAndClose(NOISE), 200, 2)]
 #[case::safe_its_error(RouteKind::Safe, Act::Send(ERROR), 200, 2)]
 #[tokio::test]
-async fn a_fault_of_a_replica(
+async fn replica_faults_give_the_expected_responses(
     #[case] kind: RouteKind,
     #[case] first: Act,
     #[case] status: u16,
     #[case] requests: usize,
 ) {
     let acts = vec![first, Act::Send(OK)];
-    // Both replicas share their acts, whichever is asked first.
+    // Both replicas share their actions, whichever is asked first.
     let one = Replica::start(acts).await;
     let fleet = Fleet::start(route(kind, 2, false), std::slice::from_ref(&one)).await;
     fleet.add_twin(&one).await;
@@ -83,18 +83,18 @@
     assert_eq!(header(&head, "x-own"), Some("kept"));
     assert_eq!(header(&head, "expect"), Some("i-0"));
     assert_eq!(header(&head, "connection"), None);
-    let left: u64 = header(&head, "deadline-ms")
+    let remaining: u64 = header(&head, "deadline-ms")
         .and_then(|d| d.parse().ok())
-        .expect("told");
-    assert!(left <= 1_500, "{left}");
+        .expect("a deadline in milliseconds");
+    assert!(remaining <= 1_500, "{remaining}");
 }
 
-/// Where no replica has run the request the answer promises so and says when to come back.
+/// If no replica has run the request, the response says so and when to retry.
 #[rstest]
 #[case::all_full(Some(FULL))]
 #[case::none_registered(None)]
 #[tokio::test]
-async fn a_refusal_is_a_promise(#[case] answer: Option<&'static str>) {
+async fn a_refusal_says_when_to_retry(#[case] answer: Option<&'static str>) {
     let mut replicas = Vec::new();
     if let Some(answer) = answer {
         replicas.push(Replica::start(vec![Act::Send(answer)]).await);
@@ -105,8 +105,8 @@
     assert!(header(&answer.head, "retry-after").is_some(), "{answer:?}");
 }
 
-/// The load that this answers: two of three application replicas are gone, and the third
-/// refuses what a burst brings beyond its slots. Callers have seconds.
+/// Guards against early refusals during a burst: two of three application replicas are down, and
+/// the third refuses the requests over its slots. Callers allow seconds.
 #[rstest]
 #[case::one_replica(1)]
 #[case::two_replicas(2)]
@@ -130,8 +130,8 @@
 }
 
 #[tokio::test]
-async fn a_dead_replica_is_passed_over() {
-    let dead = listen_apart().await;
+async fn a_dead_replica_is_skipped() {
+    let dead = listen_on_own_address().await;
     let address = dead.local_addr().expect("an address");
     drop(dead);
     let replica = Replica::start(vec![Act::Send(OK)]).await;
@@ -163,7 +163,7 @@
 #[rstest]
 #[case::too_long_a_body("content-length: 2000\r\n", 413)]
 #[tokio::test]
-async fn what_goes_beyond_the_bounds_is_refused(#[case] header: &str, #[case] status: u16) {
+async fn oversized_requests_are_refused(#[case] header: &str, #[case] status: u16) {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let fleet = Fleet::start(
         route(RouteKind::Safe, 1, false),
@@ -172,7 +172,7 @@
     .await;
     let mut stream = tokio::net::TcpStream::connect(fleet.callers)
         .await
-        .expect("it listens");
+        .expect("the gateway listens");
     let request = format!(
         "POST /a/x HTTP/1.1\r\nhost: desk.example\r\nrequest-id: r\r\n{header}connection: close\r\n\r\n"
     );
@@ -185,7 +185,7 @@
 }
 
 #[tokio::test]
-async fn the_time_of_the_route_ends_with_a_final_answer() {
+async fn the_route_timeout_ends_with_a_final_response() {
     let replica = Replica::start(vec![Act::Silence]).await;
     let mut route = route(RouteKind::AtMostOnce, 1, false);
     route.timeout_ms = 300;
@@ -195,7 +195,7 @@
 }
 
 #[tokio::test]
-async fn a_planned_stop_ends_kept_connections_after_their_answer() {
+async fn a_planned_stop_closes_connections_after_their_response() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let fleet = Fleet::start(route(RouteKind::Safe, 1, false), &[replica]).await;
     fleet.stopping.cancel();
@@ -204,10 +204,10 @@
     assert_eq!(header(&answer.head, "connection"), Some("close"));
 }
 
-/// A request that is sent again after the machine was suspended has only the time left
-/// that its caller still waits.
+/// A request that is resent after the machine was suspended has only the remaining time of its
+/// caller.
 #[tokio::test]
-async fn time_of_a_suspension_is_gone_for_a_request_under_way() {
+async fn a_suspension_counts_against_the_time_of_a_running_request() {
     let replica = Replica::start(vec![Act::Silence, Act::Send(OK)]).await;
     let route = Route {
         timeout_ms: 13_000,
@@ -225,48 +225,48 @@
     let (answer, ()) = tokio::join!(asking, suspending);
     assert_eq!(answer.status, 200, "{answer:?}");
     let heads = replica.heads.lock().clone();
-    let left_ms = heads.iter().map(|head| header(head, "deadline-ms"));
-    let left_ms: Vec<u64> = left_ms.flatten().flat_map(str::parse).collect();
-    assert_eq!(left_ms.len(), 2, "{heads:?}");
-    // Of the route's thirteen seconds three are gone.
-    assert!(left_ms[1] <= 10_000, "{left_ms:?}");
+    let remaining_ms = heads.iter().map(|head| header(head, "deadline-ms"));
+    let remaining_ms: Vec<u64> = remaining_ms.flatten().flat_map(str::parse).collect();
+    assert_eq!(remaining_ms.len(), 2, "{heads:?}");
+    // Three of the route's thirteen seconds have passed.
+    assert!(remaining_ms[1] <= 10_000, "{remaining_ms:?}");
 }
 
-/// Its process stands still while the connection is opened, after the first look for news.
+/// The process pauses while the connection is opened, after the first check for updates.
 #[tokio::test]
-async fn a_request_that_stood_still_right_before_its_send_waits_for_news() {
+async fn a_request_paused_before_its_send_waits_for_an_update() {
     let replica = Replica::start(vec![Act::Send(OK)]).await;
     let patient = Route {
         timeout_ms: 4 * LIMIT.as_millis() as u64,
         ..route(RouteKind::Safe, 1, false)
     };
     let fleet = Fleet::start(patient, &[]).await;
-    // A name is looked up in another thread, so that opening the connection takes a moment.
+    // A host name is resolved in another thread, so opening the connection takes a moment.
     let named = format!("localhost:{}", replica.address.port());
     fleet.add_named(0, &named).await;
     let gateway = fleet.relay.gateway();
     let asking = fleet.ask("request");
-    let standing_still = async {
+    let pausing = async {
         while fleet.relay.own_running("service") == 0 {
             tokio::task::yield_now().await;
         }
-        suspend_for(LONGER_THAN_LINKS_LAST);
+        suspend_for(LONGER_THAN_LINKS_SURVIVE);
         while replica.requests() == 0 {
             tokio::task::yield_now().await;
         }
         gateway.control_silent_ms()
     };
-    let (answer, silent_ms) = tokio::join!(asking, standing_still);
+    let (answer, silent_ms) = tokio::join!(asking, pausing);
     assert_eq!(answer.status, 200, "{answer:?}");
-    let still_ms = LONGER_THAN_LINKS_LAST.as_millis() as u64;
-    assert!(silent_ms < still_ms, "sent before control spoke");
+    let still_ms = LONGER_THAN_LINKS_SURVIVE.as_millis() as u64;
+    assert!(silent_ms < still_ms, "sent before an update from control");
 }
 
-/// Seen by reading: the first heartbeat of a replica that has crashed comes late, after
-/// the next one has registered at its address. What is at the address tells the two
-/// apart: it does not take requests for the one that is gone.
+/// The first heartbeat of a crashed replica arrives late, after its successor has registered at
+/// the same address. The process at the address tells them apart: it declines requests for the
+/// crashed replica.
 #[tokio::test]
-async fn a_replica_serves_on_after_the_late_first_heartbeat_of_one_before_it() {
+async fn a_replica_still_serves_after_a_late_first_heartbeat_of_its_predecessor() {
     let replica = Replica::start(vec![Act::SendIfExpected("i-0", OK)]).await;
     let route = route(RouteKind::Safe, 1, false);
     let fleet = Fleet::start(route, std::slice::from_ref(&replica)).await;
@@ -283,8 +283,8 @@
     };
     tokio::time::timeout(crate::support::LIMIT, served)
         .await
-        .expect("it serves again");
-    // Another heartbeat of the one that is gone changes nothing.
+        .expect("the replica serves again");
+    // Another heartbeat of the crashed replica changes nothing.
     fleet
         .register(7, replica.address, ReplicaState::Ready, 2)
         .await;
--- a/crates/relay/tests/all/silent_connections.rs
+++ b/crates/relay/tests/all/silent_connections.rs
@@ -1,17 +1,17 @@
-//! Connections to replicas that go silent without a reset, while new ones work.
+//! Connections to replicas that fail without a reset, while new ones work.
 
 use linnethitch_fault_proxy::{Network, Way};
 use linnethitch_registry::{ReplicaState, RouteKind};
 
 use crate::support::{Act, Fleet, OK, Replica, route};
 
-/// Connections to the replica that rest when it falls silent.
+/// Idle connections to the replica when they fail.
 const RESTING: usize = 4;
 
-/// One request finds that its connection has gone silent and is sent again. The others
-/// that rest beside it are not trusted either, so that nobody else waits for them.
+/// One request finds that its connection has failed and is sent again. The other idle connections
+/// are discarded, so that no further request waits for them.
 #[tokio::test]
-async fn one_request_finds_the_silent_connections_of_a_replica() {
+async fn one_request_detects_all_failed_connections_of_a_replica() {
     let replica = Replica::start(vec![Act::SendLater(OK)]).await;
     let network = Network::start().expect("threads");
     let any_port = "127.0.0.1:0".parse().expect("an address");
@@ -27,7 +27,7 @@
     let first = futures_util::future::join_all(ids.iter().map(|id| fleet.ask(id))).await;
     assert!(first.iter().all(|answer| answer.status == 200));
     proxy.silence_open(Way::Both);
-    // Only a second replica lets a request be sent again.
+    // A request can be resent only to a second replica.
     fleet
         .register(1, replica.address, ReplicaState::Ready, 1)
         .await;
@@ -40,6 +40,12 @@
     let retries = figures
         .lines()
         .find_map(|line| line.strip_prefix("linnethitch_relay_retries_total "));
-    let retries: u32 = retries.expect("it is there").parse().expect("a number");
-    assert!(retries <= 1, "{retries} requests waited in vain");
+    let retries: u32 = retries
+        .expect("the metric exists")
+        .parse()
+        .expect("a number");
+    assert!(
+        retries <= 1,
+        "{retries} requests waited for failed connections"
+    );
 }
--- a/crates/relay/tests/all/slots.rs
+++ b/crates/relay/tests/all/slots.rs
@@ -1,4 +1,4 @@
-//! Requests are handed to an engine only when it has a slot for them.
+//! Requests are sent to an engine only when it has a free slot.
 
 use std::time::Duration;
 
@@ -7,12 +7,12 @@
 
 use crate::support::{Act, Fleet, LIMIT, Replica, route};
 
-/// Slots of an engine of the tests.
+/// Slots per test engine.
 const SLOTS: usize = 4;
-/// Long enough for a request that is not held back to reach the engine.
-const A_WHILE: Duration = Duration::from_millis(300);
+/// Long enough for a request that is not queued to reach the engine.
+const SETTLE_TIME: Duration = Duration::from_millis(300);
 
-/// A route whose requests wait for a slot for longer than a test takes.
+/// A route whose requests wait for a slot longer than a test takes.
 fn patient_route() -> Route {
     Route {
         target_ms: LIMIT.as_millis() as u64,
@@ -21,7 +21,7 @@
     }
 }
 
-async fn reached_by(engine: &Replica, requests: usize) {
+async fn wait_for_requests(engine: &Replica, requests: usize) {
     let reached = async {
         while engine.requests() < requests {
             sleep(Duration::from_millis(5)).await;
@@ -36,34 +36,38 @@
     for number in 0..SLOTS {
         streams.push(fleet.open(&format!("request-{number}"), "").await);
     }
-    reached_by(engine, SLOTS).await;
+    wait_for_requests(engine, SLOTS).await;
     streams
 }
 
 #[tokio::test]
-async fn a_request_waits_here_until_the_engine_has_a_slot() {
+async fn a_request_waits_at_the_gateway_until_the_engine_has_a_slot() {
     let engine = Replica::start(vec![Act::Silence]).await;
     let fleet = Fleet::start_engines(patient_route(), std::slice::from_ref(&engine)).await;
     let mut streams = fill(&fleet, &engine).await;
     let _further = fleet.open("further", "").await;
-    sleep(A_WHILE).await;
-    assert_eq!(engine.requests(), SLOTS, "the further one waits here");
+    sleep(SETTLE_TIME).await;
+    assert_eq!(
+        engine.requests(),
+        SLOTS,
+        "the further request waits at the gateway"
+    );
     streams.pop();
-    reached_by(&engine, SLOTS + 1).await;
+    wait_for_requests(&engine, SLOTS + 1).await;
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_while_it_waits_is_never_sent() {
+async fn a_queued_request_of_a_disconnected_caller_is_never_sent() {
     let engine = Replica::start(vec![Act::Silence]).await;
     let fleet = Fleet::start_engines(patient_route(), std::slice::from_ref(&engine)).await;
     let mut streams = fill(&fleet, &engine).await;
     let gone = fleet.open("gone", "").await;
-    sleep(A_WHILE).await;
+    sleep(SETTLE_TIME).await;
     drop(gone);
-    sleep(A_WHILE).await;
+    sleep(SETTLE_TIME).await;
     streams.pop();
     let _next = fleet.open("next", "").await;
-    reached_by(&engine, SLOTS + 1).await;
+    wait_for_requests(&engine, SLOTS + 1).await;
     let heads = engine.heads.lock().clone();
     assert!(heads[SLOTS].contains("request-id: next"), "{heads:?}");
 }
--- a/crates/relay/tests/all/slow_readers.rs
+++ b/crates/relay/tests/all/slow_readers.rs
@@ -1,4 +1,5 @@
-//! Callers who read slowly, or not at all: what they cost the process, the replica and others.
+//! Callers who read slowly or not at all, and their effect on the process, the replica and other
+//! callers.
 
 use std::time::Duration;
 
@@ -11,18 +12,18 @@
 
 use crate::support::{Act, Fleet, Replica, route};
 
-/// More than the sockets between a caller and a replica hold.
+/// More than the socket buffers between a caller and a replica can store.
 const EVENTS: usize = 400;
 const EVENT_BYTES: usize = 60_000;
-/// Longer than a stream may pause.
+/// Longer than a stream may stall.
 const NOT_READING_FOR: Duration = Duration::from_millis(1_700);
-/// How often the caller does not read, and what it reads in between, in bytes. One pause alone
-/// may pass by luck.
+/// Number of pauses of the caller, and the bytes read in between. A single pause could pass by
+/// chance.
 const PAUSES: usize = 4;
 const BETWEEN_PAUSES: usize = 1_000_000;
 
-/// The stream is whole and was run once: that its caller did not read for a while is no sign
-/// that its replica is silent.
+/// The stream is complete and was run once: a pause of its caller does not count as a sign that
+/// the replica is unresponsive.
 #[tokio::test]
 async fn a_slow_caller_does_not_make_a_stream_look_broken() {
     let replica = Replica::start(vec![Act::SendEvents(EVENTS, EVENT_BYTES)]).await;
@@ -37,17 +38,23 @@
     let mut part = vec![0; BETWEEN_PAUSES];
     for _ in 0..PAUSES {
         tokio::time::sleep(NOT_READING_FOR).await;
-        read += stream.read_exact(&mut part).await.expect("it goes on");
+        read += stream
+            .read_exact(&mut part)
+            .await
+            .expect("the stream continues");
     }
     let mut rest = Vec::new();
-    read += stream.read_to_end(&mut rest).await.expect("it ends");
+    read += stream
+        .read_to_end(&mut rest)
+        .await
+        .expect("the stream ends");
     assert!(rest.ends_with(b"\r\n0\r\n\r\n"), "{read} bytes");
     assert!(read > EVENTS * EVENT_BYTES);
     assert_eq!(replica.requests(), 1);
 }
 
-/// A bound of the process, in bytes.
-const MOST: u64 = 1_000_000;
+/// Buffer limit of the process, in bytes.
+const MAX_BUFFERED_BYTES: u64 = 1_000_000;
 
 fn piece(bytes: usize) -> Bytes {
     Bytes::from(vec![7; bytes])
@@ -57,10 +64,10 @@
 #[rstest]
 #[case::events(130)]
 #[case::large_pieces(16_000)]
-fn a_thousand_slow_readers_are_held_within_the_bound(#[case] bytes: usize) {
-    let held = BufferedBytes::new(MOST);
+fn buffers_of_a_thousand_slow_readers_stay_within_the_limit(#[case] bytes: usize) {
+    let buffered = BufferedBytes::new(MAX_BUFFERED_BYTES);
     let mut callers: Vec<UnreadBuffer> = (0..2_000)
-        .map(|_| UnreadBuffer::new(held.clone()))
+        .map(|_| UnreadBuffer::new(buffered.clone()))
         .collect();
     for round in 0..600 {
         for (number, caller) in callers.iter_mut().enumerate() {
@@ -72,38 +79,38 @@
                 caller.pop();
             }
         }
-        // One piece of each gets through whatever others do.
-        let most = MOST + (callers.len() * bytes) as u64;
-        assert!(held.bytes() <= most, "{} of {most}", held.bytes());
+        // One chunk per caller is always allowed.
+        let limit = MAX_BUFFERED_BYTES + (callers.len() * bytes) as u64;
+        assert!(buffered.bytes() <= limit, "{} of {limit}", buffered.bytes());
     }
-    assert!(!held.has_room());
+    assert!(!buffered.has_capacity());
     assert!(
         callers
             .iter()
             .all(|caller| !caller.is_empty() || caller.may_grow())
     );
     drop(callers);
-    assert_eq!(held.bytes(), 0);
-    assert!(held.has_room());
+    assert_eq!(buffered.bytes(), 0);
+    assert!(buffered.has_capacity());
 }
 
-/// What is passed on counts until nobody has it any more.
+/// Forwarded bytes count until the last reference to them is dropped.
 #[test]
-fn bytes_count_as_long_as_anybody_has_them() {
-    let held = BufferedBytes::new(MOST);
-    let kept = held.keep(piece(500));
-    let part = kept.slice(10..20);
-    drop(kept);
-    assert_eq!(held.bytes(), 500);
+fn bytes_count_until_the_last_reference_is_dropped() {
+    let buffered = BufferedBytes::new(MAX_BUFFERED_BYTES);
+    let bytes = buffered.wrap(piece(500));
+    let part = bytes.slice(10..20);
+    drop(bytes);
+    assert_eq!(buffered.bytes(), 500);
     drop(part);
-    assert_eq!(held.bytes(), 0);
+    assert_eq!(buffered.bytes(), 0);
 }
 
 proptest! {
     #[test]
-    fn what_is_held_is_what_waits(steps in proptest::collection::vec((0..4_u8, 1..5_000_usize), 1..200)) {
-        let held = BufferedBytes::new(50_000);
-        let mut unread = UnreadBuffer::new(held.clone());
+    fn the_count_equals_the_unread_bytes(steps in proptest::collection::vec((0..4_u8, 1..5_000_usize), 1..200)) {
+        let buffered = BufferedBytes::new(50_000);
+        let mut unread = UnreadBuffer::new(buffered.clone());
         let mut waiting = std::collections::VecDeque::new();
         let mut others: Vec<BufferedGuard> = Vec::new();
         let mut of_others = 0;
@@ -115,12 +122,12 @@
                 }
                 2 => prop_assert_eq!(unread.pop().map(|piece| piece.len()), waiting.pop_front()),
                 _ => {
-                    others.push(held.hold(bytes as u64));
+                    others.push(buffered.track(bytes as u64));
                     of_others += bytes;
                 }
             }
             let expected = waiting.iter().sum::<usize>() + of_others;
-            prop_assert_eq!(held.bytes(), expected as u64);
+            prop_assert_eq!(buffered.bytes(), expected as u64);
             prop_assert_eq!(unread.is_empty(), waiting.is_empty());
         }
     }
--- a/crates/relay/tests/all/streams.rs
+++ b/crates/relay/tests/all/streams.rs
@@ -1,36 +1,36 @@
-//! Streams are passed on as they come, cut where they broke, or go on elsewhere.
+//! Streams are forwarded as they arrive, cut where they broke, or resumed elsewhere.
 
 use linnethitch_registry::RouteKind;
 use rstest::rstest;
 
 use crate::support::{Act, Fleet, Replica, header, route};
 
-pub(crate) const WHOLE: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: s\r\n\
+pub(crate) const COMPLETE: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: s\r\n\
     content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
     f\r\nid: 1\ndata: a\n\n\r\nf\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
-/// One whole event and part of the second.
+/// One complete event and part of the second.
 pub(crate) const BROKEN: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: s\r\n\
     content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
     f\r\nid: 1\ndata: a\n\n\r\n9\r\nid: 2\ndat\r\n";
-pub(crate) const REST: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: other\r\n\
+pub(crate) const CONTINUATION: &str = "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: other\r\n\
     content-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n\
     f\r\nid: 2\ndata: b\n\n\r\n0\r\n\r\n";
-pub(crate) const BOTH: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
+pub(crate) const ALL_EVENTS: &str = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
 
 #[tokio::test]
-async fn a_whole_stream_is_passed_on() {
-    let replica = Replica::start(vec![Act::Send(WHOLE)]).await;
+async fn a_complete_stream_is_forwarded() {
+    let replica = Replica::start(vec![Act::Send(COMPLETE)]).await;
     let fleet = Fleet::start(route(RouteKind::Streaming, 1, false), &[replica]).await;
     let answer = fleet.ask("request-1").await;
     assert_eq!((answer.status, answer.complete), (200, true));
-    assert_eq!(answer.body, BOTH);
+    assert_eq!(answer.body, ALL_EVENTS);
 }
 
 #[rstest]
 #[case::closed(Act::SendAndClose(BROKEN))]
 #[case::reset(Act::SendAndReset(BROKEN))]
 #[tokio::test]
-async fn a_broken_stream_that_may_not_go_on_looks_cut(#[case] act: Act) {
+async fn a_broken_stream_that_is_not_resumable_is_cut(#[case] act: Act) {
     let replica = Replica::start(vec![act]).await;
     let fleet = Fleet::start(
         route(RouteKind::Streaming, 2, false),
@@ -46,8 +46,8 @@
 #[case::closed(Act::SendAndClose(BROKEN))]
 #[case::reset(Act::SendAndReset(BROKEN))]
 #[tokio::test]
-async fn a_broken_stream_goes_on_after_its_last_whole_event(#[case] act: Act) {
-    let one = Replica::start(vec![act, Act::Send(REST)]).await;
+async fn a_broken_stream_resumes_after_its_last_complete_event(#[case] act: Act) {
+    let one = Replica::start(vec![act, Act::Send(CONTINUATION)]).await;
     let fleet = Fleet::start(
         route(RouteKind::Streaming, 2, true),
         std::slice::from_ref(&one),
@@ -56,7 +56,7 @@
     fleet.add_twin(&one).await;
     let answer = fleet.ask("request-1").await;
     assert!(answer.complete, "{answer:?}");
-    assert_eq!(answer.body, BOTH);
+    assert_eq!(answer.body, ALL_EVENTS);
     assert_eq!(header(&answer.head, "signature"), Some("s"));
     let heads = one.heads.lock().clone();
     assert_eq!(heads.len(), 2);
@@ -65,7 +65,7 @@
 }
 
 #[tokio::test]
-async fn a_caller_that_leaves_ends_the_work_at_the_replica() {
+async fn a_disconnected_caller_ends_the_work_at_the_replica() {
     let replica = Replica::start(vec![Act::Silence]).await;
     let fleet = Fleet::start(
         route(RouteKind::Streaming, 1, false),
@@ -77,7 +77,7 @@
         tokio::task::yield_now().await;
     }
     drop(stream);
-    // The relay no longer counts the request as running once it has let go of it.
+    // The relay no longer counts the request as running once it has released it.
     let gone = async {
         while fleet.relay.own_running("service") > 0 {
             tokio::time::sleep(std::time::Duration::from_millis(5)).await;
--- a/crates/relay/tests/all/support/control_machine.rs
+++ b/crates/relay/tests/all/support/control_machine.rs
@@ -1,8 +1,8 @@
-//! What control runs on, so that it can end at once with all that it has under way.
+//! A runtime for control, so that control can be ended at once with all its tasks.
 
 use tokio::runtime::{Builder, Runtime};
 
-/// Threads of their own for a control member.
+/// Separate threads for a control member.
 pub(super) struct ControlMachine(Option<Runtime>);
 
 impl ControlMachine {
@@ -13,7 +13,7 @@
     }
 
     pub(super) fn runtime(&self) -> &Runtime {
-        self.0.as_ref().expect("it runs")
+        self.0.as_ref().expect("the runtime is running")
     }
 
     pub(super) fn end(&mut self) {
