--- a/crates/relay/tests/all/support/fleet.rs
+++ b/crates/relay/tests/all/support/fleet.rs
@@ -1,4 +1,4 @@
-//! A control member, gateways, and a job store where a test needs one.
+//! A control member, gateways, and optionally a job store.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -33,11 +33,11 @@
     tables::{engine_table, table},
 };
 
-/// Each test gets loopback addresses of its own.
+/// Each test uses its own loopback addresses.
 static NEXT_HOST: AtomicU8 = AtomicU8::new(1);
 
-/// The last number of the address of replicas that end, beyond those of nodes.
-const MORTAL_HOST: u8 = 250;
+/// Last byte of the address of replicas that end; higher than those of nodes.
+const KILLABLE_HOST: u8 = 250;
 
 /// A loopback address of this test process.
 fn own_address(host: u8) -> Ipv4Addr {
@@ -45,14 +45,14 @@
     Ipv4Addr::new(127, 1 + (process >> 8) as u8 % 250, process as u8, host)
 }
 
-/// A listener whose address refuses connections once it is dropped: on the address that all
-/// tests share another one may take its port.
-pub(crate) async fn listen_apart() -> TcpListener {
-    let address = (own_address(MORTAL_HOST), 0);
+/// A listener whose address refuses connections once it is dropped. On an address shared by all
+/// tests, another listener could take its port.
+pub(crate) async fn listen_on_own_address() -> TcpListener {
+    let address = (own_address(KILLABLE_HOST), 0);
     TcpListener::bind(address).await.expect("a port")
 }
 
-/// A control member, a gateway and its callers' interface.
+/// A control member, a gateway and its HTTP server for callers.
 pub(crate) struct Fleet {
     pub(crate) callers: SocketAddr,
     pub(crate) relay: Relay,
@@ -68,13 +68,13 @@
 }
 
 impl Fleet {
-    /// Starts everything and waits until these replicas are known.
+    /// Starts a fleet and waits until these replicas are known.
     pub(crate) async fn start(route: Route, replicas: &[Replica]) -> Self {
         Self::start_with(table(route), replicas).await
     }
 
-    /// The same before model engines, whose slots are coordinated, once this
-    /// gateway knows that it coordinates them.
+    /// Starts a fleet of model engines, whose slots are coordinated, and waits until this gateway
+    /// knows that it coordinates them.
     pub(crate) async fn start_engines(route: Route, replicas: &[Replica]) -> Self {
         let fleet = Self::start_with(engine_table(route), replicas).await;
         fleet.wait_until_coordinated().await;
@@ -91,16 +91,17 @@
         }
     }
 
-    /// The same with this table.
+    /// Like [`Self::start`], with this table.
     pub(crate) async fn start_with(table: RouteTable, replicas: &[Replica]) -> Self {
         let configuration = Configuration {
             table,
             tenants: None,
         };
-        Self::start_by(configuration, KeyPolicy::default(), replicas).await
+        Self::start_configured(configuration, KeyPolicy::default(), replicas).await
     }
 
-    /// The same before control that speaks and stores the first format only.
+    /// Like [`Self::start_with`], with control that uses only the first format for messages and
+    /// storage.
     pub(crate) async fn start_with_older_control(table: RouteTable) -> Self {
         let configuration = Configuration {
             table,
@@ -109,8 +110,8 @@
         Self::start_in(configuration, KeyPolicy::default(), &[], Format::First).await
     }
 
-    /// The same with this configuration and policy.
-    pub(crate) async fn start_by(
+    /// Like [`Self::start`], with this configuration and policy.
+    pub(crate) async fn start_configured(
         configuration: Configuration,
         policy: KeyPolicy,
         replicas: &[Replica],
@@ -163,13 +164,13 @@
         let starting = control_machine
             .runtime()
             .spawn(ControlNode::start(settings));
-        let started = starting.await.expect("it starts");
+        let started = starting.await.expect("the task ends");
         let (control, running) = started.expect("control starts");
         let control_running = control_machine.runtime().spawn(running).abort_handle();
         control
             .put_configuration(configuration, b"document".to_vec(), LIMIT)
             .await
-            .expect("the configuration is held");
+            .expect("the configuration is stored");
         let stopping = CancellationToken::new();
         let first = start_gateway(&node, 0, &policy, &stopping).await;
         let fleet = Fleet {
@@ -200,7 +201,7 @@
         self.control
             .put_configuration(configuration, b"document".to_vec(), LIMIT)
             .await
-            .expect("the configuration is held");
+            .expect("the configuration is stored");
         let mut views = self.relay.gateway().follow();
         let known = views.wait_for(|view| view.table().is_some_and(|t| t.version == version));
         tokio::time::timeout(LIMIT, known)
@@ -214,7 +215,7 @@
         self.add_gateway_in(ZONE, REGION).await
     }
 
-    /// The same in this zone.
+    /// Like [`Self::add_gateway`], in this zone.
     pub(crate) async fn add_gateway_in(&self, zone: &str, region: &str) -> Gateway {
         let number = self.gateways.fetch_add(1, Ordering::Relaxed);
         let node = NodeSettings {
@@ -223,9 +224,9 @@
             ..self.node.clone()
         };
         let gateway = start_gateway(&node, number, &self.policy, &self.stopping).await;
-        let upto = self.relay.gateway().fleet().up_to_index();
+        let up_to_index = self.relay.gateway().fleet().up_to_index();
         let mut views = gateway.relay.gateway().follow();
-        let knows = views.wait_for(|view| view.up_to_index() >= upto);
+        let knows = views.wait_for(|view| view.up_to_index() >= up_to_index);
         tokio::time::timeout(LIMIT, knows)
             .await
             .expect("in time")
@@ -233,7 +234,7 @@
         gateway
     }
 
-    /// Starts a gateway that takes no callers and only learns the fleet.
+    /// Starts a gateway without callers that only follows the fleet.
     pub(crate) fn add_bare_gateway(&self) -> GatewayNode {
         let number = self.gateways.fetch_add(1, Ordering::Relaxed);
         let settings = gateway_settings(&self.node, number);
@@ -269,7 +270,7 @@
         self.control_running.abort();
     }
 
-    /// From now on nothing is heard of control.
+    /// From now on control is unreachable.
     pub(crate) fn lose_control(&self) {
         self.control_machine.lock().end();
     }
@@ -282,7 +283,7 @@
         }
     }
 
-    /// Sends a request and reads until the answer or the connection ends.
+    /// Sends a request and reads until the response or the connection ends.
     pub(crate) async fn ask(&self, id: &str) -> Answer {
         let mut stream = self.open(id, "").await;
         read_answer(&mut stream).await
@@ -294,7 +295,7 @@
     }
 }
 
-/// A free port on a loopback address of its own.
+/// A free port on this loopback address.
 async fn free_port(address: Ipv4Addr) -> u16 {
     let listener = TcpListener::bind((address, 0)).await.expect("a port");
     listener.local_addr().expect("an address").port()
--- a/crates/relay/tests/all/support/gateway.rs
+++ b/crates/relay/tests/all/support/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway and its callers' interface.
+//! A gateway and its HTTP server for callers.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -64,8 +64,8 @@
             .0
             .wait_for_fleet(LIMIT)
             .await
-            .expect("a table is there");
-        let table = fleet.table().expect("a table is there");
+            .expect("a route table is known");
+        let table = fleet.table().expect("a route table is known");
         let path = request.uri().path().to_owned();
         match table.find("desk.example", &path) {
             Some(route) => self.0.relay(&fleet, table, route, request).await,
@@ -74,14 +74,14 @@
     }
 }
 
-/// A gateway and its callers' interface.
+/// A gateway and its HTTP server for callers.
 pub(crate) struct Gateway {
     pub(crate) callers: SocketAddr,
     pub(crate) relay: Relay,
 }
 
 impl Gateway {
-    /// Sends a request with this body and reads until the answer or the connection ends.
+    /// Sends a request with this body and reads until the response or the connection ends.
     pub(crate) async fn ask(&self, id: &str, body: &str) -> Answer {
         let mut stream = self.open(id, "", body).await;
         read_answer(&mut stream).await
@@ -89,7 +89,9 @@
 
     /// Opens a connection and sends a request.
     pub(crate) async fn open(&self, id: &str, more_headers: &str, body: &str) -> TcpStream {
-        let mut stream = TcpStream::connect(self.callers).await.expect("it listens");
+        let mut stream = TcpStream::connect(self.callers)
+            .await
+            .expect("the gateway listens");
         let length = body.len();
         let request = format!(
             "POST /a/x?y=1 HTTP/1.1\r\nhost: desk.example\r\nrequest-id: {id}\r\n\
@@ -98,12 +100,12 @@
         stream
             .write_all(request.as_bytes())
             .await
-            .expect("it is sent");
+            .expect("the request is sent");
         stream
     }
 }
 
-/// Each gateway has an address of its own.
+/// Settings of a gateway with its own address.
 pub(super) fn gateway_settings(node: &NodeSettings, number: u8) -> NodeSettings {
     NodeSettings {
         address: Ipv4Addr::from(u32::from(node.address) + 128 + u32::from(number)),
@@ -111,7 +113,7 @@
     }
 }
 
-/// Starts a gateway beside others of the same fleet.
+/// Starts a gateway of a fleet.
 pub(super) async fn start_gateway(
     node: &NodeSettings,
     number: u8,
--- a/crates/relay/tests/all/support/http.rs
+++ b/crates/relay/tests/all/support/http.rs
@@ -1,4 +1,4 @@
-//! Requests as replicas read them, and answers as callers do.
+//! Reading of requests as a replica and of responses as a caller.
 
 use tokio::{io::AsyncReadExt, net::TcpStream};
 
@@ -18,8 +18,8 @@
         if let Some(end) = text.find("\r\n\r\n") {
             let head = text[..end].to_owned();
             let length = header(&head, "content-length").and_then(|l| l.parse().ok());
-            let whole = end + 4 + length.unwrap_or(0);
-            while bytes.len() < whole {
+            let total = end + 4 + length.unwrap_or(0);
+            while bytes.len() < total {
                 let read = stream
                     .read(&mut buffer)
                     .await
@@ -27,7 +27,7 @@
                     .filter(|read| *read > 0)?;
                 bytes.extend_from_slice(&buffer[..read]);
             }
-            let body = String::from_utf8_lossy(&bytes[end + 4..whole]).into_owned();
+            let body = String::from_utf8_lossy(&bytes[end + 4..total]).into_owned();
             return Some((head, body));
         }
         let read = stream
@@ -39,7 +39,7 @@
     }
 }
 
-/// A header of a head, by its name in lower case.
+/// The value of a header, by name.
 pub(crate) fn header<'a>(head: &'a str, name: &str) -> Option<&'a str> {
     head.lines().skip(1).find_map(|line| {
         let (found, value) = line.split_once(':')?;
@@ -47,20 +47,20 @@
     })
 }
 
-/// An answer as a caller sees it.
+/// A response as received by a caller.
 #[derive(Clone, Debug)]
 pub(crate) struct Answer {
     pub(crate) status: u16,
     pub(crate) head: String,
     pub(crate) body: String,
-    /// Whether it looks complete by its own framing.
+    /// Whether the response is complete by its own framing.
     pub(crate) complete: bool,
 }
 
 pub(crate) async fn read_answer(stream: &mut TcpStream) -> Answer {
     let mut bytes = Vec::new();
     let read = stream.read_to_end(&mut bytes);
-    // A reset is an end too; what came before it counts.
+    // A reset also ends the response; data received before it counts.
     let _ = tokio::time::timeout(LIMIT, read).await.expect("in time");
     let text = String::from_utf8_lossy(&bytes).into_owned();
     let (head, body) = text.split_once("\r\n\r\n").unwrap_or((&text, ""));
@@ -81,10 +81,10 @@
     }
 }
 
-/// The content of a chunked body, and whether its last chunk came.
-fn unchunk(mut rest: &str) -> (String, bool) {
+/// The content of a chunked body, and whether its last chunk was received.
+fn unchunk(mut remaining: &str) -> (String, bool) {
     let mut content = String::new();
-    while let Some((size, after)) = rest.split_once("\r\n") {
+    while let Some((size, after)) = remaining.split_once("\r\n") {
         let Ok(size) = usize::from_str_radix(size.trim(), 16) else {
             break;
         };
@@ -95,7 +95,7 @@
             break;
         };
         content.push_str(chunk);
-        rest = after.get(size + 2..).unwrap_or("");
+        remaining = after.get(size + 2..).unwrap_or("");
     }
     (content, false)
 }
--- a/crates/relay/tests/all/support/registrations.rs
+++ b/crates/relay/tests/all/support/registrations.rs
@@ -1,4 +1,4 @@
-//! What control is told of replicas and zones, and until when gateways know it.
+//! Registers replicas and zone orders with control, and waits until gateways know them.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -22,16 +22,16 @@
         state: ReplicaState,
         sequence: u64,
     ) {
-        self.register_start(number, address, 0, state, sequence)
+        self.register_incarnation(number, address, 0, state, sequence)
             .await;
     }
 
-    /// Registers a start of a replica.
-    pub(crate) async fn register_start(
+    /// Registers an incarnation of a replica.
+    pub(crate) async fn register_incarnation(
         &self,
         number: usize,
         address: SocketAddr,
-        born: u64,
+        incarnation: u64,
         state: ReplicaState,
         sequence: u64,
     ) {
@@ -43,29 +43,29 @@
             slots: 4,
             state,
             sequence,
-            incarnation: born,
+            incarnation,
             cold_ms: 0,
         })
         .await;
     }
 
-    /// Registers a replica of the other zone and waits until it is known.
+    /// Registers a replica in the other zone and waits until it is known.
     pub(crate) async fn add_in_other_zone(&self, number: usize, replica: &Replica) {
         self.add_in_zone(number, replica, OTHER_ZONE).await;
     }
 
-    /// The same of this zone.
+    /// Registers a replica in a zone and waits until it is known.
     pub(crate) async fn add_in_zone(&self, number: usize, replica: &Replica, zone: &str) {
         self.add_address_in_zone(number, replica.address, zone)
             .await;
     }
 
-    /// The same for a replica that may not be there.
+    /// Like [`Self::add_in_other_zone`], for an address that may have no replica.
     pub(crate) async fn add_address_in_other_zone(&self, number: usize, address: SocketAddr) {
         self.add_address_in_zone(number, address, OTHER_ZONE).await;
     }
 
-    /// Registers a replica by a name of its machine and waits until it is known.
+    /// Registers a replica by a host name and waits until it is known.
     pub(crate) async fn add_named(&self, number: usize, address: &str) {
         let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
         let change = ReplicaChange {
@@ -85,7 +85,7 @@
         self.wait_until_known(number).await;
     }
 
-    /// Registers the end of a replica of a zone and waits until it is known.
+    /// Registers the end of a replica and waits until it is known.
     pub(crate) async fn remove_of_service(
         &self,
         number: usize,
@@ -125,7 +125,7 @@
         self.wait_until_known(number).await;
     }
 
-    /// Registers a replica that is cold for so long.
+    /// Registers a replica that is cold for this time.
     pub(crate) async fn register_cold(&self, number: usize, address: SocketAddr, cold_ms: u64) {
         let change = ReplicaChange {
             cold_ms,
@@ -134,11 +134,11 @@
         self.heartbeat(change).await;
     }
 
-    /// A replica that was cold is warm from now on; waits until so many are left.
-    pub(crate) async fn register_warm(&self, number: usize, address: SocketAddr, left: usize) {
+    /// Registers that a cold replica is warm; waits until this number of cold replicas remains.
+    pub(crate) async fn register_warm(&self, number: usize, address: SocketAddr, remaining: usize) {
         let change = replica_change(number, address, ReplicaState::Ready, 2);
         self.heartbeat(change).await;
-        let figure = format!("relay_cold_replicas {left}\n");
+        let figure = format!("relay_cold_replicas {remaining}\n");
         let warm = async {
             while !self.relay.metrics_text().contains(&figure) {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -151,17 +151,17 @@
         self.control
             .heartbeat(change, LIMIT)
             .await
-            .expect("it is held");
+            .expect("control stores the change");
     }
 
-    /// Evacuates a zone, or takes that back, and waits until the gateway acts on it.
+    /// Evacuates or restores a zone and waits until the gateway acts on it.
     pub(crate) async fn evacuate(&self, zone: &str, evacuated: bool) {
         let ordered = if evacuated {
             self.control.evacuate_zone(zone, LIMIT).await
         } else {
             self.control.restore_zone(zone, LIMIT).await
         };
-        ordered.expect("it is held");
+        ordered.expect("control stores the change");
         let known = async {
             let figure = format!("relay_evacuated_zones {}", u8::from(evacuated));
             while !self.relay.metrics_text().contains(&figure) {
@@ -171,20 +171,20 @@
         tokio::time::timeout(LIMIT, known).await.expect("in time");
     }
 
-    /// Registers another replica that does the acts of this one, its only fellow.
+    /// Registers a second replica that shares the actions of this one.
     pub(crate) async fn add_twin(&self, replica: &Replica) {
         let address = twin(replica).await;
         self.register(1, address, ReplicaState::Ready, 1).await;
         self.wait_for(2).await;
     }
 
-    /// The same in a zone, as one of several.
+    /// Like [`Self::add_twin`], in a zone and with this number.
     pub(crate) async fn add_twin_in_zone(&self, number: usize, replica: &Replica, zone: &str) {
         let address = twin(replica).await;
         self.add_address_in_zone(number, address, zone).await;
     }
 
-    /// Waits until the gateway has heard of a replica.
+    /// Waits until the gateway knows a replica.
     pub(crate) async fn wait_until_known(&self, number: usize) {
         let mut views = self.relay.gateway().follow();
         let known = views.wait_for(|view| view.replica(&format!("i-{number}")).is_some());
@@ -194,7 +194,7 @@
             .expect("the gateway runs");
     }
 
-    /// Waits until the gateway knows so many ready replicas.
+    /// Waits until the gateway knows this number of ready replicas.
     pub(crate) async fn wait_for(&self, ready: usize) {
         let mut views = self.relay.gateway().follow();
         let known = views.wait_for(|view| {
--- a/crates/relay/tests/all/support/replica.rs
+++ b/crates/relay/tests/all/support/replica.rs
@@ -1,4 +1,4 @@
-//! A stand-in replica on a loopback socket.
+//! A fake replica on a loopback socket.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -18,7 +18,7 @@
     http::{header, read_request},
 };
 
-/// What a stand-in replica does with a request.
+/// What a fake replica does with a request.
 #[derive(Clone, Debug)]
 pub(crate) enum Act {
     /// Sends these bytes and keeps the connection; `{id}` is the request's id.
@@ -27,29 +27,29 @@
     SendAndClose(&'static str),
     /// Sends these bytes and resets.
     SendAndReset(&'static str),
-    /// Sends these bytes and resets once it is told to.
+    /// Sends these bytes and resets the connection when notified.
     SendAndResetWhen(&'static str, Arc<Notify>),
-    /// Sends these bytes where this incarnation is asked for, else 421.
+    /// Sends the bytes if this replica id is expected, otherwise 421.
     SendIfExpected(&'static str, &'static str),
-    /// Sends these bytes after a moment, so that further requests need connections of
-    /// their own, and keeps the connection.
+    /// Sends these bytes after a moment, so that concurrent requests need their own connections,
+    /// and keeps the connection.
     SendLater(&'static str),
-    /// Sends a stream of so many events of so many bytes each, and keeps the connection.
+    /// Sends a stream of this number of events of this size in bytes, and keeps the connection.
     SendEvents(usize, usize),
     /// Sends nothing and keeps the connection.
     Silence,
 }
 
-/// A whole answer of a replica.
+/// A complete response of a replica.
 pub(crate) const OK: &str =
     "HTTP/1.1 200 OK\r\nrequest-id: {id}\r\nsignature: s\r\ncontent-length: 5\r\n\r\nhello";
-/// The refusal of another incarnation than the one that was asked for.
+/// The refusal of a replica that is not the expected incarnation.
 pub(crate) const OTHER_INCARNATION: &str = "HTTP/1.1 421 Misdirected\r\ncontent-length: 0\r\n\r\n";
 /// A refusal of a replica that did not run the request.
 pub(crate) const FULL: &str =
     "HTTP/1.1 503 Full\r\nrequest-id: {id}\r\nnot-run: 1\r\ncontent-length: 0\r\n\r\n";
 
-/// A stand-in replica and the heads of the requests that it read.
+/// A fake replica and the heads of the requests that it read.
 #[derive(Clone)]
 pub(crate) struct Replica {
     pub(crate) address: SocketAddr,
@@ -57,7 +57,7 @@
 }
 
 impl Replica {
-    /// Starts one that does these acts in turn, the last one again and again.
+    /// Starts a replica that performs these actions in turn and repeats the last one.
     pub(crate) async fn start(acts: Vec<Act>) -> Self {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
@@ -97,8 +97,8 @@
             Act::Send(text) => (text, false, false),
             Act::SendAndClose(text) => (text, true, false),
             Act::SendAndReset(text) => (text, true, true),
-            Act::SendAndResetWhen(text, told) => {
-                reset_when = Some(told);
+            Act::SendAndResetWhen(text, reset_signal) => {
+                reset_when = Some(reset_signal);
                 (text, true, true)
             }
             Act::SendIfExpected(own, text) if own == expected => (text, false, false),
@@ -115,11 +115,11 @@
         };
         let _ = stream.write_all(text.replace("{id}", &id).as_bytes()).await;
         let _ = stream.flush().await;
-        if let Some(told) = reset_when {
-            told.notified().await;
+        if let Some(reset_signal) = reset_when {
+            reset_signal.notified().await;
         }
         if resets {
-            // What was sent must arrive before the reset does.
+            // The sent bytes must arrive before the reset.
             tokio::time::sleep(Duration::from_millis(50)).await;
             let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
         }
@@ -148,8 +148,8 @@
     stream.write_all(b"0\r\n\r\n").await
 }
 
-/// Waits until a replica has read so many requests.
-pub(crate) async fn reached_by(replica: &Replica, requests: usize) {
+/// Waits until a replica has read this number of requests.
+pub(crate) async fn wait_for_requests(replica: &Replica, requests: usize) {
     let reached = async {
         while replica.requests() < requests {
             tokio::time::sleep(Duration::from_millis(5)).await;
@@ -158,7 +158,7 @@
     tokio::time::timeout(LIMIT, reached).await.expect("in time");
 }
 
-/// Another address that leads to the same stand-in.
+/// Another address that forwards to the same replica.
 pub(super) async fn twin(replica: &Replica) -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
     let address = listener.local_addr().expect("an address");
--- a/crates/relay/tests/all/support/tables.rs
+++ b/crates/relay/tests/all/support/tables.rs
@@ -1,4 +1,4 @@
-//! Route tables of one route.
+//! Route tables with one route.
 
 use linnethitch_registry::{
     Backend, CallerLimits, EngineTraits, Route, RouteKind, RouteTable, ServiceTraits,
@@ -48,7 +48,7 @@
     }
 }
 
-/// A table whose only service is one of model engines.
+/// A table whose only service consists of model engines.
 pub(crate) fn engine_table(route: Route) -> RouteTable {
     let mut table = table(route);
     table.services[0].engine = Some(EngineTraits {
--- a/crates/relay/tests/all/unopened_connections.rs
+++ b/crates/relay/tests/all/unopened_connections.rs
@@ -1,4 +1,4 @@
-//! Connections to replicas that can't be opened: what that tells of the replica.
+//! Connections to replicas that cannot be opened, and what they show of the replica.
 
 use std::{
     net::{Ipv4Addr, SocketAddr},
@@ -12,22 +12,22 @@
 
 use crate::support::{Fleet, engine_table, route};
 
-/// Requests of each of two gateways, one after the other: three failures in a row that
-/// two gateways saw close a replica.
+/// Requests of each of two gateways, in turn: three consecutive failures seen by two gateways
+/// eject a replica.
 const TRIES: usize = 3;
-/// A connection that isn't open by then is not answered: a queue on loopback takes a new
-/// one within a millisecond.
+/// A connection that is not open by then remains unanswered: a listen queue on loopback accepts a
+/// connection within a millisecond.
 const UNANSWERED_AFTER: Duration = Duration::from_millis(500);
 
-/// An address that takes no connections.
+/// An address that accepts no connections.
 struct Unopened {
     address: SocketAddr,
-    /// What makes it so.
+    /// Sockets that keep the address in this state.
     _listener: Socket,
     _queued: Vec<TcpStream>,
 }
 
-/// One whose machine refuses them: it is bound, and nobody listens.
+/// An address that refuses connections: the socket is bound and does not listen.
 async fn refusing() -> Unopened {
     let listener = bound();
     Unopened {
@@ -37,14 +37,14 @@
     }
 }
 
-/// One that answers nothing: nobody takes connections from its queue, which is full.
+/// An address that does not answer: connections are not accepted and the queue is full.
 async fn silent() -> Unopened {
     let listener = bound();
-    listener.listen(0).expect("it listens");
+    listener.listen(0).expect("the socket listens");
     let address = address_of(&listener);
     let mut queued = Vec::new();
     while let Ok(stream) = timeout(UNANSWERED_AFTER, TcpStream::connect(address)).await {
-        queued.push(stream.expect("it is queued"));
+        queued.push(stream.expect("the connection is queued"));
     }
     Unopened {
         address,
@@ -61,7 +61,7 @@
 }
 
 fn address_of(socket: &Socket) -> SocketAddr {
-    let address = socket.local_addr().expect("it is bound");
+    let address = socket.local_addr().expect("the socket is bound");
     address.as_socket().expect("an internet address")
 }
 
@@ -73,8 +73,8 @@
     }
 }
 
-/// Whether a replica at this address is closed after gateways tried it in turn.
-async fn is_closed_after_tries(address: SocketAddr) -> bool {
+/// Whether a replica at this address is ejected for all gateways after gateways tried it in turn.
+async fn is_ejected_after_tries(address: SocketAddr) -> bool {
     let fleet = Fleet::start_with(engine_table(patient_route()), &[]).await;
     let other = fleet.add_gateway().await;
     fleet.register(0, address, ReplicaState::Ready, 1).await;
@@ -82,19 +82,21 @@
         fleet.ask(&format!("first-{number}")).await;
         other.ask(&format!("other-{number}"), "body").await;
     }
-    fleet.log.contains("replica: fails for all gateways")
+    fleet
+        .log
+        .contains("replica: ejection changed for all gateways")
 }
 
-/// Each gateway finds out at once and at no cost that a replica refuses connections, but
-/// waits each time for one that answers nothing: that one is closed for all.
+/// A refused connection costs each gateway nothing and is noticed at once, but an unresponsive
+/// replica costs a wait each time, so only that one is ejected for all gateways.
 #[rstest]
 #[case::refused(refusing(), false)]
 #[case::silent(silent(), true)]
 #[tokio::test]
-async fn only_a_silent_replica_is_closed(
+async fn only_an_unresponsive_replica_is_ejected(
     #[case] unopened: impl Future<Output = Unopened>,
     #[case] closed: bool,
 ) {
     let unopened = unopened.await;
-    assert_eq!(is_closed_after_tries(unopened.address).await, closed);
+    assert_eq!(is_ejected_after_tries(unopened.address).await, closed);
 }
