--- a/crates/cluster/src/gateway/mod.rs
+++ b/crates/cluster/src/gateway/mod.rs
@@ -191,7 +191,7 @@
         // A gateway that is no longer known has no zone.
         let zone = found.map_or("", |at| placed[at].place.zone.as_str());
         for format in self.formats_for(to, message) {
-            for part in message.parts_in(format) {
+            for part in message.messages_in(format) {
                 let bytes = datagrams.send(address, format, &part);
                 self.datagram_bytes.count(zone, bytes);
             }
@@ -210,7 +210,7 @@
             .and_then(|gateway| gateway.format);
         match known {
             Some(format) => vec![format.min(newest)],
-            None if newest > Format::OLDEST && message.loses_in(Format::OLDEST) => {
+            None if newest > Format::OLDEST && message.loses_content_in(Format::OLDEST) => {
                 vec![newest, Format::OLDEST]
             }
             None => vec![Format::OLDEST],
--- a/crates/cluster/tests/all/known_gateways.rs
+++ b/crates/cluster/tests/all/known_gateways.rs
@@ -13,7 +13,7 @@
 use linnethitch_protocol::{
     ids::MachineId,
     slots::GatewayDatagram,
-    suspicion::{EndsInRow, RequestFingerprint, ToldSuspicion},
+    suspicion::{ConsecutiveEnds, ReportedSuspicion, RequestFingerprint},
 };
 use linnethitch_transport::Datagrams;
 use rstest::rstest;
@@ -215,10 +215,10 @@
         sender.other_gateways().iter().any(is_other)
     })
     .await;
-    let cleared = ToldSuspicion {
+    let cleared = ReportedSuspicion {
         fingerprint: RequestFingerprint([7; 16]),
         replica: "i-1".to_owned(),
-        row: EndsInRow {
+        consecutive_ends: ConsecutiveEnds {
             clearings: 1,
             lengths_ms: Vec::new(),
         },
--- a/crates/control/src/attach/session.rs
+++ b/crates/control/src/attach/session.rs
@@ -112,7 +112,9 @@
             GatewayMessage::Confirm(revision) => attached.confirm(&self.gateway, revision),
             GatewayMessage::Loads(loads) => attached.record_loads(loads),
             GatewayMessage::Suspect(replicas) => attached.record_suspects(replicas),
-            GatewayMessage::WantGrants(wishes) => attached.set_wishes(&self.gateway, wishes),
+            GatewayMessage::RequestGrants(grant_requests) => {
+                attached.set_grant_requests(&self.gateway, grant_requests)
+            }
             GatewayMessage::Heartbeat
             | GatewayMessage::Attach { .. }
             | GatewayMessage::Call { .. } => {}
--- a/crates/control/src/soft_state/attached.rs
+++ b/crates/control/src/soft_state/attached.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use linnethitch_protocol::{
-    attach::{GatewayWishes, Grant, GrantWish, ReplicaLoad},
+    attach::{GatewayGrantRequests, Grant, GrantRequest, ReplicaLoad},
     fleet::LoadReport,
     ids::{GatewayId, ReplicaId, Revision, ZoneId},
     query::GatewayStatus,
@@ -11,8 +11,8 @@
 
 /// Maximum number of loads, and of suspects, that wait for the next digest.
 const MAX_WAITING: usize = 8_192;
-/// Maximum number of wishes stored per gateway; a gateway sends one per model.
-const MAX_WISHES: usize = 64;
+/// Maximum number of grant requests stored per gateway; a gateway sends one per model.
+const MAX_GRANT_REQUESTS: usize = 64;
 
 /// Distinguishes the connections of one gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     zone: ZoneId,
     revision: Revision,
     last_contact_ms: u64,
-    wishes: Vec<GrantWish>,
+    grant_requests: Vec<GrantRequest>,
     /// Grants not yet sent to the gateway.
     grants: Vec<Grant>,
 }
@@ -54,7 +54,7 @@
             zone: zone.clone(),
             revision,
             last_contact_ms: now_ms,
-            wishes: Vec::new(),
+            grant_requests: Vec::new(),
             grants: Vec::new(),
         };
         self.gateways.insert(gateway.clone(), attached);
@@ -86,11 +86,15 @@
         }
     }
 
-    /// Stores the batch capacity that a gateway requests, in place of its earlier wishes.
-    pub(crate) fn set_wishes(&mut self, gateway: &GatewayId, mut wishes: Vec<GrantWish>) {
-        wishes.truncate(MAX_WISHES);
+    /// Stores the batch capacity that a gateway requests, in place of its earlier grant requests.
+    pub(crate) fn set_grant_requests(
+        &mut self,
+        gateway: &GatewayId,
+        mut grant_requests: Vec<GrantRequest>,
+    ) {
+        grant_requests.truncate(MAX_GRANT_REQUESTS);
         if let Some(attached) = self.gateways.get_mut(gateway) {
-            attached.wishes = wishes;
+            attached.grant_requests = grant_requests;
         }
     }
 
@@ -144,14 +148,14 @@
         self.gateways.iter().map(status).collect()
     }
 
-    pub(super) fn wishes(&self) -> Vec<GatewayWishes> {
+    pub(super) fn grant_requests(&self) -> Vec<GatewayGrantRequests> {
         self.gateways
             .iter()
-            .filter(|(_, attached)| !attached.wishes.is_empty())
-            .map(|(gateway, attached)| GatewayWishes {
+            .filter(|(_, attached)| !attached.grant_requests.is_empty())
+            .map(|(gateway, attached)| GatewayGrantRequests {
                 gateway: gateway.clone(),
                 zone: attached.zone.clone(),
-                wishes: attached.wishes.clone(),
+                grant_requests: attached.grant_requests.clone(),
             })
             .collect()
     }
--- a/crates/control/src/soft_state/grants.rs
+++ b/crates/control/src/soft_state/grants.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_config::fleet::Fleet;
 use linnethitch_protocol::{
-    attach::{GatewayWishes, Grant},
+    attach::{GatewayGrantRequests, Grant},
     fleet::{BackEndKind, MachineState, ReplicaInfo},
     ids::{GatewayId, MachineId, Timestamp},
 };
@@ -12,19 +12,19 @@
 
 use super::fleet::VersionedFleet;
 
-/// A member's wishes expire this long after its last digest, in milliseconds.
+/// A member's grant requests expire this long after its last digest, in milliseconds.
 const WISHES_VALID_MS: u64 = 2_000;
 /// Number of allocations within the validity of one grant.
 const ALLOCATIONS_PER_GRANT: u64 = 4;
 
-/// The wishes in the last digest of one member.
+/// The grant requests in the last digest of one member.
 #[derive(Debug)]
 struct ReportedWishes {
     at_ms: u64,
-    wishes: Vec<GatewayWishes>,
+    grant_requests: Vec<GatewayGrantRequests>,
 }
 
-/// Allocates batch capacity to gateways by their wishes.
+/// Allocates batch capacity to gateways by their grant requests.
 #[derive(Debug, Default)]
 pub(super) struct GrantAllocator {
     table: GrantTable,
@@ -44,16 +44,16 @@
         };
     }
 
-    /// Stores the wishes of a member's gateways in place of the member's earlier ones.
-    pub(super) fn set_wishes(
+    /// Stores the grant requests of a member's gateways in place of the member's earlier ones.
+    pub(super) fn set_grant_requests(
         &mut self,
         machine: MachineId,
-        wishes: Vec<GatewayWishes>,
+        grant_requests: Vec<GatewayGrantRequests>,
         now_ms: u64,
     ) {
         let reported = ReportedWishes {
             at_ms: now_ms,
-            wishes,
+            grant_requests,
         };
         self.reported.insert(machine, reported);
     }
@@ -92,29 +92,37 @@
     /// The grants of the gateways attached to a member.
     pub(super) fn grants_for(&self, machine: MachineId) -> Vec<(GatewayId, Vec<Grant>)> {
         let reported = self.reported.get(&machine);
-        let gateways = reported.into_iter().flat_map(|reported| &reported.wishes);
+        let gateways = reported
+            .into_iter()
+            .flat_map(|reported| &reported.grant_requests);
         gateways
-            .filter_map(|wishes| {
-                let grants = self.allocated.get(&wishes.gateway)?;
-                Some((wishes.gateway.clone(), grants.clone()))
+            .filter_map(|grant_requests| {
+                let grants = self.allocated.get(&grant_requests.gateway)?;
+                Some((grant_requests.gateway.clone(), grants.clone()))
             })
             .collect()
     }
 
-    /// All wishes as requests. A gateway that has just moved may be in the digests of two
-    /// members; its wishes are taken from one of them.
+    /// All grant requests as capacity requests. A gateway that has just moved may be in the digests of two
+    /// members; its grant requests are taken from one of them.
     fn requests(&self) -> Vec<CapacityRequest> {
-        let mut by_gateway: BTreeMap<&GatewayId, &GatewayWishes> = BTreeMap::new();
-        for wishes in self.reported.values().flat_map(|reported| &reported.wishes) {
-            by_gateway.insert(&wishes.gateway, wishes);
+        let mut by_gateway: BTreeMap<&GatewayId, &GatewayGrantRequests> = BTreeMap::new();
+        for grant_requests in self
+            .reported
+            .values()
+            .flat_map(|reported| &reported.grant_requests)
+        {
+            by_gateway.insert(&grant_requests.gateway, grant_requests);
         }
         let requests = by_gateway.into_values().flat_map(|from| {
-            from.wishes.iter().map(|wish| CapacityRequest {
-                gateway: from.gateway.clone(),
-                zone: from.zone.clone(),
-                model: wish.model.clone(),
-                sequences: wish.sequences,
-            })
+            from.grant_requests
+                .iter()
+                .map(|grant_request| CapacityRequest {
+                    gateway: from.gateway.clone(),
+                    zone: from.zone.clone(),
+                    model: grant_request.model.clone(),
+                    sequences: grant_request.sequences,
+                })
         });
         requests.collect()
     }
--- a/crates/control/src/soft_state/mod.rs
+++ b/crates/control/src/soft_state/mod.rs
@@ -82,7 +82,7 @@
             gateways: self.attached.statuses(now_ms),
             loads: self.attached.take_loads(),
             suspects: self.attached.take_suspects(),
-            wishes: self.attached.wishes(),
+            grant_requests: self.attached.grant_requests(),
             fleet_term: self.received.term,
             fleet_version: self.received.version.0,
         }
@@ -93,8 +93,9 @@
         for known in &digest.loads {
             self.fleet.put_load(&known.replica, known.load);
         }
-        let wishes = std::mem::take(&mut digest.wishes);
-        self.grants.set_wishes(digest.machine, wishes, now_ms);
+        let grant_requests = std::mem::take(&mut digest.grant_requests);
+        self.grants
+            .set_grant_requests(digest.machine, grant_requests, now_ms);
         self.leader.take_digest(digest, now_ms);
     }
 
--- a/crates/gateway/src/batch/driver.rs
+++ b/crates/gateway/src/batch/driver.rs
@@ -6,7 +6,7 @@
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
     attach::GatewayMessage,
-    command::{CommandBody, Outcome, WantedItems},
+    command::{CommandBody, Outcome, RequestedItems},
     ids::{GatewayId, SessionEpoch, Timestamp},
 };
 use slog::{Logger, debug, o};
@@ -147,7 +147,7 @@
     fn execute(&mut self, now: Timestamp, action: BatchAction) {
         match action {
             BatchAction::RequestGrants(requests) => {
-                let message = GatewayMessage::WantGrants(requests);
+                let message = GatewayMessage::RequestGrants(requests);
                 self.gateway.control.notify(&message);
             }
             BatchAction::Run(order) => {
@@ -173,8 +173,8 @@
             BatchAction::Lease {
                 session,
                 sequence,
-                wanted,
-            } => self.lease(session, sequence, wanted),
+                requested,
+            } => self.lease(session, sequence, requested),
             BatchAction::MarkStarted {
                 session,
                 number,
@@ -236,14 +236,14 @@
 
     /// Leases items. The session's end is converted to control's clock, and the deadlines of the
     /// items to the gateway's.
-    fn lease(&mut self, session: SessionEpoch, sequence: u64, wanted: WantedItems) {
+    fn lease(&mut self, session: SessionEpoch, sequence: u64, requested: RequestedItems) {
         let current = self.gateway.session.current(self.now());
         let until = current.map_or(Timestamp(0), |session| session.until);
         let command = CommandBody::LeaseItems {
             gateway: self.gateway_id.clone(),
             session,
             sequence,
-            wanted: vec![wanted],
+            requested: vec![requested],
             until: self.gateway.clock_offset.to_control(until),
         };
         let shared = Arc::clone(&self.gateway);
--- a/crates/gateway/src/batch/executor/outcomes.rs
+++ b/crates/gateway/src/batch/executor/outcomes.rs
@@ -30,9 +30,9 @@
         };
         match answer {
             CallAnswer::Done(items) => {
-                self.leasing.on_leased(&call.wanted.model, items.len());
+                self.leasing.on_leased(&call.requested.model, items.len());
                 for item in items {
-                    self.add_item(now, item, &call.wanted.model);
+                    self.add_item(now, item, &call.requested.model);
                 }
             }
             CallAnswer::Fenced => self.end_session(),
--- a/crates/gateway/src/batch/leasing.rs
+++ b/crates/gateway/src/batch/leasing.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use linnethitch_protocol::{
-    attach::{GrantWish, PendingItems},
-    command::WantedItems,
+    attach::{GrantRequest, PendingItems},
+    command::RequestedItems,
     ids::{ModelId, SessionEpoch, Timestamp},
 };
 
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct LeaseCall {
     pub(super) sequence: u64,
-    pub(super) wanted: WantedItems,
+    pub(super) requested: RequestedItems,
     /// When to repeat the call; set when its answer was lost.
     pub(super) resend_at: Option<Timestamp>,
 }
@@ -31,7 +31,7 @@
     last_sequence: u64,
     /// The model of the last call, so that models take turns.
     last_model: Option<ModelId>,
-    last_requests: Vec<GrantWish>,
+    last_requests: Vec<GrantRequest>,
     last_requested_at: Option<Timestamp>,
 }
 
@@ -89,12 +89,12 @@
             call.resend_at.take_if(|at| *at <= now)?;
             return Some(call.action(session));
         }
-        let wanted = self.next_wanted_items(capacity, items, leased, settings)?;
+        let requested = self.next_wanted_items(capacity, items, leased, settings)?;
         self.last_sequence += 1;
-        self.last_model = Some(wanted.model.clone());
+        self.last_model = Some(requested.model.clone());
         let call = LeaseCall {
             sequence: self.last_sequence,
-            wanted,
+            requested,
             resend_at: None,
         };
         let action = call.action(session);
@@ -109,13 +109,13 @@
         items: &ItemTable,
         leased: usize,
         settings: &ExecutorSettings,
-    ) -> Option<WantedItems> {
+    ) -> Option<RequestedItems> {
         let remaining = (settings.max_items as usize).saturating_sub(leased);
         let mut pools: BTreeMap<&str, u32> = BTreeMap::new();
         for (_, item) in items.iter() {
             *pools.entry(pool_of(&item.model)).or_default() += 1;
         }
-        let wanted = self.pending.iter().filter_map(|pending| {
+        let requested = self.pending.iter().filter_map(|pending| {
             let granted = capacity.sequences_for(&pending.model);
             let target = granted
                 + granted
@@ -125,17 +125,17 @@
             let count = u64::from(target.saturating_sub(of_pool))
                 .min(pending.count)
                 .min(remaining as u64);
-            (count > 0).then(|| WantedItems {
+            (count > 0).then(|| RequestedItems {
                 model: pending.model.clone(),
                 count: count as u32,
             })
         });
-        let mut wanted: Vec<WantedItems> = wanted.collect();
-        wanted.sort_by(|one, other| one.model.cmp(&other.model));
-        let after_last = wanted
+        let mut requested: Vec<RequestedItems> = requested.collect();
+        requested.sort_by(|one, other| one.model.cmp(&other.model));
+        let after_last = requested
             .iter()
             .position(|items| Some(&items.model) > self.last_model.as_ref());
-        wanted.into_iter().nth(after_last.unwrap_or(0))
+        requested.into_iter().nth(after_last.unwrap_or(0))
     }
 
     /// The requests for capacity to send now, if they are due.
@@ -165,7 +165,7 @@
         items: &ItemTable,
         draining: bool,
         settings: &ExecutorSettings,
-    ) -> Vec<GrantWish> {
+    ) -> Vec<GrantRequest> {
         let mut pools: BTreeMap<&str, u64> = BTreeMap::new();
         for (_, item) in items.iter() {
             *pools.entry(pool_of(&item.model)).or_default() += 1;
@@ -175,7 +175,7 @@
                 *pools.entry(pool_of(&pending.model)).or_default() += pending.count;
             }
         }
-        let grant_requests = pools.into_iter().map(|(pool, count)| GrantWish {
+        let grant_requests = pools.into_iter().map(|(pool, count)| GrantRequest {
             model: pool.into(),
             sequences: count.min(u64::from(settings.max_items)) as u32,
         });
@@ -190,7 +190,7 @@
         BatchAction::Lease {
             session,
             sequence: self.sequence,
-            wanted: self.wanted.clone(),
+            requested: self.requested.clone(),
         }
     }
 }
--- a/crates/gateway/src/batch/messages.rs
+++ b/crates/gateway/src/batch/messages.rs
@@ -5,8 +5,8 @@
 use linnethitch_errors::ErrorKind;
 use linnethitch_observability::journal::DecisionKind;
 use linnethitch_protocol::{
-    attach::{GrantWish, PendingItems},
-    command::{JobResults, LeasedItem, LeasedItemKey, WantedItems},
+    attach::{GrantRequest, PendingItems},
+    command::{JobResults, LeasedItem, LeasedItemKey, RequestedItems},
     ids::{ItemNumber, JobId, ModelId, ReplicaId, SessionEpoch, TenantId, Timestamp},
 };
 use linnethitch_routing::ReasonCode;
@@ -199,7 +199,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum BatchAction {
     /// Request grants of capacity from control; replaces earlier requests.
-    RequestGrants(Vec<GrantWish>),
+    RequestGrants(Vec<GrantRequest>),
     /// Lease items. A repeated call with the same sequence number gets the same items.
     Lease {
         /// The session.
@@ -207,7 +207,7 @@
         /// Number of the lease call.
         sequence: u64,
         /// The model and the number of items.
-        wanted: WantedItems,
+        requested: RequestedItems,
     },
     /// Record the start of at-most-once items; they are not sent before the answer.
     MarkStarted {
--- a/crates/gateway/src/claims/answers.rs
+++ b/crates/gateway/src/claims/answers.rs
@@ -5,7 +5,7 @@
 use gotham::helpers::http::Body;
 use http::{HeaderValue, Response, StatusCode, header};
 use linnethitch_errors::{ErrorKind, Executed, Failure};
-use linnethitch_protocol::query::KeptAnswer;
+use linnethitch_protocol::query::StoredAnswer;
 use tokio::sync::oneshot;
 
 use crate::{
@@ -23,7 +23,7 @@
 pub(crate) type Answered = Result<Response<Body>, Failure>;
 
 /// The response with the stored answer of an earlier run.
-pub(crate) fn replay(stored: KeptAnswer) -> Response<Body> {
+pub(crate) fn replay(stored: StoredAnswer) -> Response<Body> {
     let status = StatusCode::from_u16(stored.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let content_type = HeaderValue::from_str(&stored.content_type)
         .unwrap_or(HeaderValue::from_static("application/json"));
@@ -45,12 +45,12 @@
 /// Content type of stored failures, which distinguishes them from answers of applications.
 const STORED_FAILURE_TYPE: &str = "application/json; profile=linnethitch-error";
 
-fn is_unknown_outcome(stored: &KeptAnswer) -> bool {
+fn is_unknown_outcome(stored: &StoredAnswer) -> bool {
     stored.content_type == STORED_FAILURE_TYPE
 }
 
-fn stored_failure(failure: &Failure) -> KeptAnswer {
-    KeptAnswer {
+fn stored_failure(failure: &Failure) -> StoredAnswer {
+    StoredAnswer {
         status: failure.kind.answer().status,
         content_type: STORED_FAILURE_TYPE.to_owned(),
         body: failure.body().to_string().into_bytes(),
@@ -58,7 +58,7 @@
 }
 
 /// The stored answer to resends after an at-most-once run with an unknown outcome.
-pub(crate) fn outcome_unknown(failure: &Failure) -> KeptAnswer {
+pub(crate) fn outcome_unknown(failure: &Failure) -> StoredAnswer {
     let message = format!(
         "the request was started and is not run again: {}",
         failure.message
@@ -67,7 +67,7 @@
 }
 
 /// The stored answer to resends after an answer that was too long to store.
-pub(crate) fn too_long() -> KeptAnswer {
+pub(crate) fn too_long() -> StoredAnswer {
     let message = "the request ran; its answer was given once and was too long to be kept";
     stored_failure(&Failure::new(ErrorKind::OutcomeUnknown, message).with_executed(Executed::Yes))
 }
@@ -122,11 +122,11 @@
     }
 
     /// The answer to store.
-    pub(crate) fn answer(self) -> KeptAnswer {
+    pub(crate) fn answer(self) -> StoredAnswer {
         if self.too_long {
             return too_long();
         }
-        KeptAnswer {
+        StoredAnswer {
             status: StatusCode::OK.as_u16(),
             content_type: EVENT_STREAM.to_owned(),
             body: self.bytes,
--- a/crates/gateway/src/claims/claim.rs
+++ b/crates/gateway/src/claims/claim.rs
@@ -6,7 +6,7 @@
 use linnethitch_protocol::{
     command::{ClaimOutcome, CommandBody, NewClaim, Outcome},
     ids::{GatewayId, RequestId, TenantId},
-    query::KeptAnswer,
+    query::StoredAnswer,
 };
 use slog::warn;
 use tokio::sync::oneshot;
@@ -33,7 +33,7 @@
     /// This gateway runs the request, and no other does.
     Granted(Claim),
     /// The request ran before; this is the stored answer.
-    Answered(KeptAnswer),
+    Answered(StoredAnswer),
 }
 
 /// The exclusive right to run the request of a key.
@@ -168,7 +168,7 @@
         }
     }
 
-    fn finish(&self, answer: Option<KeptAnswer>) -> CommandBody {
+    fn finish(&self, answer: Option<StoredAnswer>) -> CommandBody {
         CommandBody::FinishClaim {
             tenant: self.new.tenant.clone(),
             key: self.new.key.clone(),
@@ -180,7 +180,7 @@
     }
 
     /// Stores the answer, which every later resend gets.
-    pub(crate) async fn store_answer(self, answer: KeptAnswer) {
+    pub(crate) async fn store_answer(self, answer: StoredAnswer) {
         self.settle(Some(answer)).await;
     }
 
@@ -189,7 +189,7 @@
         self.settle(None).await;
     }
 
-    async fn settle(self, answer: Option<KeptAnswer>) {
+    async fn settle(self, answer: Option<StoredAnswer>) {
         let gateway = Arc::clone(&self.gateway);
         let settled = gateway.spawn_tracked(async move {
             let command = self.finish(answer);
--- a/crates/gateway/src/online/claimed.rs
+++ b/crates/gateway/src/online/claimed.rs
@@ -7,7 +7,7 @@
 use futures_util::StreamExt;
 use http::{HeaderValue, StatusCode};
 use linnethitch_errors::{ErrorKind, Failure};
-use linnethitch_protocol::query::KeptAnswer;
+use linnethitch_protocol::query::StoredAnswer;
 use tokio::sync::{mpsc, oneshot};
 use tokio_stream::wrappers::ReceiverStream;
 
@@ -93,7 +93,7 @@
         let answer = CompletionResponse::new(&generation.request, &generation.progress);
         drop(generation);
         let body = serde_json::to_vec(&answer).unwrap_or_default();
-        let stored = KeptAnswer {
+        let stored = StoredAnswer {
             status: StatusCode::OK.as_u16(),
             content_type: "application/json".to_owned(),
             body: body.clone(),
--- a/crates/gateway/src/services/relay.rs
+++ b/crates/gateway/src/services/relay.rs
@@ -11,7 +11,7 @@
 use hyper::body::Incoming;
 use linnethitch_clock::Instant;
 use linnethitch_errors::{ErrorKind, Executed, Failure};
-use linnethitch_protocol::query::KeptAnswer;
+use linnethitch_protocol::query::StoredAnswer;
 use linnethitch_routing::view::FailureKind;
 use tokio::sync::oneshot;
 
@@ -132,7 +132,7 @@
 }
 
 /// Reads a complete response, up to the maximum size that can be stored.
-async fn collect(call: &mut ServiceCall) -> Result<(HeaderMap, KeptAnswer), Failure> {
+async fn collect(call: &mut ServiceCall) -> Result<(HeaderMap, StoredAnswer), Failure> {
     let ServiceAnswer {
         placement,
         response,
@@ -144,7 +144,7 @@
         Ok(Ok(collected)) => {
             end_placement(Some(placement), head.status);
             let headers = response_headers(&head.headers);
-            let stored = KeptAnswer {
+            let stored = StoredAnswer {
                 status: head.status.as_u16(),
                 content_type: content_type(&headers),
                 body: collected.to_bytes().to_vec(),
--- a/crates/gateway/tests/all/batch_executor.rs
+++ b/crates/gateway/tests/all/batch_executor.rs
@@ -99,9 +99,13 @@
             count: u64::from(count),
         }]));
         fixture.handle(BatchEvent::Capacity(vec![capacity("a", 2)]));
-        let (sequence, wanted) = fixture.lease().expect("a lease call");
-        assert_eq!(wanted, count.min(2), "no more than the granted sequences");
-        let items = (0..wanted).map(|number| item(number, at_most_once));
+        let (sequence, requested) = fixture.lease().expect("a lease call");
+        assert_eq!(
+            requested,
+            count.min(2),
+            "no more than the granted sequences"
+        );
+        let items = (0..requested).map(|number| item(number, at_most_once));
         fixture.handle(BatchEvent::Leased {
             sequence,
             answer: CallAnswer::Done(items.collect()),
@@ -132,8 +136,10 @@
     fn lease(&mut self) -> Option<(u64, u32)> {
         self.find(|action| match action {
             BatchAction::Lease {
-                sequence, wanted, ..
-            } => Some((*sequence, wanted.count)),
+                sequence,
+                requested,
+                ..
+            } => Some((*sequence, requested.count)),
             _ => None,
         })
     }
@@ -407,8 +413,8 @@
         model: "m".into(),
         count: 9,
     }]));
-    let (sequence, wanted) = fixture.lease().expect("a lease call for the free sequence");
-    assert_eq!(wanted, 1);
+    let (sequence, requested) = fixture.lease().expect("a lease call for the free sequence");
+    assert_eq!(requested, 1);
     fixture.handle(BatchEvent::Leased {
         sequence,
         answer: CallAnswer::Unknown,
--- a/crates/lab/src/measure/jobs/work.rs
+++ b/crates/lab/src/measure/jobs/work.rs
@@ -14,7 +14,7 @@
 use linnethitch_protocol::{
     attach::{ControlAnswer, ControlCall},
     command::{
-        CommandBody, ItemHead, JobResults, LeasedItem, NewClaim, NewJob, Outcome, WantedItems,
+        CommandBody, ItemHead, JobResults, LeasedItem, NewClaim, NewJob, Outcome, RequestedItems,
     },
     ids::{
         ChangeId, FileId, IdempotencyKey, ItemNumber, JobId, ModelId, Revision, SessionEpoch,
@@ -268,7 +268,7 @@
             gateway: worker.caller.gateway.clone(),
             session: worker.session,
             sequence,
-            wanted: vec![WantedItems {
+            requested: vec![RequestedItems {
                 model: ModelId::from(MODEL),
                 count: ITEMS_PER_COMMAND,
             }],
--- a/crates/lab/src/measure/state/commands.rs
+++ b/crates/lab/src/measure/state/commands.rs
@@ -7,13 +7,13 @@
 use linnethitch_protocol::{
     command::{
         ApplyOutcome, CommandBody, ItemHead, JobResults, LeasedItem, NewClaim, NewJob, Outcome,
-        WantedItems,
+        RequestedItems,
     },
     ids::{
         ChangeId, FileId, GatewayId, IdempotencyKey, ItemNumber, JobId, ModelId, Revision,
         SessionEpoch, TenantId, Timestamp,
     },
-    query::{ItemOutcome, KeptAnswer},
+    query::{ItemOutcome, StoredAnswer},
 };
 
 use super::member::MeasuredMember;
@@ -245,7 +245,7 @@
         count: u32,
     ) -> Result<Vec<LeasedItem>, Report<ErrorKind>> {
         self.sequence += 1;
-        let wanted = models.iter().map(|model| WantedItems {
+        let requested = models.iter().map(|model| RequestedItems {
             model: ModelId((*model).to_owned()),
             count,
         });
@@ -254,7 +254,7 @@
             gateway: gateway_name(self.gateway),
             session: self.session,
             sequence: self.sequence,
-            wanted: wanted.collect(),
+            requested: requested.collect(),
             until,
         })?;
         match outcome {
@@ -306,7 +306,7 @@
                 gateway: gateway_name(self.gateway),
                 session: self.session,
                 attempt: number,
-                answer: Some(KeptAnswer {
+                answer: Some(StoredAnswer {
                     status: 200,
                     content_type: "application/json".to_owned(),
                     body: json_text(BYTES_OF_A_KEPT_ANSWER),
--- a/crates/ledger/src/claims.rs
+++ b/crates/ledger/src/claims.rs
@@ -10,7 +10,7 @@
     command::{ClaimOutcome, NewClaim, Outcome},
     frame,
     ids::{GatewayId, IdempotencyKey, SessionEpoch, TenantId, Timestamp},
-    query::{ClaimRecord, KeptAnswer},
+    query::{ClaimRecord, StoredAnswer},
 };
 use linnethitch_storage::StorageResult;
 use rkyv::{Archive, Deserialize, Serialize};
@@ -61,7 +61,7 @@
 pub(crate) enum ClaimState {
     /// The request may be running.
     Running(Box<ClaimHolder>),
-    /// The encoded [`KeptAnswer`] that is returned to every resent request.
+    /// The encoded [`StoredAnswer`] that is returned to every resent request.
     Answered(Piece),
     /// The request may have run, but its outcome cannot be determined.
     OutcomeUnknown,
@@ -216,7 +216,7 @@
         ready(Outcome::Claim(outcome))
     }
 
-    pub(crate) fn read_answer(&self, piece: &Piece) -> StorageResult<KeptAnswer> {
+    pub(crate) fn read_answer(&self, piece: &Piece) -> StorageResult<StoredAnswer> {
         let encoded = self.payloads.read(&piece.payload)?;
         frame::decode(&encoded)
     }
@@ -225,7 +225,7 @@
         &mut self,
         key: ClaimKey,
         holder: &ClaimHolder,
-        answer: Option<&KeptAnswer>,
+        answer: Option<&StoredAnswer>,
     ) -> Applied {
         if answer.is_some_and(|answer| answer.body.len() > MAX_ANSWER_BYTES) {
             return refuse(ErrorKind::BodyTooLarge, "the answer is too large to store");
@@ -268,7 +268,7 @@
         }
     }
 
-    fn store_answer(&mut self, key: ClaimKey, answer: &KeptAnswer) -> Applied {
+    fn store_answer(&mut self, key: ClaimKey, answer: &StoredAnswer) -> Applied {
         let encoded = frame::encode(answer)?;
         let payload = self.payloads.append(&encoded)?;
         let expires_at = after(self.state.now, self.configuration.retention_ms());
--- a/crates/ledger/src/leasing.rs
+++ b/crates/ledger/src/leasing.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
-    command::{LeasedItemKey, Outcome, WantedItems},
+    command::{LeasedItemKey, Outcome, RequestedItems},
     ids::{GatewayId, ItemNumber, LeaseEpoch, ModelId, SessionEpoch, Timestamp},
 };
 
@@ -40,7 +40,7 @@
         gateway: &GatewayId,
         epoch: SessionEpoch,
         sequence: u64,
-        requested: &[WantedItems],
+        requested: &[RequestedItems],
         until: Timestamp,
     ) -> Applied {
         self.extend_session(gateway, epoch, until)?;
@@ -78,7 +78,7 @@
 
     fn lease_from_model(
         &mut self,
-        request: &WantedItems,
+        request: &RequestedItems,
         budget: &mut LeaseBudget,
         items: &mut Vec<LeasedEntry>,
     ) {
--- a/crates/ledger/src/ledger.rs
+++ b/crates/ledger/src/ledger.rs
@@ -215,9 +215,9 @@
                 gateway,
                 session,
                 sequence,
-                wanted,
+                requested,
                 until,
-            } => self.lease_items(gateway, *session, *sequence, wanted, *until),
+            } => self.lease_items(gateway, *session, *sequence, requested, *until),
             CommandBody::StartItems {
                 gateway,
                 session,
--- a/crates/ledger/tests/all/faults.rs
+++ b/crates/ledger/tests/all/faults.rs
@@ -9,7 +9,7 @@
 use linnethitch_errors::ErrorKind;
 use linnethitch_ledger::{Answer, Ledger};
 use linnethitch_protocol::{
-    command::{Command, CommandBody, JobResults, Outcome, WantedItems},
+    command::{Command, CommandBody, JobResults, Outcome, RequestedItems},
     ids::{GatewayId, ItemNumber, JobId, LeaseEpoch, LogIndex, ModelId, SessionEpoch, Timestamp},
 };
 use linnethitch_storage::{MemoryPayloads, PayloadMark, PayloadRef, Payloads, StorageResult};
@@ -133,7 +133,7 @@
         gateway: GatewayId::from("gateway"),
         session: SESSION,
         sequence: 77,
-        wanted: vec![WantedItems {
+        requested: vec![RequestedItems {
             model: ModelId::from(MODEL),
             count: 500,
         }],
--- a/crates/ledger/tests/all/support.rs
+++ b/crates/ledger/tests/all/support.rs
@@ -4,13 +4,13 @@
 use linnethitch_protocol::{
     command::{
         ApplyOutcome, ClaimOutcome, Command, CommandBody, ItemHead, JobResults, LeasedItem,
-        LeasedItemKey, NewClaim, NewJob, Outcome, Refusal, WantedItems,
+        LeasedItemKey, NewClaim, NewJob, Outcome, Refusal, RequestedItems,
     },
     ids::{
         ChangeId, FileId, GatewayId, IdempotencyKey, ItemNumber, JobId, LogIndex, ModelId,
         Revision, SessionEpoch, TenantId, Timestamp,
     },
-    query::{ItemOutcome, JobRecord, KeptAnswer, Query, QueryAnswer},
+    query::{ItemOutcome, JobRecord, Query, QueryAnswer, StoredAnswer},
 };
 use linnethitch_storage::MemoryPayloads;
 
@@ -244,7 +244,7 @@
             gateway: GatewayId::from(gateway),
             session,
             sequence,
-            wanted: vec![WantedItems {
+            requested: vec![RequestedItems {
                 model: ModelId::from(model),
                 count,
             }],
@@ -358,7 +358,7 @@
         key: &str,
         gateway: &str,
         session: SessionEpoch,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     ) -> Outcome {
         self.apply(CommandBody::FinishClaim {
             tenant: TenantId::from("acme"),
@@ -469,8 +469,8 @@
     }
 }
 
-pub(crate) fn answer(text: &str) -> KeptAnswer {
-    KeptAnswer {
+pub(crate) fn answer(text: &str) -> StoredAnswer {
+    StoredAnswer {
         status: 200,
         content_type: "application/json".to_owned(),
         body: text.as_bytes().to_vec(),
--- a/crates/protocol/src/attach.rs
+++ b/crates/protocol/src/attach.rs
@@ -36,7 +36,7 @@
     /// Replicas that the data path found dead or leaving.
     Suspect(Vec<ReplicaId>),
     /// Batch capacity wished for.
-    WantGrants(Vec<GrantWish>),
+    RequestGrants(Vec<GrantRequest>),
     /// A request to be answered with the same call id.
     Call {
         /// Matches the answer.
@@ -164,7 +164,7 @@
 
 /// A wish for batch capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct GrantWish {
+pub struct GrantRequest {
     /// For which model.
     pub model: ModelId,
     /// Sequences at once.
@@ -237,7 +237,7 @@
     /// Replicas under suspicion.
     pub suspects: Vec<ReplicaId>,
     /// Wishes for batch capacity.
-    pub wishes: Vec<GatewayWishes>,
+    pub grant_requests: Vec<GatewayGrantRequests>,
     /// Term of the leader whose fleet the sender holds.
     pub fleet_term: Term,
     /// Version of that fleet.
@@ -246,13 +246,13 @@
 
 /// A gateway's wishes for batch capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct GatewayWishes {
+pub struct GatewayGrantRequests {
     /// Which gateway.
     pub gateway: GatewayId,
     /// Where it is.
     pub zone: ZoneId,
     /// What it wishes for.
-    pub wishes: Vec<GrantWish>,
+    pub grant_requests: Vec<GrantRequest>,
 }
 
 /// What the leader tells members for their gateways.
--- a/crates/protocol/src/command.rs
+++ b/crates/protocol/src/command.rs
@@ -9,7 +9,7 @@
         ChangeId, FencingToken, FileId, GatewayId, IdempotencyKey, ItemNumber, JobId, LeaseEpoch,
         ModelId, ReplicaId, Revision, SessionEpoch, TenantId, Timestamp,
     },
-    query::{FileRecord, ItemOutcome, JobRecord, KeptAnswer},
+    query::{FileRecord, ItemOutcome, JobRecord, StoredAnswer},
 };
 
 /// A command together with the leader's time when it was proposed.
@@ -116,7 +116,7 @@
         /// Makes a resend harmless: the same number gets the same lease.
         sequence: u64,
         /// How many items of which model.
-        wanted: Vec<WantedItems>,
+        requested: Vec<RequestedItems>,
         /// The lease ends then unless the session is renewed.
         until: Timestamp,
     },
@@ -162,7 +162,7 @@
         /// The attempt of the claim; a late resend for an earlier one changes nothing.
         attempt: u64,
         /// The answer to give from now on; `None` frees the key: nothing ran.
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
     },
     /// Issues a fenced order to an engine.
     IssueOrder {
@@ -241,7 +241,7 @@
 
 /// A wish for items of one model.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct WantedItems {
+pub struct RequestedItems {
     /// The model.
     pub model: ModelId,
     /// At most this many items.
@@ -325,7 +325,7 @@
     /// Another run holds the key.
     InProgress,
     /// It ran before; this is its answer.
-    Answered(KeptAnswer),
+    Answered(StoredAnswer),
     /// It was started before and its answer was lost; it never runs again.
     OutcomeUnknown,
     /// The key was used with other content.
--- a/crates/protocol/src/first_format.rs
+++ b/crates/protocol/src/first_format.rs
@@ -12,7 +12,7 @@
     query::{FleetStatus, GatewayStatus, MemberStatus, QueryAnswer, ReplicaStatus},
     quota::QuotaMessage,
     slots::{AskMode, GatewayDatagram, HeldLease, RunOutcome, SlotLoad, Verdict},
-    suspicion::{EndedRun, EndsInRow, RequestFingerprint, ToldSuspicion},
+    suspicion::{ConsecutiveEnds, EndedRun, ReportedSuspicion, RequestFingerprint},
 };
 
 /// A message that the first format does not have.
@@ -34,9 +34,9 @@
     /// As [`QuotaMessage::Ask`].
     Ask {
         tenant: String,
-        want: u32,
-        sent_again: u32,
-        sent_apart: u32,
+        requested: u32,
+        resent: u32,
+        sent_without_lease: u32,
         sent_late: u32,
         unused: u32,
     },
@@ -44,12 +44,12 @@
     Grant {
         tenant: String,
         granted: u32,
-        again_in_ms: u32,
+        retry_after_ms: u32,
     },
-    /// As [`QuotaMessage::WithoutControl`].
-    WithoutControl,
-    /// As [`QuotaMessage::NotHere`].
-    NotHere { tenant: String },
+    /// As [`QuotaMessage::ControlUnreachable`].
+    ControlUnreachable,
+    /// As [`QuotaMessage::NotCoordinator`].
+    NotCoordinator { tenant: String },
 }
 
 /// The fleet as control sees it: no zone was evacuated.
@@ -69,7 +69,7 @@
 impl ControlAnswer {
     /// The same answer as a format has it.
     #[must_use]
-    pub fn written_in(self, format: Format) -> Self {
+    pub fn in_format(self, format: Format) -> Self {
         match (format, self) {
             (Format::First, ControlAnswer::Answer(QueryAnswer::Status(status))) => {
                 ControlAnswer::Answer(QueryAnswer::FirstStatus(status.into()))
@@ -80,7 +80,7 @@
 
     /// The answer of today that was read.
     #[must_use]
-    pub fn as_read(self) -> Self {
+    pub fn into_current_format(self) -> Self {
         match self {
             ControlAnswer::Answer(QueryAnswer::FirstStatus(first)) => {
                 ControlAnswer::Answer(QueryAnswer::Status(first.into()))
@@ -156,7 +156,7 @@
 impl GatewayDatagram {
     /// Whether a format says less than this message, or nothing.
     #[must_use]
-    pub fn loses_in(&self, format: Format) -> bool {
+    pub fn loses_content_in(&self, format: Format) -> bool {
         let in_first = match self {
             GatewayDatagram::Suspicions(_) => true,
             GatewayDatagram::Quota(message) => {
@@ -170,10 +170,10 @@
     /// The messages of a format that say the same: the first tells of one replica at a time,
     /// and of no request that was cleared.
     #[must_use]
-    pub fn parts_in(&self, format: Format) -> Vec<GatewayDatagram> {
+    pub fn messages_in(&self, format: Format) -> Vec<GatewayDatagram> {
         match (format, self) {
             (Format::First, GatewayDatagram::Suspicions(told)) => {
-                let open = told.iter().filter(|told| !told.row.is_empty());
+                let open = told.iter().filter(|told| !told.consecutive_ends.is_empty());
                 open.map(|told| GatewayDatagram::Suspicions(vec![told.clone()]))
                     .collect()
             }
@@ -187,7 +187,7 @@
     fn from(first: FirstEndedRun) -> Self {
         EndedRun {
             fingerprint: first.fingerprint,
-            known: EndsInRow::alike(first.ran_ms, first.known_ends),
+            known: ConsecutiveEnds::with_equal_lengths(first.ran_ms, first.known_ends),
             ran_ms: first.ran_ms,
         }
     }
@@ -203,8 +203,8 @@
     }
 }
 
-fn ended_run(told: &ToldSuspicion) -> Option<FirstEndedRun> {
-    let (ran_ms, known) = told.row.lengths_ms.split_last()?;
+fn ended_run(told: &ReportedSuspicion) -> Option<FirstEndedRun> {
+    let (ran_ms, known) = told.consecutive_ends.lengths_ms.split_last()?;
     Some(FirstEndedRun {
         fingerprint: told.fingerprint,
         known_ends: known.len() as u32,
@@ -212,11 +212,14 @@
     })
 }
 
-fn told_suspicion(replica: &str, run: &FirstEndedRun) -> ToldSuspicion {
-    ToldSuspicion {
+fn reported_suspicion(replica: &str, run: &FirstEndedRun) -> ReportedSuspicion {
+    ReportedSuspicion {
         fingerprint: run.fingerprint,
         replica: replica.to_owned(),
-        row: EndsInRow::alike(run.ran_ms, run.known_ends.saturating_add(1)),
+        consecutive_ends: ConsecutiveEnds::with_equal_lengths(
+            run.ran_ms,
+            run.known_ends.saturating_add(1),
+        ),
     }
 }
 
@@ -292,7 +295,7 @@
             FirstDatagram::Held { leases } => GatewayDatagram::Held { leases },
             FirstDatagram::ReplicaEnded { replica, runs } => GatewayDatagram::Suspicions(
                 runs.iter()
-                    .map(|run| told_suspicion(&replica, run))
+                    .map(|run| reported_suspicion(&replica, run))
                     .collect(),
             ),
             FirstDatagram::Quota(message) => GatewayDatagram::Quota(message.into()),
@@ -307,34 +310,34 @@
         Ok(match message {
             QuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             } => FirstQuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             },
             QuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             } => FirstQuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             },
-            QuotaMessage::WithoutControl => FirstQuotaMessage::WithoutControl,
-            QuotaMessage::NotHere { tenant } => FirstQuotaMessage::NotHere { tenant },
-            QuotaMessage::Counting { .. }
-            | QuotaMessage::Witnessed { .. }
-            | QuotaMessage::IsHeard { .. }
-            | QuotaMessage::Unheard { .. } => {
+            QuotaMessage::ControlUnreachable => FirstQuotaMessage::ControlUnreachable,
+            QuotaMessage::NotCoordinator { tenant } => FirstQuotaMessage::NotCoordinator { tenant },
+            QuotaMessage::WitnessRequest { .. }
+            | QuotaMessage::WitnessResponse { .. }
+            | QuotaMessage::ContactQuery { .. }
+            | QuotaMessage::NoContact { .. } => {
                 return Err(not_in_first_format("witnesses of limits"));
             }
         })
@@ -346,30 +349,30 @@
         match first {
             FirstQuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             } => QuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             },
             FirstQuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             } => QuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             },
-            FirstQuotaMessage::WithoutControl => QuotaMessage::WithoutControl,
-            FirstQuotaMessage::NotHere { tenant } => QuotaMessage::NotHere { tenant },
+            FirstQuotaMessage::ControlUnreachable => QuotaMessage::ControlUnreachable,
+            FirstQuotaMessage::NotCoordinator { tenant } => QuotaMessage::NotCoordinator { tenant },
         }
     }
 }
--- a/crates/protocol/src/query.rs
+++ b/crates/protocol/src/query.rs
@@ -129,14 +129,14 @@
     /// A gateway holds the claim and has not answered yet.
     Running,
     /// The kept answer.
-    Answered(KeptAnswer),
+    Answered(StoredAnswer),
     /// An at-most-once request was started and its answer was lost.
     OutcomeUnknown,
 }
 
 /// An answer that is given again to every resend.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct KeptAnswer {
+pub struct StoredAnswer {
     /// HTTP status.
     pub status: u16,
     /// `Content-Type`.
--- a/crates/protocol/src/quota.rs
+++ b/crates/protocol/src/quota.rs
@@ -13,11 +13,11 @@
         /// The tenant.
         tenant: String,
         /// Requests that it wants leave for.
-        want: u32,
+        requested: u32,
         /// Repeats of requests that had leave, since it asked last.
-        sent_again: u32,
+        resent: u32,
         /// Requests that it gave leave to by itself while nobody answered it.
-        sent_apart: u32,
+        sent_without_lease: u32,
         /// Requests that had leave and were sent long after it was given.
         sent_late: u32,
         /// Requests that were granted and did not come.
@@ -30,37 +30,37 @@
         /// Requests that may be sent.
         granted: u32,
         /// Where none: when the next may be, in milliseconds.
-        again_in_ms: u32,
+        retry_after_ms: u32,
     },
     /// The sender has not heard of control for a while. Those who say so count what the
     /// others of them may use.
-    WithoutControl,
+    ControlUnreachable,
     /// A gateway that counts tenants says so to its witnesses.
-    Counting {
+    WitnessRequest {
         /// When it was sent, by the sender's clock, in milliseconds.
         sent_ms: u64,
     },
     /// A witness answers that.
-    Witnessed {
+    WitnessResponse {
         /// The time that it was sent, as it was told.
         sent_ms: u64,
     },
     /// A gateway that a coordinator does not answer asks a witness of that one.
-    IsHeard {
+    ContactQuery {
         /// The coordinator.
         coordinator: MachineId,
         /// When it was asked, by the sender's clock, in milliseconds.
         asked_ms: u64,
     },
     /// The witness has not heard the coordinator for a while in which it was awake itself.
-    Unheard {
+    NoContact {
         /// The coordinator.
         coordinator: MachineId,
         /// The time that it was asked, as it was told.
         asked_ms: u64,
     },
     /// The gateway that was asked does not count this tenant's requests.
-    NotHere {
+    NotCoordinator {
         /// The tenant.
         tenant: String,
     },
--- a/crates/protocol/src/slots.rs
+++ b/crates/protocol/src/slots.rs
@@ -6,7 +6,7 @@
 
 use rkyv::{Archive, Deserialize, Serialize};
 
-use crate::{quota::QuotaMessage, suspicion::ToldSuspicion};
+use crate::{quota::QuotaMessage, suspicion::ReportedSuspicion};
 
 /// What an asker does when no slot is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
@@ -16,12 +16,12 @@
     /// It waits for one here.
     Wait,
     /// It sends its request all the same, which has to be counted.
-    Take,
+    Force,
     /// It tries another replica, and does so too where batch items have the slots.
-    Free,
+    FreeOnly,
     /// It waits for a slot here while no other such request has one: a request under
     /// which replicas ended must not run beside another one.
-    Alone,
+    Exclusive,
 }
 
 /// How a run at a replica came out, as its coordinator needs it.
@@ -48,7 +48,7 @@
     /// The asker is told when a slot is its own.
     Queued,
     /// This gateway does not coordinate that replica.
-    NotHere,
+    NotCoordinator,
 }
 
 /// What is under way at a replica, as its coordinator counts it.
@@ -76,8 +76,8 @@
     pub replica: String,
     /// The holder's number of the lease.
     pub number: u64,
-    /// Whether it was asked for by [`AskMode::Alone`].
-    pub alone: bool,
+    /// Whether it was asked for by [`AskMode::Exclusive`].
+    pub exclusive: bool,
 }
 
 /// A datagram between gateways.
@@ -119,7 +119,7 @@
     },
     /// What the sender knows of requests under which replicas ended, or which were cleared
     /// of that. Control tells it too, a little later, and not at all while it has no leader.
-    Suspicions(Vec<ToldSuspicion>),
+    Suspicions(Vec<ReportedSuspicion>),
     /// About tenants' limits.
     Quota(QuotaMessage),
 }
--- a/crates/protocol/src/suspicion.rs
+++ b/crates/protocol/src/suspicion.rs
@@ -70,12 +70,12 @@
 
 /// Lengths of runs that are remembered of a row: as many ends as are needed under runs of a
 /// minute.
-pub const MOST_LENGTHS: usize = 64;
+pub const MAX_RUN_LENGTHS: usize = 64;
 
 /// What is known of one request: a row of replicas that ended under it, one after the
 /// other, since a copy of it last came to a whole answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct EndsInRow {
+pub struct ConsecutiveEnds {
     /// How often the request was cleared of suspicion; rows before the last time are over.
     pub clearings: u32,
     /// How long each run had lasted when its replica ended, in milliseconds, the newest
@@ -83,13 +83,13 @@
     pub lengths_ms: Vec<u32>,
 }
 
-impl EndsInRow {
+impl ConsecutiveEnds {
     /// So many ends under runs of one length, never cleared.
     #[must_use]
-    pub fn alike(ran_ms: u32, ends: u32) -> Self {
-        EndsInRow {
+    pub fn with_equal_lengths(ran_ms: u32, ends: u32) -> Self {
+        ConsecutiveEnds {
             clearings: 0,
-            lengths_ms: vec![ran_ms; (ends as usize).min(MOST_LENGTHS)],
+            lengths_ms: vec![ran_ms; (ends as usize).min(MAX_RUN_LENGTHS)],
         }
     }
 
@@ -102,8 +102,13 @@
     /// Whether this is known later than another: of two that know of the same clearings
     /// the longer one is.
     #[must_use]
-    pub fn outweighs(&self, other: &EndsInRow) -> bool {
-        let rank = |row: &EndsInRow| (row.clearings, row.lengths_ms.len());
+    pub fn supersedes(&self, other: &ConsecutiveEnds) -> bool {
+        let rank = |consecutive_ends: &ConsecutiveEnds| {
+            (
+                consecutive_ends.clearings,
+                consecutive_ends.lengths_ms.len(),
+            )
+        };
         rank(self) > rank(other)
     }
 }
@@ -114,18 +119,18 @@
     /// What ran.
     pub fingerprint: RequestFingerprint,
     /// What was known where the run began, when it began.
-    pub known: EndsInRow,
+    pub known: ConsecutiveEnds,
     /// How long it had run, in milliseconds.
     pub ran_ms: u32,
 }
 
 /// What a gateway knows of a request, as it tells others.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
-pub struct ToldSuspicion {
+pub struct ReportedSuspicion {
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// The replica that ended last, by the key of its start.
     pub replica: String,
     /// The ends under it.
-    pub row: EndsInRow,
+    pub consecutive_ends: ConsecutiveEnds,
 }
--- a/crates/registry/src/fourth_layout/mod.rs
+++ b/crates/registry/src/fourth_layout/mod.rs
@@ -6,7 +6,7 @@
 
 use linnethitch_protocol::{
     ids::LogIndex,
-    suspicion::{EndsInRow, RequestFingerprint},
+    suspicion::{ConsecutiveEnds, RequestFingerprint},
 };
 use linnethitch_tenants::{KeyDigest, QuotaLimit, Tenant, TenantChange, TenantsUpdate};
 use rkyv::{Archive, Deserialize, Serialize};
@@ -262,7 +262,7 @@
     fn from(fourth: FourthSuspicion) -> Self {
         Suspicion {
             fingerprint: fourth.fingerprint,
-            row: EndsInRow::alike(fourth.ran_ms, fourth.ends),
+            consecutive_ends: ConsecutiveEnds::with_equal_lengths(fourth.ran_ms, fourth.ends),
             replica: fourth.replica,
             changed_at: fourth.changed_at,
         }
--- a/crates/registry/src/lib.rs
+++ b/crates/registry/src/lib.rs
@@ -44,7 +44,7 @@
 pub use gateways::{GatewayRecord, KnownGateways};
 pub use incarnation_key::{incarnation_key, parse_incarnation_key};
 pub use linnethitch_protocol::suspicion::{
-    EndedRun, EndsInRow, RequestContent, RequestFingerprint, ToldSuspicion,
+    ConsecutiveEnds, EndedRun, ReportedSuspicion, RequestContent, RequestFingerprint,
 };
 pub use node_list::{DirectoryNode, DirectoryQuery, NodeList, READY_TTL_MS, near};
 pub use notification_order::{Place, notification_rank};
--- a/crates/registry/src/run_lengths.rs
+++ b/crates/registry/src/run_lengths.rs
@@ -11,7 +11,7 @@
 //! * a run that was shorter ended before the request could have caused the end, so the ends
 //!   before it had other causes.
 
-use linnethitch_protocol::suspicion::MOST_LENGTHS;
+use linnethitch_protocol::suspicion::MAX_RUN_LENGTHS;
 
 /// Number of consecutive replica ends under a request, each soon after the start of the run,
 /// after which copies of it are refused. A harmless request is refused only if three
@@ -63,7 +63,7 @@
     /// Lengths of one run fewer than a refusal requires.
     pub(crate) fn one_before_refusal(self) -> Vec<u32> {
         let runs = ends_before_refusal(self.shortest_ms) - 1;
-        vec![self.shortest_ms; (runs as usize).min(MOST_LENGTHS)]
+        vec![self.shortest_ms; (runs as usize).min(MAX_RUN_LENGTHS)]
     }
 
     /// The latest runs that lasted as long as one of the runs or slightly longer.
@@ -83,7 +83,7 @@
 /// Appends a run and drops the oldest over the limit.
 pub(crate) fn push(lengths_ms: &mut Vec<u32>, ran_ms: u32) {
     lengths_ms.push(ran_ms);
-    let excess = lengths_ms.len().saturating_sub(MOST_LENGTHS);
+    let excess = lengths_ms.len().saturating_sub(MAX_RUN_LENGTHS);
     lengths_ms.drain(..excess);
 }
 
--- a/crates/registry/src/suspicion.rs
+++ b/crates/registry/src/suspicion.rs
@@ -26,7 +26,7 @@
 
 use linnethitch_protocol::{
     ids::LogIndex,
-    suspicion::{EndedRun, EndsInRow, RequestFingerprint, ToldSuspicion},
+    suspicion::{ConsecutiveEnds, EndedRun, ReportedSuspicion, RequestFingerprint},
 };
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -43,8 +43,8 @@
 
 /// Whether copies of a request are refused after one more end similar to the recorded ones.
 #[must_use]
-pub fn is_almost_refused(row: &EndsInRow) -> bool {
-    SimilarRuns::among(&row.lengths_ms).is_some_and(SimilarRuns::is_almost_refused)
+pub fn is_almost_refused(consecutive_ends: &ConsecutiveEnds) -> bool {
+    SimilarRuns::among(&consecutive_ends.lengths_ms).is_some_and(SimilarRuns::is_almost_refused)
 }
 
 /// The record of one request.
@@ -53,7 +53,7 @@
     /// The request.
     pub fingerprint: RequestFingerprint,
     /// Consecutive ends of replicas under the request; empty if it is no longer suspected.
-    pub row: EndsInRow,
+    pub consecutive_ends: ConsecutiveEnds,
     /// The replica that ended last.
     pub replica: String,
     /// The log entry that changed the record last.
@@ -70,22 +70,23 @@
         run: &EndedRun,
         changed_at: LogIndex,
     ) -> Option<Suspicion> {
-        let mut row = run.known.clone();
+        let mut consecutive_ends = run.known.clone();
         if let Some(current) = current {
-            let began_before_clearing = row.clearings < current.row.clearings;
+            let began_before_clearing =
+                consecutive_ends.clearings < current.consecutive_ends.clearings;
             if began_before_clearing && (current.is_open() || current.replica == replica) {
                 return None;
             }
             if began_before_clearing {
-                row = current.row.clone();
-            } else if current.row.outweighs(&row) {
+                consecutive_ends = current.consecutive_ends.clone();
+            } else if current.consecutive_ends.supersedes(&consecutive_ends) {
                 return None;
             }
         }
-        run_lengths::push(&mut row.lengths_ms, run.ran_ms);
+        run_lengths::push(&mut consecutive_ends.lengths_ms, run.ran_ms);
         Some(Suspicion {
             fingerprint: run.fingerprint,
-            row,
+            consecutive_ends,
             replica: replica.to_owned(),
             changed_at,
         })
@@ -93,10 +94,10 @@
 
     /// The record from a report of another gateway, as of an entry known here.
     #[must_use]
-    pub fn from_report(report: ToldSuspicion, changed_at: LogIndex) -> Self {
+    pub fn from_report(report: ReportedSuspicion, changed_at: LogIndex) -> Self {
         Suspicion {
             fingerprint: report.fingerprint,
-            row: report.row,
+            consecutive_ends: report.consecutive_ends,
             replica: report.replica,
             changed_at,
         }
@@ -104,18 +105,18 @@
 
     /// The report of this record for other gateways.
     #[must_use]
-    pub fn to_report(&self) -> ToldSuspicion {
-        ToldSuspicion {
+    pub fn to_report(&self) -> ReportedSuspicion {
+        ReportedSuspicion {
             fingerprint: self.fingerprint,
             replica: self.replica.clone(),
-            row: self.row.clone(),
+            consecutive_ends: self.consecutive_ends.clone(),
         }
     }
 
     /// Whether the request is suspected.
     #[must_use]
     pub fn is_open(&self) -> bool {
-        !self.row.is_empty()
+        !self.consecutive_ends.is_empty()
     }
 
     /// Number of consecutive ends after about the same run time.
@@ -137,7 +138,7 @@
     }
 
     fn similar(&self) -> Option<SimilarRuns> {
-        SimilarRuns::among(&self.row.lengths_ms)
+        SimilarRuns::among(&self.consecutive_ends.lengths_ms)
     }
 
     /// The record after a copy got a complete answer.
@@ -156,8 +157,8 @@
 
     fn restarted(&self, lengths_ms: Vec<u32>, changed_at: LogIndex) -> Suspicion {
         Suspicion {
-            row: EndsInRow {
-                clearings: self.row.clearings.saturating_add(1),
+            consecutive_ends: ConsecutiveEnds {
+                clearings: self.consecutive_ends.clearings.saturating_add(1),
                 lengths_ms,
             },
             changed_at,
@@ -285,7 +286,7 @@
         let least = self
             .records
             .values()
-            .min_by_key(|r| (r.row.lengths_ms.len(), r.changed_at));
+            .min_by_key(|r| (r.consecutive_ends.lengths_ms.len(), r.changed_at));
         let Some(fingerprint) = least.map(|record| record.fingerprint) else {
             return;
         };
--- a/crates/registry/src/third_layout.rs
+++ b/crates/registry/src/third_layout.rs
@@ -3,7 +3,7 @@
 
 use linnethitch_protocol::{
     ids::{MachineId, MemberId},
-    suspicion::{EndedRun, EndsInRow, RequestFingerprint},
+    suspicion::{ConsecutiveEnds, EndedRun, RequestFingerprint},
 };
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -43,7 +43,7 @@
     fn from(third: ThirdEndedRun) -> Self {
         EndedRun {
             fingerprint: third.fingerprint,
-            known: EndsInRow::alike(third.ran_ms, third.known_ends),
+            known: ConsecutiveEnds::with_equal_lengths(third.ran_ms, third.known_ends),
             ran_ms: third.ran_ms,
         }
     }
--- a/crates/registry/tests/all/formats.rs
+++ b/crates/registry/tests/all/formats.rs
@@ -7,8 +7,8 @@
     ids::{LogIndex, MachineId},
 };
 use linnethitch_registry::{
-    EndedRun, EndsInRow, EvacuationOrder, Registry, RegistryCommand, RequestFingerprint, Route,
-    Suspicion,
+    ConsecutiveEnds, EndedRun, EvacuationOrder, Registry, RegistryCommand, RequestFingerprint,
+    Route, Suspicion,
 };
 use rstest::rstest;
 
@@ -92,7 +92,7 @@
 /// running member, and were lost by a member that restarted from a first-format snapshot.
 #[test]
 fn a_restarted_member_has_the_same_suspicions() {
-    let end = |replica: &str, known: EndsInRow, ran_ms| RegistryCommand::ReplicaEnded {
+    let end = |replica: &str, known: ConsecutiveEnds, ran_ms| RegistryCommand::ReplicaEnded {
         replica: replica.to_owned(),
         runs: vec![EndedRun {
             fingerprint: RequestFingerprint([7; 16]),
@@ -102,15 +102,15 @@
     };
     let cleared = || RegistryCommand::ClearSuspicions(vec![RequestFingerprint([7; 16])]);
     let in_first_format = [
-        end("i-1", EndsInRow::default(), 300),
-        end("i-2", EndsInRow::alike(300, 1), 2_900),
-        end("i-3", EndsInRow::alike(300, 2), 90),
+        end("i-1", ConsecutiveEnds::default(), 300),
+        end("i-2", ConsecutiveEnds::with_equal_lengths(300, 1), 2_900),
+        end("i-3", ConsecutiveEnds::with_equal_lengths(300, 2), 90),
         cleared(),
-        end("i-4", EndsInRow::alike(90, 1), 40),
+        end("i-4", ConsecutiveEnds::with_equal_lengths(90, 1), 40),
     ];
     let stored = in_first_format.map(|command| command.to_stored_in(Format::First));
     let raise = RegistryCommand::raise_format();
-    let after = end("i-5", EndsInRow::alike(40, 1), 60).to_stored();
+    let after = end("i-5", ConsecutiveEnds::with_equal_lengths(40, 1), 60).to_stored();
     let commands = stored.into_iter().chain([raise, after]);
     let mut running = Registry::default();
     let mut restarted = Registry::default();
--- a/crates/registry/tests/all/incarnations.rs
+++ b/crates/registry/tests/all/incarnations.rs
@@ -3,7 +3,7 @@
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_registry::{
-    EndedRun, EndsInRow, FleetUpdate, FleetView, Registry, RegistryAnswer, RegistryCommand,
+    ConsecutiveEnds, EndedRun, FleetUpdate, FleetView, Registry, RegistryAnswer, RegistryCommand,
     ReplicaChange, ReplicaState, RequestContent, RequestFingerprint, incarnation_key,
     parse_incarnation_key,
 };
@@ -154,7 +154,7 @@
     });
     let mut registry = Registry::default();
     for (index, (key, known_ends)) in (1..).zip([("i-1#1", 0), ("i-1#1", 0), ("i-1#2", 1)]) {
-        let known = EndsInRow {
+        let known = ConsecutiveEnds {
             clearings: 0,
             lengths_ms: vec![80; known_ends],
         };
--- a/crates/registry/tests/all/suspicions.rs
+++ b/crates/registry/tests/all/suspicions.rs
@@ -4,8 +4,8 @@
 use linnethitch_group::StateMachine;
 use linnethitch_protocol::ids::LogIndex;
 use linnethitch_registry::{
-    EndedRun, EndsInRow, FleetView, Registry, RegistryCommand, RequestContent, RequestFingerprint,
-    Suspicion, ToldSuspicion, is_almost_refused,
+    ConsecutiveEnds, EndedRun, FleetView, Registry, RegistryCommand, ReportedSuspicion,
+    RequestContent, RequestFingerprint, Suspicion, is_almost_refused,
 };
 use rstest::rstest;
 
@@ -26,10 +26,10 @@
 
 /// A run that began when this number of ends was known, each after 100 ms, and no clearing.
 fn run(body: &str, known_ends: usize) -> EndedRun {
-    run_knowing(body, row(0, &vec![100; known_ends]), 100)
+    run_knowing(body, consecutive_ends(0, &vec![100; known_ends]), 100)
 }
 
-fn run_knowing(body: &str, known: EndsInRow, ran_ms: u32) -> EndedRun {
+fn run_knowing(body: &str, known: ConsecutiveEnds, ran_ms: u32) -> EndedRun {
     EndedRun {
         fingerprint: request(body),
         known,
@@ -37,8 +37,8 @@
     }
 }
 
-fn row(clearings: u32, lengths_ms: &[u32]) -> EndsInRow {
-    EndsInRow {
+fn consecutive_ends(clearings: u32, lengths_ms: &[u32]) -> ConsecutiveEnds {
+    ConsecutiveEnds {
         clearings,
         lengths_ms: lengths_ms.to_vec(),
     }
@@ -57,9 +57,11 @@
 }
 
 /// The consecutive ends that are recorded for a request.
-fn known(applied: &Applied, body: &str) -> EndsInRow {
+fn known(applied: &Applied, body: &str) -> ConsecutiveEnds {
     let record = applied.registry.suspicions().get(&request(body));
-    record.map(|record| record.row.clone()).unwrap_or_default()
+    record
+        .map(|record| record.consecutive_ends.clone())
+        .unwrap_or_default()
 }
 
 /// Reported ends in order of arrival, as (replica, ends known to the run), and how many ends
@@ -133,7 +135,10 @@
 #[case::long_runs_that_need_more(&[4_200; 5], false)]
 #[case::one_before_refusal_of_long_runs(&[4_200; 6], true)]
 fn one_more_end_may_be_enough(#[case] lengths_ms: &[u32], #[case] is_enough: bool) {
-    assert_eq!(is_almost_refused(&row(0, lengths_ms)), is_enough);
+    assert_eq!(
+        is_almost_refused(&consecutive_ends(0, lengths_ms)),
+        is_enough
+    );
 }
 
 /// Records of a gateway and records from control, as (clearings, ends).
@@ -150,8 +155,12 @@
     #[case] from_control: (u32, usize),
     #[case] counts: bool,
 ) {
-    let row = |(clearings, ends): (u32, usize)| row(clearings, &vec![100; ends]);
-    assert_eq!(row(own).outweighs(&row(from_control)), counts);
+    let consecutive_ends =
+        |(clearings, ends): (u32, usize)| consecutive_ends(clearings, &vec![100; ends]);
+    assert_eq!(
+        consecutive_ends(own).supersedes(&consecutive_ends(from_control)),
+        counts
+    );
 }
 
 /// Guards against refusal of harmless requests: a gateway that had not received a clearing
@@ -190,32 +199,37 @@
 fn a_run_reports_the_ends_known_when_it_began() {
     let mut applied = Applied::default();
     applied.apply(&ended("i-1", &[run("a", 0)]));
-    let known = row(2, &[31, 30]);
+    let known = consecutive_ends(2, &[31, 30]);
     applied.apply(&ended("i-9", &[run_knowing("a", known, 33)]));
     let record = applied.registry.suspicions().get(&request("a"));
     let record = record.expect("it is suspected");
-    assert_eq!(record.row, row(2, &[31, 30, 33]));
+    assert_eq!(record.consecutive_ends, consecutive_ends(2, &[31, 30, 33]));
     assert!(record.is_refused());
 }
 
 /// Gateways exchange reports in any order, and the merged record does not depend on it.
 #[test]
 fn merged_reports_are_equal_in_any_order() {
-    let rows = [row(0, &[30]), row(0, &[30, 31]), row(1, &[]), row(1, &[29])];
-    let report = |row: &EndsInRow| ToldSuspicion {
+    let rows = [
+        consecutive_ends(0, &[30]),
+        consecutive_ends(0, &[30, 31]),
+        consecutive_ends(1, &[]),
+        consecutive_ends(1, &[29]),
+    ];
+    let report = |consecutive_ends: &ConsecutiveEnds| ReportedSuspicion {
         fingerprint: request("a"),
         replica: "i-1".to_owned(),
-        row: row.clone(),
+        consecutive_ends: consecutive_ends.clone(),
     };
     for first in &rows {
         for second in &rows {
             for third in &rows {
-                let mut merged = EndsInRow::default();
-                for row in [first, second, third, &rows[3], first] {
-                    let received = Suspicion::from_report(report(row), LogIndex(0));
-                    assert_eq!(received.to_report(), report(row));
-                    if received.row.outweighs(&merged) {
-                        merged = received.row;
+                let mut merged = ConsecutiveEnds::default();
+                for consecutive_ends in [first, second, third, &rows[3], first] {
+                    let received = Suspicion::from_report(report(consecutive_ends), LogIndex(0));
+                    assert_eq!(received.to_report(), report(consecutive_ends));
+                    if received.consecutive_ends.supersedes(&merged) {
+                        merged = received.consecutive_ends;
                     }
                 }
                 assert_eq!(merged, rows[3]);
--- a/crates/relay/src/attempt.rs
+++ b/crates/relay/src/attempt.rs
@@ -110,7 +110,7 @@
                 service: &self.service,
                 prompt: &self.prompt.parts,
                 outgoing: &self.outgoing,
-                alone: !known_ends.is_empty(),
+                exclusive: !known_ends.is_empty(),
                 except: &except,
                 homes: &homes,
                 rank: self.rank,
--- a/crates/relay/src/exchange.rs
+++ b/crates/relay/src/exchange.rs
@@ -10,7 +10,9 @@
 use hyper::body::Incoming;
 use linnethitch_clock::{Instant, timeout, timeout_at};
 use linnethitch_protocol::slots::RunOutcome;
-use linnethitch_registry::{EndsInRow, RequestContent, RequestFingerprint, parse_incarnation_key};
+use linnethitch_registry::{
+    ConsecutiveEnds, RequestContent, RequestFingerprint, parse_incarnation_key,
+};
 use linnethitch_routing::{
     cold::SendOutcome,
     dispatch::{ChosenReplica, FailureKind, PromptPart},
@@ -132,7 +134,7 @@
 pub(crate) struct Target<'a> {
     pub(crate) chosen: &'a ChosenReplica,
     /// Ends of replicas under copies of this request, as known when the replica was chosen.
-    pub(crate) known_ends: EndsInRow,
+    pub(crate) known_ends: ConsecutiveEnds,
     /// Slot lease of an online request, or of a suspected request that runs without other
     /// suspected requests.
     pub(crate) lease: Option<SlotLease>,
@@ -234,7 +236,7 @@
         }
         if shared
             .ends(outgoing)
-            .is_none_or(|ends| !ends.is_empty() && ends.outweighs(&known_ends))
+            .is_none_or(|ends| !ends.is_empty() && ends.supersedes(&known_ends))
         {
             return Exchange::Suspected;
         }
--- a/crates/relay/src/item_run.rs
+++ b/crates/relay/src/item_run.rs
@@ -285,7 +285,7 @@
             service,
             prompt: &[],
             outgoing,
-            alone: true,
+            exclusive: true,
             except: &self.tried,
             homes: &homes,
             rank: u8::MAX,
--- a/crates/relay/src/pump.rs
+++ b/crates/relay/src/pump.rs
@@ -225,7 +225,7 @@
                 service: &self.settings.service,
                 prompt: &self.settings.prompt,
                 outgoing,
-                alone: !known_ends.is_empty(),
+                exclusive: !known_ends.is_empty(),
                 except: &self.settings.tried,
                 homes: &homes,
                 rank: self.settings.rank,
--- a/crates/relay/src/running_guard.rs
+++ b/crates/relay/src/running_guard.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_clock::Instant;
 use linnethitch_protocol::slots::RunOutcome;
-use linnethitch_registry::{EndedRun, EndsInRow};
+use linnethitch_registry::{ConsecutiveEnds, EndedRun};
 use linnethitch_routing::dispatch::{FailureKind, PromptPart, RunningWork, WorkKind};
 
 use crate::{
@@ -25,7 +25,7 @@
     address: String,
     outgoing: Arc<Outgoing>,
     /// Ends of replicas under copies of the request, as known when it was sent.
-    known_ends: EndsInRow,
+    known_ends: ConsecutiveEnds,
     began: Instant,
     /// The time of the last send. Opening a connection is not part of the run.
     sent: Instant,
--- a/crates/relay/src/search.rs
+++ b/crates/relay/src/search.rs
@@ -34,7 +34,7 @@
     pub(crate) outgoing: &'a Outgoing,
     /// Whether replicas have ended under copies of this request. A replica runs at most one such
     /// request at a time.
-    pub(crate) alone: bool,
+    pub(crate) exclusive: bool,
     /// Replicas that the request must not be sent to.
     pub(crate) except: &'a [String],
     /// Zones in which the request may be served.
@@ -57,7 +57,7 @@
     /// The best replica with a free slot; if none of the replicas asked has one, a slot that the
     /// request waited for. `None` if no replica may be sent the request.
     pub(crate) async fn run(&self) -> Option<Placement> {
-        if self.alone {
+        if self.exclusive {
             return self.place_isolated().await;
         }
         if let Some(placed) = self.find_free(ColdUse::Never).await {
@@ -99,7 +99,7 @@
     async fn place_isolated(&self) -> Option<Placement> {
         let need = self.need(self.except);
         let chosen = self.shared.choose_isolated(&need, self.outgoing)?;
-        match self.ask(&chosen, AskMode::Alone).await {
+        match self.ask(&chosen, AskMode::Exclusive).await {
             AskOutcome::Leased(lease) => Some(Placement { chosen, lease }),
             AskOutcome::Full => None,
         }
@@ -115,7 +115,7 @@
             if chosen.expected_ms > best_ms + PREEMPTION_COST_MS {
                 return None;
             }
-            match self.ask(&chosen, AskMode::Free).await {
+            match self.ask(&chosen, AskMode::FreeOnly).await {
                 AskOutcome::Leased(lease) => return Some(Placement { chosen, lease }),
                 AskOutcome::Full => full.push(chosen.id),
             }
--- a/crates/relay/src/slots/coordination.rs
+++ b/crates/relay/src/slots/coordination.rs
@@ -71,7 +71,7 @@
         let state = self.state.lock();
         for (number, held) in &state.held {
             if evacuated.contains(&held.replica) {
-                state.deliver(*number, Verdict::NotHere);
+                state.deliver(*number, Verdict::NotCoordinator);
             }
         }
     }
@@ -92,7 +92,7 @@
             named.push(HeldLease {
                 replica: lease.replica.clone(),
                 number: *number,
-                alone: lease.alone,
+                exclusive: lease.exclusive,
             });
         }
         for (coordinator, leases) in by_coordinator {
--- a/crates/relay/src/slots/mod.rs
+++ b/crates/relay/src/slots/mod.rs
@@ -59,8 +59,8 @@
 struct OwnLease {
     replica: String,
     coordinator: MachineId,
-    /// Whether the lease was requested with [`AskMode::Alone`].
-    alone: bool,
+    /// Whether the lease was requested with [`AskMode::Exclusive`].
+    exclusive: bool,
 }
 
 /// Priority of a request among those that wait for a slot.
@@ -138,7 +138,7 @@
         let Some((mut lease, is_silent)) = self.send_ask(replica, priority, mode, sender) else {
             return AskOutcome::Leased(self.untracked_lease());
         };
-        if is_silent || mode == AskMode::Take {
+        if is_silent || mode == AskMode::Force {
             return AskOutcome::Leased(lease);
         }
         let Ok(first) = timeout(answer_timeout(priority.round_trip), verdicts.recv()).await else {
@@ -151,7 +151,9 @@
                 return AskOutcome::Full;
             }
             Some(Verdict::Queued) => {}
-            Some(Verdict::Granted | Verdict::NotHere) | None => return AskOutcome::Leased(lease),
+            Some(Verdict::Granted | Verdict::NotCoordinator) | None => {
+                return AskOutcome::Leased(lease);
+            }
         }
         match timeout_at(wait_until, verdicts.recv()).await {
             Ok(Some(Verdict::Full)) => {
@@ -160,7 +162,7 @@
                 return AskOutcome::Full;
             }
             Ok(_) => {}
-            Err(_) if mode == AskMode::Alone => return AskOutcome::Full,
+            Err(_) if mode == AskMode::Exclusive => return AskOutcome::Full,
             Err(_) => self.take(&lease),
         }
         AskOutcome::Leased(lease)
@@ -190,7 +192,7 @@
         let held = OwnLease {
             replica: replica.to_owned(),
             coordinator,
-            alone: mode == AskMode::Alone,
+            exclusive: mode == AskMode::Exclusive,
         };
         state.held.insert(number, held);
         self.ask_coordinator(&mut state, number, priority, mode);
@@ -250,7 +252,7 @@
                 rank: u8::MAX,
                 round_trip: Duration::ZERO,
             };
-            self.ask_coordinator(&mut state, number, priority, AskMode::Take);
+            self.ask_coordinator(&mut state, number, priority, AskMode::Force);
         }
     }
 
--- a/crates/relay/src/suspected_requests.rs
+++ b/crates/relay/src/suspected_requests.rs
@@ -7,8 +7,10 @@
 };
 
 use linnethitch_clock::sleep;
-use linnethitch_protocol::{ids::MachineId, slots::GatewayDatagram, suspicion::ToldSuspicion};
-use linnethitch_registry::{EndedRun, EndsInRow, RequestFingerprint, Suspicion, is_almost_refused};
+use linnethitch_protocol::{ids::MachineId, slots::GatewayDatagram, suspicion::ReportedSuspicion};
+use linnethitch_registry::{
+    ConsecutiveEnds, EndedRun, RequestFingerprint, Suspicion, is_almost_refused,
+};
 use rand::Rng as _;
 use slog::info;
 
@@ -30,7 +32,7 @@
     /// Consecutive ends of replicas under copies of a request. If there are any, the request must
     /// run without other suspected requests. `None` if the request is refused. Waits until a
     /// replica where a copy was just interrupted has been probed.
-    pub(crate) async fn known_ends(&self, outgoing: &Outgoing) -> Option<EndsInRow> {
+    pub(crate) async fn known_ends(&self, outgoing: &Outgoing) -> Option<ConsecutiveEnds> {
         if !self.interrupted_runs.all_probed() {
             self.interrupted_runs
                 .wait_until_probed(&outgoing.fingerprint())
@@ -40,15 +42,15 @@
     }
 
     /// Like [`Self::known_ends`], without waiting.
-    pub(crate) fn ends(&self, outgoing: &Outgoing) -> Option<EndsInRow> {
+    pub(crate) fn ends(&self, outgoing: &Outgoing) -> Option<ConsecutiveEnds> {
         let fleet = self.gateway.fleet();
         if fleet.suspicions().is_empty() && self.suspicion_updates.is_empty() {
-            return Some(EndsInRow::default());
+            return Some(ConsecutiveEnds::default());
         }
         match self.suspicion(&outgoing.fingerprint()) {
             Some(known) if known.is_refused() => None,
-            Some(known) => Some(known.row),
-            None => Some(EndsInRow::default()),
+            Some(known) => Some(known.consecutive_ends),
+            None => Some(ConsecutiveEnds::default()),
         }
     }
 
@@ -75,15 +77,17 @@
     }
 
     /// Handles what another gateway knows of a request.
-    pub(crate) fn handle_suspicion(&self, from: MachineId, reported: ToldSuspicion) {
+    pub(crate) fn handle_suspicion(&self, from: MachineId, reported: ReportedSuspicion) {
         let known = self.suspicion(&reported.fingerprint);
-        let known = known.map(|known| known.row).unwrap_or_default();
-        if !reported.row.outweighs(&known) {
+        let known = known
+            .map(|known| known.consecutive_ends)
+            .unwrap_or_default();
+        if !reported.consecutive_ends.supersedes(&known) {
             return;
         }
         info!(self.logger, "request: suspicion received from another gateway"; "from" => from.0,
             "content" => reported.fingerprint.to_string(), "replica" => &reported.replica,
-            "ends" => reported.row.lengths_ms.len(), "clearings" => reported.row.clearings,
+            "ends" => reported.consecutive_ends.lengths_ms.len(), "clearings" => reported.consecutive_ends.clearings,
             "known_ends" => known.lengths_ms.len(), "known_clearings" => known.clearings);
         let up_to_index = self.gateway.fleet().up_to_index();
         self.suspicion_updates.note(
@@ -110,7 +114,7 @@
 
     /// Whether this gateway is isolated and one more end would refuse the request: other gateways
     /// may know of such an end. The caller may retry at another gateway, which knows more.
-    pub(crate) fn is_refused_while_isolated(&self, known_ends: &EndsInRow) -> bool {
+    pub(crate) fn is_refused_while_isolated(&self, known_ends: &ConsecutiveEnds) -> bool {
         is_almost_refused(known_ends) && self.is_isolated()
     }
 
@@ -140,7 +144,7 @@
         self.send_suspicions(&gateways, &to_send);
     }
 
-    fn send_suspicions(&self, gateways: &[MachineId], to_send: &[ToldSuspicion]) {
+    fn send_suspicions(&self, gateways: &[MachineId], to_send: &[ReportedSuspicion]) {
         for reported in to_send.chunks(MAX_SUSPICIONS_PER_DATAGRAM) {
             let message = GatewayDatagram::Suspicions(reported.to_vec());
             self.gateway.send_to_gateways(gateways, &message);
@@ -159,7 +163,7 @@
         };
         let cleared = known.cleared(fleet.up_to_index());
         info!(self.logger, "request: cleared of suspicion"; "request" => outgoing.id(),
-            "content" => fingerprint.to_string(), "clearings" => cleared.row.clearings);
+            "content" => fingerprint.to_string(), "clearings" => cleared.consecutive_ends.clearings);
         let reported = vec![cleared.to_report()];
         self.suspicion_updates.note(cleared, self.clock.now_ms());
         self.send_suspicions(&self.gateway.other_gateways(), &reported);
--- a/crates/relay/src/suspicions.rs
+++ b/crates/relay/src/suspicions.rs
@@ -4,8 +4,8 @@
 
 use std::{collections::HashMap, time::Duration};
 
-use linnethitch_protocol::suspicion::ToldSuspicion;
-use linnethitch_registry::{EndsInRow, FleetView, RequestFingerprint, Suspicion};
+use linnethitch_protocol::suspicion::ReportedSuspicion;
+use linnethitch_registry::{ConsecutiveEnds, FleetView, RequestFingerprint, Suspicion};
 use parking_lot::Mutex;
 
 /// Updates are valid for this long while control does not answer, in milliseconds.
@@ -68,7 +68,7 @@
     }
 
     /// The suspicions to resend to other gateways. Drops expired updates.
-    pub(crate) fn updates_to_send(&self, fleet: &FleetView, now_ms: u64) -> Vec<ToldSuspicion> {
+    pub(crate) fn updates_to_send(&self, fleet: &FleetView, now_ms: u64) -> Vec<ReportedSuspicion> {
         let mut updates = self.updates.lock();
         updates.retain(|_, held| now_ms.saturating_sub(held.at_ms) < UPDATE_RETENTION_MS);
         let updates_to_send = updates.values().filter(|update| {
@@ -90,7 +90,11 @@
     /// Whether control has reported less about the request than this update.
     fn is_unconfirmed(&self, confirmed: Option<&Suspicion>) -> bool {
         confirmed.is_none_or(|confirmed| {
-            !self.is_before_clearing(confirmed) && self.record.row.outweighs(&confirmed.row)
+            !self.is_before_clearing(confirmed)
+                && self
+                    .record
+                    .consecutive_ends
+                    .supersedes(&confirmed.consecutive_ends)
         })
     }
 
@@ -99,6 +103,7 @@
     /// of a gateway that has just started would never outweigh the clearings counted here, and
     /// ends with unrelated causes would add up to a refusal.
     fn is_before_clearing(&self, confirmed: &Suspicion) -> bool {
-        confirmed.row == EndsInRow::default() && confirmed.changed_at > self.record.changed_at
+        confirmed.consecutive_ends == ConsecutiveEnds::default()
+            && confirmed.changed_at > self.record.changed_at
     }
 }
--- a/crates/relay/tests/all/ending_requests.rs
+++ b/crates/relay/tests/all/ending_requests.rs
@@ -21,7 +21,8 @@
 use linnethitch_cluster::GatewayNode;
 use linnethitch_protocol::slots::GatewayDatagram;
 use linnethitch_registry::{
-    EndedRun, EndsInRow, ReplicaState, RequestContent, RequestFingerprint, RouteKind, ToldSuspicion,
+    ConsecutiveEnds, EndedRun, ReplicaState, ReportedSuspicion, RequestContent, RequestFingerprint,
+    RouteKind,
 };
 use rstest::rstest;
 use tokio::{
@@ -229,8 +230,8 @@
 /// The next matching suspicion that a gateway without callers receives.
 async fn next_suspicion(
     other: &GatewayNode,
-    is_looked_for: impl Fn(&ToldSuspicion) -> bool,
-) -> ToldSuspicion {
+    is_looked_for: impl Fn(&ReportedSuspicion) -> bool,
+) -> ReportedSuspicion {
     let datagrams = other.datagrams().expect("its port is free");
     let suspicion = async {
         loop {
@@ -269,7 +270,7 @@
     service.fleet.stop_control();
     first.ask("fatal-1", FATAL).await;
     let suspicion = next_suspicion(&other, |_| true).await;
-    assert_eq!(suspicion.row.lengths_ms.len(), 1);
+    assert_eq!(suspicion.consecutive_ends.lengths_ms.len(), 1);
     assert_eq!(next_suspicion(&other, |_| true).await, suspicion);
     assert_eq!(next_suspicion(&other, |_| true).await, suspicion);
 }
@@ -287,10 +288,10 @@
     let waiting = first.ask("fatal-2", FATAL);
     let sent_later = async {
         sleep(CALLER_PAUSE).await;
-        let suspicion = ToldSuspicion {
+        let suspicion = ReportedSuspicion {
             fingerprint: fingerprint(FATAL),
             replica: "i-9".to_owned(),
-            row: EndsInRow {
+            consecutive_ends: ConsecutiveEnds {
                 clearings: 0,
                 lengths_ms: vec![30; MAX_ENDS],
             },
@@ -339,10 +340,13 @@
     let (fatal, innocent) =
         tokio::join!(first.ask("fatal-1", FATAL), first.ask("innocent-1", SLOW));
     assert_eq!((fatal.status, innocent.status), (502, 502));
-    let about_innocent = |suspicion: &ToldSuspicion| suspicion.fingerprint == fingerprint(SLOW);
+    let about_innocent = |suspicion: &ReportedSuspicion| suspicion.fingerprint == fingerprint(SLOW);
     let suspicion = next_suspicion(&other, about_innocent).await;
     assert_eq!(
-        (suspicion.row.clearings, suspicion.row.lengths_ms.len()),
+        (
+            suspicion.consecutive_ends.clearings,
+            suspicion.consecutive_ends.lengths_ms.len()
+        ),
         (0, 1)
     );
     let address = start_killable_replica(&service.ended).await;
@@ -350,13 +354,19 @@
     fleet.register(1, address, ReplicaState::Ready, 1).await;
     fleet.wait_for(2).await;
     assert_eq!(first.ask("innocent-2", SLOW).await.status, 200);
-    let is_cleared =
-        |suspicion: &ToldSuspicion| about_innocent(suspicion) && suspicion.row.clearings > 0;
-    assert!(next_suspicion(&other, is_cleared).await.row.is_empty());
-    let refused_elsewhere = |body| ToldSuspicion {
+    let is_cleared = |suspicion: &ReportedSuspicion| {
+        about_innocent(suspicion) && suspicion.consecutive_ends.clearings > 0
+    };
+    assert!(
+        next_suspicion(&other, is_cleared)
+            .await
+            .consecutive_ends
+            .is_empty()
+    );
+    let refused_elsewhere = |body| ReportedSuspicion {
         fingerprint: fingerprint(body),
         replica: "i-9".to_owned(),
-        row: EndsInRow {
+        consecutive_ends: ConsecutiveEnds {
             clearings: 0,
             lengths_ms: vec![30; MAX_ENDS],
         },
@@ -388,10 +398,10 @@
     service.fleet.wait_for(1).await;
     let first = service.fleet.first_gateway();
     let other = service.fleet.add_bare_gateway();
-    let refused = ToldSuspicion {
+    let refused = ReportedSuspicion {
         fingerprint: fingerprint(SLOW),
         replica: "i-9".to_owned(),
-        row: EndsInRow {
+        consecutive_ends: ConsecutiveEnds {
             clearings: 1,
             lengths_ms: vec![30; MAX_ENDS],
         },
@@ -408,7 +418,7 @@
         .expect("the request is refused");
     let ended = EndedRun {
         fingerprint: fingerprint(SLOW),
-        known: EndsInRow::default(),
+        known: ConsecutiveEnds::default(),
         ran_ms: 30,
     };
     assert!(other.report_replica_ended("i-9", vec![ended], LIMIT).await);
--- a/crates/routing/src/dispatch/coordinator/mod.rs
+++ b/crates/routing/src/dispatch/coordinator/mod.rs
@@ -46,7 +46,7 @@
 
 impl SlotCoordinator {
     /// Replaces the list of replicas. Items stop at replicas that are no longer coordinated here,
-    /// and may continue at others; requests that wait there are answered with `NotHere`. Requests
+    /// and may continue at others; requests that wait there are answered with `NotCoordinator`. Requests
     /// that wait for a replica in an evacuated zone are rejected so that they go elsewhere; what
     /// already runs there continues.
     pub fn set_replicas(&mut self, list: Vec<CoordinatedReplica>, now_ms: u64) -> Vec<SlotAction> {
@@ -75,7 +75,7 @@
         for (id, removed) in before {
             actions.extend(removed.items.into_keys().map(SlotAction::Stop));
             let waiting = removed.queue.into_keys();
-            actions.extend(waiting.map(|key| answer(&id, key, Verdict::NotHere)));
+            actions.extend(waiting.map(|key| answer(&id, key, Verdict::NotCoordinator)));
         }
         actions
     }
@@ -84,18 +84,18 @@
     pub fn ask(&mut self, ask: Ask, now_ms: u64) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         let Some(replica) = self.replicas.get_mut(&ask.replica) else {
-            return vec![answer(&ask.replica, ask.key, Verdict::NotHere)];
+            return vec![answer(&ask.replica, ask.key, Verdict::NotCoordinator)];
         };
         replica.queue.remove(&ask.key);
         let is_leased = replica.online.contains_key(&ask.key);
         let admits = replica.admits_online(now_ms);
         let has_slot = match ask.mode {
-            AskMode::Free => admits && replica.free_slots() > 0,
+            AskMode::FreeOnly => admits && replica.free_slots() > 0,
             AskMode::Probe | AskMode::Wait => admits && replica.has_online_slot(),
-            AskMode::Alone => admits && replica.has_online_slot() && !replica.runs_exclusive(),
-            AskMode::Take => true,
+            AskMode::Exclusive => admits && replica.has_online_slot() && !replica.runs_exclusive(),
+            AskMode::Force => true,
         };
-        let exclusive = ask.mode == AskMode::Alone;
+        let exclusive = ask.mode == AskMode::Exclusive;
         let verdict = if is_leased || has_slot {
             replica.lease(ask.key, exclusive, now_ms, &mut actions);
             Verdict::Granted
@@ -194,7 +194,7 @@
             };
             // A request that still waits here is reported too; it has no slot yet.
             if !replica.queue.contains_key(&key) {
-                replica.lease(key, lease.alone, now_ms, &mut actions);
+                replica.lease(key, lease.exclusive, now_ms, &mut actions);
             }
         }
         actions.extend(self.tick(now_ms));
--- a/crates/routing/src/quota/coordinator.rs
+++ b/crates/routing/src/quota/coordinator.rs
@@ -36,7 +36,7 @@
 /// A gateway's request for a lease.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct LeaseRequest {
-    pub(super) want: u32,
+    pub(super) requested: u32,
     /// Requests that were granted and not used.
     pub(super) unused: u32,
     pub(super) unleased: UnleasedSends,
@@ -45,8 +45,8 @@
 /// Requests that were sent without a lease.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct UnleasedSends {
-    pub(super) sent_again: u32,
-    pub(super) sent_apart: u32,
+    pub(super) resent: u32,
+    pub(super) sent_without_lease: u32,
     pub(super) sent_late: u32,
 }
 
@@ -54,8 +54,10 @@
     /// The sum of both.
     pub(super) fn plus(self, other: UnleasedSends) -> UnleasedSends {
         UnleasedSends {
-            sent_again: self.sent_again.saturating_add(other.sent_again),
-            sent_apart: self.sent_apart.saturating_add(other.sent_apart),
+            resent: self.resent.saturating_add(other.resent),
+            sent_without_lease: self
+                .sent_without_lease
+                .saturating_add(other.sent_without_lease),
             sent_late: self.sent_late.saturating_add(other.sent_late),
         }
     }
@@ -176,17 +178,17 @@
         count.sent.prune(window_ms, now_ms);
         count.bucket.put_back(request.unused, limit);
         let unleased = request.unleased;
-        count.bucket.take(unleased.sent_again);
+        count.bucket.take(unleased.resent);
         // Requests sent in isolation took nothing from this bucket's rate, since this bucket was
         // not counting at that time.
-        let sent = unleased.sent_again + unleased.sent_apart;
+        let sent = unleased.resent + unleased.sent_without_lease;
         count.sent.add(sent, now_ms);
         count.sent.move_oldest_to_now(unleased.sent_late, now_ms);
         let in_window = max_requests.saturating_sub(count.sent.sum(window_ms, now_ms));
         let remaining = count.bucket.tokens();
         let max_lease = remaining.div_ceil(LEASE_DIVISOR);
         let granted = request
-            .want
+            .requested
             .min(max_lease)
             .min(in_window.min(u64::from(u32::MAX)) as u32);
         count.bucket.take(granted);
--- a/crates/routing/src/quota/even_shares.rs
+++ b/crates/routing/src/quota/even_shares.rs
@@ -131,15 +131,15 @@
         match message {
             QuotaMessage::Ask { tenant, .. } => vec![QuotaAction::Send {
                 to: from,
-                message: QuotaMessage::NotHere { tenant },
+                message: QuotaMessage::NotCoordinator { tenant },
             }],
             QuotaMessage::Grant { .. }
-            | QuotaMessage::Counting { .. }
-            | QuotaMessage::Witnessed { .. }
-            | QuotaMessage::IsHeard { .. }
-            | QuotaMessage::Unheard { .. }
-            | QuotaMessage::NotHere { .. }
-            | QuotaMessage::WithoutControl => Vec::new(),
+            | QuotaMessage::WitnessRequest { .. }
+            | QuotaMessage::WitnessResponse { .. }
+            | QuotaMessage::ContactQuery { .. }
+            | QuotaMessage::NoContact { .. }
+            | QuotaMessage::NotCoordinator { .. }
+            | QuotaMessage::ControlUnreachable => Vec::new(),
         }
     }
 
--- a/crates/routing/src/quota/lease.rs
+++ b/crates/routing/src/quota/lease.rs
@@ -71,9 +71,9 @@
         let ahead = self.arrived.sum(PREFETCH_MS, now_ms);
         let waiting = self.waiting.len() as u64;
         self.unconfirmed = self.unconfirmed.plus(std::mem::take(&mut self.unreported));
-        self.unconfirmed.sent_apart = self.sent_without_lease.sum(window_ms, now_ms) as u32;
+        self.unconfirmed.sent_without_lease = self.sent_without_lease.sum(window_ms, now_ms) as u32;
         LeaseRequest {
-            want: ahead.max(waiting).clamp(1, MAX_REQUESTED) as u32,
+            requested: ahead.max(waiting).clamp(1, MAX_REQUESTED) as u32,
             unused: std::mem::take(&mut self.unused),
             unleased: self.unconfirmed,
         }
@@ -101,7 +101,8 @@
     /// The coordinator has confirmed what was reported.
     pub(super) fn confirm(&mut self) {
         let unconfirmed = std::mem::take(&mut self.unconfirmed);
-        self.sent_without_lease.drop_oldest(unconfirmed.sent_apart);
+        self.sent_without_lease
+            .drop_oldest(unconfirmed.sent_without_lease);
         self.retried = false;
     }
 
@@ -110,7 +111,7 @@
     /// seconds all of them were counted as of one moment, and a flood was refused for as long
     /// again.
     pub(super) fn report_again(&mut self) {
-        self.unconfirmed.sent_apart = 0;
+        self.unconfirmed.sent_without_lease = 0;
         self.unreported = self.unreported.plus(std::mem::take(&mut self.unconfirmed));
     }
 
--- a/crates/routing/src/quota/leased.rs
+++ b/crates/routing/src/quota/leased.rs
@@ -119,7 +119,7 @@
         others
             .map(|to| QuotaAction::Send {
                 to: *to,
-                message: QuotaMessage::WithoutControl,
+                message: QuotaMessage::ControlUnreachable,
             })
             .collect()
     }
@@ -292,10 +292,10 @@
                 QuotaMessage::Grant {
                     tenant,
                     granted: granted.granted,
-                    again_in_ms: granted.retry_after_ms.min(MAX_RETRY_AFTER_MS) as u32,
+                    retry_after_ms: granted.retry_after_ms.min(MAX_RETRY_AFTER_MS) as u32,
                 }
             }
-            _ => QuotaMessage::NotHere { tenant },
+            _ => QuotaMessage::NotCoordinator { tenant },
         };
         QuotaAction::Send { to: from, message }
     }
@@ -311,9 +311,9 @@
         to,
         message: QuotaMessage::Ask {
             tenant: tenant.to_owned(),
-            want: request.want,
-            sent_again: request.unleased.sent_again,
-            sent_apart: request.unleased.sent_apart,
+            requested: request.requested,
+            resent: request.unleased.resent,
+            sent_without_lease: request.unleased.sent_without_lease,
             sent_late: request.unleased.sent_late,
             unused: request.unused,
         },
@@ -380,7 +380,7 @@
     fn record_resend(&mut self, tenant: &Tenant, _: &QuotaView<'_>) {
         if tenant.quota.is_some() {
             let lease = self.leases.entry(tenant.name.clone()).or_default();
-            lease.unreported.sent_again += 1;
+            lease.unreported.resent += 1;
         }
     }
 
@@ -401,18 +401,18 @@
         match message {
             QuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             } => {
                 let request = LeaseRequest {
-                    want,
+                    requested,
                     unused,
                     unleased: UnleasedSends {
-                        sent_again,
-                        sent_apart,
+                        resent,
+                        sent_without_lease,
                         sent_late,
                     },
                 };
@@ -421,45 +421,45 @@
             QuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             } => {
                 self.silences.record_answer(from);
                 let granted = LeaseGrant {
                     granted,
-                    retry_after_ms: u64::from(again_in_ms),
+                    retry_after_ms: u64::from(retry_after_ms),
                 };
                 match quota_of(&tenant) {
                     Some(quota) => self.apply_grant(&tenant, quota, granted, view),
                     None => self.admit_unlimited(&tenant),
                 }
             }
-            QuotaMessage::WithoutControl => {
+            QuotaMessage::ControlUnreachable => {
                 self.without_control.insert(from, view.now_ms);
                 Vec::new()
             }
-            QuotaMessage::Counting { sent_ms } => {
+            QuotaMessage::WitnessRequest { sent_ms } => {
                 self.contacts.record_contact(from, view.now_ms);
-                let message = QuotaMessage::Witnessed { sent_ms };
+                let message = QuotaMessage::WitnessResponse { sent_ms };
                 vec![QuotaAction::Send { to: from, message }]
             }
-            QuotaMessage::Witnessed { sent_ms } => {
+            QuotaMessage::WitnessResponse { sent_ms } => {
                 self.confirmations.record_answer(from, sent_ms, view.now_ms);
                 Vec::new()
             }
-            QuotaMessage::IsHeard {
+            QuotaMessage::ContactQuery {
                 coordinator,
                 asked_ms,
             } => {
                 if !self.contacts.is_unreachable(coordinator, view.now_ms) {
                     return Vec::new();
                 }
-                let message = QuotaMessage::Unheard {
+                let message = QuotaMessage::NoContact {
                     coordinator,
                     asked_ms,
                 };
                 vec![QuotaAction::Send { to: from, message }]
             }
-            QuotaMessage::Unheard {
+            QuotaMessage::NoContact {
                 coordinator,
                 asked_ms,
             } => {
@@ -467,7 +467,7 @@
                     .record_unreachable(from, coordinator, asked_ms, view.now_ms);
                 Vec::new()
             }
-            QuotaMessage::NotHere { tenant } => {
+            QuotaMessage::NotCoordinator { tenant } => {
                 let mut actions = Vec::new();
                 match quota_of(&tenant) {
                     Some(quota) => self.decide_locally(&tenant, quota, view, &mut actions),
--- a/crates/routing/src/quota/witnesses.rs
+++ b/crates/routing/src/quota/witnesses.rs
@@ -109,7 +109,7 @@
 
     /// Notifies the witnesses that this gateway counts tenants.
     pub(super) fn notify_witnesses(&self, now_ms: u64) -> Vec<QuotaAction> {
-        let message = QuotaMessage::Counting { sent_ms: now_ms };
+        let message = QuotaMessage::WitnessRequest { sent_ms: now_ms };
         let witnesses = self.answered.keys();
         witnesses
             .map(|to| QuotaAction::Send {
@@ -235,7 +235,7 @@
             silence.witnesses = witnesses_of(*coordinator, view.witnesses);
             for witness in &silence.witnesses {
                 if *witness != view.own {
-                    let message = QuotaMessage::IsHeard {
+                    let message = QuotaMessage::ContactQuery {
                         coordinator: *coordinator,
                         asked_ms: now_ms,
                     };
--- a/crates/routing/tests/all/coordinator.rs
+++ b/crates/routing/tests/all/coordinator.rs
@@ -132,7 +132,7 @@
 #[rstest]
 #[case::probe(AskMode::Probe, Verdict::Full)]
 #[case::wait(AskMode::Wait, Verdict::Queued)]
-#[case::take(AskMode::Take, Verdict::Granted)]
+#[case::force(AskMode::Force, Verdict::Granted)]
 fn answers_of_a_full_replica(#[case] mode: AskMode, #[case] verdict: Verdict) {
     let mut coordinator = coordinator(1, 1);
     coordinator.ask(ask(1, "r0", 300, AskMode::Probe), 0);
@@ -150,7 +150,7 @@
     for run in 1..=items {
         coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
     }
-    let actions = coordinator.ask(ask(1, "r0", 2_000, AskMode::Free), SETTLED_MS);
+    let actions = coordinator.ask(ask(1, "r0", 2_000, AskMode::FreeOnly), SETTLED_MS);
     assert_eq!(actions, [answer(1, "r0", verdict)]);
 }
 
@@ -167,7 +167,7 @@
     #[case] replicas: u32,
 ) {
     let mut coordinator = coordinator(3, 2);
-    coordinator.ask(ask(1, "r0", 2_000, AskMode::Free), SETTLED_MS);
+    coordinator.ask(ask(1, "r0", 2_000, AskMode::FreeOnly), SETTLED_MS);
     for run in 1..=items {
         coordinator.enqueue_item(item(run, 20_000), SETTLED_MS);
     }
@@ -257,7 +257,7 @@
     HeldLease {
         replica: replica.to_owned(),
         number,
-        alone: false,
+        exclusive: false,
     }
 }
 
@@ -330,7 +330,7 @@
     let actions = coordinator.set_replicas(Vec::new(), SETTLED_MS + 2);
     assert!(actions.is_empty(), "online requests go on: {actions:?}");
     let actions = coordinator.ask(ask(3, "r0", 2_000, AskMode::Probe), SETTLED_MS + 3);
-    assert_eq!(actions, [answer(3, "r0", Verdict::NotHere)]);
+    assert_eq!(actions, [answer(3, "r0", Verdict::NotCoordinator)]);
     let mut coordinator = with_items(1);
     let actions = coordinator.set_replicas(Vec::new(), SETTLED_MS);
     assert_eq!(actions, [SlotAction::Stop(RunNumber(1))]);
@@ -485,7 +485,7 @@
                     .filter(|placed_at| **placed_at == replica);
                 assert_eq!(online.count(), 2, "{replica} has a slot for it");
             }
-            Verdict::NotHere => panic!("every replica is coordinated here"),
+            Verdict::NotCoordinator => panic!("every replica is coordinated here"),
         }
     }
 
@@ -618,9 +618,9 @@
     let mut coordinator = coordinator(1, 3);
     let granted = |number| vec![answer(number, "r0", Verdict::Granted)];
     let queued = |number| vec![answer(number, "r0", Verdict::Queued)];
-    let first = coordinator.ask(ask(1, "r0", 100, AskMode::Alone), 0);
+    let first = coordinator.ask(ask(1, "r0", 100, AskMode::Exclusive), 0);
     assert_eq!(first, granted(1));
-    let second = coordinator.ask(ask(2, "r0", 100, AskMode::Alone), 0);
+    let second = coordinator.ask(ask(2, "r0", 100, AskMode::Exclusive), 0);
     assert_eq!(second, queued(2));
     let other = coordinator.ask(ask(3, "r0", 100, AskMode::Probe), 0);
     assert_eq!(other, granted(3));
@@ -634,11 +634,11 @@
 fn an_exclusive_lease_stays_exclusive_at_a_new_coordinator() {
     let mut coordinator = coordinator(1, 3);
     let exclusive = HeldLease {
-        alone: true,
+        exclusive: true,
         ..held_lease("r0", 1)
     };
     coordinator.reconcile_leases(MachineId(1), &[exclusive], 0);
-    let second = coordinator.ask(ask(2, "r0", 100, AskMode::Alone), 1);
+    let second = coordinator.ask(ask(2, "r0", 100, AskMode::Exclusive), 1);
     assert_eq!(second, vec![answer(2, "r0", Verdict::Queued)]);
 }
 
--- a/crates/routing/tests/all/evacuated_zones.rs
+++ b/crates/routing/tests/all/evacuated_zones.rs
@@ -226,10 +226,10 @@
 /// A coordinator that knows of the evacuation refuses a gateway that does not, and reports the
 /// replica as closed.
 #[rstest]
-#[case::free(AskMode::Free)]
+#[case::free_only(AskMode::FreeOnly)]
 #[case::probe(AskMode::Probe)]
 #[case::wait(AskMode::Wait)]
-#[case::alone(AskMode::Alone)]
+#[case::exclusive(AskMode::Exclusive)]
 fn a_coordinator_grants_no_slot_of_an_evacuated_replica(#[case] mode: AskMode) {
     let mut coordinator = coordinator(&[engine("r0", true)]);
     let actions = coordinator.ask(ask(1, mode), NOW_MS);
@@ -240,10 +240,10 @@
 
 #[rstest]
 #[case::wait(AskMode::Wait)]
-#[case::alone(AskMode::Alone)]
+#[case::exclusive(AskMode::Exclusive)]
 fn waiting_requests_are_rejected_immediately(#[case] mode: AskMode) {
     let mut coordinator = coordinator(&[engine("r0", false)]);
-    coordinator.ask(ask(1, AskMode::Alone), NOW_MS);
+    coordinator.ask(ask(1, AskMode::Exclusive), NOW_MS);
     assert_eq!(
         coordinator.ask(ask(2, mode), NOW_MS),
         [answer(2, Verdict::Queued)]
@@ -268,7 +268,7 @@
     let held = HeldLease {
         replica: "r0".to_owned(),
         number: 5,
-        alone: false,
+        exclusive: false,
     };
     assert!(
         coordinator
--- a/crates/routing/tests/all/quota/isolated_gateway.rs
+++ b/crates/routing/tests/all/quota/isolated_gateway.rs
@@ -99,7 +99,7 @@
     matches!(
         action,
         QuotaAction::Send {
-            message: QuotaMessage::IsHeard { .. },
+            message: QuotaMessage::ContactQuery { .. },
             ..
         }
     )
@@ -126,11 +126,11 @@
     let mut gateway = IsolatedGateway::new(is_coordinator);
     let mut reference = IsolatedGateway::new(is_coordinator);
     let stale_answer = if is_coordinator {
-        QuotaMessage::Witnessed {
+        QuotaMessage::WitnessResponse {
             sent_ms: EARLIER_CLOCK_MS,
         }
     } else {
-        QuotaMessage::Unheard {
+        QuotaMessage::NoContact {
             coordinator: coordinator_of(TENANT, &gateway.gateways).expect("one"),
             asked_ms: EARLIER_CLOCK_MS,
         }
--- a/crates/routing/tests/all/replica_health.rs
+++ b/crates/routing/tests/all/replica_health.rs
@@ -56,7 +56,7 @@
 fn run(coordinator: &mut SlotCoordinator, runs: &[(u32, RunOutcome)], now_ms: u64) {
     for (number, (holder, outcome)) in runs.iter().enumerate() {
         let key = key(*holder, now_ms * 100 + number as u64);
-        ask(coordinator, key, AskMode::Take, now_ms);
+        ask(coordinator, key, AskMode::Force, now_ms);
         coordinator.record_run(key, *outcome, now_ms);
         coordinator.end(key, now_ms);
     }
@@ -94,7 +94,7 @@
 fn a_replica_that_serves_other_requests_is_slow_not_silent() {
     let mut coordinator = coordinator();
     for number in 1..=3 {
-        ask(&mut coordinator, key(number, 1), AskMode::Take, START_MS);
+        ask(&mut coordinator, key(number, 1), AskMode::Force, START_MS);
     }
     run(&mut coordinator, &[(4, OK)], START_MS + 500);
     for number in 1..=3 {
@@ -116,7 +116,7 @@
 ) {
     let mut coordinator = coordinator();
     for holder in 1..=4 {
-        ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
+        ask(&mut coordinator, key(holder, 1), AskMode::Force, START_MS);
     }
     for holder in 1..=4 {
         coordinator.record_run(key(holder, 1), BAD, START_MS + 10);
@@ -133,7 +133,7 @@
 fn concurrent_runs_that_hang_count_separately() {
     let mut coordinator = coordinator();
     for holder in 1..=3 {
-        ask(&mut coordinator, key(holder, 1), AskMode::Take, START_MS);
+        ask(&mut coordinator, key(holder, 1), AskMode::Force, START_MS);
     }
     for holder in 1..=3 {
         coordinator.record_run(key(holder, 1), HUNG, START_MS + 1_200);
@@ -145,7 +145,7 @@
 #[test]
 fn a_served_run_ends_the_ejection() {
     let mut coordinator = coordinator();
-    ask(&mut coordinator, key(4, 1), AskMode::Take, START_MS);
+    ask(&mut coordinator, key(4, 1), AskMode::Force, START_MS);
     run(&mut coordinator, &[(1, BAD), (2, BAD), (3, BAD)], START_MS);
     assert!(is_ejected(&coordinator));
     coordinator.record_run(key(4, 1), OK, START_MS + 50);
--- a/crates/routing/tests/all/starts.rs
+++ b/crates/routing/tests/all/starts.rs
@@ -103,5 +103,8 @@
     let mut coordinator = ejected_first_incarnation();
     set_incarnation(&mut coordinator, SECOND, START_MS);
     let later = 2 * START_MS;
-    assert_eq!(ask(&mut coordinator, FIRST, 9, later), [Verdict::NotHere]);
+    assert_eq!(
+        ask(&mut coordinator, FIRST, 9, later),
+        [Verdict::NotCoordinator]
+    );
 }
--- a/crates/simulator/src/actors/gateway/execution.rs
+++ b/crates/simulator/src/actors/gateway/execution.rs
@@ -139,13 +139,13 @@
             BatchAction::Lease {
                 session,
                 sequence,
-                wanted,
+                requested,
             } => {
                 let body = CommandBody::LeaseItems {
                     gateway,
                     session,
                     sequence,
-                    wanted: vec![wanted],
+                    requested: vec![requested],
                     until: self.session.map_or(Timestamp(0), |session| session.until),
                 };
                 calls.propose(body, GatewayCall::Lease(sequence), context);
--- a/crates/simulator/src/actors/gateway/requests.rs
+++ b/crates/simulator/src/actors/gateway/requests.rs
@@ -8,7 +8,7 @@
 use linnethitch_protocol::{
     command::{ClaimOutcome, CommandBody, NewClaim, Outcome},
     ids::{GatewayId, IdempotencyKey, TenantId},
-    query::KeptAnswer,
+    query::StoredAnswer,
 };
 use rand::Rng;
 
@@ -36,7 +36,7 @@
     /// It runs at a back end.
     Running { ends_at_ms: u64 },
     /// The ledger is told how it ended.
-    Finishing(Option<KeptAnswer>),
+    Finishing(Option<StoredAnswer>),
 }
 
 struct Request {
@@ -172,7 +172,7 @@
     fn finish(
         &mut self,
         attempt: Attempt,
-        answer: Option<KeptAnswer>,
+        answer: Option<StoredAnswer>,
         calls: &mut GatewayCalls,
         context: &mut Context,
     ) {
@@ -232,7 +232,7 @@
             let again = open.again_at_ms.take_if(|at_ms| *at_ms <= context.now_ms);
             match open.stage.clone() {
                 Stage::Running { ends_at_ms } if ends_at_ms <= context.now_ms => {
-                    let answer = KeptAnswer {
+                    let answer = StoredAnswer {
                         status: 200,
                         content_type: "application/json".to_owned(),
                         body: format!("{{\"attempt\":{attempt}}}").into_bytes(),
--- a/crates/transport/src/message.rs
+++ b/crates/transport/src/message.rs
@@ -59,7 +59,7 @@
     fn to_frame(&self, format: Format) -> Result<Vec<u8>, Report<ErrorKind>> {
         match self {
             ControlMessage::Answer { call, body } if format < Format::Second => {
-                let body = body.clone().written_in(format);
+                let body = body.clone().in_format(format);
                 let call = *call;
                 frame::write_frame(Self::KIND, format, &ControlMessage::Answer { call, body })
             }
@@ -71,7 +71,7 @@
         Ok(match frame::read_payload(header, payload)? {
             ControlMessage::Answer { call, body } => ControlMessage::Answer {
                 call,
-                body: body.as_read(),
+                body: body.into_current_format(),
             },
             other => other,
         })
@@ -84,7 +84,7 @@
     fn to_frame(&self, format: Format) -> Result<Vec<u8>, Report<ErrorKind>> {
         match self {
             PeerMessage::Forwarded { call, body } if format < Format::Second => {
-                let body = body.clone().written_in(format);
+                let body = body.clone().in_format(format);
                 let call = *call;
                 frame::write_frame(Self::KIND, format, &PeerMessage::Forwarded { call, body })
             }
@@ -96,7 +96,7 @@
         Ok(match frame::read_payload(header, payload)? {
             PeerMessage::Forwarded { call, body } => PeerMessage::Forwarded {
                 call,
-                body: body.as_read(),
+                body: body.into_current_format(),
             },
             other => other,
         })
