--- a/crates/cluster/src/store_service.rs
+++ b/crates/cluster/src/store_service.rs
@@ -50,9 +50,9 @@
         let StoreCall::Work {
             gateway,
             running,
-            want,
+            max_items,
             item_ms,
-            outside,
+            excluded,
         } = call
         else {
             return StoreReply::Refused;
@@ -65,10 +65,10 @@
         let stop = self
             .dispatcher
             .renew(store, gateway, running, now.steady_ms);
-        self.dispatcher.set_excluded_work(gateway, outside);
+        self.dispatcher.set_excluded_work(gateway, excluded);
         let begin = self
             .dispatcher
-            .lease(store, gateway, *want, *item_ms, now.steady_ms);
+            .lease(store, gateway, *max_items, *item_ms, now.steady_ms);
         StoreReply::Work { begin, stop }
     }
 
@@ -217,7 +217,7 @@
             StoreAnswer::Done => StoreReply::Done,
             StoreAnswer::UnknownJob => StoreReply::NotFound,
             StoreAnswer::OtherTenant => StoreReply::OtherTenant,
-            StoreAnswer::TellAgain(items) => StoreReply::TellAgain(items),
+            StoreAnswer::ReportAgain(items) => StoreReply::ReportAgain(items),
         }
     }
 
--- a/crates/job-store/src/call.rs
+++ b/crates/job-store/src/call.rs
@@ -88,12 +88,12 @@
         /// Items that the gateway is still running.
         running: Vec<ItemRef>,
         /// Number of further items that the gateway can run.
-        want: u32,
+        max_items: u32,
         /// Run time of a complete item as measured by the gateway, in milliseconds; 0 if
         /// unknown.
         item_ms: u64,
         /// Items that the gateway must not lease.
-        outside: ExcludedWork,
+        excluded: ExcludedWork,
     },
 }
 
@@ -156,7 +156,7 @@
     /// Time until the result is due, in milliseconds; 0 after the due time.
     pub due_in_ms: u64,
     /// Events of earlier runs; the run continues after the last one.
-    pub made: StoredProgress,
+    pub generated: StoredProgress,
 }
 
 /// The leader's answer.
@@ -187,7 +187,7 @@
         stop: Vec<ItemRef>,
     },
     /// The change is committed, except for these items: all their events must be sent again.
-    TellAgain(Vec<ItemRef>),
+    ReportAgain(Vec<ItemRef>),
     /// The called machine is not the leader; the leader's machine number if known.
     NotLeader(Option<u32>),
     /// The job does not fit into the queue of its route; nothing was changed.
--- a/crates/job-store/src/command.rs
+++ b/crates/job-store/src/command.rs
@@ -170,5 +170,5 @@
     /// A job of another tenant has this id.
     OtherTenant,
     /// The command was applied, except for these items: all their events must be sent again.
-    TellAgain(Vec<ItemRef>),
+    ReportAgain(Vec<ItemRef>),
 }
--- a/crates/job-store/src/dispatcher.rs
+++ b/crates/job-store/src/dispatcher.rs
@@ -341,7 +341,7 @@
     let job = store.job(&item.job)?;
     let stored = job.items.get(item.item as usize)?;
     Some(ItemWork {
-        made: store.progress.get(&item),
+        generated: store.progress.get(&item),
         host: job.spec.host.clone(),
         tenant: job.tenant.clone(),
         spec: stored.spec.clone(),
--- a/crates/job-store/src/first_format.rs
+++ b/crates/job-store/src/first_format.rs
@@ -51,7 +51,7 @@
     Work {
         gateway: String,
         running: Vec<ItemRef>,
-        want: u32,
+        max_items: u32,
         item_ms: u64,
     },
 }
@@ -65,7 +65,7 @@
     spec: ItemSpec,
     failures: u32,
     due_in_ms: u64,
-    made: GeneratedEvents,
+    generated: GeneratedEvents,
 }
 
 /// The leader's answer.
@@ -80,7 +80,7 @@
         begin: Vec<FirstFormatWork>,
         stop: Vec<ItemRef>,
     },
-    TellAgain(Vec<ItemRef>),
+    ReportAgain(Vec<ItemRef>),
     NotLeader(Option<u32>),
     QueueFull,
     Refused,
@@ -120,13 +120,13 @@
             StoreCall::Work {
                 gateway,
                 running,
-                want,
+                max_items,
                 item_ms,
-                outside,
+                excluded,
             } => FirstFormatCall::Work {
                 // A leader without knowledge of homes could lease items that this gateway must not
                 // run.
-                want: if outside.is_empty() { want } else { 0 },
+                max_items: if excluded.is_empty() { max_items } else { 0 },
                 gateway,
                 running,
                 item_ms,
@@ -165,14 +165,14 @@
             FirstFormatCall::Work {
                 gateway,
                 running,
-                want,
+                max_items,
                 item_ms,
             } => StoreCall::Work {
                 gateway,
                 running,
-                want,
+                max_items,
                 item_ms,
-                outside: ExcludedWork::default(),
+                excluded: ExcludedWork::default(),
             },
         }
     }
@@ -187,7 +187,7 @@
             spec: work.spec,
             failures: work.failures,
             due_in_ms: work.due_in_ms,
-            made: work.made.made,
+            generated: work.generated.generated,
         }
     }
 }
@@ -201,9 +201,9 @@
             spec: first.spec,
             failures: first.failures,
             due_in_ms: first.due_in_ms,
-            made: StoredProgress {
-                made: first.made,
-                told_by: RunId::UNKNOWN,
+            generated: StoredProgress {
+                generated: first.generated,
+                reported_by: RunId::UNKNOWN,
             },
         }
     }
@@ -224,7 +224,7 @@
                 begin: begin.into_iter().map(FirstFormatWork::from).collect(),
                 stop,
             },
-            StoreReply::TellAgain(items) => FirstFormatReply::TellAgain(items),
+            StoreReply::ReportAgain(items) => FirstFormatReply::ReportAgain(items),
             StoreReply::NotLeader(leader) => FirstFormatReply::NotLeader(leader),
             StoreReply::QueueFull => FirstFormatReply::QueueFull,
             StoreReply::Refused => FirstFormatReply::Refused,
@@ -245,7 +245,7 @@
                 begin: begin.into_iter().map(ItemWork::from).collect(),
                 stop,
             },
-            FirstFormatReply::TellAgain(items) => StoreReply::TellAgain(items),
+            FirstFormatReply::ReportAgain(items) => StoreReply::ReportAgain(items),
             FirstFormatReply::NotLeader(leader) => StoreReply::NotLeader(leader),
             FirstFormatReply::QueueFull => StoreReply::QueueFull,
             FirstFormatReply::Refused => StoreReply::Refused,
--- a/crates/job-store/src/progress.rs
+++ b/crates/job-store/src/progress.rs
@@ -26,9 +26,9 @@
     /// The item.
     pub item: ItemRef,
     /// Number of events reported before; 0 if this report has all events from the first on.
-    pub told_before: u32,
+    pub reported_before: u32,
     /// The events after those reported before.
-    pub made: GeneratedEvents,
+    pub generated: GeneratedEvents,
 }
 
 /// Identifies the run of an item under one lease: a random number chosen by the gateway.
@@ -73,30 +73,30 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StoredProgress {
     /// The events.
-    pub made: GeneratedEvents,
+    pub generated: GeneratedEvents,
     /// The run that reported the last event.
-    pub told_by: RunId,
+    pub reported_by: RunId,
 }
 
 impl StoredProgress {
     /// Whether a report continues exactly where the stored events end, in the text of the same
     /// run.
     fn is_continued_by(&self, report: &RunProgress) -> bool {
-        self.told_by == report.continues
-            && self.made.events.len() == report.progress.told_before as usize
+        self.reported_by == report.continues
+            && self.generated.events.len() == report.progress.reported_before as usize
     }
 
     /// The complete text of a run with its last report; `None` if the report does not continue
     /// the stored events.
     pub(crate) fn complete_text(self, last: RunProgress) -> Option<String> {
-        if last.progress.told_before == 0 {
-            return Some(last.progress.made.events.join("\n"));
+        if last.progress.reported_before == 0 {
+            return Some(last.progress.generated.events.join("\n"));
         }
         if !self.is_continued_by(&last) {
             return None;
         }
-        let mut events = self.made.events;
-        events.extend(last.progress.made.events);
+        let mut events = self.generated.events;
+        events.extend(last.progress.generated.events);
         Some(events.join("\n"))
     }
 }
@@ -105,7 +105,7 @@
 #[derive(Clone, Debug, Archive, Serialize, Deserialize)]
 pub(crate) struct ItemEvents {
     item: ItemRef,
-    made: GeneratedEvents,
+    generated: GeneratedEvents,
 }
 
 /// Progress of unfinished items.
@@ -122,14 +122,17 @@
         entries
             .map(|(item, stored)| ItemEvents {
                 item: item.clone(),
-                made: stored.made.clone(),
+                generated: stored.generated.clone(),
             })
             .collect()
     }
 
     /// The run that reported last, for each entry of [`Self::to_list`].
     pub(crate) fn reporters(&self) -> Vec<RunId> {
-        self.entries.values().map(|stored| stored.told_by).collect()
+        self.entries
+            .values()
+            .map(|stored| stored.reported_by)
+            .collect()
     }
 
     /// Restores the table from a snapshot. An entry without a reporter was reported without a
@@ -137,12 +140,18 @@
     pub(crate) fn from_list(list: Vec<ItemEvents>, reporters: &[RunId]) -> Self {
         let bytes = list
             .iter()
-            .map(|entry| text_bytes(&entry.made.events))
+            .map(|entry| text_bytes(&entry.generated.events))
             .sum();
         let reporters = reporters.iter().copied().chain(repeat(RunId::UNKNOWN));
-        let entries = list.into_iter().zip(reporters).map(|(entry, told_by)| {
-            let made = entry.made;
-            (entry.item, StoredProgress { made, told_by })
+        let entries = list.into_iter().zip(reporters).map(|(entry, reported_by)| {
+            let generated = entry.generated;
+            (
+                entry.item,
+                StoredProgress {
+                    generated,
+                    reported_by,
+                },
+            )
         });
         ProgressTable {
             entries: entries.collect(),
@@ -157,23 +166,26 @@
             .entries
             .entry(report.progress.item.clone())
             .or_default();
-        let made = &report.progress.made;
-        let replaces_all =
-            report.progress.told_before == 0 && made.events.len() >= stored.made.events.len();
+        let generated = &report.progress.generated;
+        let replaces_all = report.progress.reported_before == 0
+            && generated.events.len() >= stored.generated.events.len();
         if replaces_all {
-            self.bytes -= text_bytes(&stored.made.events);
+            self.bytes -= text_bytes(&stored.generated.events);
             *stored = StoredProgress::default();
         } else if !stored.is_continued_by(&report) {
             return false;
         }
-        let added_bytes = text_bytes(&made.events);
+        let added_bytes = text_bytes(&generated.events);
         if self.bytes + added_bytes > MAX_TEXT_BYTES {
             return true;
         }
         self.bytes += added_bytes;
-        stored.told_by = report.run;
-        stored.made.events.extend(report.progress.made.events);
-        stored.made.last_event = report.progress.made.last_event;
+        stored.reported_by = report.run;
+        stored
+            .generated
+            .events
+            .extend(report.progress.generated.events);
+        stored.generated.last_event = report.progress.generated.last_event;
         true
     }
 
@@ -190,7 +202,7 @@
     /// Removes the events of an item that is listed.
     pub(crate) fn remove(&mut self, item: &ItemRef) {
         if let Some(stored) = self.entries.remove(item) {
-            self.bytes -= text_bytes(&stored.made.events);
+            self.bytes -= text_bytes(&stored.generated.events);
         }
     }
 
--- a/crates/job-store/src/snapshot.rs
+++ b/crates/job-store/src/snapshot.rs
@@ -45,14 +45,14 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct ProgressIndex {
     index: Index,
-    made: Vec<ItemEvents>,
+    generated: Vec<ItemEvents>,
 }
 
 /// The index with tenants.
 #[derive(Archive, Serialize, Deserialize)]
 struct TenantsIndex {
     index: Index,
-    made: Vec<ItemEvents>,
+    generated: Vec<ItemEvents>,
     tenants: Vec<JobTenant>,
 }
 
@@ -60,10 +60,10 @@
 #[derive(Archive, Serialize, Deserialize)]
 struct FullIndex {
     index: Index,
-    made: Vec<ItemEvents>,
-    /// The run that reported last, for each entry of `made`. Entries over its length were
+    generated: Vec<ItemEvents>,
+    /// The run that reported last, for each entry of `generated`. Entries over its length were
     /// reported without run ids.
-    tellers: Vec<RunId>,
+    reporters: Vec<RunId>,
     tenants: Vec<JobTenant>,
 }
 
@@ -74,7 +74,7 @@
             Format::First => {
                 let index = TenantsIndex {
                     index: self.index,
-                    made: self.made,
+                    generated: self.generated,
                     tenants: self.tenants,
                 };
                 stored::encode(TENANTS_LAYOUT, &index)
@@ -138,8 +138,8 @@
                 jobs,
                 accepted: store.accepted,
             },
-            made: store.progress.to_list(),
-            tellers: store.progress.reporters(),
+            generated: store.progress.to_list(),
+            reporters: store.progress.reporters(),
             tenants: store.jobs.values().filter_map(tenant_of).collect(),
         };
         let mut index = index.into_stored(store.format)?;
@@ -241,8 +241,8 @@
     };
     let FullIndex {
         index,
-        made,
-        tellers,
+        generated,
+        reporters,
         tenants,
     } = decode_index(&stored_index)?;
     let jobs = index.jobs.into_iter().map(restore_job);
@@ -258,7 +258,7 @@
         jobs,
         accepted: index.accepted,
         snapshot: Some(content),
-        progress: ProgressTable::from_list(made, &tellers),
+        progress: ProgressTable::from_list(generated, &reporters),
         format,
     })
 }
@@ -267,29 +267,29 @@
     match stored::layout_of(bytes) {
         Some(FIRST_LAYOUT) => Ok(FullIndex {
             index: stored::decode(&[FIRST_LAYOUT], bytes)?,
-            made: Vec::new(),
-            tellers: Vec::new(),
+            generated: Vec::new(),
+            reporters: Vec::new(),
             tenants: Vec::new(),
         }),
         Some(PROGRESS_LAYOUT) => {
-            let ProgressIndex { index, made } = stored::decode(&[PROGRESS_LAYOUT], bytes)?;
+            let ProgressIndex { index, generated } = stored::decode(&[PROGRESS_LAYOUT], bytes)?;
             Ok(FullIndex {
                 index,
-                made,
-                tellers: Vec::new(),
+                generated,
+                reporters: Vec::new(),
                 tenants: Vec::new(),
             })
         }
         Some(TENANTS_LAYOUT) => {
             let TenantsIndex {
                 index,
-                made,
+                generated,
                 tenants,
             } = stored::decode(&[TENANTS_LAYOUT], bytes)?;
             Ok(FullIndex {
                 index,
-                made,
-                tellers: Vec::new(),
+                generated,
+                reporters: Vec::new(),
                 tenants,
             })
         }
--- a/crates/job-store/src/store.rs
+++ b/crates/job-store/src/store.rs
@@ -205,7 +205,7 @@
         }
         match self.progress.get(&item).complete_text(last) {
             Some(text) => self.report(&item, ItemOutcome::Succeeded(text)),
-            None => StoreAnswer::TellAgain(vec![item]),
+            None => StoreAnswer::ReportAgain(vec![item]),
         }
     }
 
@@ -234,7 +234,7 @@
         if incomplete.is_empty() {
             StoreAnswer::Done
         } else {
-            StoreAnswer::TellAgain(incomplete)
+            StoreAnswer::ReportAgain(incomplete)
         }
     }
 
--- a/crates/job-store/tests/all/layout.rs
+++ b/crates/job-store/tests/all/layout.rs
@@ -15,8 +15,8 @@
 fn progress() -> ItemProgress {
     ItemProgress {
         item: item("j", 3),
-        told_before: 2,
-        made: GeneratedEvents {
+        reported_before: 2,
+        generated: GeneratedEvents {
             events: vec!["c".to_owned()],
             last_event: Some(3),
         },
--- a/crates/job-store/tests/all/progress.rs
+++ b/crates/job-store/tests/all/progress.rs
@@ -9,7 +9,7 @@
 
 use crate::support::{advance_time, apply, item, job, report, snapshots, store_snapshot, submit};
 
-fn made(events: &[&str], last_event: u64) -> GeneratedEvents {
+fn generated(events: &[&str], last_event: u64) -> GeneratedEvents {
     GeneratedEvents {
         events: events.iter().map(|event| (*event).to_owned()).collect(),
         last_event: Some(last_event),
@@ -19,48 +19,48 @@
 fn report_progress(
     store: &mut JobStore,
     item: ItemRef,
-    told_before: u32,
-    made: GeneratedEvents,
+    reported_before: u32,
+    generated: GeneratedEvents,
 ) -> StoreAnswer {
     let progress = ItemProgress {
         item,
-        told_before,
-        made,
+        reported_before,
+        generated,
     };
     apply(store, &StoreCommand::Progress(vec![progress]))
 }
 
 /// The events from which a gateway continues that leases the first open item.
 fn events_for_next_run(store: &JobStore) -> GeneratedEvents {
-    progress_for_next_run(store).made
+    progress_for_next_run(store).generated
 }
 
 /// The same events with the run that reported them last.
 fn progress_for_next_run(store: &JobStore) -> StoredProgress {
     let mut dispatcher = Dispatcher::default();
     let work = dispatcher.lease(store, "gateway", 1, 0, 0);
-    work.into_iter().next().expect("an open item").made
+    work.into_iter().next().expect("an open item").generated
 }
 
 /// Events reported with the end of an item whose events "a" and "b" were reported before, the
 /// answer, and the listed text.
 #[rstest]
-#[case::the_last_ones(2, made(&["c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
-#[case::no_further_ones(2, made(&[], 2), StoreAnswer::Done, Some("a\nb"))]
-#[case::all_of_them(0, made(&["a", "b", "c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
-#[case::a_gap(3, made(&["d"], 4), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
-#[case::less_than_reported_before(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), None)]
+#[case::the_last_ones(2, generated(&["c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
+#[case::no_further_ones(2, generated(&[], 2), StoreAnswer::Done, Some("a\nb"))]
+#[case::all_of_them(0, generated(&["a", "b", "c"], 3), StoreAnswer::Done, Some("a\nb\nc"))]
+#[case::a_gap(3, generated(&["d"], 4), StoreAnswer::ReportAgain(vec![item("j", 0)]), None)]
+#[case::less_than_reported_before(1, generated(&["b"], 2), StoreAnswer::ReportAgain(vec![item("j", 0)]), None)]
 fn an_item_ends_with_its_last_events(
-    #[case] told_before: u32,
-    #[case] made: GeneratedEvents,
+    #[case] reported_before: u32,
+    #[case] generated: GeneratedEvents,
     #[case] expected: StoreAnswer,
     #[case] listed: Option<&str>,
 ) {
     let mut store = store_with_progress();
     let last = ItemProgress {
         item: item("j", 0),
-        told_before,
-        made,
+        reported_before,
+        generated,
     };
     assert_eq!(apply(&mut store, &StoreCommand::Finish(last)), expected);
     let page = store.results("j", 0, 1_000).expect("it is read");
@@ -75,8 +75,8 @@
     let mut store = store_with_progress();
     let last = ItemProgress {
         item: item("j", 0),
-        told_before: 2,
-        made: made(&["c"], 3),
+        reported_before: 2,
+        generated: generated(&["c"], 3),
     };
     let finish = StoreCommand::Finish(last.clone());
     assert_eq!(apply(&mut store, &finish), StoreAnswer::Done);
@@ -94,27 +94,27 @@
 fn store_with_progress() -> JobStore {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
-    let answer = report_progress(&mut store, item("j", 0), 0, made(&["a", "b"], 2));
+    let answer = report_progress(&mut store, item("j", 0), 0, generated(&["a", "b"], 2));
     assert_eq!(answer, StoreAnswer::Done);
     store
 }
 
 /// The next report, the answer, and the events from which the next run continues.
 #[rstest]
-#[case::further_events(2, made(&["c"], 3), StoreAnswer::Done, made(&["a", "b", "c"], 3))]
-#[case::all_again(0, made(&["a", "b", "c"], 3), StoreAnswer::Done, made(&["a", "b", "c"], 3))]
-#[case::a_gap(3, made(&["d"], 4), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
-#[case::an_overlap(1, made(&["b"], 2), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
-#[case::less_than_is_stored(0, made(&["a"], 1), StoreAnswer::TellAgain(vec![item("j", 0)]), made(&["a", "b"], 2))]
+#[case::further_events(2, generated(&["c"], 3), StoreAnswer::Done, generated(&["a", "b", "c"], 3))]
+#[case::all_again(0, generated(&["a", "b", "c"], 3), StoreAnswer::Done, generated(&["a", "b", "c"], 3))]
+#[case::a_gap(3, generated(&["d"], 4), StoreAnswer::ReportAgain(vec![item("j", 0)]), generated(&["a", "b"], 2))]
+#[case::an_overlap(1, generated(&["b"], 2), StoreAnswer::ReportAgain(vec![item("j", 0)]), generated(&["a", "b"], 2))]
+#[case::less_than_is_stored(0, generated(&["a"], 1), StoreAnswer::ReportAgain(vec![item("j", 0)]), generated(&["a", "b"], 2))]
 fn events_are_stored_once_and_without_gaps(
-    #[case] told_before: u32,
+    #[case] reported_before: u32,
     #[case] reported: GeneratedEvents,
     #[case] answer: StoreAnswer,
     #[case] expected: GeneratedEvents,
 ) {
     let mut store = store_with_progress();
     assert_eq!(
-        report_progress(&mut store, item("j", 0), told_before, reported),
+        report_progress(&mut store, item("j", 0), reported_before, reported),
         answer
     );
     assert_eq!(events_for_next_run(&store), expected);
@@ -128,10 +128,13 @@
     let mut snapshot = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots(), 1, &mut snapshot);
     let mut restored = JobStore::from_snapshot(content).expect("it is read");
-    assert_eq!(events_for_next_run(&restored), made(&["a", "b"], 2));
-    let answer = report_progress(&mut restored, item("j", 0), 2, made(&["c"], 3));
+    assert_eq!(events_for_next_run(&restored), generated(&["a", "b"], 2));
+    let answer = report_progress(&mut restored, item("j", 0), 2, generated(&["c"], 3));
     assert_eq!(answer, StoreAnswer::Done);
-    assert_eq!(events_for_next_run(&restored), made(&["a", "b", "c"], 3));
+    assert_eq!(
+        events_for_next_run(&restored),
+        generated(&["a", "b", "c"], 3)
+    );
 }
 
 /// What ends an item. Its progress is removed afterwards.
@@ -148,7 +151,7 @@
     assert_eq!(store.progress_bytes(), 2);
     end(&mut store);
     assert_eq!(store.progress_bytes(), 0);
-    let late = report_progress(&mut store, item("j", 0), 2, made(&["c"], 3));
+    let late = report_progress(&mut store, item("j", 0), 2, generated(&["c"], 3));
     assert_eq!(late, StoreAnswer::Done);
     assert_eq!(store.progress_bytes(), 0);
 }
@@ -159,7 +162,7 @@
     submit(&mut store, job("j", 40));
     let megabyte = "x".repeat(1024 * 1024);
     for number in 0..40 {
-        report_progress(&mut store, item("j", number), 0, made(&[&megabyte], 1));
+        report_progress(&mut store, item("j", number), 0, generated(&[&megabyte], 1));
     }
     assert_eq!(store.progress_bytes(), 8 * 1024 * 1024);
 }
@@ -171,15 +174,15 @@
 
 /// A report of a run: the number of events reported before, the run whose text the report
 /// continues, and the events after them.
-fn part(run: RunId, told_before: u32, continues: RunId, events: &[&str]) -> RunProgress {
-    let last_event = u64::from(told_before) + events.len() as u64;
+fn part(run: RunId, reported_before: u32, continues: RunId, events: &[&str]) -> RunProgress {
+    let last_event = u64::from(reported_before) + events.len() as u64;
     RunProgress {
         run,
         continues,
         progress: ItemProgress {
             item: item("j", 0),
-            told_before,
-            made: made(events, last_event),
+            reported_before,
+            generated: generated(events, last_event),
         },
     }
 }
@@ -193,7 +196,7 @@
 }
 
 fn incomplete() -> StoreAnswer {
-    StoreAnswer::TellAgain(vec![item("j", 0)])
+    StoreAnswer::ReportAgain(vec![item("j", 0)])
 }
 
 /// Earlier reports that are all recorded, then a report, its answer, the events stored after
@@ -265,7 +268,7 @@
     #[case] reported: RunProgress,
     #[case] answer: StoreAnswer,
     #[case] events: &[&str],
-    #[case] told_by: RunId,
+    #[case] reported_by: RunId,
 ) {
     let mut store = JobStore::default();
     submit(&mut store, job("j", 1));
@@ -275,8 +278,8 @@
     assert_eq!(record(&mut store, reported), answer);
     let stored = progress_for_next_run(&store);
     assert_eq!(
-        (stored.made.events.as_slice(), stored.told_by),
-        (strings(events).as_slice(), told_by)
+        (stored.generated.events.as_slice(), stored.reported_by),
+        (strings(events).as_slice(), reported_by)
     );
 }
 
@@ -345,7 +348,7 @@
     let mut snapshot = store.begin_snapshot().expect("a snapshot");
     let content = store_snapshot(&mut snapshots(), 1, &mut snapshot);
     let mut restored = JobStore::from_snapshot(content).expect("it is read");
-    assert_eq!(progress_for_next_run(&restored).told_by, FIRST);
+    assert_eq!(progress_for_next_run(&restored).reported_by, FIRST);
     assert_eq!(
         record(&mut restored, part(SECOND, 2, SECOND, &["b3"])),
         incomplete()
--- a/crates/job-store/tests/all/snapshots.rs
+++ b/crates/job-store/tests/all/snapshots.rs
@@ -171,7 +171,7 @@
     let store = JobStore::from_snapshot(content).expect("it is read");
     assert!(store.is_visible("j", Some("t")) && !store.is_visible("j", Some("u")));
     let work = Dispatcher::default().lease(&store, "gateway", 1, 0, 0);
-    let made = &work.first().expect("an open item").made;
-    assert_eq!(made.made.events, ["a", "b"]);
-    assert_eq!(made.told_by, RunId::UNKNOWN);
+    let generated = &work.first().expect("an open item").generated;
+    assert_eq!(generated.generated.events, ["a", "b"]);
+    assert_eq!(generated.reported_by, RunId::UNKNOWN);
 }
--- a/crates/relay/src/batch.rs
+++ b/crates/relay/src/batch.rs
@@ -44,7 +44,7 @@
         if is_stopping && running.is_empty() {
             return;
         }
-        let want = if is_stopping {
+        let max_items = if is_stopping {
             0
         } else {
             let leased = running.len() as u32;
@@ -53,7 +53,7 @@
             ramp_limit.min(free).min(ITEMS_AT_ONCE)
         };
         let calls = schedule.after_interval(WorkState {
-            requested: want,
+            requested: max_items,
             holds_items: !running.is_empty(),
             returned_item: running.has_returned(),
             stopping: is_stopping,
@@ -64,7 +64,7 @@
             report_progress(&relay, &running).await;
         }
         if calls.request_work {
-            let begun = request_work(&relay, &settings, &running, want).await;
+            let begun = request_work(&relay, &settings, &running, max_items).await;
             found_none = begun == 0;
             ramp_up.note_running(running.len() as u32);
         }
@@ -90,7 +90,7 @@
         .await
     {
         StoreReply::Done => {}
-        StoreReply::TellAgain(behind) => behind.iter().for_each(|item| items.report_again(item)),
+        StoreReply::ReportAgain(behind) => behind.iter().for_each(|item| items.report_again(item)),
         _ => items.restore_unreported(progress),
     }
 }
@@ -101,14 +101,14 @@
     relay: &Relay,
     settings: &BatchSettings,
     items: &RunningItems,
-    want: u32,
+    max_items: u32,
 ) -> usize {
     let call = StoreCall::Work {
         gateway: settings.name.clone(),
         running: items.running(),
-        want,
+        max_items,
         item_ms: longest_item_ms(relay),
-        outside: relay.shared.excluded_work(),
+        excluded: relay.shared.excluded_work(),
     };
     let reply = relay
         .shared
@@ -123,7 +123,7 @@
     for work in begin {
         info!(relay.shared.logger, "item: started"; "item" => &work.spec.id,
             "job" => &work.item.job, "failures" => work.failures,
-            "due_in_ms" => work.due_in_ms, "last_event" => work.made.made.last_event);
+            "due_in_ms" => work.due_in_ms, "last_event" => work.generated.generated.last_event);
         start(relay, items, work);
     }
     begun
@@ -162,16 +162,16 @@
 fn start(relay: &Relay, items: &RunningItems, mut work: ItemWork) {
     let item = work.item.clone();
     let run = relay.shared.random_run_id();
-    let made = GeneratedProgress::new(std::mem::take(&mut work.made), run);
+    let generated = GeneratedProgress::new(std::mem::take(&mut work.generated), run);
     let reference = item.clone();
     let task = ItemRun::new(
         Arc::clone(&relay.shared),
         relay.stopping(),
         work,
-        made.clone(),
+        generated.clone(),
     );
     let after = items.clone();
-    items.begin(item, made, || {
+    items.begin(item, generated, || {
         let spawned = tokio::spawn(async move {
             match task.run().await {
                 ItemEnding::Reported => after.end(&reference, run),
--- a/crates/relay/src/item_run.rs
+++ b/crates/relay/src/item_run.rs
@@ -148,7 +148,7 @@
     async fn finish(&self) -> bool {
         let call = StoreCall::Finish(self.generated.unreported_part(&self.work.item));
         let reply = self.shared.gateway.call_store(call, REPORT_TIMEOUT).await;
-        !matches!(reply, StoreReply::TellAgain(_))
+        !matches!(reply, StoreReply::ReportAgain(_))
     }
 
     /// The current route: changes of the route apply to items too.
--- a/crates/relay/src/running_items.rs
+++ b/crates/relay/src/running_items.rs
@@ -25,11 +25,11 @@
 impl GeneratedProgress {
     /// Starts a run that continues the progress stored by the job store.
     pub(crate) fn new(stored: StoredProgress, run: RunId) -> Self {
-        let reported = stored.made.events.len() as u32;
+        let reported = stored.generated.events.len() as u32;
         GeneratedProgress(Arc::new(Mutex::new(GeneratedState {
-            generated: stored.made,
+            generated: stored.generated,
             run,
-            continues: stored.told_by,
+            continues: stored.reported_by,
             reported,
         })))
     }
@@ -69,7 +69,7 @@
     fn take_unreported(&self, item: &ItemRef) -> Option<RunProgress> {
         let mut state = self.0.lock();
         let part = state.unreported_part(item);
-        let events = part.progress.made.events.len() as u32;
+        let events = part.progress.generated.events.len() as u32;
         if events == 0 {
             return None;
         }
@@ -89,8 +89,8 @@
         let events = self.generated.events.get(self.reported as usize..);
         let progress = ItemProgress {
             item: item.clone(),
-            told_before: self.reported,
-            made: GeneratedEvents {
+            reported_before: self.reported,
+            generated: GeneratedEvents {
                 events: events.unwrap_or_default().to_vec(),
                 last_event: self.generated.last_event,
             },
--- a/crates/relay/tests/all/items.rs
+++ b/crates/relay/tests/all/items.rs
@@ -211,12 +211,12 @@
         job: JOB.to_owned(),
         item: 0,
     };
-    let work = |running: Vec<ItemRef>, want| StoreCall::Work {
+    let work = |running: Vec<ItemRef>, max_items| StoreCall::Work {
         gateway: "127.0.0.1:2".to_owned(),
         running,
-        want,
+        max_items,
         item_ms: 0,
-        outside: ExcludedWork::default(),
+        excluded: ExcludedWork::default(),
     };
     let leases = async {
         loop {
@@ -231,15 +231,15 @@
         .expect("the item is leased in time");
     let progress = ItemProgress {
         item: item.clone(),
-        told_before: 0,
-        made: GeneratedEvents {
+        reported_before: 0,
+        generated: GeneratedEvents {
             events: vec!["a".to_owned()],
             last_event: Some(1),
         },
     };
     let told = RunProgress {
         run: RunId::from_random(7),
-        continues: StoredProgress::default().told_by,
+        continues: StoredProgress::default().reported_by,
         progress,
     };
     let told = call(&pair.fleet, StoreCall::Progress(vec![told])).await;
