--- a/crates/protocol/src/attach.rs
+++ b/crates/protocol/src/attach.rs
@@ -15,83 +15,83 @@
     query::{Query, QueryAnswer},
 };
 
-/// What a gateway says to control.
+/// A message from a gateway to control.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum GatewayMessage {
     /// First message of a connection.
     Attach {
-        /// Who.
+        /// The gateway.
         gateway: GatewayId,
-        /// Where.
+        /// The gateway's zone.
         zone: ZoneId,
-        /// The revision that it has stored and synced.
+        /// The revision that the gateway has stored and synced.
         revision: Revision,
         /// Digest of that configuration.
         digest: u64,
     },
-    /// The revision is stored, synced and in force here.
+    /// The revision is stored, synced and in force at the gateway.
     Confirm(Revision),
-    /// Loads seen since the last digest; only what changed.
+    /// Loads that changed since the last digest.
     Loads(Vec<ReplicaLoad>),
-    /// Replicas that the data path found dead or leaving.
+    /// Replicas that failed or announced their departure to the data path.
     Suspect(Vec<ReplicaId>),
-    /// Batch capacity wished for.
+    /// Requests for batch capacity.
     RequestGrants(Vec<GrantRequest>),
-    /// A request to be answered with the same call id.
+    /// A call, which is answered under the same call id.
     Call {
-        /// Matches the answer.
+        /// Identifies the answer.
         call: CallId,
-        /// What is asked.
+        /// The call.
         body: ControlCall,
     },
-    /// Nothing to say; shows that the gateway lives.
+    /// Shows that the gateway is alive when it has nothing else to send.
     Heartbeat,
 }
 
-/// What a gateway can ask for.
+/// A call of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ControlCall {
-    /// Commit a command.
+    /// Commits a command.
     Propose(CommandBody),
-    /// Read.
+    /// Reads replicated state.
     Query(Query),
 }
 
-/// What control answers to a call.
+/// Control's answer to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ControlAnswer {
     /// The command was committed and applied.
     Outcome(Outcome),
-    /// The read's answer.
+    /// The result of a read.
     Answer(QueryAnswer),
-    /// Not carried out; the code tells whether that is certain.
+    /// The call failed; the code says whether it is certain that it had no effect.
     Refused(Refusal),
 }
 
-/// What control says to a gateway.
+/// A message from control to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ControlMessage {
     /// Answer to an attach.
     Attached {
-        /// The member attached to.
+        /// The member that the gateway is attached to.
         member: MemberId,
-        /// Addresses of all control members, to attach elsewhere.
+        /// Addresses of all control members, for attaching to another one.
         members: Vec<String>,
     },
-    /// A configuration, whole or as a delta.
+    /// A configuration, complete or as a delta.
     Configuration(ConfigurationUpdate),
-    /// Replicas added or changed, and those gone.
+    /// Replicas that were added, changed or removed.
     Replicas {
-        /// Whether `changed` is the whole list.
+        /// Whether `changed` is the complete list.
         full: bool,
-        /// Added or changed.
+        /// Added or changed replicas.
         changed: Vec<ReplicaInfo>,
-        /// Gone.
+        /// Removed replicas.
         removed: Vec<ReplicaId>,
     },
-    /// Loads known through other gateways and polls; only what changed.
+    /// Loads that changed, as known from other gateways and polls.
     Loads(Vec<ReplicaLoad>),
-    /// Loads that changed, of replicas whose whole load the gateway was told before.
+    /// Loads that changed, of replicas whose complete load was sent to the gateway before.
     LoadDigest(LoadDigest),
     /// Capacity for batch work.
     Grants(Vec<Grant>),
@@ -104,23 +104,23 @@
         /// Its answer.
         body: ControlAnswer,
     },
-    /// How fresh the sender is; sent at least twice a second.
+    /// How recent the sender's state is; sent at least twice a second.
     Freshness {
-        /// When the sender last knew that it follows a leader with a quorum.
+        /// When the sender last confirmed that it follows a leader with a quorum.
         confirmed_at: Timestamp,
         /// The sender's clock.
         now: Timestamp,
-        /// The revision committed as far as the sender knows.
+        /// The newest committed revision known to the sender.
         revision: Revision,
-        /// Items pending, by model, so that idle gateways need not ask.
+        /// Pending items by model, so that idle gateways need not query them.
         pending: Vec<PendingItems>,
     },
 }
 
-/// A configuration on its way to a gateway.
+/// A configuration sent to a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ConfigurationUpdate {
-    /// The operator's file as a whole.
+    /// The operator's complete file.
     Full {
         /// Its revision.
         revision: Revision,
@@ -129,13 +129,13 @@
         /// Digest of the text.
         digest: u64,
     },
-    /// What changed since `from`.
+    /// The changes since `from`.
     Delta {
-        /// The revision that it builds on.
+        /// The revision to which the edits apply.
         from: Revision,
         /// The revision that results.
         to: Revision,
-        /// Replacements of line ranges of the old text, in order.
+        /// Replacements of line ranges of the old text, in order of position.
         edits: Vec<TextEdit>,
         /// Digest of the resulting text.
         digest: u64,
@@ -145,40 +145,40 @@
 /// Replaces lines of a text.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct TextEdit {
-    /// First line of the old text that is replaced, from 0.
+    /// First replaced line of the old text, from 0.
     pub first_line: u32,
-    /// How many old lines are replaced.
+    /// Number of replaced lines of the old text.
     pub removed: u32,
-    /// What stands there instead, line feeds included.
+    /// The replacement text, including line feeds.
     pub inserted: String,
 }
 
 /// The load of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaLoad {
-    /// Which.
+    /// The replica.
     pub replica: ReplicaId,
-    /// Its load.
+    /// The load.
     pub load: LoadReport,
 }
 
-/// A wish for batch capacity.
+/// A request for batch capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GrantRequest {
-    /// For which model.
+    /// The model.
     pub model: ModelId,
-    /// Sequences at once.
+    /// Number of concurrent sequences.
     pub sequences: u32,
 }
 
-/// A right to run batch work on one replica for a short time.
+/// A short-lived permit to run batch work on one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Grant {
-    /// On which replica.
+    /// The replica.
     pub replica: ReplicaId,
-    /// Sequences at once.
+    /// Number of concurrent sequences.
     pub sequences: u32,
-    /// It ends by itself after this many milliseconds.
+    /// The grant expires after this time, in milliseconds.
     pub valid_ms: u32,
 }
 
@@ -187,84 +187,84 @@
 pub struct PendingItems {
     /// The model.
     pub model: ModelId,
-    /// How many.
+    /// Number of pending items.
     pub count: u64,
 }
 
-/// What control members say to each other.
+/// A message between control members.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Consensus.
+    /// A consensus message.
     Consensus(ConsensusMessage),
-    /// First message of a connection: who speaks.
+    /// First message of a connection: identifies the sender.
     Hello {
         /// The sender.
         member: MemberId,
-        /// Whether the sender's disk holds state (false: it wants to join as a learner).
+        /// Whether the sender's disk has state; if not, the sender requests to join as a learner.
         formatted: bool,
         /// `IP:port` where gateways attach to the sender.
         attach_address: String,
     },
-    /// A call of a gateway or operator, passed on to the leader.
+    /// A call of a gateway or operator, forwarded to the leader.
     Forward {
-        /// Matches the answer.
+        /// Identifies the answer.
         call: CallId,
-        /// What is asked.
+        /// The call.
         body: ControlCall,
     },
     /// Answer to a forwarded call.
     Forwarded {
         /// The call.
         call: CallId,
-        /// Its answer.
+        /// The answer.
         body: ControlAnswer,
     },
-    /// What the sender's attached gateways reported, for the leader.
+    /// Reports of the gateways attached to the sender, for the leader.
     Digest(MemberDigest),
-    /// Soft state of the leader, for the sender's attached gateways.
+    /// Soft state of the leader, for the gateways attached to the receiver.
     Broadcast(LeaderBroadcast),
 }
 
-/// What a member tells the leader of its gateways.
+/// A member's report to the leader about its attached gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberDigest {
     /// The reporting machine.
     pub machine: MachineId,
-    /// Confirmed revision and silence of each attached gateway.
+    /// Confirmed revision and time since last contact of each attached gateway.
     pub gateways: Vec<crate::query::GatewayStatus>,
     /// Loads that changed.
     pub loads: Vec<ReplicaLoad>,
-    /// Replicas under suspicion.
+    /// Replicas suspected to have failed.
     pub suspects: Vec<ReplicaId>,
-    /// Wishes for batch capacity.
+    /// Requests for batch capacity.
     pub grant_requests: Vec<GatewayGrantRequests>,
-    /// Term of the leader whose fleet the sender holds.
+    /// Term of the leader that sent the fleet state stored by the sender.
     pub fleet_term: Term,
-    /// Version of that fleet.
+    /// Version of that fleet state.
     pub fleet_version: u64,
 }
 
-/// A gateway's wishes for batch capacity.
+/// A gateway's requests for batch capacity.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GatewayGrantRequests {
-    /// Which gateway.
+    /// The gateway.
     pub gateway: GatewayId,
-    /// Where it is.
+    /// The gateway's zone.
     pub zone: ZoneId,
-    /// What it wishes for.
+    /// The requests.
     pub grant_requests: Vec<GrantRequest>,
 }
 
-/// What the leader tells members for their gateways.
+/// Soft state that the leader sends to members for their gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LeaderBroadcast {
-    /// Applied index that this was made at.
+    /// The leader's applied index when the message was created.
     pub applied: LogIndex,
-    /// Replicas, whole or changed.
+    /// Whether `changed` is the complete list of replicas.
     pub full: bool,
     /// Added or changed replicas.
     pub changed: Vec<ReplicaInfo>,
-    /// Gone replicas.
+    /// Removed replicas.
     pub removed: Vec<ReplicaId>,
     /// Loads that changed.
     pub loads: Vec<ReplicaLoad>,
@@ -272,8 +272,8 @@
     pub grants: Vec<(GatewayId, Vec<Grant>)>,
     /// The leader's term.
     pub term: Term,
-    /// Version of the receiver's fleet that the changes build on; 0 when `full`.
+    /// Version of the receiver's fleet state to which the changes apply; 0 when `full`.
     pub base: u64,
-    /// Version that results; grows within a term.
+    /// Version after the changes; increases within a term.
     pub version: u64,
 }
--- a/crates/protocol/src/consensus.rs
+++ b/crates/protocol/src/consensus.rs
@@ -4,19 +4,19 @@
 
 use crate::ids::{LogIndex, MemberId, Term};
 
-/// Who takes part in the log, and how.
+/// Members of the consensus group by role.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Membership {
     /// Members whose votes and acknowledgements count, sorted.
     pub voters: Vec<MemberId>,
-    /// Members that receive the log but do not count, sorted.
+    /// Members that receive the log without a vote, sorted.
     pub learners: Vec<MemberId>,
 }
 
 /// One change of the membership; at most one is uncommitted at any time.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a member that does not count yet.
+    /// Adds a member without a vote.
     AddLearner(MemberId),
     /// Makes a learner that has synced everything a voter.
     PromoteLearner(MemberId),
@@ -24,10 +24,10 @@
     Remove(MemberId),
 }
 
-/// What a log entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Written by a new leader to commit what earlier terms left.
+    /// Written by a new leader to commit entries of earlier terms.
     Empty,
     /// An encoded command of the state machine.
     Command(Vec<u8>),
@@ -40,24 +40,24 @@
 pub struct Entry {
     /// The term of the leader that wrote it.
     pub term: Term,
-    /// Its position.
+    /// Position in the log.
     pub index: LogIndex,
-    /// What it holds.
+    /// The content.
     pub payload: EntryPayload,
 }
 
-/// What a member must have synced before it answers anybody.
+/// State that a member must sync before it answers a message.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct HardState {
     /// The newest term seen.
     pub term: Term,
-    /// Who got this member's vote in that term.
+    /// The member that received this member's vote in that term.
     pub vote: Option<MemberId>,
     /// The highest index known to be committed.
     pub commit: LogIndex,
 }
 
-/// Which prefix of the log a snapshot stands for.
+/// The prefix of the log that a snapshot replaces.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SnapshotMeta {
     /// The last index that the snapshot covers.
@@ -73,18 +73,18 @@
 pub struct ConsensusMessage {
     /// The sender.
     pub from: MemberId,
-    /// The receiver; a member drops what is not for its own disk.
+    /// The receiver; a member drops messages that are addressed to another disk.
     pub to: MemberId,
-    /// The sender's term (for a pre-vote request, the term it would stand in).
+    /// The sender's term; for a pre-vote request, the term in which it would be a candidate.
     pub term: Term,
-    /// What is said.
+    /// The message.
     pub body: ConsensusBody,
 }
 
-/// What members say to each other.
+/// Content of a message between members.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ConsensusBody {
-    /// Would you vote for me? Changes nothing on the receiver.
+    /// Asks whether the receiver would grant its vote; changes no state of the receiver.
     PreVoteRequest {
         /// Index of the sender's last entry.
         last_index: LogIndex,
@@ -93,36 +93,37 @@
     },
     /// Answer to a pre-vote.
     PreVoteResponse {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote.
     VoteRequest {
         /// Index of the sender's last entry.
         last_index: LogIndex,
         /// Term of the sender's last entry.
         last_term: Term,
-        /// Whether the leader asked the sender to stand; then a live leader is no reason to refuse.
+        /// Whether the leader asked the sender to become a candidate. If so, contact with a live
+        /// leader is no reason to refuse the vote.
         leadership_transfer: bool,
     },
     /// Answer to a vote request.
     VoteResponse {
-        /// Whether the vote was given (and synced).
+        /// Whether the vote was granted and synced.
         granted: bool,
     },
-    /// Entries of the leader, or its heartbeat.
+    /// Entries of the leader, or a heartbeat.
     Append(Append),
     /// Answer to an append.
     AppendResponse(AppendResponse),
-    /// A piece of a snapshot for a member that is behind the log's start.
+    /// A chunk of a snapshot for a member whose next entry is no longer in the leader's log.
     SnapshotChunk(SnapshotChunk),
-    /// Answer to a snapshot piece.
+    /// Answer to a snapshot chunk.
     SnapshotResponse(SnapshotResponse),
-    /// The leader asks the receiver to stand for election at once.
+    /// The leader asks the receiver to start an election immediately.
     TransferLeadership,
 }
 
-/// Entries after `previous_index`; none makes it a heartbeat.
+/// Entries after `previous_index`; a heartbeat if there are none.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Append {
     /// Index before the first entry.
@@ -140,35 +141,35 @@
 /// Answer to an append.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct AppendResponse {
-    /// Whether the entries fit; if so they are synced up to `matched`.
+    /// Whether the entries match the log; if so, the log is synced up to `matched`.
     pub accepted: bool,
-    /// Synced up to here (accepted), or a hint where to go on (refused).
+    /// Highest synced index if accepted, else a hint from which index to continue.
     pub matched: LogIndex,
     /// The round being answered.
     pub round: u64,
 }
 
-/// A piece of a snapshot for a member that is behind the log's start.
+/// A chunk of a snapshot for a member whose next entry is no longer in the leader's log.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SnapshotChunk {
-    /// What the snapshot stands for.
+    /// The prefix of the log that the snapshot replaces.
     pub meta: SnapshotMeta,
-    /// Byte offset of this piece.
+    /// Byte offset of this chunk.
     pub offset: u64,
-    /// The piece.
+    /// The chunk.
     pub data: Vec<u8>,
-    /// Whether this is the last piece.
+    /// Whether this is the last chunk.
     pub last: bool,
     /// Round number of the leader.
     pub round: u64,
 }
 
-/// Answer to a snapshot piece.
+/// Answer to a snapshot chunk.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SnapshotResponse {
     /// The snapshot being received.
     pub index: LogIndex,
-    /// The next byte wanted.
+    /// Offset of the next byte to send.
     pub next_offset: u64,
     /// Whether the snapshot is installed and synced.
     pub installed: bool,
--- a/crates/protocol/src/first_format.rs
+++ b/crates/protocol/src/first_format.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways, and what control members answer, as the first format has them.
-//! Frozen: a build that production runs writes them.
+//! Datagrams between gateways, and answers of control members, in the first format. The types
+//! are frozen because builds in production write them.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -15,12 +15,13 @@
     suspicion::{ConsecutiveEnds, EndedRun, ReportedSuspicion, RequestFingerprint},
 };
 
-/// A message that the first format does not have.
+/// The error for a message that the first format cannot represent.
 pub fn not_in_first_format(message: &str) -> Report<ErrorKind> {
-    Report::new(ErrorKind::InvalidState).attach(format!("format 1 has no {message}"))
+    Report::new(ErrorKind::InvalidState).attach(format!("format 1 cannot represent {message}"))
 }
 
-/// A run that broke off when its replica ended: of the ends that were known their number.
+/// A run that was interrupted when its replica ended. Of the earlier ends, only the number is
+/// included.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FirstEndedRun {
     fingerprint: RequestFingerprint,
@@ -28,7 +29,7 @@
     ran_ms: u32,
 }
 
-/// A message about tenants' limits: nobody is a witness.
+/// A message about tenant limits; this format has no messages of witnesses.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum FirstQuotaMessage {
     /// As [`QuotaMessage::Ask`].
@@ -52,7 +53,7 @@
     NotCoordinator { tenant: String },
 }
 
-/// The fleet as control sees it: no zone was evacuated.
+/// The fleet as known to control; this format has no evacuated zones.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FirstFleetStatus {
     revision: Revision,
@@ -67,7 +68,7 @@
 }
 
 impl ControlAnswer {
-    /// The same answer as a format has it.
+    /// Converts the answer to its representation in a format.
     #[must_use]
     pub fn in_format(self, format: Format) -> Self {
         match (format, self) {
@@ -78,7 +79,7 @@
         }
     }
 
-    /// The answer of today that was read.
+    /// Converts an answer read in any format to the current representation.
     #[must_use]
     pub fn into_current_format(self) -> Self {
         match self {
@@ -123,7 +124,7 @@
     }
 }
 
-/// A datagram.
+/// A datagram between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum FirstDatagram {
     /// As [`GatewayDatagram::Ask`].
@@ -144,37 +145,39 @@
     End { number: u64, outcome: RunOutcome },
     /// As [`GatewayDatagram::Held`].
     Held { leases: Vec<HeldLease> },
-    /// A replica ended under these runs of the sender.
+    /// A replica ended during these runs of the sender.
     ReplicaEnded {
         replica: String,
         runs: Vec<FirstEndedRun>,
     },
-    /// About tenants' limits.
+    /// A message about tenant limits.
     Quota(FirstQuotaMessage),
 }
 
 impl GatewayDatagram {
-    /// Whether a format says less than this message, or nothing.
+    /// Whether a format cannot represent the complete message.
     #[must_use]
     pub fn loses_content_in(&self, format: Format) -> bool {
-        let in_first = match self {
+        let loses_in_first = match self {
             GatewayDatagram::Suspicions(_) => true,
             GatewayDatagram::Quota(message) => {
                 FirstQuotaMessage::try_from(message.clone()).is_err()
             }
             _ => false,
         };
-        format == Format::First && in_first
+        format == Format::First && loses_in_first
     }
 
-    /// The messages of a format that say the same: the first tells of one replica at a time,
-    /// and of no request that was cleared.
+    /// The messages of a format with the same content. A message of the first format reports one
+    /// replica and no cleared requests.
     #[must_use]
     pub fn messages_in(&self, format: Format) -> Vec<GatewayDatagram> {
         match (format, self) {
-            (Format::First, GatewayDatagram::Suspicions(told)) => {
-                let open = told.iter().filter(|told| !told.consecutive_ends.is_empty());
-                open.map(|told| GatewayDatagram::Suspicions(vec![told.clone()]))
+            (Format::First, GatewayDatagram::Suspicions(reported)) => {
+                let open = reported
+                    .iter()
+                    .filter(|suspicion| !suspicion.consecutive_ends.is_empty());
+                open.map(|suspicion| GatewayDatagram::Suspicions(vec![suspicion.clone()]))
                     .collect()
             }
             _ => vec![self.clone()],
@@ -183,7 +186,7 @@
 }
 
 impl From<FirstEndedRun> for EndedRun {
-    /// The runs before are taken to have lasted as long as this one.
+    /// Assumes that the earlier runs lasted as long as this one.
     fn from(first: FirstEndedRun) -> Self {
         EndedRun {
             fingerprint: first.fingerprint,
@@ -203,10 +206,10 @@
     }
 }
 
-fn ended_run(told: &ReportedSuspicion) -> Option<FirstEndedRun> {
-    let (ran_ms, known) = told.consecutive_ends.lengths_ms.split_last()?;
+fn ended_run(suspicion: &ReportedSuspicion) -> Option<FirstEndedRun> {
+    let (ran_ms, known) = suspicion.consecutive_ends.lengths_ms.split_last()?;
     Some(FirstEndedRun {
-        fingerprint: told.fingerprint,
+        fingerprint: suspicion.fingerprint,
         known_ends: known.len() as u32,
         ran_ms: *ran_ms,
     })
@@ -252,13 +255,16 @@
             },
             GatewayDatagram::End { number, outcome } => FirstDatagram::End { number, outcome },
             GatewayDatagram::Held { leases } => FirstDatagram::Held { leases },
-            GatewayDatagram::Suspicions(told) => {
-                let one_replica = told.first().map(|first| first.replica.clone());
-                let one_replica =
-                    one_replica.filter(|replica| told.iter().all(|told| told.replica == *replica));
+            GatewayDatagram::Suspicions(reported) => {
+                let one_replica = reported.first().map(|first| first.replica.clone());
+                let one_replica = one_replica.filter(|replica| {
+                    reported
+                        .iter()
+                        .all(|suspicion| suspicion.replica == *replica)
+                });
                 let replica =
                     one_replica.ok_or_else(|| not_in_first_format("ends of several replicas"))?;
-                let runs: Vec<FirstEndedRun> = told.iter().filter_map(ended_run).collect();
+                let runs: Vec<FirstEndedRun> = reported.iter().filter_map(ended_run).collect();
                 FirstDatagram::ReplicaEnded { replica, runs }
             }
             GatewayDatagram::Quota(message) => FirstDatagram::Quota(message.try_into()?),
@@ -338,7 +344,7 @@
             | QuotaMessage::WitnessResponse { .. }
             | QuotaMessage::ContactQuery { .. }
             | QuotaMessage::NoContact { .. } => {
-                return Err(not_in_first_format("witnesses of limits"));
+                return Err(not_in_first_format("messages of witnesses of limits"));
             }
         })
     }
--- a/crates/protocol/src/fleet.rs
+++ b/crates/protocol/src/fleet.rs
@@ -1,10 +1,10 @@
-//! What is known of machines, replicas and their load.
+//! Machines, replicas and their load.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::ids::{FencingToken, ModelId, ReplicaId, ServiceId, Timestamp, ZoneId};
 
-/// What a back-end machine runs.
+/// The kind of a back-end machine.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum BackEndKind {
     /// A model engine.
@@ -13,63 +13,63 @@
     Application(ServiceId),
 }
 
-/// Whether the platform says that a machine stays.
+/// State of a machine according to the platform.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum MachineState {
     /// In service.
     Live,
-    /// Being taken away: gets no new work.
+    /// About to be removed; receives no new work.
     Leaving,
 }
 
-/// A line of the platform's list.
+/// An entry of the platform's list of machines.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct Machine {
-    /// Its name; also the replica's id.
+    /// The machine's name; also the replica's id.
     pub replica: ReplicaId,
-    /// What it runs.
+    /// The kind.
     pub kind: BackEndKind,
-    /// Its zone.
+    /// The zone.
     pub zone: ZoneId,
     /// `IP:port` of its HTTP interface.
     pub address: String,
-    /// Whether it stays.
+    /// The state.
     pub state: MachineState,
 }
 
-/// The phase of a request that an engine takes on.
+/// The phases of a request that an engine runs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Archive, Serialize, Deserialize)]
 pub enum EngineRole {
     /// Prefill and decode on one engine.
     #[default]
     Mixed,
-    /// Prefill only; exports its KV cache.
+    /// Prefill only; exports the KV cache.
     Prefill,
-    /// Decode only; imports KV cache.
+    /// Decode only; imports the KV cache.
     Decode,
 }
 
-/// What an engine has loaded.
+/// State of an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EngineState {
     /// The loaded model, if any.
     pub model: Option<ModelId>,
-    /// Its version.
+    /// Version of the model.
     pub version: String,
     /// Loaded adapters.
     pub adapters: Vec<String>,
-    /// Its role.
+    /// The engine's role.
     pub role: EngineRole,
-    /// The highest order token that it has accepted.
+    /// The highest fencing token that the engine has accepted.
     pub fence: FencingToken,
-    /// Whether it says itself that it is leaving.
+    /// Whether the engine itself reports that it is leaving.
     pub leaving: bool,
 }
 
-/// The load of one back end, as it reported it.
+/// The load of one back end, as reported by the back end.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// When the back end measured it.
+    /// When the back end measured the load.
     pub measured_at: Timestamp,
     /// Online requests running.
     pub running_online: u32,
@@ -79,23 +79,24 @@
     pub waiting: u32,
     /// Prompt tokens still to prefill, online and batch.
     pub queued_prefill_tokens: u32,
-    /// Of the requests waiting, those of batch; 0 from an engine that does not tell.
+    /// Waiting batch requests, included in `waiting`; 0 if the engine does not report them.
     pub waiting_batch: u32,
-    /// Of the prompt tokens to prefill, those of batch; 0 from an engine that does not tell.
+    /// Prompt tokens of batch requests, included in `queued_prefill_tokens`; 0 if the engine
+    /// does not report them.
     pub queued_batch_prefill_tokens: u32,
-    /// Tokens held in KV memory.
+    /// Tokens stored in KV memory.
     pub kv_used_tokens: u32,
-    /// KV memory in tokens.
+    /// Capacity of the KV memory, in tokens.
     pub kv_capacity_tokens: u32,
     /// Sequences that fit in one step's batch (for an application, its concurrency).
     pub max_running: u32,
 }
 
-/// A replica as control tells gateways of it.
+/// A replica as control reports it to gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaInfo {
     /// The machine.
     pub machine: Machine,
-    /// What its engine has loaded; default for applications.
+    /// State of the engine; default for applications.
     pub engine: EngineState,
 }
--- a/crates/protocol/src/format.rs
+++ b/crates/protocol/src/format.rs
@@ -1,36 +1,37 @@
-//! Formats of what nodes say to each other and of what groups store.
+//! Formats of messages between nodes and of the data that groups store.
 //!
-//! Machines are upgraded one after the other, so that nodes of two builds work side by side.
-//! Two nodes speak the newest format that both know; a group stores in the newest one that
-//! all of its members read. A format that a released build writes is frozen: a field, message
-//! or command that comes later belongs to the next one.
+//! Machines are upgraded one at a time, so nodes of two builds run side by side. Two nodes use
+//! the newest format that both support; a group stores data in the newest format that all of
+//! its members can read. A format that a released build writes is frozen: later fields, messages
+//! and commands belong to the next format.
 
 use std::fmt;
 
-/// A format, the older the smaller.
+/// A format; older formats compare as smaller.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 #[repr(u16)]
 pub enum Format {
-    /// Without homes, evacuations, starts of replicas, marks of runs and witnesses of limits.
+    /// Without home regions, evacuations, incarnations of replicas, run ids and witnesses of
+    /// limits.
     #[default]
     First = 1,
-    /// What this build writes wherever it may.
+    /// The format that this build writes where all readers support it.
     Second = 2,
 }
 
 impl Format {
-    /// The oldest that this build reads and writes.
+    /// The oldest format that this build reads and writes.
     pub const OLDEST: Format = Format::First;
-    /// The newest that this build reads and writes.
+    /// The newest format that this build reads and writes.
     pub const NEWEST: Format = Format::Second;
 
-    /// Its number, as it is told.
+    /// The number of the format on the wire.
     #[must_use]
     pub fn number(self) -> u16 {
         self as u16
     }
 
-    /// The format of a number; `None` where this build does not know it.
+    /// The format with a number; `None` if this build does not support it.
     #[must_use]
     pub fn from_number(number: u16) -> Option<Self> {
         match number {
--- a/crates/protocol/src/frame.rs
+++ b/crates/protocol/src/frame.rs
@@ -1,8 +1,8 @@
 //! Framing: length, format, kind and checksum before each message.
 //!
 //! Layout, little endian: `u32` length of the payload, `u16` number of the [`Format`],
-//! `u16` kind, `u32` CRC-32 of the payload, payload. The payload is padded by
-//! the reader into an aligned buffer before rkyv checks it.
+//! `u16` kind, `u32` CRC-32 of the payload, payload. The reader copies the
+//! payload into an aligned buffer before rkyv validates it.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -17,14 +17,14 @@
 
 use crate::format::Format;
 
-/// Format of the frames that open a connection or keep it alive: every build reads it.
+/// Format of the frames that open a connection or keep it alive; every build reads it.
 pub const OPENING_FORMAT: Format = Format::First;
-/// Bytes before the payload.
+/// Size of the header before the payload, in bytes.
 pub const HEADER_BYTES: usize = 12;
-/// Longest payload that is accepted, in bytes.
+/// Maximum accepted payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 16 * 1024 * 1024;
 
-/// What a frame holds, so that a stream can carry several message types.
+/// Message type of a frame, so that a stream can carry several types.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u16)]
 pub enum FrameKind {
@@ -36,7 +36,7 @@
     Control = 3,
     /// [`crate::attach::PeerMessage`].
     Peer = 4,
-    /// Messages of the nodes of a fleet that caller directories lead to.
+    /// Messages between the nodes of a fleet that callers find through directories.
     Node = 5,
     /// [`crate::slots::GatewayDatagram`], in datagrams.
     Slots = 6,
@@ -59,11 +59,11 @@
 /// A parsed frame header.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FrameHeader {
-    /// Bytes of the payload.
+    /// Length of the payload, in bytes.
     pub length: usize,
     /// The format of the payload.
     pub format: Format,
-    /// What it holds.
+    /// The message type.
     pub kind: FrameKind,
     /// CRC-32 of the payload.
     pub checksum: u32,
@@ -85,7 +85,7 @@
         .map_err(|error| Report::new(ErrorKind::Internal).attach(error.to_string()))
 }
 
-/// Checks and decodes bytes of any alignment.
+/// Validates and decodes bytes of any alignment.
 ///
 /// # Errors
 /// `MalformedRequest` when the bytes are not a valid message of this type.
@@ -115,7 +115,7 @@
     let payload = encode(message)?;
     if payload.len() > MAX_PAYLOAD_BYTES {
         return Err(Report::new(ErrorKind::BodyTooLarge)
-            .attach(format!("a message of {} bytes", payload.len())));
+            .attach(format!("message too long: {} bytes", payload.len())));
     }
     let mut frame = Vec::with_capacity(HEADER_BYTES + payload.len());
     frame.extend_from_slice(&(payload.len() as u32).to_le_bytes());
@@ -126,22 +126,23 @@
     Ok(frame)
 }
 
-/// Reads a header; nothing is allocated before the length is known to be allowed.
+/// Reads a header and checks the payload length, before any buffer is allocated for the
+/// payload.
 ///
 /// # Errors
-/// `MalformedRequest` for an unknown kind, format or length.
+/// `MalformedRequest` for an unknown kind or format, or a length over the maximum.
 pub fn read_header(bytes: &[u8; HEADER_BYTES]) -> Result<FrameHeader, Report<ErrorKind>> {
     let length = u32::from_le_bytes([bytes[0], bytes[1], bytes[2], bytes[3]]) as usize;
     let format = u16::from_le_bytes([bytes[4], bytes[5]]);
     let number = u16::from_le_bytes([bytes[6], bytes[7]]);
     let checksum = u32::from_le_bytes([bytes[8], bytes[9], bytes[10], bytes[11]]);
-    let format =
-        Format::from_number(format).ok_or_else(|| malformed(format!("format {format}")))?;
+    let format = Format::from_number(format)
+        .ok_or_else(|| malformed(format!("unknown frame format {format}")))?;
     if length > MAX_PAYLOAD_BYTES {
-        return Err(malformed(format!("a payload of {length} bytes")));
+        return Err(malformed(format!("payload too long: {length} bytes")));
     }
     let kind = FrameKind::from_number(number)
-        .ok_or_else(|| malformed(format!("a frame of kind {number}")))?;
+        .ok_or_else(|| malformed(format!("unknown frame kind {number}")))?;
     Ok(FrameHeader {
         length,
         format,
@@ -150,10 +151,10 @@
     })
 }
 
-/// Checks a payload against its header and decodes it.
+/// Verifies a payload against its header and decodes it.
 ///
 /// # Errors
-/// `Corrupted` when the checksum differs, `MalformedRequest` when rkyv refuses it.
+/// `Corrupted` when the checksum differs, `MalformedRequest` when rkyv's validation fails.
 pub fn read_payload<T>(header: &FrameHeader, payload: &[u8]) -> Result<T, Report<ErrorKind>>
 where
     T: Archive,
@@ -161,7 +162,7 @@
         + Deserialize<T, HighDeserializer<rancor::Error>>,
 {
     if crc32fast::hash(payload) != header.checksum {
-        return Err(Report::new(ErrorKind::Corrupted).attach("the frame's checksum differs"));
+        return Err(Report::new(ErrorKind::Corrupted).attach("frame checksum mismatch"));
     }
     decode(payload)
 }
--- a/crates/protocol/src/hash.rs
+++ b/crates/protocol/src/hash.rs
@@ -1,4 +1,4 @@
-//! A hash that every process and build computes alike.
+//! A hash that is the same in every process and build.
 
 const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,7 +1,7 @@
-//! Typed messages between linnethitch's own processes and their framing.
+//! Messages exchanged between linnethitch processes, and their framing.
 //!
-//! All messages derive rkyv's traits and are validated before use. The
-//! messages are plain data: no behaviour of a role lives here.
+//! All messages derive rkyv's traits and are validated before use. They are
+//! plain data; the behaviour of the roles is implemented in other crates.
 
 #![allow(
     missing_docs,
--- a/crates/protocol/src/load_digest.rs
+++ b/crates/protocol/src/load_digest.rs
@@ -1,10 +1,10 @@
 //! Loads of replicas in twelve bytes each, for hundreds of receivers.
 //!
 //! A [`LoadReport`] with its replica's name takes about 70 bytes. A
-//! [`CompactLoad`] names the replica by a checksum of its name and holds each
-//! count as one byte that is exact up to 15 and at most a sixteenth off above.
-//! What hardly ever changes, the capacities, is not in it: it goes with the
-//! whole reports that a receiver gets first.
+//! [`CompactLoad`] identifies the replica by a checksum of its name and stores
+//! each count in one byte, which is exact up to 15 and at most a sixteenth off
+//! above. Capacities are not included because they rarely change: a receiver
+//! takes them from the complete reports that are sent first.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -15,11 +15,11 @@
 
 /// Counts below this are exact.
 const EXACT_COUNTS: u32 = 16;
-/// Bits of a count that are kept after its leading one.
+/// Bits of a count that are stored after its leading one bit.
 const MANTISSA_BITS: u32 = 3;
-/// Steps between a count and its double.
+/// Levels between a count and its double.
 const STEPS: u32 = 1 << MANTISSA_BITS;
-/// One step of an age, in milliseconds.
+/// Resolution of an age, in milliseconds.
 const AGE_STEP_MS: u64 = 32;
 
 /// A count in one byte.
@@ -38,7 +38,7 @@
         Level((EXACT_COUNTS + (shift - 1) * STEPS + mantissa) as u8)
     }
 
-    /// The count in the middle of what has this level.
+    /// The middle of the range of counts with this level.
     #[must_use]
     pub fn count(self) -> u32 {
         let level = u32::from(self.0);
@@ -51,7 +51,7 @@
         u32::try_from(middle).unwrap_or(u32::MAX)
     }
 
-    /// How many levels lie between this and another.
+    /// The number of levels between this and another.
     #[must_use]
     pub fn distance(self, other: Level) -> u32 {
         u32::from(self.0.abs_diff(other.0))
@@ -67,13 +67,13 @@
     pub running_batch: Level,
     /// Requests waiting.
     pub waiting: Level,
-    /// Of these, batch requests.
+    /// Batch requests waiting, included in `waiting`.
     pub waiting_batch: Level,
     /// Prompt tokens still to prefill.
     pub queued_prefill_tokens: Level,
-    /// Of these, batch requests' ones.
+    /// Prompt tokens of batch requests, included in `queued_prefill_tokens`.
     pub queued_batch_prefill_tokens: Level,
-    /// Tokens held in KV memory.
+    /// Tokens stored in KV memory.
     pub kv_used_tokens: Level,
 }
 
@@ -92,7 +92,7 @@
         }
     }
 
-    /// How far these are from others; 0 when they are the same.
+    /// The sum of the distances of all counts; 0 when they are the same.
     #[must_use]
     pub fn distance(&self, other: &LoadLevels) -> u32 {
         self.running_online.distance(other.running_online)
@@ -109,8 +109,8 @@
     }
 }
 
-/// Stands for a replica's name: its CRC-32, which differs for names that differ
-/// in up to four neighbouring bytes, as those of one pool do.
+/// CRC-32 of a replica's name. It differs for names that differ only within four
+/// adjacent bytes, as the names of one pool do.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize,
 )]
@@ -125,25 +125,25 @@
 /// The load of one replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct CompactLoad {
-    /// Which.
+    /// The replica.
     pub replica: ShortReplicaId,
-    /// Its counts.
+    /// The counts.
     pub levels: LoadLevels,
-    /// Steps of 32 ms between the measurement and the digest's base.
+    /// Time from the measurement to the digest's base, in steps of 32 ms.
     pub age: u8,
 }
 
 /// Loads that changed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct LoadDigest {
-    /// When the newest of them was measured.
+    /// When the newest load was measured.
     pub base: Timestamp,
     /// The loads.
     pub loads: Vec<CompactLoad>,
 }
 
 impl LoadDigest {
-    /// A digest of these reports.
+    /// Creates a digest of reports.
     #[must_use]
     pub fn of<'a>(reports: impl Iterator<Item = (&'a ReplicaId, &'a LoadReport)> + Clone) -> Self {
         let measured = reports.clone().map(|(_, load)| load.measured_at);
@@ -159,7 +159,7 @@
         }
     }
 
-    /// The report that an entry tells of, with the capacities of an earlier whole one.
+    /// The report of an entry, with the capacities of an earlier complete report.
     #[must_use]
     pub fn report(&self, compact: &CompactLoad, earlier: &LoadReport) -> LoadReport {
         let age_ms = u64::from(compact.age) * AGE_STEP_MS;
@@ -179,7 +179,7 @@
     }
 }
 
-/// Steps of an age, rounded up so that nothing seems newer than it is.
+/// An age in steps, rounded up so that no load appears newer than it is.
 fn age_of(base: Timestamp, measured_at: Timestamp) -> u8 {
     let age_ms = base.0.saturating_sub(measured_at.0);
     u8::try_from(age_ms.div_ceil(AGE_STEP_MS)).unwrap_or(u8::MAX)
--- a/crates/protocol/src/query.rs
+++ b/crates/protocol/src/query.rs
@@ -13,7 +13,7 @@
 /// A read.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Query {
-    /// The configuration in force (its source text and revision).
+    /// The configuration in force: its source text and revision.
     Configuration,
     /// The outcome of a change.
     Change(ChangeId),
@@ -21,62 +21,62 @@
     Job(TenantId, JobId),
     /// A tenant's jobs, newest first, after the given one.
     Jobs {
-        /// Whose.
+        /// The tenant.
         tenant: TenantId,
         /// Start after this job.
         after: Option<JobId>,
-        /// At most this many.
+        /// Maximum number of results.
         limit: u32,
     },
     /// One file's record.
     File(TenantId, FileId),
     /// A tenant's finished input files, newest first, after the given one.
     Files {
-        /// Whose.
+        /// The tenant.
         tenant: TenantId,
         /// Start after this file.
         after: Option<FileId>,
-        /// At most this many.
+        /// Maximum number of results.
         limit: u32,
     },
     /// Bytes of a file (input file, or a job's output or error file).
     FileContent {
-        /// Whose.
+        /// The tenant.
         tenant: TenantId,
-        /// Which.
+        /// The file.
         file: FileId,
-        /// An opaque position; 0 at the start, then what the last answer said.
+        /// An opaque position: 0 at the start, then the `next` of the last answer.
         cursor: u64,
-        /// About this many bytes.
+        /// Approximate number of bytes to return.
         limit: u32,
     },
-    /// The answer kept under an idempotency key.
+    /// The answer stored under an idempotency key.
     Claim(TenantId, IdempotencyKey),
     /// Members, gateways, replicas and revisions.
     Status,
 }
 
-/// The state of a job, in the words of the OpenAI interface.
+/// The state of a job, in the terms of the OpenAI API.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum JobState {
     /// Items are pending or running.
     InProgress,
     /// Every item has its result.
     Completed,
-    /// Cancel is committed; running items are being stopped.
+    /// Cancellation is committed; running items are being stopped.
     Cancelling,
-    /// Nothing of it runs any more.
+    /// Cancelled, and no item is running any more.
     Cancelled,
-    /// The completion window ended; unfinished items were given up with an error each.
+    /// The completion window ended; each unfinished item got an error as its result.
     Expired,
 }
 
-/// What is told of a job.
+/// A job as returned by queries.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// Its id.
+    /// The job.
     pub job: JobId,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: TenantId,
     /// The input file.
     pub input: FileId,
@@ -84,57 +84,57 @@
     pub output: FileId,
     /// Results of failed items.
     pub errors: FileId,
-    /// The path of its items, such as `/v1/chat/completions`.
+    /// The path of the items, such as `/v1/chat/completions`.
     pub endpoint: String,
-    /// Its state.
+    /// The state.
     pub state: JobState,
-    /// Items in all.
+    /// Number of items.
     pub total: u32,
     /// Items with a successful result.
     pub completed: u32,
     /// Items with a failed result.
     pub failed: u32,
-    /// When it was accepted.
+    /// When the job was accepted.
     pub created_at: Timestamp,
-    /// When it must be complete.
+    /// When the job must be complete.
     pub deadline: Timestamp,
-    /// When it reached its last state.
+    /// When the job reached its final state.
     pub finished_at: Option<Timestamp>,
     /// The caller's metadata as JSON text.
     pub metadata: String,
 }
 
-/// What is told of a file.
+/// A file as returned by queries.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FileRecord {
-    /// Its id.
+    /// The file.
     pub file: FileId,
-    /// Its tenant.
+    /// The tenant.
     pub tenant: TenantId,
     /// `batch` or `batch_output`.
     pub purpose: String,
-    /// The caller's name of it.
+    /// The caller's name of the file.
     pub filename: String,
-    /// Its size in bytes.
+    /// Size in bytes.
     pub bytes: u64,
-    /// Its lines.
+    /// Number of lines.
     pub lines: u32,
-    /// When it was finished.
+    /// When the file was finished.
     pub created_at: Timestamp,
 }
 
-/// What the ledger keeps of an idempotency key.
+/// State of an idempotency key in the ledger.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum ClaimRecord {
     /// A gateway holds the claim and has not answered yet.
     Running,
-    /// The kept answer.
+    /// The stored answer.
     Answered(StoredAnswer),
     /// An at-most-once request was started and its answer was lost.
     OutcomeUnknown,
 }
 
-/// An answer that is given again to every resend.
+/// An answer that is stored and returned to every resend.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct StoredAnswer {
     /// HTTP status.
@@ -145,38 +145,38 @@
     pub body: Vec<u8>,
 }
 
-/// What is told of a control member.
+/// Status of a control member.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Which.
+    /// The member.
     pub member: MemberId,
-    /// Whether its vote counts.
+    /// Whether the member is a voter.
     pub voter: bool,
-    /// Whether it leads.
+    /// Whether the member is the leader.
     pub leader: bool,
-    /// Synced up to this index, as the leader knows it.
+    /// Highest index known to the leader to be synced by the member.
     pub matched: u64,
-    /// Milliseconds since the leader heard of it.
+    /// Time since the leader's last contact with the member, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// What is told of a gateway.
+/// Status of a gateway.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct GatewayStatus {
-    /// Which.
+    /// The gateway.
     pub gateway: GatewayId,
-    /// The revision it has confirmed.
+    /// The revision that the gateway has confirmed.
     pub revision: Revision,
-    /// Milliseconds since it was heard of.
+    /// Time since the last contact with the gateway, in milliseconds.
     pub silent_ms: u64,
 }
 
-/// What is told of a replica.
+/// Status of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReplicaStatus {
-    /// Which.
+    /// The replica.
     pub replica: ReplicaId,
-    /// Its zone.
+    /// The zone.
     pub zone: String,
     /// Model and version, or service.
     pub serves: String,
@@ -184,7 +184,7 @@
     pub state: String,
 }
 
-/// The fleet at a glance.
+/// Status of the fleet.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FleetStatus {
     /// The committed revision.
@@ -199,11 +199,11 @@
     pub gateways: Vec<GatewayStatus>,
     /// Replicas.
     pub replicas: Vec<ReplicaStatus>,
-    /// Zones to whose replicas nothing new is sent.
+    /// Zones whose replicas receive no new requests.
     pub evacuated_zones: Vec<String>,
-    /// Jobs not yet at an end.
+    /// Jobs that have not ended.
     pub open_jobs: u64,
-    /// Items pending.
+    /// Pending items.
     pub pending_items: u64,
     /// Items under lease.
     pub leased_items: u64,
@@ -214,12 +214,12 @@
 pub enum QueryAnswer {
     /// To [`Query::Configuration`].
     Configuration {
-        /// Its revision; 0 when none was ever applied.
+        /// The revision; 0 if no configuration was ever applied.
         revision: Revision,
         /// The operator's file, as applied.
         content: String,
     },
-    /// To [`Query::Change`]: the revision that the change became, if it was accepted.
+    /// To [`Query::Change`]: the revision of the change if it was accepted.
     Change(Option<Revision>),
     /// To [`Query::Job`].
     Job(Option<JobRecord>),
@@ -243,26 +243,26 @@
     FileContent {
         /// The next bytes.
         data: Vec<u8>,
-        /// Where to go on; `None` at the end.
+        /// The cursor from which to continue; `None` at the end.
         next: Option<u64>,
     },
     /// To [`Query::Claim`].
     Claim(Option<ClaimRecord>),
-    /// To [`Query::Status`], in the first format only.
+    /// To [`Query::Status`]; only in the first format.
     FirstStatus(FirstFleetStatus),
     /// To [`Query::Status`].
     Status(FleetStatus),
 }
 
-/// One result as the output file shows it.
+/// The result of an item as written to the output file.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ItemOutcome {
     /// The item.
     pub item: ItemNumber,
-    /// HTTP status of the answer; 0 when there was none.
+    /// HTTP status of the answer; 0 if there was no answer.
     pub status: u16,
-    /// The code of the error table when the item failed, else empty.
+    /// The code of the error table if the item failed, else empty.
     pub error_code: String,
-    /// The response body (JSON), or the error's message.
+    /// The JSON response body, or the error message.
     pub body: Vec<u8>,
 }
--- a/crates/protocol/src/quota.rs
+++ b/crates/protocol/src/quota.rs
@@ -1,5 +1,4 @@
-//! What gateways say to each other of tenants' limits. Datagrams may be lost: nothing
-//! here has to arrive.
+//! Messages between gateways about tenant limits. The protocol tolerates lost datagrams.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
@@ -8,58 +7,60 @@
 /// A message between the gateways that count a tenant's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum QuotaMessage {
-    /// A gateway needs leave for requests of a tenant.
+    /// A gateway asks for permits for a tenant's requests.
     Ask {
         /// The tenant.
         tenant: String,
-        /// Requests that it wants leave for.
+        /// Number of requested permits.
         requested: u32,
-        /// Repeats of requests that had leave, since it asked last.
+        /// Requests with a permit that were sent again since the last message.
         resent: u32,
-        /// Requests that it gave leave to by itself while nobody answered it.
+        /// Requests that the gateway sent without a lease while no coordinator answered.
         sent_without_lease: u32,
-        /// Requests that had leave and were sent long after it was given.
+        /// Requests with a permit that were sent long after it was granted.
         sent_late: u32,
-        /// Requests that were granted and did not come.
+        /// Permits that were granted but not used.
         unused: u32,
     },
     /// The answer.
     Grant {
         /// The tenant.
         tenant: String,
-        /// Requests that may be sent.
+        /// Number of requests that may be sent.
         granted: u32,
-        /// Where none: when the next may be, in milliseconds.
+        /// If no request may be sent: time until the next one may be, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The sender has not heard of control for a while. Those who say so count what the
-    /// others of them may use.
+    /// The sender has had no contact with control for some time. Gateways that send this
+    /// message coordinate the limits among themselves.
     ControlUnreachable,
-    /// A gateway that counts tenants says so to its witnesses.
+    /// A coordinator of tenant limits announces itself to its witnesses.
     WitnessRequest {
-        /// When it was sent, by the sender's clock, in milliseconds.
+        /// When the message was sent, by the sender's clock, in milliseconds.
         sent_ms: u64,
     },
-    /// A witness answers that.
+    /// Answer of a witness to [`Self::WitnessRequest`].
     WitnessResponse {
-        /// The time that it was sent, as it was told.
+        /// The `sent_ms` of the request.
         sent_ms: u64,
     },
-    /// A gateway that a coordinator does not answer asks a witness of that one.
+    /// A gateway that receives no answer from a coordinator asks one of the coordinator's
+    /// witnesses whether the witness has contact with it.
     ContactQuery {
         /// The coordinator.
         coordinator: MachineId,
-        /// When it was asked, by the sender's clock, in milliseconds.
+        /// When the query was sent, by the sender's clock, in milliseconds.
         asked_ms: u64,
     },
-    /// The witness has not heard the coordinator for a while in which it was awake itself.
+    /// The witness has had no contact with the coordinator for some time, during which the
+    /// witness's own process was not paused.
     NoContact {
         /// The coordinator.
         coordinator: MachineId,
-        /// The time that it was asked, as it was told.
+        /// The `asked_ms` of the query.
         asked_ms: u64,
     },
-    /// The gateway that was asked does not count this tenant's requests.
+    /// The sender does not coordinate this tenant's limit.
     NotCoordinator {
         /// The tenant.
         tenant: String,
--- a/crates/protocol/src/slots.rs
+++ b/crates/protocol/src/slots.rs
@@ -1,71 +1,71 @@
-//! Leases of replicas' slots, asked for in datagrams between gateways.
+//! Leases of replica slots, requested in datagrams between gateways.
 //!
-//! Each replica has one gateway that coordinates its slots. The others ask it
-//! for a slot, tell it when they give one back, and from time to time which
-//! ones they hold. Datagrams may be lost: nothing here has to arrive.
+//! One gateway coordinates the slots of each replica. The other gateways request
+//! slots from the coordinator, report when they release one, and periodically
+//! list the leases that they hold. The protocol tolerates lost datagrams.
 
 use rkyv::{Archive, Deserialize, Serialize};
 
 use crate::{quota::QuotaMessage, suspicion::ReportedSuspicion};
 
-/// What an asker does when no slot is free.
+/// What the requesting gateway does when no slot is free.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum AskMode {
-    /// It tries another replica.
+    /// Tries another replica.
     Probe,
-    /// It waits for one here.
+    /// Waits for a slot of this replica.
     Wait,
-    /// It sends its request all the same, which has to be counted.
+    /// Sends the request without waiting; the coordinator counts it over the slot limit.
     Force,
-    /// It tries another replica, and does so too where batch items have the slots.
+    /// Tries another replica, also when batch items could be preempted for a slot.
     FreeOnly,
-    /// It waits for a slot here while no other such request has one: a request under
-    /// which replicas ended must not run beside another one.
+    /// Waits for a slot of this replica until no other exclusive request has one: a request
+    /// during which replicas ended must not run concurrently with another such request.
     Exclusive,
 }
 
-/// How a run at a replica came out, as its coordinator needs it.
+/// The outcome of a run at a replica, as reported to the coordinator.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum RunOutcome {
-    /// With the replica's whole answer.
+    /// The replica sent a complete answer.
     Served,
-    /// The replica could not be reached, broke off, or failed it.
+    /// The replica could not be reached, closed the connection early, or failed the request.
     Failed,
-    /// The replica said nothing for long.
+    /// The replica sent nothing until the timeout.
     Silent,
-    /// It tells nothing of the replica: it was not run, or its caller left.
+    /// Says nothing about the replica: the request was not run, or its caller disconnected.
     #[default]
     Unknown,
 }
 
-/// What a coordinator answers.
+/// A coordinator's decision on a slot request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum Verdict {
-    /// A slot is the asker's.
+    /// A slot is leased to the requesting gateway.
     Granted,
-    /// Online requests have every slot; asked for a free one, no slot is free.
+    /// Online requests have every slot; for [`AskMode::FreeOnly`], no slot is free.
     Full,
-    /// The asker is told when a slot is its own.
+    /// The requesting gateway is notified when it is granted a slot.
     Queued,
     /// This gateway does not coordinate that replica.
     NotCoordinator,
 }
 
-/// What is under way at a replica, as its coordinator counts it.
+/// The load of a replica, as counted by its coordinator.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct SlotLoad {
     /// The replica.
     pub replica: String,
-    /// Requests that it works on at once.
+    /// Maximum number of concurrent requests.
     pub slots: u16,
     /// Slots leased to online requests.
     pub online: u16,
-    /// Slots that batch items have.
+    /// Slots leased to batch items.
     pub items: u16,
-    /// Online requests that wait for a slot.
+    /// Online requests waiting for a slot.
     pub waiting: u16,
-    /// Whether nothing is to be sent there: it fails what it is given, or its zone is
-    /// evacuated.
+    /// Whether the replica must receive no requests, because it fails them or because its
+    /// zone is evacuated.
     pub closed: bool,
 }
 
@@ -74,52 +74,52 @@
 pub struct HeldLease {
     /// The replica.
     pub replica: String,
-    /// The holder's number of the lease.
+    /// The number that the holder gave the lease.
     pub number: u64,
-    /// Whether it was asked for by [`AskMode::Exclusive`].
+    /// Whether the lease was requested with [`AskMode::Exclusive`].
     pub exclusive: bool,
 }
 
 /// A datagram between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum GatewayDatagram {
-    /// A request needs a slot.
+    /// Requests a slot.
     Ask {
-        /// The asker's number of the lease.
+        /// The number that the requesting gateway gave the lease.
         number: u64,
         /// The replica.
         replica: String,
-        /// Time until the request is late, in milliseconds; 0 when it is.
+        /// Time until the request is due, in milliseconds; 0 after the due time.
         due_in_ms: u32,
-        /// Its rank; 0 is the highest.
+        /// Priority of the request; 0 is the highest.
         rank: u8,
-        /// What happens when none is free.
+        /// What to do when no slot is free.
         mode: AskMode,
     },
-    /// The answer; a queued asker gets a second one.
+    /// The answer to a slot request; a queued request gets a second answer.
     Answer {
-        /// The asker's number of the lease.
+        /// The number that the requesting gateway gave the lease.
         number: u64,
-        /// What was decided.
+        /// The decision.
         verdict: Verdict,
-        /// Load of the replicas that the answering gateway coordinates.
+        /// Loads of the replicas that the answering gateway coordinates.
         loads: Vec<SlotLoad>,
     },
-    /// A slot is given back, or no longer asked for.
+    /// Releases a slot or withdraws the request for one.
     End {
-        /// The asker's number of the lease.
+        /// The number that the requesting gateway gave the lease.
         number: u64,
-        /// How the request came out.
+        /// The outcome of the request.
         outcome: RunOutcome,
     },
-    /// Every lease that the sender holds of the receiver.
+    /// Every lease that the receiver granted and the sender still holds.
     Held {
         /// The leases.
         leases: Vec<HeldLease>,
     },
-    /// What the sender knows of requests under which replicas ended, or which were cleared
-    /// of that. Control tells it too, a little later, and not at all while it has no leader.
+    /// Requests during which replicas ended, and requests cleared of that suspicion, as known
+    /// to the sender. Control reports them as well, but later, and not while it has no leader.
     Suspicions(Vec<ReportedSuspicion>),
-    /// About tenants' limits.
+    /// A message about tenant limits.
     Quota(QuotaMessage),
 }
--- a/crates/protocol/src/stored.rs
+++ b/crates/protocol/src/stored.rs
@@ -1,9 +1,9 @@
-//! Encoded values that are kept on disk: commands in a log, snapshots.
+//! Encoding of values stored on disk, such as commands in a log and snapshots.
 //!
-//! One byte names the layout of the value, its rkyv bytes follow. A build reads
-//! the layouts it knows and refuses others without touching them, so that a
-//! data folder of a newer build is never taken for a damaged one. A new layout
-//! is first read by every process of a fleet, and only then written.
+//! The first byte is the layout of the value; its rkyv bytes follow. A build
+//! reads the layouts that it supports and refuses others without changing them,
+//! so that a data folder of a newer build is not reported as damaged. A new
+//! layout is written only after every process of a fleet can read it.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -18,7 +18,7 @@
 
 use crate::frame;
 
-/// Encodes a value in a layout.
+/// Encodes a value with its layout byte.
 ///
 /// # Errors
 /// `Internal` when the value cannot be encoded.
@@ -33,11 +33,11 @@
     Ok(bytes)
 }
 
-/// Decodes a value that was stored in one of these layouts, which hold the same type.
+/// Decodes a value that was stored in one of these layouts, which have the same type.
 ///
 /// # Errors
-/// `DataFolderRefused` when the bytes are of another layout, `Corrupted` when
-/// they are no valid value of this one.
+/// `DataFolderRefused` when the bytes have another layout, `Corrupted` when
+/// they are not a valid value of the type.
 pub fn decode<T>(layouts: &[u8], bytes: &[u8]) -> Result<T, Report<ErrorKind>>
 where
     T: Archive,
@@ -45,17 +45,17 @@
         + Deserialize<T, HighDeserializer<rancor::Error>>,
 {
     let Some((found, encoded)) = bytes.split_first() else {
-        return Err(Report::new(ErrorKind::Corrupted).attach("a stored value is empty"));
+        return Err(Report::new(ErrorKind::Corrupted).attach("stored value is empty"));
     };
     if !layouts.contains(found) {
         return Err(Report::new(ErrorKind::DataFolderRefused).attach(format!(
-            "a stored value is of layout {found}, this program reads {layouts:?}"
+            "stored value has unknown layout {found}; this build reads layouts {layouts:?} here"
         )));
     }
     frame::decode(encoded).map_err(|report| report.change_context(ErrorKind::Corrupted))
 }
 
-/// The layout that a stored value names.
+/// The layout byte of a stored value; `None` if the value is empty.
 #[must_use]
 pub fn layout_of(bytes: &[u8]) -> Option<u8> {
     bytes.first().copied()
--- a/crates/protocol/src/suspicion.rs
+++ b/crates/protocol/src/suspicion.rs
@@ -1,34 +1,36 @@
-//! What gateways say of requests under which replicas ended.
+//! Requests suspected of ending replicas, as reported between gateways and control.
 
 use std::fmt;
 
 use rkyv::{Archive, Deserialize, Serialize};
 use sha2::{Digest, Sha256};
 
-/// Bytes of the digest that a fingerprint keeps: 128 bits, so that nobody finds a
-/// second content for a fingerprint.
-const KEPT_BYTES: usize = 16;
+/// Length of a fingerprint in bytes: 128 bits of the digest make it infeasible to find a second
+/// content with the same fingerprint.
+const FINGERPRINT_BYTES: usize = 16;
 
-/// What a request says, whatever id and headers of the connection it comes with.
+/// The content of a request that identifies its copies; request id and connection headers are
+/// not part of it.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestContent<'a> {
     /// The method.
     pub method: &'a str,
-    /// The host that it names.
+    /// The host named by the request.
     pub host: &'a [u8],
     /// Path and query.
     pub path: &'a str,
-    /// Who the caller says to be; empty where callers name nobody.
+    /// The identity stated by the caller; empty where callers state none.
     pub caller: &'a [u8],
-    /// The whole body.
+    /// The complete body.
     pub body: &'a [u8],
 }
 
-/// Alike for all copies of a request, at any gateway, and for no other request.
+/// Digest of a request's content: the same for all copies of a request at any gateway, and
+/// different for other requests.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Archive, Serialize, Deserialize,
 )]
-pub struct RequestFingerprint(pub [u8; KEPT_BYTES]);
+pub struct RequestFingerprint(pub [u8; FINGERPRINT_BYTES]);
 
 impl RequestFingerprint {
     /// The fingerprint of a request's content.
@@ -43,16 +45,16 @@
         ];
         let mut digest = Sha256::new();
         for part in parts {
-            // With its length, so that no part can pass for the beginning of the next.
+            // The length prefix keeps the boundaries between the parts unambiguous.
             digest.update((part.len() as u64).to_le_bytes());
             digest.update(part);
         }
-        let mut kept = [0; KEPT_BYTES];
-        kept.copy_from_slice(&digest.finalize()[..KEPT_BYTES]);
-        RequestFingerprint(kept)
+        let mut truncated = [0; FINGERPRINT_BYTES];
+        truncated.copy_from_slice(&digest.finalize()[..FINGERPRINT_BYTES]);
+        RequestFingerprint(truncated)
     }
 
-    /// A number that spreads requests over replicas.
+    /// A number for distributing requests over replicas.
     #[must_use]
     pub fn number(&self) -> u64 {
         let bytes = self.0.first_chunk().copied().unwrap_or_default();
@@ -68,23 +70,23 @@
     }
 }
 
-/// Lengths of runs that are remembered of a row: as many ends as are needed under runs of a
-/// minute.
+/// Maximum number of run lengths recorded per request: the number of ends that runs of one
+/// minute need before the request is refused.
 pub const MAX_RUN_LENGTHS: usize = 64;
 
-/// What is known of one request: a row of replicas that ended under it, one after the
-/// other, since a copy of it last came to a whole answer.
+/// Consecutive ends of replicas during runs of one request, since a copy of the request last
+/// got a complete answer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ConsecutiveEnds {
-    /// How often the request was cleared of suspicion; rows before the last time are over.
+    /// How often the request was cleared of suspicion; ends before the last clearing no longer
+    /// count.
     pub clearings: u32,
-    /// How long each run had lasted when its replica ended, in milliseconds, the newest
-    /// last.
+    /// Length of each run until its replica ended, in milliseconds, newest last.
     pub lengths_ms: Vec<u32>,
 }
 
 impl ConsecutiveEnds {
-    /// So many ends under runs of one length, never cleared.
+    /// Ends during runs of the same length, without a clearing.
     #[must_use]
     pub fn with_equal_lengths(ran_ms: u32, ends: u32) -> Self {
         ConsecutiveEnds {
@@ -93,14 +95,14 @@
         }
     }
 
-    /// Whether no replica ended.
+    /// Whether no replica has ended since the last clearing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.lengths_ms.is_empty()
     }
 
-    /// Whether this is known later than another: of two that know of the same clearings
-    /// the longer one is.
+    /// Whether this state is newer than another: it has more clearings, or as many clearings
+    /// and more ends.
     #[must_use]
     pub fn supersedes(&self, other: &ConsecutiveEnds) -> bool {
         let rank = |consecutive_ends: &ConsecutiveEnds| {
@@ -113,24 +115,24 @@
     }
 }
 
-/// A run that broke off when its replica ended.
+/// A run that was interrupted when its replica ended.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct EndedRun {
-    /// What ran.
+    /// The request.
     pub fingerprint: RequestFingerprint,
-    /// What was known where the run began, when it began.
+    /// The ends known to the sending gateway when the run began.
     pub known: ConsecutiveEnds,
-    /// How long it had run, in milliseconds.
+    /// Length of the run, in milliseconds.
     pub ran_ms: u32,
 }
 
-/// What a gateway knows of a request, as it tells others.
+/// A gateway's knowledge of a suspected request, as sent to other gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct ReportedSuspicion {
     /// The request.
     pub fingerprint: RequestFingerprint,
-    /// The replica that ended last, by the key of its start.
+    /// Incarnation key of the replica that ended last.
     pub replica: String,
-    /// The ends under it.
+    /// The ends during its runs.
     pub consecutive_ends: ConsecutiveEnds,
 }
--- a/crates/protocol/src/text_edit.rs
+++ b/crates/protocol/src/text_edit.rs
@@ -1,18 +1,18 @@
-//! Line edits between two texts: finding them and carrying them out.
+//! Line edits between two texts: computing and applying them.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
 
 use crate::attach::TextEdit;
 
-/// Most inserted plus removed lines for which the shortest edits are searched.
+/// Maximum number of inserted plus removed lines for which the shortest edits are searched.
 ///
-/// Time and memory of the search grow with the square of this number only.
-/// Texts that differ more are replaced from their first to their last
-/// differing line.
+/// Time and memory of the search grow with the square of this number only. In
+/// texts with more differences, everything from the first to the last differing
+/// line is replaced.
 const MAX_SEARCHED_DIFFERENCES: usize = 512;
 
-/// Carries edits out.
+/// Applies edits to a text.
 ///
 /// # Errors
 /// `MalformedRequest` when the edits do not fit the text.
@@ -25,7 +25,7 @@
         let after = first + edit.removed as usize;
         if first < next || after > lines.len() {
             return Err(Report::new(ErrorKind::MalformedRequest).attach(format!(
-                "an edit of lines {first} to {after} does not fit a text of {} lines",
+                "text edit out of range: lines {first} to {after} of a text of {} lines",
                 lines.len()
             )));
         }
@@ -71,9 +71,9 @@
 /// One inserted or removed line.
 #[derive(Clone, Copy)]
 enum Step {
-    /// The old line at this position goes.
+    /// Removes the old line at this position.
     Remove { old: usize },
-    /// The new line comes before the old line at this position.
+    /// Inserts the new line before the old line at this position.
     Insert { old: usize, new: usize },
 }
 
@@ -102,8 +102,8 @@
     None
 }
 
-/// Where a path on `diagonal` starts after its last step: one line was
-/// removed (from the diagonal below) or inserted (from the one above).
+/// The old line at which a path on `diagonal` starts after its last step, which removed a line
+/// (coming from the diagonal below) or inserted one (coming from the diagonal above).
 fn step_start(previous: Option<&Frontier>, differences: isize, diagonal: isize) -> usize {
     let Some(previous) = previous else {
         return 0;
@@ -156,7 +156,7 @@
     steps
 }
 
-/// Joins neighbouring steps into edits.
+/// Joins adjacent steps into edits.
 fn join_steps(steps: &[Step], new: &[&str], offset: usize) -> Vec<TextEdit> {
     let mut edits: Vec<TextEdit> = Vec::new();
     for step in steps {
--- a/crates/protocol/tests/load_digest.rs
+++ b/crates/protocol/tests/load_digest.rs
@@ -1,4 +1,4 @@
-//! Compact loads keep each count within a sixteenth and never make a load newer.
+//! Compact loads store each count to within a sixteenth and never make a load newer.
 
 use linnethitch_protocol::{
     fleet::LoadReport,
@@ -21,14 +21,14 @@
 
 proptest! {
     #[test]
-    fn a_level_is_within_a_sixteenth_and_keeps_the_order(one in any::<u32>(), other in any::<u32>()) {
+    fn a_level_is_within_a_sixteenth_and_preserves_the_order(one in any::<u32>(), other in any::<u32>()) {
         let decoded = Level::of(one).count();
         prop_assert!(u64::from(decoded.abs_diff(one)) * 16 <= u64::from(one) + 16);
         prop_assert!(one > other || Level::of(one).0 <= Level::of(other).0);
     }
 
     #[test]
-    fn a_decoded_report_is_near_the_sent_one(
+    fn a_decoded_report_approximates_the_sent_one(
         counts in prop::array::uniform7(0u32..1_000_000),
         measured_at in 1_000_000u64..1_010_000,
     ) {
@@ -54,8 +54,8 @@
         prop_assert_eq!(LoadLevels::of(&decoded), LoadLevels::of(&load));
         prop_assert_eq!(decoded.kv_capacity_tokens, load.kv_capacity_tokens);
         let age = 1_010_000 - measured_at;
-        let oldest_told = 255 * 32;
-        prop_assert!(decoded.measured_at <= load.measured_at || age > oldest_told);
+        let max_age_ms = 255 * 32;
+        prop_assert!(decoded.measured_at <= load.measured_at || age > max_age_ms);
     }
 }
 
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn names_of_a_large_pool_differ_in_short() {
+fn short_ids_of_a_large_pool_are_unique() {
     let mut short: Vec<ShortReplicaId> = (0..10_000)
         .map(|number| ShortReplicaId::from(&ReplicaId(format!("engine-{number}"))))
         .collect();
--- a/crates/protocol/tests/text_edit.rs
+++ b/crates/protocol/tests/text_edit.rs
@@ -1,4 +1,4 @@
-//! Line edits turn the old text into the new one, and stay small for small changes.
+//! Line edits turn the old text into the new one, and are small for small changes.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -16,7 +16,7 @@
 #[case::first_line("a\nb\nc\n", "x\nb\nc\n", 1)]
 #[case::last_line_without_line_feed("a\nb", "a\nc", 1)]
 #[case::line_feed_added("a\nb", "a\nb\n", 1)]
-#[case::two_places("a\nb\nc\nd\ne\n", "x\nb\nc\nd\ny\n", 2)]
+#[case::two_positions("a\nb\nc\nd\ne\n", "x\nb\nc\nd\ny\n", 2)]
 #[case::moved("a\nb\nc\n", "b\nc\na\n", 2)]
 #[case::repeated_lines("a\na\na\n", "a\na\n", 1)]
 fn edits_turn_old_into_new(#[case] old: &str, #[case] new: &str, #[case] edits: usize) {
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn far_apart_changes_of_a_large_text_make_small_edits() {
+fn distant_changes_of_a_large_text_give_small_edits() {
     let line = |number: usize| format!("tenant = \"{number}\"\n");
     let old: String = (0..100_000).map(line).collect();
     let new = old
@@ -51,12 +51,12 @@
 }
 
 #[rstest]
-#[case::beyond_the_end(&[(3, 1)])]
+#[case::past_the_end(&[(3, 1)])]
 #[case::out_of_order(&[(1, 1), (0, 1)])]
 #[case::overlapping(&[(0, 2), (1, 1)])]
 #[case::huge(&[(u32::MAX, u32::MAX)])]
-fn edits_that_do_not_fit_are_refused(#[case] places: &[(u32, u32)]) {
-    let edits: Vec<TextEdit> = places
+fn edits_out_of_range_are_refused(#[case] ranges: &[(u32, u32)]) {
+    let edits: Vec<TextEdit> = ranges
         .iter()
         .map(|&(first_line, removed)| TextEdit {
             first_line,
