--- a/crates/clock/src/instant.rs
+++ b/crates/clock/src/instant.rs
@@ -1,4 +1,4 @@
-//! Points of the clock.
+//! Points in time and the clock of a process.
 
 use std::{
     ops::{Add, Sub},
@@ -7,27 +7,27 @@
 
 use nix::time::{ClockId, clock_gettime};
 
-/// How long the machine was pretended to be suspended, in milliseconds.
+/// Total simulated suspension of the machine, in milliseconds.
 #[cfg(feature = "testing")]
-static PRETENDED_MS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
+static SIMULATED_SUSPENSION_MS: std::sync::atomic::AtomicU64 = std::sync::atomic::AtomicU64::new(0);
 
-/// Lets this process find that its machine was suspended for so long: the clock has
-/// gone on, timers have not.
+/// Simulates a suspension of the machine for this process: the clock advances by `time`,
+/// timers do not.
 #[cfg(feature = "testing")]
 pub fn suspend_for(time: Duration) {
     let time_ms = time.as_millis() as u64;
-    PRETENDED_MS.fetch_add(time_ms, std::sync::atomic::Ordering::SeqCst);
+    SIMULATED_SUSPENSION_MS.fetch_add(time_ms, std::sync::atomic::Ordering::SeqCst);
 }
 
-/// A point of the clock that goes on while the machine is suspended.
+/// A point in time of the clock that advances while the machine is suspended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Instant {
-    /// Since the machine was booted.
+    /// Time since the machine was booted.
     since_boot: Duration,
 }
 
 impl Instant {
-    /// The time now.
+    /// The current time.
     #[must_use]
     pub fn now() -> Self {
         Instant {
@@ -35,13 +35,13 @@
         }
     }
 
-    /// How long ago it was; zero where it is to come.
+    /// The time since this point; zero if the point is in the future.
     #[must_use]
     pub fn elapsed(&self) -> Duration {
         Instant::now().saturating_duration_since(*self)
     }
 
-    /// The time from an earlier point to this one; zero where that is later.
+    /// The time from an earlier point to this one; zero if `earlier` is later.
     #[must_use]
     pub fn saturating_duration_since(&self, earlier: Instant) -> Duration {
         self.since_boot.saturating_sub(earlier.since_boot)
@@ -67,12 +67,13 @@
 }
 
 fn since_boot() -> Duration {
-    // The kernel has had this clock since version 2.6.39; without it there is no
-    // other one that decisions may be made by.
+    // Linux has this clock since version 2.6.39. Without it, the process cannot continue,
+    // because no other clock is safe for its decisions.
     let now = clock_gettime(ClockId::CLOCK_BOOTTIME).expect("the kernel has CLOCK_BOOTTIME");
     let now = Duration::from(now);
     #[cfg(feature = "testing")]
-    let now = now + Duration::from_millis(PRETENDED_MS.load(std::sync::atomic::Ordering::SeqCst));
+    let now = now
+        + Duration::from_millis(SIMULATED_SUSPENSION_MS.load(std::sync::atomic::Ordering::SeqCst));
     now
 }
 
@@ -91,7 +92,8 @@
         }
     }
 
-    /// Milliseconds since the start, those of a suspended machine too; never steps back.
+    /// Milliseconds since the start, including the time that the machine was suspended; never
+    /// goes back.
     #[must_use]
     pub fn now_ms(&self) -> u64 {
         self.start.elapsed().as_millis() as u64
--- a/crates/clock/src/lib.rs
+++ b/crates/clock/src/lib.rs
@@ -1,12 +1,12 @@
-//! The clock by which leases, ages, silences and deadlines are counted.
+//! The clock for leases, ages, times since last contact and deadlines.
 //!
-//! It goes on while the machine is suspended (`CLOCK_BOOTTIME`), unlike the clock of
-//! [`std::time::Instant`] and of the runtime's timers, which stands still meanwhile. By
-//! that one a process that wakes up would take a lease, a connection or news from
-//! before for as young as they were. It never steps, unlike the time of day.
+//! The clock advances while the machine is suspended (`CLOCK_BOOTTIME`). The clock of
+//! [`std::time::Instant`] and of the runtime's timers does not: with that clock, a process
+//! that resumes would take leases, connections and updates from before the suspension for
+//! recent ones. Unlike the time of day, this clock is never stepped.
 //!
-//! Waits look at this clock again every half second, so that what fell due while the
-//! machine was suspended is found by then.
+//! Waits check this clock every half second, so that a deadline that passed while the
+//! machine was suspended is noticed within that time.
 
 mod instant;
 mod waits;
@@ -14,7 +14,7 @@
 pub use instant::{Clock, Instant};
 pub use waits::{sleep, sleep_until, timeout, timeout_at};
 
-/// A pretended suspension of the machine, for tests.
+/// Simulated suspension of the machine, for tests.
 #[cfg(feature = "testing")]
 pub mod testing {
     pub use crate::instant::suspend_for;
--- a/crates/clock/src/waits.rs
+++ b/crates/clock/src/waits.rs
@@ -1,4 +1,4 @@
-//! Waits that end on time by the clock, not by the runtime's timers alone.
+//! Waits that follow this clock in addition to the runtime's timers.
 
 use std::{future::Future, time::Duration};
 
@@ -6,35 +6,35 @@
 
 use crate::Instant;
 
-/// Timers stand still while the machine is suspended, so that a long wait looks at
-/// the clock this often. A wait costs two wake-ups a second.
-const LOOK_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval at which a long wait checks the clock, because the runtime's timers stop while the
+/// machine is suspended. Each wait costs two wake-ups per second.
+const CHECK_INTERVAL: Duration = Duration::from_millis(500);
 
-/// Waits until a point of the clock.
+/// Waits until a point in time.
 pub async fn sleep_until(until: Instant) {
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        if left.is_zero() {
+        let remaining = until.saturating_duration_since(Instant::now());
+        if remaining.is_zero() {
             return;
         }
-        tokio::time::sleep(left.min(LOOK_INTERVAL)).await;
+        tokio::time::sleep(remaining.min(CHECK_INTERVAL)).await;
     }
 }
 
-/// Waits for so long.
+/// Waits for a duration.
 pub async fn sleep(time: Duration) {
     sleep_until(Instant::now() + time).await;
 }
 
-/// Waits for a future, but no longer than until a point of the clock.
+/// Waits for a future, at most until a point in time.
 ///
 /// # Errors
-/// [`Elapsed`] when time was up first.
+/// [`Elapsed`] when the time passed before the future completed.
 pub async fn timeout_at<F: Future>(until: Instant, future: F) -> Result<F::Output, Elapsed> {
     let mut future = std::pin::pin!(future);
     loop {
-        let left = until.saturating_duration_since(Instant::now());
-        let wait = tokio::time::timeout(left.min(LOOK_INTERVAL), future.as_mut()).await;
+        let remaining = until.saturating_duration_since(Instant::now());
+        let wait = tokio::time::timeout(remaining.min(CHECK_INTERVAL), future.as_mut()).await;
         match wait {
             Ok(output) => return Ok(output),
             Err(elapsed) if Instant::now() >= until => return Err(elapsed),
@@ -43,10 +43,10 @@
     }
 }
 
-/// Waits for a future, but no longer than for so long.
+/// Waits for a future, at most for a duration.
 ///
 /// # Errors
-/// [`Elapsed`] when time was up first.
+/// [`Elapsed`] when the time passed before the future completed.
 pub async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, Elapsed> {
     timeout_at(Instant::now() + time, future).await
 }
