--- a/crates/errors/src/answer.rs
+++ b/crates/errors/src/answer.rs
@@ -1,4 +1,4 @@
-//! What a caller is told about an error.
+//! The answer that a caller receives for an error.
 
 use std::{fmt, time::Duration};
 
@@ -6,20 +6,20 @@
 
 use crate::kind::ErrorKind;
 
-/// Whether the refused request ran.
+/// Whether the failed request was executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Executed {
-    /// No byte of it reached a back end, or the back end refused it before starting.
+    /// No byte of the request reached a back end, or the back end refused it before starting.
     No,
-    /// It reached a back end or a durable log and its effect is not known.
+    /// The request reached a back end or a durable log, and its effect is unknown.
     Unknown,
-    /// It ran.
+    /// The request was executed.
     Yes,
 }
 
 impl Executed {
-    /// The word used in bodies and in the `Linnethitch-Executed` header.
+    /// The value in bodies and in the `Linnethitch-Executed` header.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -37,7 +37,7 @@
     pub status: u16,
     /// Stable machine-readable code.
     pub code: &'static str,
-    /// Whether the request may have run, unless the failure itself knows better.
+    /// Whether the request may have been executed, unless [`Failure::executed`] overrides it.
     pub executed: Executed,
     /// Whether sending the same request again can help.
     pub retryable: bool,
@@ -57,23 +57,23 @@
     }
 }
 
-/// An error on its way to a caller: a kind and what is known of this case.
+/// An error for a caller: a kind and the details of this case.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Failure {
-    /// The kind, which fixes status and code.
+    /// The kind, which determines status and code.
     pub kind: ErrorKind,
-    /// A sentence for a person.
+    /// A human-readable message.
     pub message: String,
-    /// The request field at fault, if one is.
+    /// The request field that caused the error, if any.
     pub param: Option<String>,
-    /// Overrides the table where more is known of this case.
+    /// Overrides the table if more is known about this case.
     pub executed: Option<Executed>,
-    /// When the caller should come back.
+    /// Time after which the caller should retry.
     pub retry_after: Option<Duration>,
 }
 
 impl Failure {
-    /// A failure with the table's own answer.
+    /// Creates a failure with the answer of the table.
     pub fn new(kind: ErrorKind, message: impl Into<String>) -> Self {
         Failure {
             kind,
@@ -84,34 +84,34 @@
         }
     }
 
-    /// Names the request field at fault.
+    /// Sets the request field that caused the error.
     #[must_use]
     pub fn with_param(mut self, param: impl Into<String>) -> Self {
         self.param = Some(param.into());
         self
     }
 
-    /// States whether the request ran, where this case knows better than the table.
+    /// Overrides the table's statement whether the request was executed.
     #[must_use]
     pub fn with_executed(mut self, executed: Executed) -> Self {
         self.executed = Some(executed);
         self
     }
 
-    /// Tells the caller when to come back.
+    /// Sets the time after which the caller should retry.
     #[must_use]
     pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
 
-    /// Whether the request ran, from this case or else from the table.
+    /// Whether the request was executed: as set for this case, else from the table.
     #[must_use]
     pub fn executed(&self) -> Executed {
         self.executed.unwrap_or(self.kind.answer().executed)
     }
 
-    /// The `Retry-After` value in whole seconds, at least one.
+    /// The `Retry-After` value in seconds, rounded up and at least one.
     #[must_use]
     pub fn retry_after_seconds(&self) -> Option<u64> {
         self.retry_after
--- a/crates/errors/src/kind.rs
+++ b/crates/errors/src/kind.rs
@@ -4,10 +4,10 @@
 
 use crate::answer::{Answer, Executed};
 
-/// Declares the kinds and their answers in one place.
+/// Declares the kinds together with their answers.
 macro_rules! error_kinds {
     ($( $(#[doc = $doc:literal])+ $name:ident => $status:literal, $code:literal, $executed:ident, $retryable:literal; )+) => {
-        /// Everything that can go wrong, as callers and operators see it.
+        /// The kinds of errors reported to callers and operators.
         #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
         pub enum ErrorKind {
             $( $(#[doc = $doc])+ $name, )+
@@ -17,7 +17,7 @@
             /// Every kind, in the order of the reference page.
             pub const ALL: &'static [ErrorKind] = &[ $( ErrorKind::$name, )+ ];
 
-            /// The answer that a kind is turned into.
+            /// The answer to this kind.
             #[must_use]
             pub const fn answer(self) -> Answer {
                 match self {
@@ -30,7 +30,7 @@
                 }
             }
 
-            /// One sentence on when the kind is used, for the reference page.
+            /// One sentence about when the kind is used, for the reference page.
             #[must_use]
             pub const fn description(self) -> &'static str {
                 match self {
@@ -135,7 +135,7 @@
 }
 
 impl ErrorKind {
-    /// The kind with the given stable code, if there is one.
+    /// The kind with the given stable code, if any.
     #[must_use]
     pub fn from_code(code: &str) -> Option<ErrorKind> {
         Self::ALL
--- a/crates/errors/src/lib.rs
+++ b/crates/errors/src/lib.rs
@@ -1,9 +1,9 @@
 //! The closed list of error kinds and the one table from kind to answer.
 //!
-//! Every refusal that leaves a linnethitch process is an [`ErrorKind`]. The
-//! table in [`ErrorKind::answer`] is the only place that decides the HTTP
-//! status, the stable code, whether the request may have run, and whether a
-//! caller gains anything by sending it again.
+//! Every error that a linnethitch process returns is an [`ErrorKind`]. The table
+//! in [`ErrorKind::answer`] is the only place that determines the HTTP status,
+//! the stable code, whether the request may have been executed, and whether a
+//! retry can help.
 
 mod answer;
 mod kind;
--- a/crates/errors/src/reference.rs
+++ b/crates/errors/src/reference.rs
@@ -1,10 +1,10 @@
-//! The error table as the reference page shows it.
+//! The error table of the reference page.
 
 use std::fmt::Write;
 
 use crate::kind::ErrorKind;
 
-/// The table of every kind in Markdown, for `docs/reference/errors.md`.
+/// A Markdown table of all kinds, for `docs/reference/errors.md`.
 #[must_use]
 pub fn reference_table() -> String {
     let mut table =
@@ -12,7 +12,7 @@
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
         let retry = if answer.retryable { "yes" } else { "no" };
-        // Writing to a string does not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             table,
             "| `{}` | {} | {} | {retry} | {} |",
--- a/crates/errors/tests/table.rs
+++ b/crates/errors/tests/table.rs
@@ -1,14 +1,14 @@
-//! Walks the table from error kind to answer.
+//! Checks the table from error kind to answer.
 
 use std::{collections::HashSet, time::Duration};
 
 use linnethitch_errors::{ErrorKind, Executed, Failure, reference_table};
 
 #[test]
-fn codes_are_unique_and_found_again() {
+fn codes_are_unique_and_map_back_to_their_kinds() {
     let mut seen = HashSet::new();
     for kind in ErrorKind::ALL {
-        assert!(seen.insert(kind.answer().code), "{kind} stands twice");
+        assert!(seen.insert(kind.answer().code), "duplicate code of {kind}");
         assert_eq!(ErrorKind::from_code(kind.answer().code), Some(*kind));
     }
 }
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn rate_limits_never_ran_and_can_be_retried() {
+fn rate_limited_requests_are_not_executed_and_are_retryable() {
     for kind in ErrorKind::ALL {
         let answer = kind.answer();
         if answer.status == 429 {
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_body_carries_every_field() {
+fn the_body_has_every_field() {
     let failure = Failure::new(ErrorKind::Overloaded, "queue full")
         .with_param("model")
         .with_retry_after(Duration::from_millis(1200));
@@ -50,8 +50,8 @@
     let page =
         std::path::Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/reference/errors.md");
     let page = std::fs::read_to_string(page).unwrap();
-    let (_, rest) = page.split_once("<!-- table -->\n").unwrap();
-    let (table, _) = rest.split_once("<!-- end of table -->").unwrap();
+    let (_, after_start) = page.split_once("<!-- table -->\n").unwrap();
+    let (table, _) = after_start.split_once("<!-- end of table -->").unwrap();
     assert_eq!(
         table,
         reference_table(),
