--- a/crates/config/src/fleet.rs
+++ b/crates/config/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The declarative fleet file: what runs where, for whom and how urgently.
+//! The declarative fleet file: models, services, tenants and policies.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 pub use difference::{Change, ChangeKind};
 pub use document::FleetDocument;
 
-/// The whole file. It is applied as a whole, never in part.
+/// The complete file. It is always applied completely, never in part.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
@@ -26,16 +26,16 @@
     /// Application services.
     #[serde(rename = "service", default)]
     pub services: Vec<ApplicationService>,
-    /// Tenants and their limits; shared between revisions where they are the same.
+    /// Tenants and their limits; unchanged tenants are shared between revisions.
     #[serde(rename = "tenant", default)]
     pub tenants: Vec<Arc<Tenant>>,
-    /// Rules of batch work.
+    /// Policy of batch work.
     #[serde(default)]
     pub batch: BatchPolicy,
-    /// Rules of routing, retries and admission.
+    /// Policy of routing, retries and admission.
     #[serde(default)]
     pub routing: RoutingPolicy,
-    /// Limits that hold for every request.
+    /// Limits that apply to every request.
     #[serde(default)]
     pub limits: RequestLimits,
 }
@@ -44,17 +44,17 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Zone {
-    /// Its name, unique.
+    /// The zone's name, unique.
     pub name: String,
-    /// The region that it is in.
+    /// The region of the zone.
     pub region: String,
-    /// Whether nothing new is sent to its replicas.
+    /// Whether the zone's replicas receive no new requests.
     #[serde(default)]
     pub evacuated: bool,
 }
 
 impl Fleet {
-    /// Names of the zones to whose replicas nothing new is sent.
+    /// Names of the evacuated zones, whose replicas receive no new requests.
     pub fn evacuated_zones(&self) -> impl Iterator<Item = &str> {
         let evacuated = self.zones.iter().filter(|zone| zone.evacuated);
         evacuated.map(|zone| zone.name.as_str())
@@ -69,15 +69,15 @@
     pub name: String,
     /// The version to load.
     pub version: String,
-    /// Longest prompt plus output, in tokens.
+    /// Maximum of prompt plus output, in tokens.
     #[serde(default = "default_context_tokens")]
     pub context_tokens: u32,
     /// Adapters, each callable as `model:adapter`.
     #[serde(rename = "adapter", default)]
     pub adapters: Vec<Adapter>,
-    /// How many replicas in which zone.
+    /// Number of replicas by zone.
     pub placement: Vec<Placement>,
-    /// Of the replicas in each zone, percent that prefill only (0: all mixed).
+    /// Percentage of the replicas in each zone that only run prefill; 0 if all are mixed.
     #[serde(default)]
     pub prefill_percent: u8,
     /// Whether batch items may run on the pool.
@@ -89,19 +89,19 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Adapter {
-    /// Its name, unique in the pool.
+    /// The adapter's name, unique in the pool.
     pub name: String,
-    /// Its version.
+    /// The adapter's version.
     pub version: String,
 }
 
-/// Replicas wanted in a zone.
+/// Desired replicas in a zone.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Placement {
     /// The zone.
     pub zone: String,
-    /// How many.
+    /// Number of replicas.
     pub replicas: u32,
 }
 
@@ -109,20 +109,20 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ApplicationService {
-    /// Its name, unique.
+    /// The service's name, unique.
     pub name: String,
-    /// How many replicas in which zone.
+    /// Number of replicas by zone.
     pub placement: Vec<Placement>,
-    /// How long a request may take, in milliseconds.
+    /// Maximum duration of a request, in milliseconds.
     #[serde(default = "default_service_timeout_ms")]
     pub timeout_ms: u64,
 }
 
-/// A tenant and its limits; absent limits do not bind.
+/// A tenant and its limits; an absent limit means no limit.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name, unique.
+    /// The tenant's name, unique.
     pub name: String,
     /// SHA-256 of the bearer key, in hexadecimal.
     pub key_sha256: String,
@@ -132,31 +132,31 @@
     /// Prompt and output tokens per second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub tokens_per_second: Option<f64>,
-    /// Online requests running or waiting at once, on one gateway.
+    /// Maximum number of online requests running or waiting on one gateway.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub max_in_flight: Option<u32>,
-    /// Share of the fleet relative to other tenants when work queues.
+    /// Share of the fleet relative to other tenants while work is queued.
     #[serde(default = "default_weight", skip_serializing_if = "is_default_weight")]
     pub weight: u32,
 }
 
-/// Rules of batch work.
+/// Policy of batch work.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct BatchPolicy {
-    /// How long results stay readable after a job's end, in hours.
+    /// How long results are retained after a job's end, in hours.
     pub retention_hours: u32,
-    /// Completion window of a job whose caller names none, in hours.
+    /// Completion window of a job if the caller specifies none, in hours.
     pub default_window_hours: u32,
-    /// Most items of one job.
+    /// Maximum number of items of one job.
     pub max_items: u32,
-    /// Largest input file, in bytes.
+    /// Maximum size of an input file, in bytes.
     pub max_file_bytes: u64,
     /// How long a capacity grant is valid, in milliseconds.
     pub grant_ms: u64,
     /// How long an item lease lasts without renewal, in milliseconds.
     pub lease_ms: u64,
-    /// Runs of an item that may be repeated before its failure becomes its result.
+    /// Maximum number of retryable runs of an item before the failure becomes its result.
     pub max_attempts: u32,
 }
 
@@ -174,27 +174,27 @@
     }
 }
 
-/// Rules of routing, retries and admission.
+/// Policy of routing, retries and admission.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RoutingPolicy {
     /// Extra expected wait, in milliseconds, at which another zone is preferred.
     pub spill_ms: f64,
-    /// Retries allowed per hundred requests.
+    /// Maximum number of retries per hundred requests.
     pub retry_budget_percent: u32,
-    /// Attempts per request, the first included.
+    /// Maximum number of attempts per request, including the first.
     pub max_attempts: u32,
-    /// Online requests that may wait on one gateway.
+    /// Maximum number of online requests waiting on one gateway.
     pub queue_limit: u32,
-    /// Longest that an online request may wait for a back end, in milliseconds.
+    /// Maximum time that an online request waits for a back end, in milliseconds.
     pub queue_timeout_ms: u64,
-    /// Deadline of a request whose caller names none, in milliseconds.
+    /// Deadline of a request if the caller specifies none, in milliseconds.
     pub default_deadline_ms: u64,
-    /// Consecutive failures that eject a replica.
+    /// Number of consecutive failures after which a replica is ejected.
     pub eject_after_failures: u32,
-    /// Shortest ejection, in milliseconds; doubles with each repeat.
+    /// Duration of the first ejection, in milliseconds; doubles with each further ejection.
     pub eject_ms: u64,
-    /// Time over which a returned replica's share grows to the full, in milliseconds.
+    /// Time over which the share of a replica ramps up after an ejection, in milliseconds.
     pub slow_start_ms: u64,
 }
 
@@ -214,15 +214,15 @@
     }
 }
 
-/// Limits that hold for every request.
+/// Limits that apply to every request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct RequestLimits {
-    /// Largest body of an online request, in bytes.
+    /// Maximum body of an online request, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time to send a body, in milliseconds.
+    /// Maximum time for receiving a body, in milliseconds.
     pub body_timeout_ms: u64,
-    /// Most output tokens of one request.
+    /// Maximum number of output tokens of one request.
     pub max_output_tokens: u32,
 }
 
@@ -266,26 +266,26 @@
     /// Parses and validates a fleet file.
     ///
     /// # Errors
-    /// The first fault of the file, with line and field.
+    /// The first error in the file, with line and field.
     pub fn parse(text: &str) -> Result<Fleet, FleetError> {
         Fleet::parse_reporting_all(text).map_err(|errors| {
             errors
                 .into_iter()
                 .next()
-                .unwrap_or_else(|| unreachable!("a refusal names at least one fault"))
+                .unwrap_or_else(|| unreachable!("the list of errors is never empty"))
         })
     }
 
-    /// Parses and validates a fleet file and reports as many faults as can be
-    /// told at once, at most [`validate::MAX_REPORTED_FAULTS`].
+    /// Parses and validates a fleet file and reports all errors that can be
+    /// found in one pass, at most [`validate::MAX_REPORTED_FAULTS`].
     ///
     /// # Errors
-    /// The faults in the order of their lines; never an empty list.
+    /// The errors in the order of their lines; never an empty list.
     pub fn parse_reporting_all(text: &str) -> Result<Fleet, Vec<FleetError>> {
         FleetDocument::parse_reporting_all(text.to_owned())
             .map(|document| Arc::unwrap_or_clone(document.into_fleet()))
     }
 }
 
-/// What is wrong with a fleet file.
+/// An error in a fleet file.
 pub type FleetError = crate::locate::FieldError;
--- a/crates/config/src/fleet/difference.rs
+++ b/crates/config/src/fleet/difference.rs
@@ -1,7 +1,7 @@
-//! What changes between two fleet files, field by field, in words.
+//! Human-readable differences between two fleet files, field by field.
 //!
-//! Both files are compared in their serialised form, so a field added to the
-//! types can't be left out here.
+//! The files are compared in serialised form, so new fields of the types are
+//! included automatically.
 
 use std::{collections::HashMap, fmt};
 
@@ -15,26 +15,26 @@
 /// One difference between two fleet files.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    /// What it concerns, such as `model "quote-writer", placement "worcester"`.
+    /// The changed part of the file, such as `model "quote-writer", placement "worcester"`.
     pub subject: String,
-    /// What happens to it.
+    /// The kind of change.
     pub kind: ChangeKind,
 }
 
-/// What happens to the subject of a [`Change`].
+/// The kind of a [`Change`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeKind {
-    /// It is new.
+    /// The subject is added.
     Added,
-    /// It goes away.
+    /// The subject is removed.
     Removed,
-    /// A field of it gets another value; `None` stands for an absent one.
+    /// A field of the subject changes; `None` stands for an absent field.
     Field {
         /// The field.
         field: String,
-        /// Its value so far, as in the file.
+        /// The old value, as in the file.
         old: Option<String>,
-        /// Its value from now on, as in the file.
+        /// The new value, as in the file.
         new: Option<String>,
     },
 }
@@ -57,8 +57,7 @@
 }
 
 impl Fleet {
-    /// What changes when `new` takes the place of this file, in the order of
-    /// its sections.
+    /// The changes when `new` replaces this file, in the order of the sections.
     #[must_use]
     pub fn diff(&self, new: &Fleet) -> Vec<Change> {
         let mut changes = Vec::new();
@@ -109,7 +108,7 @@
     }
 }
 
-/// Compares lists whose elements have names; their order does not matter.
+/// Compares lists of named elements, regardless of their order.
 fn compare_lists(
     changes: &mut Vec<Change>,
     subject: &str,
@@ -129,7 +128,7 @@
         let name = name_of(element);
         let named = nested(subject, &format!("{field} {name:?}"));
         match new_by_name.get(name) {
-            Some(successor) => compare(changes, &named, "", Some(element), Some(successor)),
+            Some(replacement) => compare(changes, &named, "", Some(element), Some(replacement)),
             None => changes.push(Change {
                 subject: named,
                 kind: ChangeKind::Removed,
--- a/crates/config/src/fleet/document.rs
+++ b/crates/config/src/fleet/document.rs
@@ -1,11 +1,11 @@
-//! A fleet file as text and value, and its cheap replacement by a similar one.
+//! A fleet file as text and value, and its cheap replacement by a similar file.
 //!
-//! Most of a large file are tenants, and a change touches few of them. So the
-//! text is split into the `[[tenant]]` sections and the rest; a section that
-//! stands in the file so far is not parsed again, its value is shared. The
-//! result is the same as that of parsing the whole text, which is also what
-//! happens whenever the split is not certain or anything is wrong, so that
-//! errors name their line.
+//! A large file consists mostly of tenants, and a change affects few of them.
+//! The text is therefore split into the `[[tenant]]` sections and the remaining
+//! text. A section that is also in the previous file is not parsed again; its
+//! value is shared. The result is the same as that of parsing the complete text.
+//! The complete text is parsed whenever the split is ambiguous or a section is
+//! invalid, so that errors name their line.
 
 use std::{ops::Range, sync::Arc};
 
@@ -14,21 +14,21 @@
 use super::{Fleet, FleetError, Tenant, validate};
 use crate::digest::content_digest;
 
-/// Header of a section that is parsed on its own.
+/// Header of a section that is parsed separately.
 const TENANT_HEADER: &str = "[[tenant]]";
-/// Quotes of strings that may span lines. A text that holds one is not split;
-/// sections that are known need no search for them.
+/// Quotes of strings that may span lines. A text that contains one is not split.
+/// Sections of the previous file are known to contain none and are not searched.
 const MULTI_LINE_QUOTES: [&str; 2] = ["\"\"\"", "'''"];
-/// How far the file so far is searched for a section that moved.
-const SEARCHED_SECTIONS: usize = 64;
+/// Maximum number of sections of the previous file that are searched for a moved section.
+const MAX_SEARCHED_SECTIONS: usize = 64;
 
-/// A valid fleet file: the operator's text and what it says.
+/// A valid fleet file: the operator's text and the parsed value.
 #[derive(Clone, Debug)]
 pub struct FleetDocument {
     text: String,
     digest: u64,
     fleet: Arc<Fleet>,
-    /// Where the tenants' sections stand; empty when the text was not split.
+    /// Byte ranges of the tenant sections; empty if the text was not split.
     tenant_sections: Vec<Range<usize>>,
 }
 
@@ -36,25 +36,25 @@
     /// Parses and validates a fleet file.
     ///
     /// # Errors
-    /// The first fault of the file, with line and field.
+    /// The first error in the file, with line and field.
     pub fn parse(text: String) -> Result<Self, FleetError> {
         Self::parse_reporting_all(text).map_err(first_of)
     }
 
-    /// Parses and validates a fleet file and reports as many faults as can be
-    /// told at once.
+    /// Parses and validates a fleet file and reports all errors that can be
+    /// found in one pass.
     ///
     /// # Errors
-    /// The faults in the order of their lines; never an empty list.
+    /// The errors in the order of their lines; never an empty list.
     pub fn parse_reporting_all(text: String) -> Result<Self, Vec<FleetError>> {
         Self::read(text, None)
     }
 
-    /// Parses and validates a text that takes the place of this one, reusing
-    /// what did not change.
+    /// Parses and validates a text that replaces this one, sharing unchanged
+    /// tenants.
     ///
     /// # Errors
-    /// The first fault of the new text, with line and field.
+    /// The first error in the new text, with line and field.
     pub fn replaced_by(&self, text: String) -> Result<Self, FleetError> {
         Self::read(text, Some(self)).map_err(first_of)
     }
@@ -71,13 +71,13 @@
         self.digest
     }
 
-    /// What the text says.
+    /// The parsed value.
     #[must_use]
     pub fn fleet(&self) -> &Arc<Fleet> {
         &self.fleet
     }
 
-    /// What the text says, without the text.
+    /// The parsed value, without the text.
     #[must_use]
     pub fn into_fleet(self) -> Arc<Fleet> {
         self.fleet
@@ -87,7 +87,7 @@
         validate::check_size(&text).map_err(|error| vec![error])?;
         let (fleet, tenant_sections) = match read_sections(&text, predecessor) {
             Some(read) => read,
-            None => (read_whole(&text)?, Vec::new()),
+            None => (read_complete(&text)?, Vec::new()),
         };
         let faults = validate::faults_of(&fleet);
         if !faults.is_empty() {
@@ -101,7 +101,7 @@
         })
     }
 
-    /// The sections with their values, in order.
+    /// The tenant sections with their values, in order.
     fn tenants(&self) -> impl Iterator<Item = (&str, &Arc<Tenant>)> {
         self.tenant_sections
             .iter()
@@ -114,20 +114,20 @@
     errors
         .into_iter()
         .next()
-        .unwrap_or_else(|| unreachable!("a refusal names at least one fault"))
+        .unwrap_or_else(|| unreachable!("the list of errors is never empty"))
 }
 
-fn read_whole(text: &str) -> Result<Fleet, Vec<FleetError>> {
+fn read_complete(text: &str) -> Result<Fleet, Vec<FleetError>> {
     toml::from_str(text).map_err(|error| vec![FleetError::from_toml(text, &error)])
 }
 
-/// Reads the sections one by one; `None` when the whole text must be read instead.
+/// Reads the sections one by one; `None` if the complete text must be parsed instead.
 fn read_sections(
     text: &str,
     predecessor: Option<&FleetDocument>,
 ) -> Option<(Fleet, Vec<Range<usize>>)> {
     let split = SplitText::of(text);
-    let mut fleet: Fleet = read_part(&split.rest)?;
+    let mut fleet: Fleet = read_part(&split.remaining)?;
     if !fleet.tenants.is_empty() {
         return None;
     }
@@ -147,8 +147,8 @@
     Some((fleet, split.tenant_sections))
 }
 
-/// Reads a part of a text; `None` when it holds a string that may span lines,
-/// so that what looks like a header may be part of one.
+/// Reads a part of a text; `None` if it contains a string that may span lines,
+/// because an apparent header may then be part of a string.
 fn read_part<T: DeserializeOwned>(part: &str) -> Option<T> {
     if MULTI_LINE_QUOTES.iter().any(|quotes| part.contains(quotes)) {
         return None;
@@ -156,7 +156,7 @@
     toml::from_str(part).ok()
 }
 
-/// The value of one section.
+/// Parses one tenant section.
 fn read_tenant(section: &str) -> Option<Arc<Tenant>> {
     #[derive(Deserialize)]
     #[serde(deny_unknown_fields)]
@@ -167,7 +167,7 @@
     Some(tenant)
 }
 
-/// Sections of the file so far, found again in about the same order.
+/// Sections of the previous file, which are searched in order.
 struct KnownSections<'a> {
     sections: &'a [(&'a str, &'a Arc<Tenant>)],
     next: usize,
@@ -178,10 +178,12 @@
         KnownSections { sections, next: 0 }
     }
 
-    fn find(&mut self, wanted: &str) -> Option<&'a Arc<Tenant>> {
-        let window = self.sections[self.next..].iter().take(SEARCHED_SECTIONS);
+    fn find(&mut self, text: &str) -> Option<&'a Arc<Tenant>> {
+        let window = self.sections[self.next..]
+            .iter()
+            .take(MAX_SEARCHED_SECTIONS);
         for (skipped, (section, tenant)) in window.enumerate() {
-            if *section == wanted {
+            if *section == text {
                 self.next += skipped + 1;
                 return Some(tenant);
             }
@@ -190,17 +192,17 @@
     }
 }
 
-/// A text split into the tenants' sections and everything else.
+/// A text split into the tenant sections and the remaining text.
 struct SplitText {
     tenant_sections: Vec<Range<usize>>,
-    rest: String,
+    remaining: String,
 }
 
 impl SplitText {
     fn of(text: &str) -> Self {
         let mut split = SplitText {
             tenant_sections: Vec::new(),
-            rest: String::new(),
+            remaining: String::new(),
         };
         let mut part_start = 0;
         let mut in_tenant = false;
@@ -217,12 +219,12 @@
         if in_tenant {
             self.tenant_sections.push(part);
         } else {
-            self.rest.push_str(&text[part]);
+            self.remaining.push_str(&text[part]);
         }
     }
 }
 
-/// Where the lines begin whose first character is a bracket.
+/// Offsets of the lines that begin with a bracket.
 fn header_lines(text: &str) -> impl Iterator<Item = usize> {
     text.match_indices('[').filter_map(|(bracket, _)| {
         let before = &text[..bracket];
@@ -232,11 +234,11 @@
     })
 }
 
-/// Whether a text begins with the header line of a tenant's section.
+/// Whether a text begins with the header line of a tenant section.
 fn is_tenant_header(text: &str) -> bool {
     let line = text.split('\n').next().unwrap_or_default();
     line.trim_start()
         .strip_prefix(TENANT_HEADER)
         .map(str::trim)
-        .is_some_and(|rest| rest.is_empty() || rest.starts_with('#'))
+        .is_some_and(|suffix| suffix.is_empty() || suffix.starts_with('#'))
 }
--- a/crates/config/src/fleet/validate.rs
+++ b/crates/config/src/fleet/validate.rs
@@ -1,6 +1,6 @@
-//! Rules that a fleet file must keep beyond its syntax.
+//! Semantic validation of a fleet file.
 //!
-//! Paths and lines are only built for faults, so a valid file costs one pass
+//! Paths and lines are only computed for faults, so a valid file costs one pass
 //! over its values.
 
 use std::{collections::HashSet, fmt::Display, ops::RangeInclusive, sync::Arc};
@@ -14,9 +14,9 @@
     locate::{FieldPath, Locator},
 };
 
-/// Most faults that are reported of one file.
+/// Maximum number of faults reported for one file.
 pub const MAX_REPORTED_FAULTS: usize = 50;
-/// Largest fleet file, in bytes; it must fit into one internal message.
+/// Maximum size of a fleet file, in bytes; it must fit into one internal message.
 pub const MAX_FLEET_BYTES: usize = 12 * 1024 * 1024;
 
 const MAX_NAME_BYTES: usize = 128;
@@ -43,13 +43,13 @@
 const BODY_BYTES: RangeInclusive<u64> = 1_024..=1024 * 1024 * 1024;
 const OUTPUT_TOKENS: RangeInclusive<u32> = 1..=16_777_216;
 
-/// A fault before its line is known.
+/// A fault whose line is not determined yet.
 pub(super) struct Fault {
     path: FieldPath,
     message: String,
 }
 
-/// Refuses a text that is too large to be passed on.
+/// Refuses a text that is too large for an internal message.
 pub(super) fn check_size(text: &str) -> Result<(), FleetError> {
     if text.len() <= MAX_FLEET_BYTES {
         return Ok(());
@@ -80,7 +80,7 @@
     faults.list
 }
 
-/// Looks up the lines of faults and sorts by them.
+/// Determines the lines of faults and sorts the faults by line.
 pub(super) fn located(text: &str, faults: Vec<Fault>) -> Vec<FleetError> {
     let locator = Locator::new(text);
     let mut errors: Vec<FleetError> = faults
@@ -97,12 +97,12 @@
     errors
 }
 
-/// Which characters a name may hold.
+/// Characters allowed in a name.
 #[derive(Clone, Copy)]
 enum NameKind {
     /// Letters, digits, `-`, `_` and `.`.
     Plain,
-    /// `/` too, as in model names.
+    /// The characters of [`Self::Plain`] and `/`, as in model names.
     WithSlash,
 }
 
@@ -143,8 +143,8 @@
         T: PartialOrd + Display,
     {
         if !bounds.contains(&value) {
-            let (least, most) = (bounds.start(), bounds.end());
-            self.add(path(), format!("{value} is not within {least} to {most}"));
+            let (min, max) = (bounds.start(), bounds.end());
+            self.add(path(), format!("{value} is not within {min} to {max}"));
         }
     }
 
@@ -229,19 +229,19 @@
     zones: &HashSet<&str>,
     root: &FieldPath,
 ) {
-    let mut placed = HashSet::new();
-    for (index, place) in placement.iter().enumerate() {
+    let mut placed_zones = HashSet::new();
+    for (index, entry) in placement.iter().enumerate() {
         let path = |field: &str| root.index(index).key(field);
-        if !zones.contains(place.zone.as_str()) {
-            faults.add(path("zone"), format!("unknown zone `{}`", place.zone));
+        if !zones.contains(entry.zone.as_str()) {
+            faults.add(path("zone"), format!("unknown zone `{}`", entry.zone));
         }
-        if !placed.insert(place.zone.as_str()) {
+        if !placed_zones.insert(entry.zone.as_str()) {
             faults.add(
                 path("zone"),
-                format!("zone `{}` stands twice in this placement", place.zone),
+                format!("zone `{}` stands twice in this placement", entry.zone),
             );
         }
-        faults.within(|| path("replicas"), place.replicas, &MAX_REPLICAS);
+        faults.within(|| path("replicas"), entry.replicas, &MAX_REPLICAS);
     }
 }
 
@@ -291,8 +291,8 @@
     }
     faults.rate(|| path("requests_per_second"), tenant.requests_per_second);
     faults.rate(|| path("tokens_per_second"), tenant.tokens_per_second);
-    if let Some(most) = tenant.max_in_flight {
-        faults.within(|| path("max_in_flight"), most, &MAX_IN_FLIGHT);
+    if let Some(limit) = tenant.max_in_flight {
+        faults.within(|| path("max_in_flight"), limit, &MAX_IN_FLIGHT);
     }
     faults.within(|| path("weight"), tenant.weight, &WEIGHT);
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,8 +1,8 @@
 //! The operator's fleet file and the settings of each process: types,
-//! parsing, validation, differences.
+//! parsing, validation and differences.
 //!
-//! A value of [`fleet::Fleet`] that came out of [`fleet::Fleet::parse`] is
-//! valid as a whole. Errors name file, line and field.
+//! A [`fleet::Fleet`] returned by [`fleet::Fleet::parse`] is completely
+//! validated. Errors name file, line and field.
 
 pub mod digest;
 pub mod fleet;
--- a/crates/config/src/locate.rs
+++ b/crates/config/src/locate.rs
@@ -1,25 +1,25 @@
-//! Finds the line of a field in a TOML text and the field at a place.
+//! Finds the line of a field in a TOML text, and the field at a position.
 //!
-//! The text is parsed a second time for this, so it is only done once an
-//! error is known.
+//! This parses the text a second time, so it is only done after an error was
+//! found.
 
 use std::{fmt, ops::Range};
 
 use toml::de::{DeArray, DeTable, DeValue};
 
-/// What is wrong with a file, and where.
+/// An error in a file and its position.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FieldError {
-    /// The line, from 1, where it is known.
+    /// The line, from 1, if known.
     pub line: Option<usize>,
-    /// The field, such as `model[0].placement[1].zone`; empty where the syntax is at fault.
+    /// The field, such as `model[0].placement[1].zone`; empty for a syntax error.
     pub field: String,
-    /// What is wrong.
+    /// Description of the error.
     pub message: String,
 }
 
 impl FieldError {
-    /// An error at a field; the line is looked up in the text.
+    /// Creates an error at a field; the line is looked up in the text.
     #[must_use]
     pub fn at(text: &str, field: FieldPath, message: impl Into<String>) -> Self {
         FieldError {
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Turns a parser's error into one that names line and field.
+    /// Converts a parser error and adds line and field.
     #[must_use]
     pub fn from_toml(text: &str, error: &toml::de::Error) -> Self {
         let span = error.span();
@@ -60,31 +60,31 @@
 
 impl std::error::Error for FieldError {}
 
-/// One step from a table or array to what it holds.
+/// One step from a table or array to one of its elements.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Key(String),
     Index(usize),
 }
 
-/// The way from the root of a file to a field.
+/// The path from the root of a file to a field.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct FieldPath(Vec<Step>);
 
 impl FieldPath {
-    /// The field of this name at the root.
+    /// The path of a field at the root.
     #[must_use]
     pub fn root(key: &str) -> Self {
         FieldPath::default().key(key)
     }
 
-    /// The field of this name below.
+    /// The path of a field of the table at this path.
     #[must_use]
     pub fn key(&self, key: &str) -> Self {
         self.with(Step::Key(key.to_owned()))
     }
 
-    /// The element of this number below, from 0.
+    /// The path of an element of the array at this path, from 0.
     #[must_use]
     pub fn index(&self, index: usize) -> Self {
         self.with(Step::Index(index))
@@ -110,22 +110,22 @@
     }
 }
 
-/// Finds lines of fields in one text.
+/// Finds the lines of fields in one text.
 pub struct Locator<'a> {
     text: &'a str,
     root: toml::Spanned<DeTable<'a>>,
 }
 
 impl<'a> Locator<'a> {
-    /// Parses the text; `None` when its syntax is wrong.
+    /// Parses the text; `None` on a syntax error.
     #[must_use]
     pub fn new(text: &'a str) -> Option<Self> {
         let root = DeTable::parse(text).ok()?;
         Some(Locator { text, root })
     }
 
-    /// The line of a field, from 1; of the nearest table around it when the
-    /// field is absent; `None` when that is the root.
+    /// The line of a field, from 1. If the field is absent, the line of the
+    /// innermost table that should contain it; `None` if that is the root.
     #[must_use]
     pub fn line_of(&self, path: &FieldPath) -> Option<usize> {
         let mut table = Some(self.root.get_ref());
@@ -149,7 +149,7 @@
     }
 }
 
-/// Where a key stands and its value.
+/// The offset of a key and its value.
 fn entry_of<'t, 'a>(
     table: &'t DeTable<'a>,
     key: &str,
@@ -160,7 +160,7 @@
         .map(|(name, value)| (name.span().start, value))
 }
 
-/// The deepest field whose key or value lies at the span.
+/// The most deeply nested field whose key or value covers the span.
 fn field_at(text: &str, span: &Range<usize>) -> Option<FieldPath> {
     let root = DeTable::parse(text).ok()?;
     let mut best = FieldPath::default();
@@ -168,36 +168,26 @@
     Some(best)
 }
 
-fn search_table(
-    table: &DeTable<'_>,
-    path: &FieldPath,
-    wanted: &Range<usize>,
-    best: &mut FieldPath,
-) {
+fn search_table(table: &DeTable<'_>, path: &FieldPath, span: &Range<usize>, best: &mut FieldPath) {
     for (name, value) in table.iter() {
         let here = path.key(name.get_ref());
-        if covers(&name.span(), wanted) || covers(&value.span(), wanted) {
+        if covers(&name.span(), span) || covers(&value.span(), span) {
             *best = here.clone();
         }
-        search_value(value.get_ref(), &here, wanted, best);
+        search_value(value.get_ref(), &here, span, best);
     }
 }
 
-fn search_value(
-    value: &DeValue<'_>,
-    path: &FieldPath,
-    wanted: &Range<usize>,
-    best: &mut FieldPath,
-) {
+fn search_value(value: &DeValue<'_>, path: &FieldPath, span: &Range<usize>, best: &mut FieldPath) {
     match value {
-        DeValue::Table(table) => search_table(table, path, wanted, best),
+        DeValue::Table(table) => search_table(table, path, span, best),
         DeValue::Array(array) => {
             for (index, element) in array.iter().enumerate() {
                 let here = path.index(index);
-                if covers(&element.span(), wanted) {
+                if covers(&element.span(), span) {
                     *best = here.clone();
                 }
-                search_value(element.get_ref(), &here, wanted, best);
+                search_value(element.get_ref(), &here, span, best);
             }
         }
         _ => {}
@@ -215,7 +205,7 @@
         .count()
 }
 
-/// The parser's words on one line; the name of a key that stands twice is added.
+/// The parser's message on one line, with the name of a duplicate key added.
 fn message_of(text: &str, error: &toml::de::Error) -> String {
     const DUPLICATE: &str = "duplicate key";
     match error.span().and_then(|span| text.get(span)) {
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,11 +1,11 @@
-//! Settings of one process: where it runs, what it listens on, where its
-//! files are. The fleet's own configuration is in [`crate::fleet`].
+//! Settings of one process: its location, its addresses and its files. The
+//! configuration of the fleet is in [`crate::fleet`].
 //!
-//! Settings come from a TOML file and from flags; a flag wins over the file.
-//! Both are read into the `…Values` types, in which every field may be
-//! absent, merged, and then completed into [`GatewaySettings`] or
-//! [`ControlSettings`], which are valid as a whole. Programs that hold several
-//! roles in one process build the complete types themselves.
+//! Settings come from a TOML file and from flags; a flag overrides the file.
+//! Both are read into the `…Values` types, in which every field is optional,
+//! merged, and then completed into [`GatewaySettings`] or [`ControlSettings`],
+//! which are completely validated. Programs that run several roles in one
+//! process build the complete types themselves.
 
 mod check;
 mod control;
--- a/crates/config/src/settings/check.rs
+++ b/crates/config/src/settings/check.rs
@@ -4,10 +4,10 @@
 
 use crate::locate::{FieldError, FieldPath};
 
-/// Longest name of a process, zone, region or cluster, in bytes.
+/// Maximum length of the name of a process, zone, region or cluster, in bytes.
 const MAX_NAME_BYTES: usize = 128;
 
-/// Collects the first fault of a settings value.
+/// Checks settings; each check returns an error that names line and field.
 pub(crate) struct Checker<'a> {
     pub(crate) text: &'a str,
 }
@@ -49,16 +49,16 @@
         Ok(())
     }
 
-    pub(crate) fn reachable(&self, field: &str, address: SocketAddr) -> Result<(), FieldError> {
+    pub(crate) fn connectable(&self, field: &str, address: SocketAddr) -> Result<(), FieldError> {
         if address.port() == 0 || address.ip().is_unspecified() {
             return self.fail(field, format!("{address} is no address to connect to"));
         }
         Ok(())
     }
 
-    pub(crate) fn at_least(&self, field: &str, value: u64, least: u64) -> Result<(), FieldError> {
-        if value < least {
-            return self.fail(field, format!("{value} is below the least value {least}"));
+    pub(crate) fn at_least(&self, field: &str, value: u64, min: u64) -> Result<(), FieldError> {
+        if value < min {
+            return self.fail(field, format!("{value} is below the least value {min}"));
         }
         Ok(())
     }
--- a/crates/config/src/settings/control.rs
+++ b/crates/config/src/settings/control.rs
@@ -18,18 +18,18 @@
     locate::{FieldError, FieldPath},
 };
 
-/// Default size of the log at which a snapshot is taken, in bytes.
+/// Default log size at which a snapshot is taken, in bytes.
 pub const DEFAULT_SNAPSHOT_LOG_BYTES: u64 = 64 * 1024 * 1024;
-/// Smallest size of the log at which a snapshot is taken, in bytes.
+/// Minimum log size at which a snapshot is taken, in bytes.
 const MIN_SNAPSHOT_LOG_BYTES: u64 = 4 * 1024;
 
-/// A control machine as the others reach it.
+/// The address of a control machine.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ControlPeer {
-    /// Its number.
+    /// The machine number.
     pub machine: u32,
-    /// Its peer address.
+    /// The peer address of the machine.
     pub address: SocketAddr,
 }
 
@@ -38,19 +38,20 @@
 pub struct ControlSettings {
     /// Number of this machine, unique among the control machines.
     pub machine: u32,
-    /// The zone that it runs in.
+    /// The zone of this machine.
     pub zone: String,
-    /// The region of that zone.
+    /// The region of the zone.
     pub region: String,
-    /// Where other control members connect.
+    /// Listen address for other control members.
     pub peer_address: SocketAddr,
-    /// Where gateways attach.
+    /// Listen address for gateways.
     pub attach_address: SocketAddr,
-    /// Where operators connect (HTTP).
+    /// Listen address for operators (HTTP).
     pub operator_address: SocketAddr,
-    /// All control machines, this one included.
+    /// All control machines, including this one.
     pub peers: Vec<ControlPeer>,
-    /// Whether an empty data folder may start a new cluster; else it joins the running one.
+    /// Whether a member with an empty data folder may start a new cluster; if not, the member
+    /// joins the running cluster.
     pub bootstrap: bool,
     /// Name of the cluster.
     pub cluster: String,
@@ -62,13 +63,13 @@
     pub platform_address: SocketAddr,
     /// Folder for the log, snapshots and payloads.
     pub data_dir: PathBuf,
-    /// Size of the log at which a snapshot is taken, in bytes.
+    /// Log size at which a snapshot is taken, in bytes.
     pub snapshot_log_bytes: u64,
     /// Log levels.
     pub log: LogSettings,
 }
 
-/// Settings of a control member as a file or the flags give them, in part.
+/// Settings of a control member from a file or the flags; each may be absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs, reason = "the fields are those of ControlSettings")]
@@ -91,7 +92,7 @@
 }
 
 impl ControlValues {
-    /// These values, with those that `flags` gives in their place.
+    /// These values, overridden by those present in `flags`.
     #[must_use]
     pub fn overridden_by(self, flags: ControlValues) -> Self {
         ControlValues {
@@ -141,10 +142,10 @@
 }
 
 impl ControlSettings {
-    /// Reads a settings file, if one is named, and puts the flags over it.
+    /// Reads a settings file, if given, and applies the flags.
     ///
     /// # Errors
-    /// Names the file, line and field at fault.
+    /// Names file, line and field of the error.
     pub fn load(file: Option<&Path>, flags: ControlValues) -> Result<Self, SettingsError> {
         let LoadedFile { text, values } = read_values::<ControlValues>(file)?;
         values
@@ -160,7 +161,7 @@
         checker.name("zone", &self.zone)?;
         checker.name("region", &self.region)?;
         checker.name("cluster", &self.cluster)?;
-        checker.reachable("platform_address", self.platform_address)?;
+        checker.connectable("platform_address", self.platform_address)?;
         if !is_key_hash(&self.operator_key_sha256) {
             return checker.fail(
                 "operator_key_sha256",
--- a/crates/config/src/settings/gateway.rs
+++ b/crates/config/src/settings/gateway.rs
@@ -14,28 +14,29 @@
 };
 use crate::{digest::is_key_hash, locate::FieldError};
 
-/// Default size of the decision journal, in bytes.
+/// Default maximum size of the decision journal, in bytes.
 pub const DEFAULT_JOURNAL_MAX_BYTES: u64 = 64 * 1024 * 1024;
-/// Smallest size of the decision journal, in bytes.
+/// Minimum configurable size of the decision journal, in bytes.
 const MIN_JOURNAL_BYTES: u64 = 64 * 1024;
 
-/// Limits of one gateway process that hold whatever the fleet file says.
+/// Limits of one gateway process, independent of the fleet file.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct GatewayLimits {
-    /// Callers' connections at once; more wait in the listen queue.
+    /// Maximum number of caller connections; further ones wait in the listen queue.
     pub max_connections: u32,
-    /// Bytes of a request's headers.
+    /// Maximum size of a request's headers, in bytes.
     pub max_header_bytes: u32,
-    /// Longest time for a request's headers, in milliseconds.
+    /// Maximum time for receiving a request's headers, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Bytes of an uploaded file that are held in memory at once.
+    /// Maximum bytes of an uploaded file that are buffered in memory.
     pub upload_buffer_bytes: u32,
-    /// Batch items under lease at once, running or not; 0 runs none.
+    /// Maximum number of leased batch items, running or not; 0 disables batch work.
     pub max_batch_items: u32,
-    /// Longest planned stop: requests still running then are ended with an error, in milliseconds.
+    /// Maximum duration of a graceful shutdown, in milliseconds; requests still running after
+    /// this time are ended with an error.
     pub drain_timeout_ms: u64,
-    /// Longest wait for control's answer to a call that a caller waits for, in milliseconds.
+    /// Timeout of a call to control on behalf of a waiting caller, in milliseconds.
     pub control_timeout_ms: u64,
 }
 
@@ -58,11 +59,11 @@
 pub struct GatewaySettings {
     /// Name of the process, unique in the fleet.
     pub gateway_id: String,
-    /// The zone that it runs in.
+    /// The zone of the process.
     pub zone: String,
-    /// The region of that zone.
+    /// The region of the zone.
     pub region: String,
-    /// Where callers connect.
+    /// Listen address for callers.
     pub listen_address: SocketAddr,
     /// Attach addresses of the control members.
     pub control_addresses: Vec<SocketAddr>,
@@ -74,16 +75,16 @@
     pub data_dir: PathBuf,
     /// Log levels.
     pub log: LogSettings,
-    /// Size of the decision journal, in bytes.
+    /// Maximum size of the decision journal, in bytes.
     pub journal_max_bytes: u64,
-    /// SHA-256 of the bearer key, in hexadecimal, that may explain everything; without it
-    /// tenants see their own work only.
+    /// SHA-256 of the operators' bearer key, in hexadecimal. This key gives access to the decisions
+    /// about all work; tenants have access only to those about their own.
     pub operator_key_sha256: Option<String>,
     /// Limits of this process.
     pub limits: GatewayLimits,
 }
 
-/// Settings of a gateway as a file or the flags give them, in part.
+/// Settings of a gateway from a file or the flags; each may be absent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 #[allow(missing_docs, reason = "the fields are those of GatewaySettings")]
@@ -103,7 +104,7 @@
 }
 
 impl GatewayValues {
-    /// These values, with those that `flags` gives in their place.
+    /// These values, overridden by those present in `flags`.
     #[must_use]
     pub fn overridden_by(self, flags: GatewayValues) -> Self {
         GatewayValues {
@@ -144,10 +145,10 @@
 }
 
 impl GatewaySettings {
-    /// Reads a settings file, if one is named, and puts the flags over it.
+    /// Reads a settings file, if given, and applies the flags.
     ///
     /// # Errors
-    /// Names the file, line and field at fault.
+    /// Names file, line and field of the error.
     pub fn load(file: Option<&Path>, flags: GatewayValues) -> Result<Self, SettingsError> {
         let LoadedFile { text, values } = read_values::<GatewayValues>(file)?;
         values
@@ -168,7 +169,7 @@
             return checker.fail("control_addresses", "at least one address is needed");
         }
         for address in &self.control_addresses {
-            checker.reachable("control_addresses", *address)?;
+            checker.connectable("control_addresses", *address)?;
         }
         let key = self.operator_key_sha256.as_deref();
         if key.is_some_and(|key| !is_key_hash(key)) {
--- a/crates/config/src/settings/load.rs
+++ b/crates/config/src/settings/load.rs
@@ -9,31 +9,31 @@
 
 use crate::locate::FieldError;
 
-/// Shortest cluster key, in bytes.
+/// Minimum length of a cluster key, in bytes.
 pub const MIN_CLUSTER_KEY_BYTES: usize = 16;
 
-/// What is wrong with settings; nothing has been started.
+/// An error in the settings, reported before anything is started.
 #[derive(Debug)]
 pub enum SettingsError {
     /// A file cannot be read.
     Unreadable {
-        /// Which.
+        /// The file.
         file: PathBuf,
-        /// Why.
+        /// The cause.
         cause: io::Error,
     },
-    /// The file's content, or the flags on top of it, are refused.
+    /// The values from the file and the flags are invalid.
     Invalid {
         /// The file; `None` when all values came from flags.
         file: Option<PathBuf>,
-        /// Line, field and fault.
+        /// Line, field and description.
         error: FieldError,
     },
-    /// The cluster key is too short to prove anything.
+    /// The cluster key is too short to be secure.
     ShortKey {
-        /// Its file.
+        /// The key file.
         file: PathBuf,
-        /// Its length, in bytes.
+        /// Length of the key, in bytes.
         bytes: usize,
     },
 }
@@ -60,7 +60,7 @@
 
 impl std::error::Error for SettingsError {}
 
-/// Reads the cluster key; white space around it is not part of it.
+/// Reads the cluster key, without leading and trailing white space.
 ///
 /// # Errors
 /// When the file cannot be read or the key is too short.
@@ -79,7 +79,7 @@
     Ok(key.to_vec())
 }
 
-/// The text of a settings file and the values in it.
+/// The text of a settings file and its values.
 pub(crate) struct LoadedFile<V> {
     pub(crate) text: String,
     pub(crate) values: V,
--- a/crates/config/src/settings/log.rs
+++ b/crates/config/src/settings/log.rs
@@ -1,23 +1,23 @@
-//! Log levels in general and by module.
+//! Default log level and log levels by module.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// How much is logged.
+/// The least severe level that is logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum LogLevel {
-    /// Only what needs an operator at once.
+    /// Only events that need an operator immediately.
     Critical,
-    /// Failures too.
+    /// Also failures.
     Error,
-    /// What may become a failure too.
+    /// Also events that may lead to failures.
     Warning,
-    /// Changes of state too.
+    /// Also changes of state.
     #[default]
     Info,
-    /// Single decisions too.
+    /// Also single decisions.
     Debug,
 }
 
@@ -38,12 +38,12 @@
     }
 }
 
-/// The level in general and the levels of single modules.
+/// The default level and the levels of single modules.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
-    /// Of every module that is not named below.
+    /// Level of every module without an entry in `modules`.
     pub level: LogLevel,
-    /// By module path prefix, such as `linnethitch_consensus`; the longest match counts.
+    /// By module path prefix, such as `linnethitch_consensus`; the longest match applies.
     pub modules: BTreeMap<String, LogLevel>,
 }
--- a/crates/config/tests/all/document.rs
+++ b/crates/config/tests/all/document.rs
@@ -1,4 +1,4 @@
-//! Replacing a file by a similar one gives what parsing it anew gives.
+//! Replacing a file by a similar one gives the same result as parsing the new file.
 
 use std::sync::Arc;
 
@@ -8,8 +8,8 @@
 
 use crate::{examples::example, large::fleet_of};
 
-/// What the TOML library makes of the whole text.
-fn whole(text: &str) -> Result<Fleet, String> {
+/// The complete text as parsed by the TOML library.
+fn parse_complete(text: &str) -> Result<Fleet, String> {
     toml::from_str(text).map_err(|error: toml::de::Error| error.message().to_owned())
 }
 
@@ -26,12 +26,12 @@
         .filter(|(old, new)| Arc::ptr_eq(old, new))
         .count();
     assert_eq!(shared, 99);
-    assert_eq!(**new.fleet(), whole(&text).unwrap());
+    assert_eq!(**new.fleet(), parse_complete(&text).unwrap());
     assert_ne!(old.digest(), new.digest());
 }
 
 #[test]
-fn sections_that_move_within_reach_are_shared() {
+fn sections_moved_within_the_search_window_are_shared() {
     let old = FleetDocument::parse(fleet_of(100)).unwrap();
     let first = old.text().find("[[tenant]]").unwrap();
     let second = first + old.text()[first + 1..].find("[[tenant]]").unwrap() + 1;
@@ -66,7 +66,7 @@
 #[case::between_models(
     "name = \"a\"\n[[zone]]\nname=\"z\"\nregion=\"r\"\n[[model]]\nname=\"m\"\nversion=\"1\"\nplacement=[]\n[[tenant]]\nname=\"t\"\nkey_sha256=\"k\"\n[[model.adapter]]\nname=\"x\"\nversion=\"1\"\n"
 )]
-#[case::windows_line_ends(
+#[case::windows_line_endings(
     "name = \"a\"\r\n[[zone]]\r\nname=\"z\"\r\nregion=\"r\"\r\n[[tenant]]\r\nname=\"t\"\r\nkey_sha256=\"k\"\r\n"
 )]
 #[case::table_below_tenant(
@@ -90,7 +90,7 @@
 #[case::key_after_the_sections(
     "[[zone]]\nname=\"z\"\nregion=\"r\"\n[[tenant]]\nname=\"t\"\nkey_sha256=\"k\"\nweight=3\n[limits]\n[batch]\n"
 )]
-fn unusual_texts_are_read_as_the_library_reads_them(#[case] text: &str) {
+fn unusual_texts_are_parsed_like_the_toml_library(#[case] text: &str) {
     let key = |letter: &str| letter.repeat(64);
     let text = text
         .replace("\"k\"", &format!("\"{}\"", key("a")))
@@ -100,14 +100,15 @@
             "\"\"\"a\\\n[[tenant]]\\\nb\"\"\"",
         );
     let base = FleetDocument::parse(fleet_of(3)).unwrap();
-    let expected = whole(&text);
+    let expected = parse_complete(&text);
     for read in [
         FleetDocument::parse(text.clone()),
         base.replaced_by(text.clone()),
     ] {
         match (&expected, read) {
             (Ok(expected), Ok(read)) => assert_eq!(**read.fleet(), *expected),
-            // Validation may refuse what the library reads, never the other way round.
+            // Validation may refuse a text that the library accepts, but not accept a text that
+            // the library refuses.
             (Ok(_), Err(error)) => assert!(
                 error.message.contains("characters other") || error.field == "name",
                 "{error}"
@@ -116,7 +117,9 @@
                 let expected = expected.lines().next().unwrap_or_default();
                 assert!(error.message.contains(expected), "{error}, not {expected}");
             }
-            (Err(expected), Ok(_)) => panic!("read what the library refuses: {expected}"),
+            (Err(expected), Ok(_)) => {
+                panic!("accepted a text that the library refuses: {expected}")
+            }
         }
     }
 }
@@ -133,7 +136,7 @@
     assert_eq!(error.field, "tenant[1].max_in_fligth");
 }
 
-/// Sections in any order and number; some of them wrong.
+/// Any number of sections in any order; some of them invalid.
 fn sections() -> impl Strategy<Value = Vec<String>> {
     let section = (0_u32..6, 0_u32..3).prop_map(|(number, weight)| {
         let key = format!("{number}").repeat(64);
@@ -160,14 +163,14 @@
     #![proptest_config(ProptestConfig { failure_persistence: None, ..ProptestConfig::with_cases(512) })]
 
     #[test]
-    fn a_replaced_file_equals_the_file_read_anew(old in sections(), new in sections()) {
+    fn a_replaced_file_equals_the_newly_parsed_file(old in sections(), new in sections()) {
         let (old, new) = (text_of(&old), text_of(&new));
         let Ok(old) = FleetDocument::parse(old) else {
             return Ok(());
         };
-        match (old.replaced_by(new.clone()), whole(&new)) {
+        match (old.replaced_by(new.clone()), parse_complete(&new)) {
             (Ok(read), Ok(expected)) => prop_assert_eq!(&**read.fleet(), &expected),
-            (Ok(_), Err(error)) => prop_assert!(false, "read what the library refuses: {}", error),
+            (Ok(_), Err(error)) => prop_assert!(false, "accepted a text that the library refuses: {}", error),
             (Err(_), _) => prop_assert!(FleetDocument::parse(new).is_err()),
         }
     }
--- a/crates/config/tests/all/examples.rs
+++ b/crates/config/tests/all/examples.rs
@@ -1,4 +1,4 @@
-//! The example files are valid and are what the deployments need.
+//! The example files are valid and match the size of the deployments.
 
 use std::{fs, path::PathBuf};
 
@@ -23,7 +23,7 @@
 #[rstest]
 #[case("granite-lane.toml", 12, 3)]
 #[case("hanbit.toml", 18, 3)]
-fn an_example_has_the_deployment_s_size(
+fn an_example_has_the_size_of_the_deployment(
     #[case] file: &str,
     #[case] engines: u32,
     #[case] applications: u32,
@@ -31,7 +31,7 @@
     let fleet = Fleet::parse(&example(file)).unwrap();
     assert_eq!(fleet.zones.len(), 3);
     let replicas = |placement: &[linnethitch_config::fleet::Placement]| {
-        placement.iter().map(|place| place.replicas).sum::<u32>()
+        placement.iter().map(|entry| entry.replicas).sum::<u32>()
     };
     let model_replicas: u32 = fleet
         .models
--- a/crates/config/tests/all/fleet.rs
+++ b/crates/config/tests/all/fleet.rs
@@ -1,4 +1,4 @@
-//! Bad fleet files and the exact words that refuse them.
+//! Invalid fleet files and the exact error messages.
 
 use linnethitch_config::fleet::{Fleet, validate::MAX_REPORTED_FAULTS};
 use rstest::rstest;
@@ -53,12 +53,12 @@
 max_output_tokens = 10
 "#;
 
-fn refusal(text: &str) -> String {
+fn error_of(text: &str) -> String {
     Fleet::parse(text).unwrap_err().to_string()
 }
 
 #[test]
-fn the_file_that_the_cases_start_from_is_valid() {
+fn the_base_file_of_the_cases_is_valid() {
     Fleet::parse(FLEET).unwrap();
 }
 
@@ -221,20 +221,20 @@
     "max_output_tokens = 0",
     "line 48: limits.max_output_tokens: 0 is not within 1 to 16777216"
 )]
-fn a_bad_file_is_refused_with_line_and_field(
+fn an_invalid_file_is_refused_with_line_and_field(
     #[case] part: &str,
     #[case] replacement: &str,
     #[case] expected: &str,
 ) {
     assert!(FLEET.contains(part));
-    assert_eq!(refusal(&FLEET.replacen(part, replacement, 1)), expected);
+    assert_eq!(error_of(&FLEET.replacen(part, replacement, 1)), expected);
 }
 
 #[test]
 fn a_file_without_zones_is_refused() {
-    assert_eq!(refusal("name = \"x\"\n"), "line 1: missing field `zone`");
+    assert_eq!(error_of("name = \"x\"\n"), "line 1: missing field `zone`");
     assert_eq!(
-        refusal("name = \"x\"\nzone = []\n"),
+        error_of("name = \"x\"\nzone = []\n"),
         "line 2: zone: at least one zone is needed"
     );
 }
@@ -242,7 +242,7 @@
 #[test]
 fn an_oversized_file_is_refused_before_it_is_parsed() {
     let text = format!("{FLEET}# {}\n", "x".repeat(13 * 1024 * 1024));
-    assert!(refusal(&text).contains("at most 12582912 are allowed"));
+    assert!(error_of(&text).contains("at most 12582912 are allowed"));
 }
 
 #[test]
--- a/crates/config/tests/all/large.rs
+++ b/crates/config/tests/all/large.rs
@@ -1,4 +1,4 @@
-//! The fleet file at the size that the project is designed for.
+//! A fleet file of the maximum intended size.
 
 use std::fmt::Write;
 
@@ -42,13 +42,13 @@
     );
     let applied = apply_edits(&old, &edits).unwrap();
     assert_eq!(content_digest(&applied), content_digest(&new));
-    let words: Vec<String> = fleet
+    let descriptions: Vec<String> = fleet
         .diff(&Fleet::parse(&new).unwrap())
         .iter()
         .map(ToString::to_string)
         .collect();
     assert_eq!(
-        words,
+        descriptions,
         [
             "tenant \"tenant-0\": requests_per_second 10.0 -> 11.0",
             "tenant \"tenant-44999\": weight (none) -> 2"
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_fault_in_the_last_tenant_is_found_with_its_line() {
+fn a_fault_in_the_last_tenant_is_reported_with_its_line() {
     let text = fleet_of(TENANTS) + "weight = 0\n";
     let error = Fleet::parse(&text).unwrap_err();
     assert_eq!(error.line, Some(text.lines().count()));
--- a/crates/config/tests/all/reference.rs
+++ b/crates/config/tests/all/reference.rs
@@ -1,4 +1,4 @@
-//! The reference pages list what the code has, with its defaults and bounds.
+//! The reference pages list the fields in the code with their defaults and bounds.
 
 use std::{collections::BTreeSet, fs, path::PathBuf};
 
@@ -10,7 +10,7 @@
 
 use crate::settings::{CONTROL, GATEWAY};
 
-/// A fleet that uses every field, each optional one included.
+/// A fleet file with every field, including the optional ones.
 const FULL: &str = r#"name = "full"
 
 [[zone]]
@@ -56,8 +56,8 @@
     text.lines()
         .filter_map(|line| line.strip_prefix("| `"))
         .map(|line| {
-            let (field, rest) = line.split_once('`').unwrap();
-            let cells = rest.replace("\\|", "/");
+            let (field, after) = line.split_once('`').unwrap();
+            let cells = after.replace("\\|", "/");
             let cells = cells.split('|').skip(1).map(|cell| cell.trim().to_owned());
             Row {
                 field: field.to_owned(),
@@ -104,16 +104,16 @@
     Value::try_from(Fleet::parse(FULL).unwrap()).unwrap()
 }
 
-/// The place of a field in the first element of each list on the way.
-fn place<'a>(value: &'a mut Value, field: &str) -> &'a mut Value {
-    let mut place = value;
+/// The value of a field; lists on the path are entered at their first element.
+fn value_at<'a>(value: &'a mut Value, field: &str) -> &'a mut Value {
+    let mut current = value;
     for key in field.split('.') {
-        if place.is_array() {
-            place = &mut place[0];
+        if current.is_array() {
+            current = &mut current[0];
         }
-        place = place.as_table_mut().unwrap().get_mut(key).unwrap();
+        current = current.as_table_mut().unwrap().get_mut(key).unwrap();
     }
-    place
+    current
 }
 
 #[test]
@@ -136,7 +136,7 @@
             continue;
         }
         assert_eq!(
-            place(&mut value, &row.field).to_string(),
+            value_at(&mut value, &row.field).to_string(),
             *default,
             "{}",
             row.field
@@ -150,27 +150,27 @@
 fn the_fleet_page_gives_the_bounds() {
     let mut checked = 0;
     for row in rows(&page("fleet-file.md")) {
-        let Some((least, most)) = row.cells[2].split_once(" to ") else {
+        let Some((min, max)) = row.cells[2].split_once(" to ") else {
             continue;
         };
-        let (least, most): (i64, i64) = (least.parse().unwrap(), most.parse().unwrap());
+        let (min, max): (i64, i64) = (min.parse().unwrap(), max.parse().unwrap());
         let accepts = |number: i64| {
             let mut value = full_fleet();
-            let place = place(&mut value, &row.field);
-            *place = match place {
+            let field = value_at(&mut value, &row.field);
+            *field = match field {
                 Value::Float(_) => Value::Float(number as f64),
                 _ => Value::Integer(number),
             };
             Fleet::parse(&toml::to_string(&value).unwrap()).is_ok()
         };
         assert!(
-            accepts(least) && accepts(most),
-            "{}: {least} to {most}",
+            accepts(min) && accepts(max),
+            "{}: {min} to {max}",
             row.field
         );
         assert!(
-            !accepts(least - 1) && !accepts(most + 1),
-            "{}: {least} to {most}",
+            !accepts(min - 1) && !accepts(max + 1),
+            "{}: {min} to {max}",
             row.field
         );
         checked += 1;
@@ -182,7 +182,7 @@
 fn the_settings_page_lists_every_field_with_its_default() {
     let page = page("settings.md");
     let (gateway_page, control_page) = page.split_once("## Control").unwrap();
-    // Fields without a default are listed too.
+    // Fields without a default are listed as well.
     let operators = format!("operator_key_sha256 = \"{}\"\n", "0".repeat(64));
     let gateway: GatewaySettings =
         crate::settings::gateway(&[GATEWAY, operators.as_str()].concat());
@@ -209,7 +209,7 @@
             let default = &row.cells[0];
             if default.parse::<i64>().is_ok() {
                 assert_eq!(
-                    place(&mut settings.clone(), &row.field).to_string(),
+                    value_at(&mut settings.clone(), &row.field).to_string(),
                     *default
                 );
             }
--- a/crates/config/tests/all/settings.rs
+++ b/crates/config/tests/all/settings.rs
@@ -1,4 +1,4 @@
-//! Settings files: what is taken, what is refused and with which words.
+//! Settings files: valid ones, invalid ones and the error messages.
 
 use std::{fs, path::Path};
 
@@ -52,7 +52,7 @@
     let folder = tempfile::tempdir().unwrap();
     let file = folder.path().join("gateway.toml");
     fs::write(&file, text).unwrap();
-    GatewaySettings::load(Some(&file), flags).map_err(|error| shown(&error, folder.path()))
+    GatewaySettings::load(Some(&file), flags).map_err(|error| error_text(&error, folder.path()))
 }
 
 fn load_control(text: &str) -> Result<ControlSettings, String> {
@@ -60,17 +60,17 @@
     let file = folder.path().join("control.toml");
     fs::write(&file, text).unwrap();
     ControlSettings::load(Some(&file), ControlValues::default())
-        .map_err(|error| shown(&error, folder.path()))
+        .map_err(|error| error_text(&error, folder.path()))
 }
 
-fn shown(error: &impl ToString, folder: &Path) -> String {
+fn error_text(error: &impl ToString, folder: &Path) -> String {
     error
         .to_string()
         .replace(&format!("{}/", folder.display()), "")
 }
 
 #[test]
-fn a_gateway_file_is_read_and_defaults_fill_it() {
+fn a_gateway_file_is_read_and_completed_with_defaults() {
     let settings = load_gateway(GATEWAY, GatewayValues::default()).unwrap();
     assert_eq!(settings.gateway_id, "gateway-1");
     assert_eq!(settings.control_addresses.len(), 2);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_flag_wins_over_the_file() {
+fn a_flag_overrides_the_file() {
     let flags = GatewayValues {
         zone: Some("hartford".to_owned()),
         listen_address: Some("127.0.0.1:0".parse().unwrap()),
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn flags_alone_may_give_everything_or_the_missing_field_is_named() {
+fn without_a_file_a_missing_flag_is_named() {
     let error = GatewaySettings::load(None, GatewayValues::default()).unwrap_err();
     assert_eq!(
         error.to_string(),
@@ -167,7 +167,7 @@
     "data_dir = \"data\"\n[limits]\nmax_connections = 0",
     "gateway.toml: line 10: limits.max_connections: must be above 0"
 )]
-fn a_bad_gateway_file_is_refused_with_line_and_field(
+fn an_invalid_gateway_file_is_refused_with_line_and_field(
     #[case] part: &str,
     #[case] replacement: &str,
     #[case] expected: &str,
@@ -209,7 +209,7 @@
     "machine = -2\nzone",
     "control.toml: line 1: machine: invalid value: integer `-2`, expected u32"
 )]
-fn a_bad_control_file_is_refused_with_line_and_field(
+fn an_invalid_control_file_is_refused_with_line_and_field(
     #[case] part: &str,
     #[case] replacement: &str,
     #[case] expected: &str,
