--- a/crates/protocol/src/quota.rs
+++ b/crates/protocol/src/quota.rs
@@ -31,8 +31,8 @@
         /// If no request may be sent: time until the next one may be, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The sender has had no contact with control for some time. Gateways that send this
-    /// message coordinate the limits among themselves.
+    /// The sender has had no contact with control for some time. Gateways without control count
+    /// the senders of this message to determine the fraction of each limit that they may use.
     ControlUnreachable,
     /// A coordinator of tenant limits announces itself to its witnesses.
     WitnessRequest {
