--- a/crates/protocol/src/first_format.rs
+++ b/crates/protocol/src/first_format.rs
@@ -1,5 +1,5 @@
-//! Datagrams between gateways, and what control members answer, as the first format has them.
-//! Frozen: a build that production runs writes them.
+//! Datagrams between gateways, and answers of control members, in the first format. The types
+//! are frozen because builds in production write them.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -12,15 +12,16 @@
     query::{FleetStatus, GatewayStatus, MemberStatus, QueryAnswer, ReplicaStatus},
     quota::QuotaMessage,
     slots::{AskMode, GatewayDatagram, HeldLease, RunOutcome, SlotLoad, Verdict},
-    suspicion::{EndedRun, EndsInRow, RequestFingerprint, ToldSuspicion},
+    suspicion::{ConsecutiveEnds, EndedRun, ReportedSuspicion, RequestFingerprint},
 };
 
-/// A message that the first format does not have.
+/// The error for a message that the first format cannot represent.
 pub fn not_in_first_format(message: &str) -> Report<ErrorKind> {
-    Report::new(ErrorKind::InvalidState).attach(format!("format 1 has no {message}"))
+    Report::new(ErrorKind::InvalidState).attach(format!("format 1 cannot represent {message}"))
 }
 
-/// A run that broke off when its replica ended: of the ends that were known their number.
+/// A run that was interrupted when its replica ended. Of the earlier ends, only the number is
+/// included.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FirstEndedRun {
     fingerprint: RequestFingerprint,
@@ -28,15 +29,15 @@
     ran_ms: u32,
 }
 
-/// A message about tenants' limits: nobody is a witness.
+/// A message about tenant limits; this format has no messages of witnesses.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum FirstQuotaMessage {
     /// As [`QuotaMessage::Ask`].
     Ask {
         tenant: String,
-        want: u32,
-        sent_again: u32,
-        sent_apart: u32,
+        requested: u32,
+        resent: u32,
+        sent_without_lease: u32,
         sent_late: u32,
         unused: u32,
     },
@@ -44,15 +45,15 @@
     Grant {
         tenant: String,
         granted: u32,
-        again_in_ms: u32,
+        retry_after_ms: u32,
     },
-    /// As [`QuotaMessage::WithoutControl`].
-    WithoutControl,
-    /// As [`QuotaMessage::NotHere`].
-    NotHere { tenant: String },
+    /// As [`QuotaMessage::ControlUnreachable`].
+    ControlUnreachable,
+    /// As [`QuotaMessage::NotCoordinator`].
+    NotCoordinator { tenant: String },
 }
 
-/// The fleet as control sees it: no zone was evacuated.
+/// The fleet as known to control; this format has no evacuated zones.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FirstFleetStatus {
     revision: Revision,
@@ -67,9 +68,9 @@
 }
 
 impl ControlAnswer {
-    /// The same answer as a format has it.
+    /// Converts the answer to its representation in a format.
     #[must_use]
-    pub fn written_in(self, format: Format) -> Self {
+    pub fn in_format(self, format: Format) -> Self {
         match (format, self) {
             (Format::First, ControlAnswer::Answer(QueryAnswer::Status(status))) => {
                 ControlAnswer::Answer(QueryAnswer::FirstStatus(status.into()))
@@ -78,9 +79,9 @@
         }
     }
 
-    /// The answer of today that was read.
+    /// Converts an answer read in any format to the current representation.
     #[must_use]
-    pub fn as_read(self) -> Self {
+    pub fn into_current_format(self) -> Self {
         match self {
             ControlAnswer::Answer(QueryAnswer::FirstStatus(first)) => {
                 ControlAnswer::Answer(QueryAnswer::Status(first.into()))
@@ -123,7 +124,7 @@
     }
 }
 
-/// A datagram.
+/// A datagram between gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum FirstDatagram {
     /// As [`GatewayDatagram::Ask`].
@@ -144,37 +145,39 @@
     End { number: u64, outcome: RunOutcome },
     /// As [`GatewayDatagram::Held`].
     Held { leases: Vec<HeldLease> },
-    /// A replica ended under these runs of the sender.
+    /// A replica ended during these runs of the sender.
     ReplicaEnded {
         replica: String,
         runs: Vec<FirstEndedRun>,
     },
-    /// About tenants' limits.
+    /// A message about tenant limits.
     Quota(FirstQuotaMessage),
 }
 
 impl GatewayDatagram {
-    /// Whether a format says less than this message, or nothing.
+    /// Whether a format cannot represent the complete message.
     #[must_use]
-    pub fn loses_in(&self, format: Format) -> bool {
-        let in_first = match self {
+    pub fn loses_content_in(&self, format: Format) -> bool {
+        let loses_in_first = match self {
             GatewayDatagram::Suspicions(_) => true,
             GatewayDatagram::Quota(message) => {
                 FirstQuotaMessage::try_from(message.clone()).is_err()
             }
             _ => false,
         };
-        format == Format::First && in_first
+        format == Format::First && loses_in_first
     }
 
-    /// The messages of a format that say the same: the first tells of one replica at a time,
-    /// and of no request that was cleared.
+    /// The messages of a format with the same content. A message of the first format reports one
+    /// replica and no cleared requests.
     #[must_use]
-    pub fn parts_in(&self, format: Format) -> Vec<GatewayDatagram> {
+    pub fn messages_in(&self, format: Format) -> Vec<GatewayDatagram> {
         match (format, self) {
-            (Format::First, GatewayDatagram::Suspicions(told)) => {
-                let open = told.iter().filter(|told| !told.row.is_empty());
-                open.map(|told| GatewayDatagram::Suspicions(vec![told.clone()]))
+            (Format::First, GatewayDatagram::Suspicions(reported)) => {
+                let open = reported
+                    .iter()
+                    .filter(|suspicion| !suspicion.consecutive_ends.is_empty());
+                open.map(|suspicion| GatewayDatagram::Suspicions(vec![suspicion.clone()]))
                     .collect()
             }
             _ => vec![self.clone()],
@@ -183,11 +186,11 @@
 }
 
 impl From<FirstEndedRun> for EndedRun {
-    /// The runs before are taken to have lasted as long as this one.
+    /// Assumes that the earlier runs lasted as long as this one.
     fn from(first: FirstEndedRun) -> Self {
         EndedRun {
             fingerprint: first.fingerprint,
-            known: EndsInRow::alike(first.ran_ms, first.known_ends),
+            known: ConsecutiveEnds::with_equal_lengths(first.ran_ms, first.known_ends),
             ran_ms: first.ran_ms,
         }
     }
@@ -203,20 +206,23 @@
     }
 }
 
-fn ended_run(told: &ToldSuspicion) -> Option<FirstEndedRun> {
-    let (ran_ms, known) = told.row.lengths_ms.split_last()?;
+fn ended_run(suspicion: &ReportedSuspicion) -> Option<FirstEndedRun> {
+    let (ran_ms, known) = suspicion.consecutive_ends.lengths_ms.split_last()?;
     Some(FirstEndedRun {
-        fingerprint: told.fingerprint,
+        fingerprint: suspicion.fingerprint,
         known_ends: known.len() as u32,
         ran_ms: *ran_ms,
     })
 }
 
-fn told_suspicion(replica: &str, run: &FirstEndedRun) -> ToldSuspicion {
-    ToldSuspicion {
+fn reported_suspicion(replica: &str, run: &FirstEndedRun) -> ReportedSuspicion {
+    ReportedSuspicion {
         fingerprint: run.fingerprint,
         replica: replica.to_owned(),
-        row: EndsInRow::alike(run.ran_ms, run.known_ends.saturating_add(1)),
+        consecutive_ends: ConsecutiveEnds::with_equal_lengths(
+            run.ran_ms,
+            run.known_ends.saturating_add(1),
+        ),
     }
 }
 
@@ -249,13 +255,16 @@
             },
             GatewayDatagram::End { number, outcome } => FirstDatagram::End { number, outcome },
             GatewayDatagram::Held { leases } => FirstDatagram::Held { leases },
-            GatewayDatagram::Suspicions(told) => {
-                let one_replica = told.first().map(|first| first.replica.clone());
-                let one_replica =
-                    one_replica.filter(|replica| told.iter().all(|told| told.replica == *replica));
+            GatewayDatagram::Suspicions(reported) => {
+                let one_replica = reported.first().map(|first| first.replica.clone());
+                let one_replica = one_replica.filter(|replica| {
+                    reported
+                        .iter()
+                        .all(|suspicion| suspicion.replica == *replica)
+                });
                 let replica =
                     one_replica.ok_or_else(|| not_in_first_format("ends of several replicas"))?;
-                let runs: Vec<FirstEndedRun> = told.iter().filter_map(ended_run).collect();
+                let runs: Vec<FirstEndedRun> = reported.iter().filter_map(ended_run).collect();
                 FirstDatagram::ReplicaEnded { replica, runs }
             }
             GatewayDatagram::Quota(message) => FirstDatagram::Quota(message.try_into()?),
@@ -292,7 +301,7 @@
             FirstDatagram::Held { leases } => GatewayDatagram::Held { leases },
             FirstDatagram::ReplicaEnded { replica, runs } => GatewayDatagram::Suspicions(
                 runs.iter()
-                    .map(|run| told_suspicion(&replica, run))
+                    .map(|run| reported_suspicion(&replica, run))
                     .collect(),
             ),
             FirstDatagram::Quota(message) => GatewayDatagram::Quota(message.into()),
@@ -307,35 +316,35 @@
         Ok(match message {
             QuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             } => FirstQuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             },
             QuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             } => FirstQuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             },
-            QuotaMessage::WithoutControl => FirstQuotaMessage::WithoutControl,
-            QuotaMessage::NotHere { tenant } => FirstQuotaMessage::NotHere { tenant },
-            QuotaMessage::Counting { .. }
-            | QuotaMessage::Witnessed { .. }
-            | QuotaMessage::IsHeard { .. }
-            | QuotaMessage::Unheard { .. } => {
-                return Err(not_in_first_format("witnesses of limits"));
+            QuotaMessage::ControlUnreachable => FirstQuotaMessage::ControlUnreachable,
+            QuotaMessage::NotCoordinator { tenant } => FirstQuotaMessage::NotCoordinator { tenant },
+            QuotaMessage::WitnessRequest { .. }
+            | QuotaMessage::WitnessResponse { .. }
+            | QuotaMessage::ContactQuery { .. }
+            | QuotaMessage::NoContact { .. } => {
+                return Err(not_in_first_format("messages of witnesses of limits"));
             }
         })
     }
@@ -346,30 +355,30 @@
         match first {
             FirstQuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             } => QuotaMessage::Ask {
                 tenant,
-                want,
-                sent_again,
-                sent_apart,
+                requested,
+                resent,
+                sent_without_lease,
                 sent_late,
                 unused,
             },
             FirstQuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             } => QuotaMessage::Grant {
                 tenant,
                 granted,
-                again_in_ms,
+                retry_after_ms,
             },
-            FirstQuotaMessage::WithoutControl => QuotaMessage::WithoutControl,
-            FirstQuotaMessage::NotHere { tenant } => QuotaMessage::NotHere { tenant },
+            FirstQuotaMessage::ControlUnreachable => QuotaMessage::ControlUnreachable,
+            FirstQuotaMessage::NotCoordinator { tenant } => QuotaMessage::NotCoordinator { tenant },
         }
     }
 }
