--- a/crates/cluster/src/links.rs
+++ b/crates/cluster/src/links.rs
@@ -265,7 +265,7 @@
                 warn!(inner.logger, "link refused"; "to" => &address,
                     "cause" => format!("{report:?}"));
             }
-            sleep(refused_backoff.next_wait()).await;
+            sleep(refused_backoff.next_delay()).await;
             continue;
         }
         if let Ok(connection) = opened {
@@ -284,7 +284,7 @@
                 backoff.reset();
             }
         }
-        sleep(backoff.next_wait()).await;
+        sleep(backoff.next_delay()).await;
     }
 }
 
--- a/crates/control/src/member/snapshots.rs
+++ b/crates/control/src/member/snapshots.rs
@@ -219,7 +219,7 @@
         let Some(mark) = self.payload_marks.get(&oldest).copied() else {
             return Ok(());
         };
-        self.ledger.payloads().settle(mark)?;
+        self.ledger.payloads().reclaim_before(mark)?;
         match self.ledger.compact_payloads() {
             Err(report) if *report.current_context() == ErrorKind::StorageFull => Ok(()),
             compacted => compacted.map(|_| ()),
--- a/crates/control/src/peers.rs
+++ b/crates/control/src/peers.rs
@@ -134,7 +134,7 @@
                     debug!(logger, "cannot connect to a peer"; "error" => ?report.current_context());
                 }
             }
-            sleep(backoff.next_wait()).await;
+            sleep(backoff.next_delay()).await;
         }
     }
 
--- a/crates/control/src/process.rs
+++ b/crates/control/src/process.rs
@@ -99,8 +99,8 @@
         );
         let operator_server = tokio::spawn(operator_server.run());
         let links = LinkRuntime::start("control-links")?;
-        let peer = links.adopt(sockets.peer)?;
-        let attach = links.adopt(sockets.attach)?;
+        let peer = links.register_listener(sockets.peer)?;
+        let attach = links.register_listener(sockets.attach)?;
         let mut tasks = shared.spawn(&driver, links.handle(), peer, attach);
         tasks.spawn(placement.run());
         info!(logger, "control member started";
--- a/crates/gateway/src/control/attachment.rs
+++ b/crates/gateway/src/control/attachment.rs
@@ -63,7 +63,7 @@
             }
         }
         attachment.gateway.control.clear_link();
-        tokio::time::sleep(backoff.next_wait()).await;
+        tokio::time::sleep(backoff.next_delay()).await;
     }
 }
 
--- a/crates/group/src/opening.rs
+++ b/crates/group/src/opening.rs
@@ -148,7 +148,8 @@
         OpenedLog::Damaged(damage) => return Ok(Err(damage.to_string())),
         OpenedLog::Intact(log) => log,
     };
-    let snapshots = SnapshotStore::open_keeping(folder.file_system(), settings.retained_snapshots)?;
+    let snapshots =
+        SnapshotStore::open_retaining(folder.file_system(), settings.retained_snapshots)?;
     if let Some(gap) = find_gap(&log, &snapshots) {
         return Ok(Err(gap));
     }
--- a/crates/group/src/settings.rs
+++ b/crates/group/src/settings.rs
@@ -1,7 +1,7 @@
 //! Settings of a group member.
 
 use linnethitch_protocol::ids::{DiskId, MachineId, MemberId};
-use linnethitch_storage::{LogLimits, folder::FolderRole, snapshot::KEPT_SNAPSHOTS};
+use linnethitch_storage::{LogLimits, folder::FolderRole, snapshot::DEFAULT_RETAINED_SNAPSHOTS};
 
 /// Settings of a group member; times are in ticks of `tick_ms`.
 #[derive(Clone, Debug)]
@@ -62,7 +62,7 @@
             heartbeat_ticks: DEFAULT_HEARTBEAT_TICKS,
             lost_ticks: DEFAULT_LOST_TICKS,
             snapshot_log_bytes: DEFAULT_SNAPSHOT_LOG_BYTES,
-            retained_snapshots: KEPT_SNAPSHOTS,
+            retained_snapshots: DEFAULT_RETAINED_SNAPSHOTS,
             log_limits: LogLimits {
                 segment_bytes: DEFAULT_SEGMENT_BYTES,
                 cache_bytes: DEFAULT_CACHE_BYTES,
--- a/crates/job-store/tests/all/support.rs
+++ b/crates/job-store/tests/all/support.rs
@@ -66,7 +66,7 @@
 /// A snapshot store on a virtual disk that retains only the newest snapshot.
 pub(crate) fn snapshots() -> SnapshotStore {
     let disk = Arc::new(VirtualDisk::new(1));
-    SnapshotStore::open_keeping(disk, 1).expect("it opens")
+    SnapshotStore::open_retaining(disk, 1).expect("it opens")
 }
 
 /// Writes a snapshot at a log index and opens it.
--- a/crates/ledger/src/snapshot/restore.rs
+++ b/crates/ledger/src/snapshot/restore.rs
@@ -276,7 +276,7 @@
     /// Registers every payload of the state with the payload store, which already contains it.
     fn adopt_payloads(&mut self) -> Result<(), Report<ErrorKind>> {
         for payload in references(&self.ledger.state) {
-            self.ledger.payloads.adopt(&payload)?;
+            self.ledger.payloads.mark_live(&payload)?;
         }
         Ok(())
     }
--- a/crates/ledger/tests/all/faults.rs
+++ b/crates/ledger/tests/all/faults.rs
@@ -53,8 +53,8 @@
         self.payloads.read_range(payload, offset, length)
     }
 
-    fn adopt(&mut self, payload: &PayloadRef) -> StorageResult<()> {
-        self.payloads.adopt(payload)
+    fn mark_live(&mut self, payload: &PayloadRef) -> StorageResult<()> {
+        self.payloads.mark_live(payload)
     }
 
     fn release(&mut self, payload: &PayloadRef) {
@@ -73,8 +73,8 @@
         self.payloads.checkpoint()
     }
 
-    fn settle(&mut self, mark: PayloadMark) -> StorageResult<()> {
-        self.payloads.settle(mark)
+    fn reclaim_before(&mut self, mark: PayloadMark) -> StorageResult<()> {
+        self.payloads.reclaim_before(mark)
     }
 
     fn compaction_candidate(&self) -> Option<u32> {
--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -122,7 +122,7 @@
 ///
 /// # Errors
 /// `NotFound`, `Corrupted` when the file exceeds `max_bytes`, `Io`.
-pub fn read_whole(
+pub fn read_file_bounded(
     file_system: &dyn FileSystem,
     path: &str,
     max_bytes: u64,
--- a/crates/storage/src/payload/files.rs
+++ b/crates/storage/src/payload/files.rs
@@ -89,7 +89,7 @@
     /// Opens the store as it was at a checkpoint: what was appended later is cut off.
     ///
     /// Every payload that the checkpoint refers to must then be named to
-    /// [`Payloads::adopt`]; the space of others is given back. A blank disk, or
+    /// [`Payloads::mark_live`]; the space of others is given back. A blank disk, or
     /// one whose state is read from a peer's snapshot, begins empty at
     /// [`PayloadMark::default`].
     ///
@@ -389,7 +389,7 @@
         Ok(bytes)
     }
 
-    fn adopt(&mut self, payload: &PayloadRef) -> StorageResult<()> {
+    fn mark_live(&mut self, payload: &PayloadRef) -> StorageResult<()> {
         let segment = self
             .segments
             .get_mut(&payload.segment)
@@ -431,7 +431,7 @@
         Ok(mark)
     }
 
-    fn settle(&mut self, mark: PayloadMark) -> StorageResult<()> {
+    fn reclaim_before(&mut self, mark: PayloadMark) -> StorageResult<()> {
         let Some(position) = self.checkpoints.iter().rposition(|(made, _)| *made <= mark) else {
             return Ok(());
         };
--- a/crates/storage/src/payload/memory.rs
+++ b/crates/storage/src/payload/memory.rs
@@ -65,7 +65,7 @@
         Ok(data[start..end].to_vec())
     }
 
-    fn adopt(&mut self, payload: &PayloadRef) -> StorageResult<()> {
+    fn mark_live(&mut self, payload: &PayloadRef) -> StorageResult<()> {
         self.find(payload).map(|_| ())
     }
 
@@ -86,7 +86,7 @@
         Ok(PayloadMark::default())
     }
 
-    fn settle(&mut self, _mark: PayloadMark) -> StorageResult<()> {
+    fn reclaim_before(&mut self, _mark: PayloadMark) -> StorageResult<()> {
         Ok(())
     }
 
--- a/crates/storage/src/payload/mod.rs
+++ b/crates/storage/src/payload/mod.rs
@@ -86,7 +86,7 @@
     ///
     /// # Errors
     /// `Corrupted` when its segment is missing.
-    fn adopt(&mut self, payload: &PayloadRef) -> StorageResult<()>;
+    fn mark_live(&mut self, payload: &PayloadRef) -> StorageResult<()>;
 
     /// Gives a payload up; its space is reclaimed later.
     fn release(&mut self, payload: &PayloadRef);
@@ -112,7 +112,7 @@
     ///
     /// # Errors
     /// `Io`.
-    fn settle(&mut self, mark: PayloadMark) -> StorageResult<()>;
+    fn reclaim_before(&mut self, mark: PayloadMark) -> StorageResult<()>;
 
     /// A segment that is mostly dead, if there is one, to hand to [`Payloads::compact`].
     fn compaction_candidate(&self) -> Option<u32>;
--- a/crates/storage/src/revision.rs
+++ b/crates/storage/src/revision.rs
@@ -5,7 +5,7 @@
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
 
-use crate::file_system::{FileSystem, OpenMode, StorageResult, read_whole};
+use crate::file_system::{FileSystem, OpenMode, StorageResult, read_file_bounded};
 
 /// First bytes of the file.
 const MAGIC: [u8; 4] = *b"LHR1";
@@ -38,7 +38,7 @@
             return Ok(None);
         }
         let max_bytes = (HEADER_BYTES + MAX_REVISION_BYTES) as u64;
-        let bytes = read_whole(self.file_system.as_ref(), &self.path, max_bytes)?;
+        let bytes = read_file_bounded(self.file_system.as_ref(), &self.path, max_bytes)?;
         parse(&bytes).map(Some).ok_or_else(|| {
             Report::new(ErrorKind::Corrupted).attach(format!("{} fails its checksum", self.path))
         })
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -16,7 +16,7 @@
 /// Directory of the snapshots in the data folder.
 pub const SNAPSHOT_DIRECTORY: &str = "snapshots";
 /// How many complete snapshots are kept where nothing else is asked for.
-pub const KEPT_SNAPSHOTS: usize = 2;
+pub const DEFAULT_RETAINED_SNAPSHOTS: usize = 2;
 /// Version of the snapshot format.
 pub const SNAPSHOT_FORMAT_VERSION: u32 = 1;
 const MAGIC: [u8; 8] = *b"LHSNAP01";
@@ -144,14 +144,14 @@
     /// # Errors
     /// `StorageFull`, `Io`.
     pub fn open(file_system: Arc<dyn FileSystem>) -> StorageResult<Self> {
-        Self::open_keeping(file_system, KEPT_SNAPSHOTS)
+        Self::open_retaining(file_system, DEFAULT_RETAINED_SNAPSHOTS)
     }
 
     /// Like [`SnapshotStore::open`], but keeps this many complete snapshots, at least one.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
-    pub fn open_keeping(file_system: Arc<dyn FileSystem>, kept: usize) -> StorageResult<Self> {
+    pub fn open_retaining(file_system: Arc<dyn FileSystem>, kept: usize) -> StorageResult<Self> {
         if !file_system.exists(SNAPSHOT_DIRECTORY)? {
             file_system.create_directory(SNAPSHOT_DIRECTORY)?;
             file_system.sync_directory("")?;
--- a/crates/storage/tests/all/payloads.rs
+++ b/crates/storage/tests/all/payloads.rs
@@ -22,7 +22,7 @@
     let files: Arc<dyn FileSystem> = Arc::new(disk.clone());
     let mut store = PayloadStore::open(files, LIMITS, mark)?;
     for payload in live {
-        store.adopt(payload)?;
+        store.mark_live(payload)?;
     }
     Ok(store)
 }
@@ -89,11 +89,11 @@
     for released in &stored {
         store.release(released);
     }
-    store.settle(first).unwrap();
+    store.reclaim_before(first).unwrap();
     assert_eq!(store.read(&stored[0]).unwrap(), payload(0));
     let full = disk.used_bytes();
     let second = store.checkpoint().unwrap();
-    store.settle(second).unwrap();
+    store.reclaim_before(second).unwrap();
     assert!(disk.used_bytes() < full / 4);
     assert_eq!(store.live_bytes(), 0);
 }
@@ -113,7 +113,7 @@
         store.release(released);
     }
     let mark = store.checkpoint().unwrap();
-    store.settle(mark).unwrap();
+    store.reclaim_before(mark).unwrap();
     let before = disk.used_bytes();
     let live: Vec<PayloadRef> = kept.iter().map(|(_, stored)| **stored).collect();
     while let Some(segment) = store.compaction_candidate() {
--- a/crates/transport/src/backoff.rs
+++ b/crates/transport/src/backoff.rs
@@ -31,7 +31,7 @@
     }
 
     /// The wait before the next attempt.
-    pub fn next_wait(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         let ceiling = self.ceiling.min(self.longest);
         self.ceiling = (ceiling * 2).min(self.longest);
         ceiling.mul_f64(self.random.random_range(0.5..=1.0))
--- a/crates/transport/src/link_runtime.rs
+++ b/crates/transport/src/link_runtime.rs
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     /// `Io` when the system refuses.
-    pub fn adopt(&self, socket: TcpListener) -> Result<TcpListener, Report<ErrorKind>> {
+    pub fn register_listener(&self, socket: TcpListener) -> Result<TcpListener, Report<ErrorKind>> {
         let _entered = self.handle.enter();
         let moved: io::Result<TcpListener> = socket.into_std().and_then(TcpListener::from_std);
         moved
--- a/crates/transport/tests/all/backoff.rs
+++ b/crates/transport/tests/all/backoff.rs
@@ -11,7 +11,7 @@
     let mut backoff = Backoff::new(first, longest, 7);
     let mut ceiling = first;
     for _ in 0..10 {
-        let wait = backoff.next_wait();
+        let wait = backoff.next_delay();
         assert!(
             wait >= ceiling / 2 && wait <= ceiling,
             "{wait:?} of {ceiling:?}"
@@ -19,13 +19,13 @@
         ceiling = (ceiling * 2).min(longest);
     }
     backoff.reset();
-    assert!(backoff.next_wait() <= first);
+    assert!(backoff.next_delay() <= first);
 }
 
 #[test]
 fn many_clients_do_not_come_back_at_once() {
     let waits: Vec<Duration> = (0..410)
-        .map(|seed| Backoff::new(Duration::from_secs(1), Duration::from_secs(4), seed).next_wait())
+        .map(|seed| Backoff::new(Duration::from_secs(1), Duration::from_secs(4), seed).next_delay())
         .collect();
     for tenth in 0..10 {
         let from = Duration::from_millis(500 + 50 * tenth);
