--- a/crates/storage/src/file_system.rs
+++ b/crates/storage/src/file_system.rs
@@ -1,4 +1,4 @@
-//! The small abstraction of one data folder that all storage code uses.
+//! The abstraction of one data folder that all storage code uses.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -24,8 +24,8 @@
 
 /// One open file.
 ///
-/// Written bytes last only after [`File::sync`], and a created or renamed file
-/// only after [`FileSystem::sync_directory`] of its directory.
+/// Written bytes are durable only after [`File::sync`], and a created or renamed
+/// file only after [`FileSystem::sync_directory`] of its directory.
 pub trait File: Send + Sync {
     /// The length in bytes.
     ///
@@ -33,7 +33,7 @@
     /// `Io`.
     fn length(&self) -> StorageResult<u64>;
 
-    /// Fills the buffer from the offset on; fewer bytes are read only at the file's end.
+    /// Fills the buffer with the bytes at the offset; reads fewer bytes only at the file's end.
     ///
     /// # Errors
     /// `Io`.
@@ -45,16 +45,16 @@
     /// `StorageFull` (some of the bytes may have been written), `Io`.
     fn write_at(&mut self, offset: u64, data: &[u8]) -> StorageResult<()>;
 
-    /// Cuts the file to this length.
+    /// Truncates the file to this length.
     ///
     /// # Errors
     /// `Io`.
     fn truncate(&mut self, length: u64) -> StorageResult<()>;
 
-    /// Makes everything written so far last.
+    /// Makes all earlier writes durable.
     ///
     /// # Errors
-    /// `Io`. A failed sync may have lost what was written; callers must not go on.
+    /// `Io`. A failed sync may have lost writes, so callers must stop using the file.
     fn sync(&mut self) -> StorageResult<()>;
 }
 
@@ -63,13 +63,13 @@
 
 /// Files under one data folder. Paths are relative to it, with `/` between names.
 pub trait FileSystem: Send + Sync {
-    /// Creates a directory and its parents; an existing one is fine.
+    /// Creates a directory and its parents, if they do not exist.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
     fn create_directory(&self, path: &str) -> StorageResult<()>;
 
-    /// The names in a directory, sorted; `""` is the data folder itself.
+    /// The names of the entries of a directory, sorted; `""` is the data folder itself.
     ///
     /// # Errors
     /// `NotFound`, `Io`.
@@ -99,26 +99,26 @@
     /// `NotFound`, `Io`.
     fn remove(&self, path: &str) -> StorageResult<()>;
 
-    /// Makes creations, renames and removals in a directory last.
+    /// Makes creations, renames and removals in a directory durable.
     ///
     /// # Errors
-    /// `Io`. As with [`File::sync`], callers must not go on.
+    /// `Io`. Changes may be lost, as after a failed [`File::sync`].
     fn sync_directory(&self, directory: &str) -> StorageResult<()>;
 
-    /// Bytes that can still be stored.
+    /// Free disk space, in bytes.
     ///
     /// # Errors
     /// `Io`.
     fn free_bytes(&self) -> StorageResult<u64>;
 
-    /// Takes the one lock on the data folder.
+    /// Acquires the exclusive lock on the data folder.
     ///
     /// # Errors
     /// `DataFolderRefused` when another process holds it, `Io`.
     fn lock(&self) -> StorageResult<Box<dyn FolderLock>>;
 }
 
-/// Reads a whole file, refusing one that is longer than the bound.
+/// Reads a complete file of at most `max_bytes`.
 ///
 /// # Errors
 /// `NotFound`, `Corrupted` when the file exceeds `max_bytes`, `Io`.
@@ -131,7 +131,7 @@
     let length = file.length()?;
     if length > max_bytes {
         return Err(Report::new(ErrorKind::Corrupted).attach(format!(
-            "{path} holds {length} bytes, more than the {max_bytes} allowed"
+            "{path} has {length} bytes, more than the maximum of {max_bytes}"
         )));
     }
     let mut content = vec![0; length as usize];
--- a/crates/storage/src/folder.rs
+++ b/crates/storage/src/folder.rs
@@ -1,4 +1,4 @@
-//! The data folder: one lock, and an identity written once when it is formatted.
+//! The data folder, with a lock and an identity that is written when the folder is formatted.
 
 use std::sync::Arc;
 
@@ -21,10 +21,10 @@
 pub const FOLDER_FORMAT_VERSION: u32 = 1;
 /// Name of the identity file.
 pub const IDENTITY_FILE: &str = "identity";
-/// Prefix of directories into which a damaged state is set aside.
+/// Prefix of the directories to which damaged state is moved.
 const DAMAGED_PREFIX: &str = "damaged-";
 
-/// What a process keeps in its data folder.
+/// The kind of state in a data folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub enum FolderRole {
     /// A control member's log, snapshots and payloads.
@@ -35,27 +35,27 @@
     Store,
 }
 
-/// Whose folder it is to be.
+/// The process that owns a data folder.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 pub struct FolderIdentity {
-    /// The cluster.
+    /// Name of the cluster.
     pub cluster: String,
-    /// What the folder is for.
+    /// The kind of state in the folder.
     pub role: FolderRole,
-    /// The machine; 0 for gateways.
+    /// Id of the machine; 0 for gateways.
     pub machine: MachineId,
 }
 
-/// How far the formatting of a folder has come.
+/// Progress of formatting a folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 enum FolderState {
-    /// The identity is there, the log may not be; nothing was acknowledged yet.
+    /// The identity is stored but the log may not be; nothing has been acknowledged yet.
     Formatting,
-    /// Everything is there; what is missing from now on is damage.
+    /// Formatting is complete; a file that is missing from now on is damage.
     Ready,
 }
 
-/// The content of the identity file. Its first field must never move.
+/// The content of the identity file. The first field must stay first.
 #[derive(Clone, Debug, PartialEq, Eq, Archive, Serialize, Deserialize)]
 struct IdentityRecord {
     identity: FolderIdentity,
@@ -75,8 +75,8 @@
     ///
     /// # Errors
     /// `DataFolderRefused` when the folder is locked, foreign, damaged or of
-    /// another cluster, role, machine or format version; nothing in it is
-    /// touched then. `StorageFull`, `Io`.
+    /// another cluster, role, machine or format version; its files are then
+    /// unchanged. `StorageFull`, `Io`.
     pub fn open_or_format(
         file_system: Arc<dyn FileSystem>,
         identity: &FolderIdentity,
@@ -84,12 +84,12 @@
     ) -> StorageResult<Self> {
         let found = file_system.list("")?;
         if !found.iter().any(|name| name == IDENTITY_FILE) {
-            refuse_foreign(&found)?;
+            check_no_foreign_files(&found)?;
         }
         let lock = file_system.lock()?;
         let record = match load_identity(&file_system)? {
             Some(record) => {
-                refuse_other(&record.identity, identity)?;
+                check_identity(&record.identity, identity)?;
                 record
             }
             None => {
@@ -115,7 +115,7 @@
         self.record.disk
     }
 
-    /// The consensus member that this folder is the state of.
+    /// The consensus member whose state is in this folder.
     #[must_use]
     pub fn member(&self) -> MemberId {
         MemberId {
@@ -124,13 +124,13 @@
         }
     }
 
-    /// Whether formatting has not been completed: no state was ever kept here.
+    /// Whether formatting is incomplete, so that no state has been stored yet.
     #[must_use]
     pub fn is_blank(&self) -> bool {
         self.record.state == FolderState::Formatting
     }
 
-    /// The files of the folder.
+    /// The file system of the folder.
     #[must_use]
     pub fn file_system(&self) -> Arc<dyn FileSystem> {
         Arc::clone(&self.file_system)
@@ -149,7 +149,7 @@
         Ok(OpenedLog::Intact(log))
     }
 
-    /// Marks the folder as formatted: from now on a missing log is damage.
+    /// Marks the folder as formatted; a missing log is damage from then on.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -158,11 +158,11 @@
         store_identity(&self.file_system, &self.record)
     }
 
-    /// Gives up a damaged state: the folder becomes blank under a new disk id.
+    /// Discards damaged state: the folder becomes blank under a new disk id.
     ///
-    /// The old directories are kept aside under `damaged-…` for an operator.
+    /// The old directories are moved to `damaged-…`, where an operator can inspect them.
     /// The new identity is durable before anything is moved, so a crash in
-    /// between cannot bring the old identity back without its state.
+    /// between cannot restore the old identity without its state.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -171,15 +171,16 @@
         self.record.disk = new_disk;
         self.record.state = FolderState::Formatting;
         store_identity(&self.file_system, &self.record)?;
-        let aside = format!("{DAMAGED_PREFIX}{:016x}", old_disk.0);
-        self.file_system.create_directory(&aside)?;
+        let damaged_directory = format!("{DAMAGED_PREFIX}{:016x}", old_disk.0);
+        self.file_system.create_directory(&damaged_directory)?;
         for name in self.file_system.list("")? {
             if is_own_file(&name) || name.starts_with(DAMAGED_PREFIX) {
                 continue;
             }
-            self.file_system.rename(&name, &format!("{aside}/{name}"))?;
+            self.file_system
+                .rename(&name, &format!("{damaged_directory}/{name}"))?;
         }
-        self.file_system.sync_directory(&aside)?;
+        self.file_system.sync_directory(&damaged_directory)?;
         self.file_system.sync_directory("")
     }
 }
@@ -188,32 +189,32 @@
     Report::new(ErrorKind::DataFolderRefused).attach(reason)
 }
 
-/// Files that the folder itself writes.
+/// Whether a file belongs to the data folder itself.
 fn is_own_file(name: &str) -> bool {
     name == LOCK_FILE || name == IDENTITY_FILE || name == format!("{IDENTITY_FILE}.tmp")
 }
 
-/// A folder without an identity must be empty, or hold only a formatting that was cut short.
-fn refuse_foreign(names: &[String]) -> StorageResult<()> {
+/// A folder without an identity must be empty or hold only files of an interrupted formatting.
+fn check_no_foreign_files(names: &[String]) -> StorageResult<()> {
     match names.iter().find(|name| !is_own_file(name)) {
         Some(name) => Err(refused(format!(
-            "the folder holds {name:?} but no identity file; it is foreign or damaged"
+            "the folder contains {name:?} but no identity file; it is foreign or damaged"
         ))),
         None => Ok(()),
     }
 }
 
-fn refuse_other(found: &FolderIdentity, wanted: &FolderIdentity) -> StorageResult<()> {
-    if found == wanted {
+fn check_identity(found: &FolderIdentity, expected: &FolderIdentity) -> StorageResult<()> {
+    if found == expected {
         return Ok(());
     }
     Err(refused(format!(
         "the folder belongs to cluster {:?}, {:?} on machine {}; this process is cluster {:?}, {:?} on machine {}",
-        found.cluster, found.role, found.machine, wanted.cluster, wanted.role, wanted.machine
+        found.cluster, found.role, found.machine, expected.cluster, expected.role, expected.machine
     )))
 }
 
-/// The identity's content: format version, then the encoded record.
+/// Stores the identity: format version, then the encoded record.
 fn store_identity(file_system: &Arc<dyn FileSystem>, record: &IdentityRecord) -> StorageResult<()> {
     let mut content = FOLDER_FORMAT_VERSION.to_le_bytes().to_vec();
     content.extend_from_slice(&frame::encode(record)?);
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,8 +1,8 @@
-//! State that survives: files under one data folder, lasting only once synced.
+//! Durable state: files under one data folder, durable only once synced.
 //!
-//! Everything here works over [`FileSystem`], a small abstraction of one data
-//! folder, so that the same code runs on a real disk and on the simulator's
-//! virtual one, which loses and tears what was not synced.
+//! All storage code uses [`FileSystem`], an abstraction of one data folder, so
+//! that the same code runs on a real disk and on the simulator's virtual disk,
+//! which loses or tears unsynced writes.
 
 #![allow(
     missing_docs,
--- a/crates/storage/src/log/cache.rs
+++ b/crates/storage/src/log/cache.rs
@@ -1,4 +1,4 @@
-//! The newest entries in memory, within a byte bound.
+//! In-memory cache of the newest entries, with a byte limit.
 
 use std::collections::VecDeque;
 
@@ -7,17 +7,17 @@
     ids::LogIndex,
 };
 
-/// Memory counted for an entry besides its payload, in bytes.
+/// Bytes of memory counted for an entry in addition to its payload.
 const ENTRY_OVERHEAD_BYTES: usize = 64;
 
-/// The newest entries of the log.
+/// Cache of the newest entries of the log.
 pub(crate) struct EntryCache {
     entries: VecDeque<Entry>,
     bytes: usize,
     max_bytes: usize,
 }
 
-/// Bytes that an entry is counted with.
+/// Bytes of memory counted for an entry.
 pub(crate) fn entry_bytes(entry: &Entry) -> usize {
     let payload = match &entry.payload {
         EntryPayload::Command(command) => command.len(),
@@ -46,7 +46,7 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// Drops the oldest synced entries beyond the byte bound.
+    /// Drops the oldest synced entries until the byte limit is met.
     pub(crate) fn evict(&mut self, synced: LogIndex) {
         while self.bytes > self.max_bytes {
             match self.entries.front() {
--- a/crates/storage/src/log/mod.rs
+++ b/crates/storage/src/log/mod.rs
@@ -1,8 +1,8 @@
-//! The member's durable log: consensus entries and hard states, one sync for both.
+//! The member's durable log of consensus entries and hard states, which share one sync.
 //!
 //! Records are buffered in memory and written as one batch by [`Log::sync`],
-//! so that one sync covers everything appended since the last (group commit).
-//! Nothing may be acknowledged before that sync has returned.
+//! so that one sync covers all records appended since the previous sync (group
+//! commit). Nothing may be acknowledged before that sync has returned.
 
 mod cache;
 mod open;
@@ -31,12 +31,12 @@
 pub use open::{LogDamage, OpenedLog};
 pub use segment::LOG_DIRECTORY;
 
-/// Bounds of a log.
+/// Limits of a log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogLimits {
-    /// A new segment is begun once one holds this many bytes.
+    /// Size in bytes from which a segment is full and the next one is started.
     pub segment_bytes: u64,
-    /// Newest entries kept in memory, in bytes.
+    /// Bytes of the newest entries that are cached in memory.
     pub cache_bytes: usize,
 }
 
@@ -49,32 +49,32 @@
     }
 }
 
-/// Buffered bytes beyond which an append syncs by itself.
+/// Buffered bytes from which an append syncs first.
 const MAX_BUFFERED_BYTES: usize = 8 * 1024 * 1024;
-/// Bytes read from disk at once.
+/// Bytes of one read from disk.
 const READ_BYTES: u64 = 256 * 1024;
 
 /// The durable log of one member.
 pub struct Log {
     file_system: Arc<dyn FileSystem>,
     limits: LogLimits,
-    /// Oldest first; the last one is written to. Never empty.
+    /// Oldest first; the last one is the active segment. Never empty.
     segments: Vec<Segment>,
     terms: TermRuns,
     hard_state: HardState,
     cache: EntryCache,
-    /// Records not yet written.
+    /// Records that are not written yet.
     buffer: Vec<u8>,
-    /// Whether the buffer voids entries that are durable.
+    /// Whether the buffer contains a truncation that is not durable yet.
     truncation_buffered: bool,
-    /// The last index that is written and synced.
+    /// The last index that is synced.
     synced: LogIndex,
-    /// Set by a failed sync: the log refuses everything from then on.
+    /// Set when a sync fails; the log then refuses all further changes.
     failed: bool,
 }
 
 impl Log {
-    /// Creates the log of a freshly formatted disk and syncs it.
+    /// Creates the log of a newly formatted data folder and syncs it.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -104,7 +104,7 @@
         LogIndex(self.terms.base().0 + 1)
     }
 
-    /// The index of the last entry, or of the last compacted one if there is none.
+    /// The index of the last entry, or of the last compacted entry if the log is empty.
     #[must_use]
     pub fn last_index(&self) -> LogIndex {
         self.terms.last()
@@ -122,19 +122,19 @@
         &self.hard_state
     }
 
-    /// The term of an entry from the last compacted one on; `None` elsewhere.
+    /// The term of the last compacted entry or a later one; `None` for any other index.
     #[must_use]
     pub fn term(&self, index: LogIndex) -> Option<Term> {
         self.terms.term(index)
     }
 
-    /// Whether a sync failed, so that the log refuses everything.
+    /// Whether a sync has failed, so that the log refuses all changes.
     #[must_use]
     pub fn has_failed(&self) -> bool {
         self.failed
     }
 
-    /// Bytes of memory of the index of entries, without the cache.
+    /// Bytes of memory used by the index of entries, without the cache.
     #[must_use]
     pub fn index_bytes(&self) -> usize {
         self.segments.iter().map(Segment::index_bytes).sum()
@@ -146,7 +146,7 @@
         self.segments.iter().map(|segment| segment.length).sum()
     }
 
-    /// Appends entries; the first one follows the last index. They last after [`Log::sync`].
+    /// Appends entries; the first one must follow the last index. Durable after [`Log::sync`].
     ///
     /// # Errors
     /// `InvalidState` when an entry does not follow the last one, `BodyTooLarge`,
@@ -159,17 +159,19 @@
     }
 
     fn append_one(&mut self, entry: &Entry) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         let last = self.last_index();
         if entry.index.0 != last.0 + 1 {
             return Err(invalid(format!(
-                "entry {} cannot follow {last}",
+                "entry {} does not follow the last entry {last}",
                 entry.index
             )));
         }
         if cache::entry_bytes(entry) > record::MAX_RECORD_BYTES / 2 {
-            return Err(Report::new(ErrorKind::BodyTooLarge)
-                .attach(format!("entry {} exceeds a record", entry.index)));
+            return Err(Report::new(ErrorKind::BodyTooLarge).attach(format!(
+                "entry {} exceeds the maximum record size",
+                entry.index
+            )));
         }
         if self.buffer.len() >= MAX_BUFFERED_BYTES {
             self.sync()?;
@@ -182,12 +184,12 @@
         Ok(())
     }
 
-    /// Notes a new hard state. It lasts after [`Log::sync`].
+    /// Records a new hard state. Durable after [`Log::sync`].
     ///
     /// # Errors
     /// Those of [`Log::sync`].
     pub fn set_hard_state(&mut self, state: &HardState) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         if *state == self.hard_state {
             return Ok(());
         }
@@ -197,12 +199,12 @@
         Ok(())
     }
 
-    /// Voids the entries after this index. This lasts after [`Log::sync`].
+    /// Truncates the log after this index. Durable after [`Log::sync`].
     ///
     /// # Errors
     /// `InvalidState` when the index is compacted, and those of [`Log::sync`].
     pub fn truncate_after(&mut self, index: LogIndex) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         if index >= self.last_index() {
             return Ok(());
         }
@@ -221,16 +223,16 @@
         Ok(())
     }
 
-    /// Writes and syncs everything that was appended, as one batch.
+    /// Writes and syncs all buffered records as one batch.
     ///
-    /// After `StorageFull` the log is as before and the sync may be tried
-    /// again; what was appended is kept in memory. After any other error the
-    /// log refuses everything: what is on disk is then not known.
+    /// After `StorageFull` the log on disk is unchanged, the records remain in
+    /// memory and the sync may be retried. After any other error the log
+    /// refuses all changes, since the state of the disk is then unknown.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
     pub fn sync(&mut self) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         if self.buffer.is_empty() {
             return Ok(());
         }
@@ -251,12 +253,14 @@
         let (length, sequence) = (self.active().length, self.active().sequence);
         let batch = record::encode_batch(&self.buffer, length, sequence);
         let Some(file) = self.active().file.as_mut() else {
-            return Err(Report::new(ErrorKind::Internal).attach("the segment has no file"));
+            return Err(Report::new(ErrorKind::Internal).attach("the active segment has no file"));
         };
         if let Err(error) = file.write_at(length, &batch) {
-            // Room for the same write must not be taken up by its first half.
-            file.truncate(length)
-                .map_err(|_| Report::new(ErrorKind::Io).attach("cannot undo a failed write"))?;
+            // The partial write would occupy space that the retry needs.
+            file.truncate(length).map_err(|_| {
+                Report::new(ErrorKind::Io)
+                    .attach("cannot truncate the segment after a failed write")
+            })?;
             return Err(error);
         }
         file.sync()?;
@@ -267,7 +271,7 @@
         Ok(())
     }
 
-    /// Creates the file of the last segment if needed; tells whether its directory needs a sync.
+    /// Creates the file of the active segment if needed; returns whether its directory needs a sync.
     fn create_active_file(&mut self) -> StorageResult<bool> {
         if self.active().file.is_none() {
             let path = segment_path(self.active().sequence);
@@ -277,10 +281,10 @@
         Ok(self.active().length == 0)
     }
 
-    /// Entries from `from` up to but without `to`, at least one, up to about `max_bytes`.
+    /// Entries from `from` (inclusive) to `to` (exclusive), at least one, up to about `max_bytes`.
     ///
     /// # Errors
-    /// `NotFound` when `from` is compacted or beyond the end, `Corrupted`, `Io`.
+    /// `NotFound` when `from` is compacted or past the end, `Corrupted`, `Io`.
     pub fn entries(
         &self,
         from: LogIndex,
@@ -298,7 +302,9 @@
             let before = entries.len();
             match self.cache.get(LogIndex(next)) {
                 Some(entry) => entries.push(entry.clone()),
-                None => self.read_run(LogIndex(next), end, max_bytes - bytes, &mut entries)?,
+                None => {
+                    self.read_consecutive(LogIndex(next), end, max_bytes - bytes, &mut entries)?
+                }
             }
             let added = &entries[before..];
             bytes += added.iter().map(cache::entry_bytes).sum::<usize>();
@@ -307,8 +313,8 @@
         Ok(entries)
     }
 
-    /// Reads neighbouring entries of one segment from disk with one read; at least one.
-    fn read_run(
+    /// Reads consecutive entries of one segment from disk with one read; at least one entry.
+    fn read_consecutive(
         &self,
         from: LogIndex,
         end: u64,
@@ -345,7 +351,7 @@
             if entries.len() > before {
                 return Ok(());
             }
-            // The first record is longer than what was read: it alone is read now.
+            // The first record is longer than the window: read only this record, with a larger window.
             end = from.0 + 1;
             window = (record::MAX_RECORD_BYTES + record::RECORD_HEADER_BYTES) as u64;
         }
@@ -353,19 +359,19 @@
 
     fn corrupted(&self, segment: &Segment, index: LogIndex) -> Report<ErrorKind> {
         Report::new(ErrorKind::Corrupted).attach(format!(
-            "entry {index} in {}; the log must be fetched anew from there",
+            "entry {index} in {} is corrupted; the log must be fetched from a peer from that index",
             segment_path(segment.sequence)
         ))
     }
 
-    /// Lets entries up to this index go; a durable snapshot must cover them.
+    /// Compacts the log: drops entries up to this index. A durable snapshot must cover them.
     ///
-    /// Space is given back by whole segments.
+    /// Space is freed by complete segments only.
     ///
     /// # Errors
-    /// `InvalidState` when the log holds another entry there, `Io`.
+    /// `InvalidState` when the log has no synced entry of this index and term, `Io`.
     pub fn compact_to(&mut self, index: LogIndex, term: Term) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         if index <= self.terms.base() {
             return Ok(());
         }
@@ -379,7 +385,7 @@
         self.drop_dead_segments(index)
     }
 
-    /// Removes the oldest segments that hold nothing of use, durably so.
+    /// Removes the oldest segments without live entries; the removal is durable on return.
     ///
     /// The newest segment on disk stays, since it holds the hard state.
     fn drop_dead_segments(&mut self, index: LogIndex) -> StorageResult<()> {
@@ -410,14 +416,14 @@
         self.file_system.sync_directory(LOG_DIRECTORY)
     }
 
-    /// Begins the log anew after a snapshot from the leader; synced on return.
+    /// Restarts the log after a snapshot from the leader; synced on return.
     ///
-    /// The snapshot must be durable. Entries held before are void.
+    /// The snapshot must be durable. All earlier entries are discarded.
     ///
     /// # Errors
     /// Those of [`Log::sync`].
     pub fn reset_to(&mut self, index: LogIndex, term: Term) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         self.buffer.clear();
         self.cache.clear();
         self.terms = TermRuns::new(index, term);
@@ -431,7 +437,7 @@
         self.remove_oldest(older)
     }
 
-    /// Where the next record will begin; starts a segment when the last one is full.
+    /// File offset of the next record; starts a new segment when the active one is full.
     fn next_record_offset(&mut self) -> StorageResult<u64> {
         if self.buffer.is_empty() && self.active().length >= self.limits.segment_bytes {
             let sequence = self.active().sequence + 1;
@@ -462,10 +468,10 @@
         &mut self.segments[last]
     }
 
-    fn refuse_if_failed(&self) -> StorageResult<()> {
+    fn check_not_failed(&self) -> StorageResult<()> {
         if self.failed {
             return Err(Report::new(ErrorKind::Io)
-                .attach("an earlier sync failed; the process must open the log again"));
+                .attach("an earlier sync failed; the log must be reopened"));
         }
         Ok(())
     }
--- a/crates/storage/src/log/open.rs
+++ b/crates/storage/src/log/open.rs
@@ -1,4 +1,4 @@
-//! Opens a log after a restart: torn tails are cut off, damage is reported.
+//! Opens a log after a restart: truncates a torn tail and reports damage.
 
 use std::{fmt, sync::Arc};
 
@@ -17,10 +17,10 @@
 };
 use crate::file_system::{File, FileSystem, OpenMode, StorageResult};
 
-/// Synced entries that cannot be read any more.
+/// Damage to synced records.
 ///
-/// The member has lost what it acknowledged and possibly its vote, so it must
-/// not go on under its identity: it has to take a new disk id, join as a
+/// The member has lost acknowledged entries and possibly its vote, so it must
+/// not continue under its identity: it has to take a new disk id, join as a
 /// learner and fetch the log from its peers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogDamage {
@@ -30,7 +30,7 @@
     pub file: String,
     /// Byte offset of the damage in it.
     pub offset: u64,
-    /// What is wrong there.
+    /// Description of the damage.
     pub reason: &'static str,
 }
 
@@ -44,15 +44,15 @@
     }
 }
 
-/// What opening a log gave.
+/// The result of opening a log.
 pub enum OpenedLog {
-    /// Everything that was ever synced is there.
+    /// All synced records are readable.
     Intact(Log),
-    /// Something that was synced is lost. Nothing was changed on disk.
+    /// Synced records are lost. Nothing was changed on disk.
     Damaged(LogDamage),
 }
 
-/// What the segments read so far add up to.
+/// State replayed from the segments read so far.
 struct Replay {
     segments: Vec<Segment>,
     terms: TermRuns,
@@ -77,8 +77,8 @@
         let is_first = offset == super::BATCH_HEADER_BYTES as u64;
         match record {
             Record::Start(start) if is_first => self.start(segment, start),
-            _ if is_first => Err("the segment does not begin with its first record"),
-            Record::Start(_) => Err("a second first record"),
+            _ if is_first => Err("the segment does not begin with a start record"),
+            Record::Start(_) => Err("the segment has a second start record"),
             Record::Entry { index, term } => self.entry(segment, index, term, offset),
             Record::HardState(state) => {
                 self.hard_state = state;
@@ -90,10 +90,12 @@
 
     fn start(&mut self, segment: &Segment, start: SegmentStart) -> Result<(), &'static str> {
         if start.format_version != LOG_FORMAT_VERSION {
-            return Err("another format version");
+            return Err("the log has an unsupported format version");
         }
         if start.sequence != segment.sequence {
-            return Err("the segment is another one");
+            return Err(
+                "the sequence number of the start record differs from that of the file name",
+            );
         }
         let is_oldest = self.segments.is_empty();
         if start.reset || is_oldest {
@@ -102,10 +104,10 @@
         } else {
             let before = &self.segments[self.segments.len() - 1];
             if before.sequence + 1 != start.sequence {
-                return Err("a segment before it is missing");
+                return Err("the preceding segment is missing");
             }
             if self.terms.last() != start.previous_index {
-                return Err("the segment before it lacks entries");
+                return Err("the preceding segment lacks entries");
             }
         }
         self.hard_state = start.hard_state;
@@ -120,7 +122,7 @@
         offset: u64,
     ) -> Result<(), &'static str> {
         if index.0 != self.terms.last().0 + 1 {
-            return Err("an entry does not follow the one before");
+            return Err("an entry does not follow the preceding entry");
         }
         self.terms.push(index, term);
         segment.push(index, offset);
@@ -135,9 +137,9 @@
     ) -> Result<(), &'static str> {
         if index < self.terms.base() {
             if !self.segments.is_empty() {
-                return Err("a truncation below the log's start");
+                return Err("a truncation to an index before the start of the log");
             }
-            // What lay between was in a segment that has been compacted away.
+            // The entries in between were in a segment that compaction removed.
             self.terms = TermRuns::new(index, term);
         }
         for older in &mut self.segments {
@@ -152,8 +154,8 @@
 impl Log {
     /// Opens the log of a formatted disk.
     ///
-    /// A tail that was never synced is cut off. Damage within what was synced
-    /// is reported and nothing is changed.
+    /// A torn tail, which was never synced, is truncated. Damage to synced
+    /// records is reported and nothing is changed.
     ///
     /// # Errors
     /// `Io`.
@@ -161,7 +163,7 @@
         let sequences = list_segments(file_system.as_ref())?;
         let mut replay = Replay::new();
         let mut damage = None;
-        let mut torn = None;
+        let mut last_scan = None;
         for sequence in &sequences {
             let path = segment_path(*sequence);
             let is_last = Some(sequence) == sequences.last();
@@ -171,30 +173,30 @@
                 replay.visit(&mut segment, record, offset)
             })?;
             segment.length = scan.valid_bytes;
-            if begins_anew(&replay) {
+            if is_reset(&replay) {
                 damage = None;
             }
             damage = damage.or_else(|| find_damage(&replay, &scan, is_last, &path));
             if is_last {
-                torn = Some(scan);
+                last_scan = Some(scan);
             }
             segment.file = Some(file);
             segment.seal();
             replay.segments.push(segment);
         }
-        let Some(last_scan) = torn else {
+        let Some(last_scan) = last_scan else {
             return Ok(OpenedLog::Damaged(LogDamage {
                 first_lost: LogIndex(1),
                 file: LOG_DIRECTORY.to_owned(),
                 offset: 0,
-                reason: "the log is missing",
+                reason: "the log directory is missing or empty",
             }));
         };
         if let Some(damage) = damage {
             return Ok(OpenedLog::Damaged(damage));
         }
         repair_tail(file_system.as_ref(), &mut replay, last_scan)?;
-        remove_void_segments(file_system.as_ref(), &replay, &sequences)?;
+        remove_discarded_segments(file_system.as_ref(), &replay, &sequences)?;
         file_system.sync_directory(LOG_DIRECTORY)?;
         let synced = replay.terms.last();
         Ok(OpenedLog::Intact(Log {
@@ -212,8 +214,8 @@
     }
 }
 
-/// Whether the segment just read voided everything before it.
-fn begins_anew(replay: &Replay) -> bool {
+/// Whether the segment just read has discarded all preceding segments.
+fn is_reset(replay: &Replay) -> bool {
     replay.segments.is_empty()
 }
 
@@ -225,9 +227,9 @@
 ) -> Option<LogDamage> {
     let reason = match scan.end {
         SegmentEnd::Corrupted(reason) => reason,
-        SegmentEnd::Torn if !is_last => "the file ends before its successor begins",
+        SegmentEnd::Torn if !is_last => "the file is truncated although a later segment exists",
         SegmentEnd::Torn if scan.valid_bytes == 0 && replay.segments.is_empty() => {
-            "the log holds nothing that is whole"
+            "the log holds no complete batch"
         }
         SegmentEnd::Clean if scan.valid_bytes == 0 && !is_last => "the file is empty",
         SegmentEnd::Clean if scan.valid_bytes == 0 && replay.segments.is_empty() => {
@@ -243,10 +245,11 @@
     })
 }
 
-/// Cuts off a torn tail and makes the last batch durable for certain.
+/// Truncates a torn tail and ensures that the last batch is durable.
 ///
-/// The last batch may have been written but never synced, or its sync may have
-/// failed; writing the same bytes again makes the disk take them.
+/// The last batch may have been written but not synced, or its sync may have
+/// failed. After a failed sync the kernel treats the pages as clean, so the
+/// batch has to be written again before it is synced.
 fn repair_tail(
     file_system: &dyn FileSystem,
     replay: &mut Replay,
@@ -254,7 +257,7 @@
 ) -> StorageResult<()> {
     let last = replay.segments.len() - 1;
     if scan.valid_bytes == 0 {
-        // The segment was created but its first batch never synced.
+        // The segment was created but its first batch was never synced.
         let segment = replay.segments.remove(last);
         return file_system.remove(&segment_path(segment.sequence));
     }
@@ -275,8 +278,8 @@
     file.write_at(from, &bytes[..read])
 }
 
-/// Removes files that a later segment voided and that a crash left behind.
-fn remove_void_segments(
+/// Removes segments that a later reset discarded but a crash left on disk.
+fn remove_discarded_segments(
     file_system: &dyn FileSystem,
     replay: &Replay,
     sequences: &[u64],
--- a/crates/storage/src/log/record.rs
+++ b/crates/storage/src/log/record.rs
@@ -1,6 +1,6 @@
-//! The bytes of the log: batches of records.
+//! On-disk format of the log: batches of records.
 //!
-//! A batch is what one sync makes durable. Layout, little endian:
+//! One sync makes one batch durable. Layout, little endian:
 //!
 //! ```text
 //! batch:  u32 magic, u32 body length, u64 file offset of the batch,
@@ -9,10 +9,10 @@
 //! record: u32 payload length, u32 CRC-32 of kind and payload, u8 kind, payload
 //! ```
 //!
-//! A batch header names its own place, so a header found further on in a file
-//! proves that whatever lies before it had been synced. It also counts the
-//! sectors of the batch that hold nothing but zeros, so that sectors which were
-//! never written can be told from those that are meant to be zero.
+//! A batch header contains its own position, so a valid header later in the
+//! file proves that all bytes before it had been synced. The header also counts
+//! the all-zero sectors of the batch, so that sectors which were never written
+//! can be distinguished from sectors whose data is zero.
 
 use linnethitch_protocol::{
     consensus::{EntryPayload, HardState},
@@ -27,17 +27,17 @@
 pub const BATCH_MAGIC: u32 = 0x4c48_4231;
 /// Bytes of a batch header.
 pub const BATCH_HEADER_BYTES: usize = 32;
-/// Bytes of a batch header under its checksum.
+/// Bytes of a batch header that its checksum covers.
 const CHECKED_HEADER_BYTES: usize = 28;
-/// Unit in which a disk may have written or not written, in bytes.
+/// Unit that a disk writes completely or not at all, in bytes.
 pub const SECTOR_BYTES: usize = 512;
-/// Bytes of a record before its payload.
+/// Bytes of a record header.
 pub const RECORD_HEADER_BYTES: usize = 9;
 /// Bytes of an entry record's payload before the encoded entry.
 const ENTRY_PREFIX_BYTES: usize = 16;
-/// Longest record payload that is accepted, in bytes.
+/// Maximum record payload, in bytes.
 pub const MAX_RECORD_BYTES: usize = 17 * 1024 * 1024;
-/// Longest batch body that is accepted, in bytes.
+/// Maximum batch body, in bytes.
 pub const MAX_BATCH_BYTES: usize = 2 * MAX_RECORD_BYTES;
 /// Version of the log's format.
 pub const LOG_FORMAT_VERSION: u32 = 1;
@@ -47,15 +47,15 @@
 pub struct SegmentStart {
     /// Version of the format.
     pub format_version: u32,
-    /// Number of the segment; grows by one.
+    /// Sequence number of the segment; grows by one.
     pub sequence: u64,
     /// The last index before the segment's first entry.
     pub previous_index: LogIndex,
     /// The term of that index.
     pub previous_term: Term,
-    /// Whether the log begins anew here and everything older is void.
+    /// Whether the log restarts here and all older segments are discarded.
     pub reset: bool,
-    /// The hard state when the segment was begun.
+    /// The hard state when the segment was started.
     pub hard_state: HardState,
 }
 
@@ -64,18 +64,18 @@
 pub enum Record {
     /// The first record of a segment.
     Start(SegmentStart),
-    /// A log entry; its payload stays encoded.
+    /// A log entry; its payload is not decoded.
     Entry {
-        /// Its position.
+        /// Its index.
         index: LogIndex,
         /// Its term.
         term: Term,
     },
     /// A new hard state.
     HardState(HardState),
-    /// Entries after this one are void.
+    /// Discards the entries after an index.
     Truncate {
-        /// The last entry that stays.
+        /// The index of the last entry that remains.
         index: LogIndex,
         /// Its term.
         term: Term,
@@ -87,14 +87,14 @@
 const KIND_HARD_STATE: u8 = 3;
 const KIND_TRUNCATE: u8 = 4;
 
-/// Why bytes are not a record or batch.
+/// Why bytes are not a valid record or batch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Malformed {
     /// The bytes end too early.
     Short,
     /// A checksum differs.
     Checksum,
-    /// A length, kind or payload that is not of this format.
+    /// A length, kind or payload that this format does not allow.
     Format,
 }
 
@@ -103,7 +103,7 @@
 pub struct BatchHeader {
     /// Bytes of the body.
     pub body_bytes: usize,
-    /// Sectors of the batch that hold nothing but zeros.
+    /// All-zero sectors of the batch.
     pub zero_sectors: u32,
 }
 
@@ -115,7 +115,7 @@
     u64::from(read_u32(bytes, at)) | u64::from(read_u32(bytes, at + 4)) << 32
 }
 
-/// A whole batch for this place: header and body.
+/// Encodes a complete batch, header and body, for this position.
 #[must_use]
 pub fn encode_batch(body: &[u8], offset: u64, sequence: u64) -> Vec<u8> {
     let mut batch = vec![0; BATCH_HEADER_BYTES];
@@ -132,23 +132,25 @@
     batch
 }
 
-/// How many sectors, or parts of sectors, of these bytes hold nothing but zeros.
+/// Counts the all-zero sectors, or parts of sectors, of these bytes.
 ///
-/// `offset` is where the bytes begin in their file.
+/// `offset` is the position of the bytes in their file.
 #[must_use]
 pub fn count_zero_sectors(bytes: &[u8], offset: u64) -> u32 {
-    let into_sector = (offset % SECTOR_BYTES as u64) as usize;
-    let first = (SECTOR_BYTES - into_sector).min(bytes.len());
-    let (head, rest) = bytes.split_at(first);
+    let offset_in_sector = (offset % SECTOR_BYTES as u64) as usize;
+    let first = (SECTOR_BYTES - offset_in_sector).min(bytes.len());
+    let (head, remaining) = bytes.split_at(first);
     let is_zero = |sector: &[u8]| !sector.is_empty() && sector.iter().all(|byte| *byte == 0);
-    let others = rest.chunks(SECTOR_BYTES).filter(|sector| is_zero(sector));
-    u32::from(is_zero(head)) + others.count() as u32
+    let remaining_zeros = remaining
+        .chunks(SECTOR_BYTES)
+        .filter(|sector| is_zero(sector));
+    u32::from(is_zero(head)) + remaining_zeros.count() as u32
 }
 
-/// Checks the header of a batch that should lie at this place.
+/// Checks the header of the batch that should be at this position.
 ///
 /// # Errors
-/// [`Malformed`] when it is not the header of such a batch.
+/// [`Malformed`] when the bytes are not the header of such a batch.
 pub fn parse_batch_header(
     bytes: &[u8],
     offset: u64,
@@ -164,8 +166,8 @@
         return Err(Malformed::Checksum);
     }
     let body_bytes = read_u32(bytes, 4) as usize;
-    let in_place = read_u64(bytes, 8) == offset && read_u64(bytes, 16) == sequence;
-    if !in_place || body_bytes > MAX_BATCH_BYTES {
+    let position_matches = read_u64(bytes, 8) == offset && read_u64(bytes, 16) == sequence;
+    if !position_matches || body_bytes > MAX_BATCH_BYTES {
         return Err(Malformed::Format);
     }
     Ok(BatchHeader {
@@ -230,14 +232,14 @@
     push_record(body, KIND_TRUNCATE, &[&index, &term]);
 }
 
-/// A record as found in bytes.
+/// A checked record whose payload is not decoded.
 struct RawRecord<'a> {
     kind: u8,
     payload: &'a [u8],
 }
 
 /// Checks the record at the start of the bytes.
-fn raw_record(bytes: &[u8]) -> Result<RawRecord<'_>, Malformed> {
+fn parse_raw_record(bytes: &[u8]) -> Result<RawRecord<'_>, Malformed> {
     if bytes.len() < RECORD_HEADER_BYTES {
         return Err(Malformed::Short);
     }
@@ -258,12 +260,12 @@
     })
 }
 
-/// Parses the record at the start of the bytes and tells how many bytes it takes.
+/// Parses the record at the start of the bytes and returns the record and its length in bytes.
 ///
 /// # Errors
 /// [`Malformed`] when there is no valid record.
 pub fn parse_record(bytes: &[u8]) -> Result<(Record, usize), Malformed> {
-    let raw = raw_record(bytes)?;
+    let raw = parse_raw_record(bytes)?;
     let payload = raw.payload;
     let record = match raw.kind {
         KIND_START => Record::Start(frame::decode(payload).map_err(|_| Malformed::Format)?),
@@ -288,7 +290,7 @@
 /// # Errors
 /// [`Malformed`] when there is no valid entry record.
 pub fn parse_entry(bytes: &[u8]) -> Result<linnethitch_protocol::consensus::Entry, Malformed> {
-    let raw = raw_record(bytes)?;
+    let raw = parse_raw_record(bytes)?;
     if raw.kind != KIND_ENTRY || raw.payload.len() < ENTRY_PREFIX_BYTES {
         return Err(Malformed::Format);
     }
--- a/crates/storage/src/log/scan.rs
+++ b/crates/storage/src/log/scan.rs
@@ -1,4 +1,4 @@
-//! Reads a segment when the log is opened and tells a torn tail from damage.
+//! Reads a segment when the log is opened and distinguishes a torn tail from damage.
 
 use super::record::{
     self, BATCH_HEADER_BYTES, BATCH_MAGIC, Malformed, Record, SECTOR_BYTES, count_zero_sectors,
@@ -6,34 +6,34 @@
 };
 use crate::file_system::{File, StorageResult};
 
-/// Bytes read at once when looking for later batches.
+/// Bytes of one read in the search for later batches.
 const SEARCH_BYTES: usize = 64 * 1024;
 
 /// How the valid part of a segment ends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum SegmentEnd {
-    /// At the file's end.
+    /// The valid part ends at the end of the file.
     Clean,
-    /// A write that was never synced was cut off or only partly written here.
+    /// The last write was never synced and is incomplete.
     Torn,
-    /// Bytes that had been written whole do not pass their check.
+    /// Completely written bytes fail their check.
     Corrupted(&'static str),
 }
 
-/// What a scan found.
+/// Result of a scan.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct SegmentScan {
     /// Bytes up to the end of the last valid batch.
     pub(crate) valid_bytes: u64,
-    /// Where the last valid batch begins.
+    /// File offset of the last valid batch.
     pub(crate) last_batch: u64,
     /// How the valid part ends.
     pub(crate) end: SegmentEnd,
 }
 
-/// Reads all batches and hands each record with its file offset to `visit`.
+/// Reads all batches and passes each record with its file offset to `visit`.
 ///
-/// `visit` returns a reason when the record contradicts what came before.
+/// `visit` returns a reason when the record contradicts the preceding records.
 ///
 /// # Errors
 /// `Io`.
@@ -122,21 +122,21 @@
 
 /// Decides whether the malformed batch at the offset was torn or damaged.
 ///
-/// A torn write leaves the file short, or sectors that were never written and
-/// read as zeros. Bytes that are all there but wrong, or wrong bytes before a
-/// later batch (which is only written once everything before it is synced),
-/// are damage.
+/// A torn write leaves a short file, or sectors that were never written and
+/// read as zeros. A complete batch with wrong bytes is damage, and so are wrong
+/// bytes before a later batch, since a batch is written only once all
+/// preceding batches are synced.
 fn classify(file: &dyn File, sequence: u64, offset: u64, length: u64) -> StorageResult<SegmentEnd> {
     if batch_follows(file, sequence, offset + 1, length)? {
         return Ok(SegmentEnd::Corrupted("a valid batch follows a damaged one"));
     }
     Ok(match is_torn(file, sequence, offset, length)? {
         true => SegmentEnd::Torn,
-        false => SegmentEnd::Corrupted("the last batch is whole but fails its checksum"),
+        false => SegmentEnd::Corrupted("the last batch is complete but fails its checksum"),
     })
 }
 
-/// Whether the last batch shows that it was not written as a whole.
+/// Whether the last batch was only partly written.
 fn is_torn(file: &dyn File, sequence: u64, offset: u64, length: u64) -> StorageResult<bool> {
     let mut header = [0; BATCH_HEADER_BYTES];
     if file.read_at(offset, &mut header)? < BATCH_HEADER_BYTES {
@@ -154,9 +154,10 @@
     Ok(count_zero_sectors(&batch, offset) > header.zero_sectors)
 }
 
-/// Whether a sector that the header lies in was never written.
+/// Whether a sector of the header was never written.
 ///
-/// A header and the record after it have bytes other than zero in each sector.
+/// The header and the record after it have non-zero bytes in each of their
+/// sectors, so an all-zero sector was never written.
 fn header_sector_unwritten(file: &dyn File, offset: u64) -> StorageResult<bool> {
     let sector = SECTOR_BYTES as u64;
     let header_end = offset + BATCH_HEADER_BYTES as u64;
@@ -166,7 +167,7 @@
     Ok(count_zero_sectors(&bytes[..read], offset) > 0)
 }
 
-/// Whether a valid batch header lies anywhere from the offset on.
+/// Whether there is a valid batch header at or after the offset.
 fn batch_follows(
     file: &dyn File,
     sequence: u64,
--- a/crates/storage/src/log/segment.rs
+++ b/crates/storage/src/log/segment.rs
@@ -1,4 +1,4 @@
-//! One file of the log and the small in-memory index of its entries.
+//! One segment file of the log and the in-memory index of its entries.
 
 use linnethitch_protocol::ids::LogIndex;
 
@@ -23,11 +23,11 @@
     pub(crate) sequence: u64,
     /// `None` until the first batch is written.
     pub(crate) file: Option<Box<dyn File>>,
-    /// Bytes of whole, synced batches.
+    /// Bytes of complete, synced batches.
     pub(crate) length: u64,
     /// Index of the first entry in `offsets`.
     first_index: LogIndex,
-    /// Where the record of each entry begins.
+    /// File offset of the record of each entry.
     offsets: Vec<u32>,
 }
 
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Notes where an entry lies; entries come in order.
+    /// Adds the file offset of an entry to the index; entries must be added in order.
     pub(crate) fn push(&mut self, index: LogIndex, offset: u64) {
         if self.offsets.is_empty() {
             self.first_index = index;
@@ -50,31 +50,31 @@
         self.offsets.push(offset as u32);
     }
 
-    /// Forgets entries after this index.
+    /// Removes entries after this index from the index.
     pub(crate) fn truncate_after(&mut self, index: LogIndex) {
-        let kept = (index.0 + 1).saturating_sub(self.first_index.0) as usize;
-        self.offsets.truncate(kept);
+        let retained = (index.0 + 1).saturating_sub(self.first_index.0) as usize;
+        self.offsets.truncate(retained);
     }
 
-    /// Index of the last entry, if the segment holds any.
+    /// Index of the last entry; `None` if the segment has no entry.
     pub(crate) fn last_index(&self) -> Option<LogIndex> {
         let count = self.offsets.len() as u64;
         (count > 0).then(|| LogIndex(self.first_index.0 + count - 1))
     }
 
-    /// Where the entry's record begins, if it is in this segment.
+    /// File offset of the entry's record, if the entry is in this segment.
     pub(crate) fn offset_of(&self, index: LogIndex) -> Option<u64> {
         let position = index.0.checked_sub(self.first_index.0)?;
         let offset = self.offsets.get(usize::try_from(position).ok()?)?;
         Some(u64::from(*offset))
     }
 
-    /// Gives back memory once no entry will be added.
+    /// Frees spare memory once no further entry will be added.
     pub(crate) fn seal(&mut self) {
         self.offsets.shrink_to_fit();
     }
 
-    /// Bytes of memory of the index.
+    /// Bytes of memory used by the index.
     pub(crate) fn index_bytes(&self) -> usize {
         self.offsets.capacity() * size_of::<u32>()
     }
--- a/crates/storage/src/log/terms.rs
+++ b/crates/storage/src/log/terms.rs
@@ -1,17 +1,17 @@
-//! Terms of the log's entries as runs: one element per term, not per entry.
+//! Terms of the log's entries, run-length encoded: one element per term instead of per entry.
 
 use linnethitch_protocol::ids::{LogIndex, Term};
 
-/// Runs of equal terms, oldest first.
+/// Run-length encoded terms, oldest first.
 #[derive(Clone, Debug)]
 pub(crate) struct TermRuns {
-    /// First index of each run and its term; the first run begins at the base.
+    /// First index of each run and its term; the first run starts at the base index.
     runs: Vec<(LogIndex, Term)>,
     last: LogIndex,
 }
 
 impl TermRuns {
-    /// A log that begins after the base entry.
+    /// Terms of an empty log after the base entry.
     pub(crate) fn new(base: LogIndex, term: Term) -> Self {
         TermRuns {
             runs: vec![(base, term)],
@@ -34,7 +34,7 @@
         self.last = index;
     }
 
-    /// The term of an entry from the base on.
+    /// The term of the base entry or a later one.
     pub(crate) fn term(&self, index: LogIndex) -> Option<Term> {
         if index < self.base() || index > self.last {
             return None;
@@ -44,12 +44,12 @@
     }
 
     pub(crate) fn truncate_after(&mut self, index: LogIndex) {
-        let kept = self.runs.partition_point(|run| run.0 <= index).max(1);
-        self.runs.truncate(kept);
+        let retained = self.runs.partition_point(|run| run.0 <= index).max(1);
+        self.runs.truncate(retained);
         self.last = self.last.min(index);
     }
 
-    /// Moves the base up.
+    /// Moves the base up to this index.
     pub(crate) fn compact_to(&mut self, index: LogIndex) {
         let run = self.runs.partition_point(|run| run.0 <= index).max(1) - 1;
         self.runs.drain(..run);
--- a/crates/storage/src/payload/compact.rs
+++ b/crates/storage/src/payload/compact.rs
@@ -1,8 +1,8 @@
-//! A segment rewritten without its dead records.
+//! Compacted segments: rewritten without their dead records.
 //!
 //! Layout, little endian: `u32` magic, `u32` count, `u32` CRC-32 of the table,
-//! the table (`u32` old offset, `u32` new offset, sorted by the old one), then
-//! the records. References keep the old offset.
+//! the table (`u32` old offset, `u32` new offset, sorted by old offset), then
+//! the records. A [`PayloadRef`](super::PayloadRef) still has the old offset.
 
 use error_stack::Report;
 use linnethitch_errors::ErrorKind;
@@ -21,48 +21,50 @@
     format!("{PAYLOAD_DIRECTORY}/{number:010}{SUFFIX}")
 }
 
-/// One record that stayed.
+/// Offsets of one live record, before and after compaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Moved {
+struct MovedRecord {
     old_offset: u32,
     new_offset: u32,
 }
 
-/// Where the records of a compacted segment lie now.
-pub(super) struct Compacted {
-    /// Sorted by the old offset.
-    moved: Vec<Moved>,
+/// Offset table of a compacted segment.
+pub(super) struct OffsetTable {
+    /// Sorted by old offset.
+    moved: Vec<MovedRecord>,
 }
 
-impl Compacted {
+impl OffsetTable {
     /// Reads the table of a compacted segment.
     pub(super) fn load(file: &dyn File, path: &str) -> StorageResult<Self> {
-        let failed =
-            || Report::new(ErrorKind::Corrupted).attach(format!("the table of {path} is damaged"));
+        let corrupted = || {
+            Report::new(ErrorKind::Corrupted)
+                .attach(format!("the offset table of {path} is damaged"))
+        };
         let mut header = [0; HEADER_BYTES];
         let read = file.read_at(0, &mut header)?;
-        let magic = word(&header, 0);
-        let table_bytes = word(&header, 4) as usize * ROW_BYTES;
+        let magic = read_u32(&header, 0);
+        let table_bytes = read_u32(&header, 4) as usize * ROW_BYTES;
         let fits = (HEADER_BYTES + table_bytes) as u64 <= file.length()?;
         if read < HEADER_BYTES || magic != MAGIC || !fits {
-            return Err(failed());
+            return Err(corrupted());
         }
         let mut table = vec![0; table_bytes];
         let read = file.read_at(HEADER_BYTES as u64, &mut table)?;
-        if read < table_bytes || crc32fast::hash(&table) != word(&header, 8) {
-            return Err(failed());
+        if read < table_bytes || crc32fast::hash(&table) != read_u32(&header, 8) {
+            return Err(corrupted());
         }
-        let row = |bytes: &[u8]| Moved {
-            old_offset: word(bytes, 0),
-            new_offset: word(bytes, 4),
+        let row = |bytes: &[u8]| MovedRecord {
+            old_offset: read_u32(bytes, 0),
+            new_offset: read_u32(bytes, 4),
         };
-        Ok(Compacted {
+        Ok(OffsetTable {
             moved: table.chunks_exact(ROW_BYTES).map(row).collect(),
         })
     }
 
-    /// Where the record that was at the old offset lies now.
-    pub(super) fn position(&self, old_offset: u32) -> Option<u64> {
+    /// The current offset of the record that was at the old offset.
+    pub(super) fn current_offset(&self, old_offset: u32) -> Option<u64> {
         let found = self
             .moved
             .binary_search_by_key(&old_offset, |moved| moved.old_offset)
@@ -71,11 +73,11 @@
     }
 }
 
-fn word(bytes: &[u8], at: usize) -> u32 {
+fn read_u32(bytes: &[u8], at: usize) -> u32 {
     u32::from_le_bytes([bytes[at], bytes[at + 1], bytes[at + 2], bytes[at + 3]])
 }
 
-/// Writes the compacted form of a segment beside it; durable on return.
+/// Writes the compacted segment to a new file; durable on return.
 pub(super) fn write_compacted(
     file_system: &dyn FileSystem,
     number: u32,
--- a/crates/storage/src/payload/files.rs
+++ b/crates/storage/src/payload/files.rs
@@ -1,11 +1,11 @@
 //! Payloads in append-only segment files.
 //!
-//! The log holds every payload until a checkpoint covers it, so appends are not
-//! synced one by one. A checkpoint of the state machine notes a [`PayloadMark`];
-//! after a crash [`PayloadStore::open`] cuts everything after the mark off and
-//! the replay of the log appends it again. What is released stays on disk
-//! until a checkpoint made after the release is durable, so that the replay
-//! finds all that it reads.
+//! The log retains every payload until a checkpoint covers it, so appends are
+//! not synced individually. A checkpoint of the state machine stores a
+//! [`PayloadMark`]; after a crash [`PayloadStore::open`] discards everything
+//! after the mark and the replay of the log appends it again. A released
+//! payload stays on disk until a checkpoint taken after the release is durable,
+//! so that the replay can still read it.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -17,7 +17,7 @@
 
 use super::{
     PayloadMark, PayloadRef, Payloads,
-    compact::{Compacted, compacted_path, write_compacted},
+    compact::{OffsetTable, compacted_path, write_compacted},
     record::{self, header_bytes, push_payload},
 };
 use crate::file_system::{File, FileSystem, OpenMode, StorageResult};
@@ -25,19 +25,19 @@
 /// Directory of the payloads in the data folder.
 pub const PAYLOAD_DIRECTORY: &str = "payloads";
 const SUFFIX: &str = ".data";
-/// Longest payload, in bytes.
+/// Maximum payload, in bytes.
 pub const MAX_PAYLOAD_BYTES: usize = 64 * 1024 * 1024;
-/// Appended bytes held in memory before they are written.
+/// Appended bytes that are buffered in memory before they are written.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
-/// Appended bytes that wait in memory at most while the disk is full.
-const MAX_WAITING_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum appended bytes that are buffered in memory while the disk is full.
+const MAX_BUFFERED_WHILE_FULL_BYTES: usize = 64 * 1024 * 1024;
 
-/// Bounds of a payload store.
+/// Limits of a payload store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PayloadLimits {
-    /// A new segment is begun once one holds this many bytes.
+    /// Size in bytes from which a segment is full and the next one is started.
     pub segment_bytes: u32,
-    /// A segment with a smaller share of live bytes, in percent, is worth compacting.
+    /// A segment with a lower percentage of live bytes is a candidate for compaction.
     pub compact_below_percent: u32,
 }
 
@@ -53,15 +53,16 @@
 /// One segment file.
 struct Segment {
     file: Box<dyn File>,
-    /// Where records lie now, if the segment was compacted.
-    compacted: Option<Compacted>,
-    /// Bytes of records, buffered ones included.
+    /// The current offsets of the records, if the segment was compacted.
+    offset_table: Option<OffsetTable>,
+    /// Bytes of records, including buffered ones.
     length: u64,
-    /// Bytes of records that a replay or a reader may still need.
-    held_bytes: u64,
+    /// Bytes of records that a replay or a reader may need.
+    retained_bytes: u64,
 }
 
-/// A release that is not covered by a durable checkpoint yet.
+/// A released payload whose space is not reclaimed yet, since no durable checkpoint covers
+/// the release.
 type Release = PayloadRef;
 
 /// Payloads in segment files under one data folder.
@@ -69,14 +70,14 @@
     file_system: Arc<dyn FileSystem>,
     limits: PayloadLimits,
     segments: BTreeMap<u32, Segment>,
-    /// Records of the newest segment that are not written yet.
+    /// Records at the end of the newest segment that are not written yet.
     buffer: Vec<u8>,
     live_bytes: u64,
-    /// Releases since the last settled checkpoint, oldest first.
+    /// Releases since the last checkpoint that was reported as durable, oldest first.
     releases: VecDeque<Release>,
-    /// Releases that were settled since the store was opened.
-    settled_releases: u64,
-    /// Checkpoints that are not settled, with the number of releases before each.
+    /// Number of releases that were reclaimed since the store was opened.
+    reclaimed_releases: u64,
+    /// Checkpoints that were not reported as durable, with the number of releases before each.
     checkpoints: VecDeque<(PayloadMark, u64)>,
     /// Number of the newest checkpoint.
     last_checkpoint: u64,
@@ -86,15 +87,15 @@
 }
 
 impl PayloadStore {
-    /// Opens the store as it was at a checkpoint: what was appended later is cut off.
+    /// Opens the store as it was at a checkpoint; later payloads are discarded.
     ///
-    /// Every payload that the checkpoint refers to must then be named to
-    /// [`Payloads::mark_live`]; the space of others is given back. A blank disk, or
-    /// one whose state is read from a peer's snapshot, begins empty at
+    /// Every payload that the checkpoint refers to must then be passed to
+    /// [`Payloads::mark_live`]; the space of others is reclaimed. A blank disk,
+    /// or one whose state is restored from a peer's snapshot, starts empty at
     /// [`PayloadMark::default`].
     ///
     /// # Errors
-    /// `Corrupted` when the checkpoint's newest segment is short, `StorageFull`, `Io`.
+    /// `Corrupted` when the checkpoint's newest segment is too short, `StorageFull`, `Io`.
     pub fn open(
         file_system: Arc<dyn FileSystem>,
         limits: PayloadLimits,
@@ -111,7 +112,7 @@
             buffer: Vec::new(),
             live_bytes: 0,
             releases: VecDeque::new(),
-            settled_releases: 0,
+            reclaimed_releases: 0,
             checkpoints: VecDeque::new(),
             last_checkpoint: mark.checkpoint,
             directory_dirty: true,
@@ -139,19 +140,21 @@
         let compacted_file = compacted_path(number);
         if self.file_system.exists(&compacted_file)? {
             let file = self.file_system.open(&compacted_file, OpenMode::Read)?;
-            let compacted = Compacted::load(file.as_ref(), &compacted_file)?;
+            let offset_table = OffsetTable::load(file.as_ref(), &compacted_file)?;
             if self.file_system.exists(&path)? {
                 self.file_system.remove(&path)?;
             }
             let length = file.length()?;
-            self.insert_segment(number, file, Some(compacted), length);
+            self.insert_segment(number, file, Some(offset_table), length);
             return Ok(());
         }
         let mut file = self.file_system.open(&path, OpenMode::Write)?;
         let mut length = file.length()?;
         if number == mark.segment {
             if length < u64::from(mark.offset) {
-                return Err(corrupted(format!("{path} ends before its checkpoint")));
+                return Err(corrupted(format!(
+                    "{path} has {length} bytes, fewer than its checkpoint requires"
+                )));
             }
             length = u64::from(mark.offset);
             file.truncate(length)?;
@@ -164,14 +167,14 @@
         &mut self,
         number: u32,
         file: Box<dyn File>,
-        compacted: Option<Compacted>,
+        offset_table: Option<OffsetTable>,
         length: u64,
     ) {
         let segment = Segment {
             file,
-            compacted,
+            offset_table,
             length,
-            held_bytes: 0,
+            retained_bytes: 0,
         };
         self.segments.insert(number, segment);
     }
@@ -187,12 +190,12 @@
         Some((*number, segment))
     }
 
-    /// The segment to append to, begun if the newest one is full.
+    /// The segment to append to; starts a new segment if the newest one is full.
     fn writable_segment(&mut self) -> StorageResult<u32> {
         let limit = u64::from(self.limits.segment_bytes);
         let newest = self
             .newest()
-            .map(|(number, segment)| (number, segment.length, segment.compacted.is_some()));
+            .map(|(number, segment)| (number, segment.length, segment.offset_table.is_some()));
         let next = match newest {
             Some((number, length, false)) if length < limit => return Ok(number),
             Some((number, _, _)) => number + 1,
@@ -200,8 +203,8 @@
         };
         let synced = self.sync();
         if let (Some((number, _, false)), true) = (newest, is_full(&synced)) {
-            // The newest one grows beyond its size until there is room again.
-            self.wait_for_room(synced)?;
+            // The newest segment exceeds its size limit until the disk has free space.
+            self.tolerate_full_disk(synced)?;
             return Ok(number);
         }
         synced?;
@@ -212,7 +215,7 @@
         Ok(next)
     }
 
-    /// Writes what is buffered, without a sync.
+    /// Writes the buffer, without a sync.
     fn write_buffer(&mut self) -> StorageResult<()> {
         if self.buffer.is_empty() {
             return Ok(());
@@ -224,30 +227,30 @@
         let start = segment.length - buffer.len() as u64;
         let written = segment.file.write_at(start, &buffer);
         if written.is_err() {
-            // Kept for another try once there is room.
+            // Stays buffered; the write is retried once the disk has free space.
             segment.file.truncate(start)?;
             self.buffer = buffer;
         }
         written
     }
 
-    fn refuse_if_failed(&self) -> StorageResult<()> {
+    fn check_not_failed(&self) -> StorageResult<()> {
         if self.failed {
             return Err(Report::new(ErrorKind::Io).attach("an earlier payload sync failed"));
         }
         Ok(())
     }
 
-    /// Lets appended records wait in memory while the disk is full, within a bound:
-    /// what was committed can be applied, and the log refuses new work meanwhile.
-    fn wait_for_room(&mut self, written: StorageResult<()>) -> StorageResult<()> {
-        if is_full(&written) && self.buffer.len() < MAX_WAITING_BYTES {
+    /// Tolerates a full disk while the buffer is under its limit: committed entries can then
+    /// be applied, while the log refuses new work.
+    fn tolerate_full_disk(&mut self, written: StorageResult<()>) -> StorageResult<()> {
+        if is_full(&written) && self.buffer.len() < MAX_BUFFERED_WHILE_FULL_BYTES {
             return Ok(());
         }
-        self.note_failure(written)
+        self.record_failure(written)
     }
 
-    fn note_failure<T>(&mut self, result: StorageResult<T>) -> StorageResult<T> {
+    fn record_failure<T>(&mut self, result: StorageResult<T>) -> StorageResult<T> {
         if let Err(error) = &result {
             self.failed |= *error.current_context() != ErrorKind::StorageFull;
         }
@@ -266,7 +269,7 @@
         Ok(())
     }
 
-    /// Reads bytes of a segment, from the buffer if they are not written yet.
+    /// Reads bytes of a segment, from the buffer if the bytes are not written yet.
     fn read_bytes(&self, number: u32, offset: u64, length: usize) -> StorageResult<Vec<u8>> {
         let segment = self
             .segments
@@ -279,7 +282,8 @@
             let start = (offset - written) as usize;
             let bytes = self.buffer.get(start..start + length);
             return bytes.map(<[u8]>::to_vec).ok_or_else(|| {
-                Report::new(ErrorKind::NotFound).attach("a payload beyond the end")
+                Report::new(ErrorKind::NotFound)
+                    .attach("the payload is past the end of its segment")
             });
         }
         let mut bytes = vec![0; length];
@@ -288,36 +292,37 @@
         Ok(bytes)
     }
 
-    /// Where the record of a payload begins in its file.
-    fn position(&self, payload: &PayloadRef) -> StorageResult<u64> {
-        let compacted = self
+    /// File offset of the record of a payload.
+    fn record_offset(&self, payload: &PayloadRef) -> StorageResult<u64> {
+        let offset_table = self
             .segments
             .get(&payload.segment)
-            .and_then(|segment| segment.compacted.as_ref());
-        match compacted {
+            .and_then(|segment| segment.offset_table.as_ref());
+        match offset_table {
             None => Ok(u64::from(payload.offset)),
-            Some(compacted) => compacted.position(payload.offset).ok_or_else(|| {
-                Report::new(ErrorKind::NotFound).attach(format!("{payload:?} was compacted away"))
+            Some(offset_table) => offset_table.current_offset(payload.offset).ok_or_else(|| {
+                Report::new(ErrorKind::NotFound)
+                    .attach(format!("{payload:?} was removed by compaction"))
             }),
         }
     }
 
-    fn reclaim(&mut self) -> StorageResult<()> {
+    fn remove_unused_segments(&mut self) -> StorageResult<()> {
         let Some(newest) = self.segments.keys().next_back().copied() else {
             return Ok(());
         };
         let dead: Vec<u32> = self
             .segments
             .iter()
-            .filter(|(number, segment)| **number != newest && segment.held_bytes == 0)
+            .filter(|(number, segment)| **number != newest && segment.retained_bytes == 0)
             .map(|(number, _)| *number)
             .collect();
         for number in dead {
-            let compacted = self
+            let is_compacted = self
                 .segments
                 .remove(&number)
-                .is_some_and(|segment| segment.compacted.is_some());
-            let path = match compacted {
+                .is_some_and(|segment| segment.offset_table.is_some());
+            let path = match is_compacted {
                 true => compacted_path(number),
                 false => segment_path(number),
             };
@@ -329,21 +334,23 @@
 
 impl Payloads for PayloadStore {
     fn append(&mut self, data: &[u8]) -> StorageResult<PayloadRef> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         if data.len() > MAX_PAYLOAD_BYTES {
-            return Err(Report::new(ErrorKind::BodyTooLarge)
-                .attach(format!("a payload of {} bytes", data.len())));
+            return Err(Report::new(ErrorKind::BodyTooLarge).attach(format!(
+                "a payload of {} bytes exceeds the maximum of {MAX_PAYLOAD_BYTES}",
+                data.len()
+            )));
         }
         if self.buffer.len() >= MAX_BUFFERED_BYTES {
             let written = self.write_buffer();
-            self.wait_for_room(written)?;
+            self.tolerate_full_disk(written)?;
         }
         let number = self.writable_segment()?;
         let before = self.buffer.len();
         push_payload(&mut self.buffer, data);
         let added = (self.buffer.len() - before) as u64;
         let Some((_, segment)) = self.newest() else {
-            return Err(Report::new(ErrorKind::Internal).attach("no payload segment"));
+            return Err(Report::new(ErrorKind::Internal).attach("the payload store has no segment"));
         };
         let payload = PayloadRef {
             segment: number,
@@ -351,7 +358,7 @@
             length: data.len() as u32,
         };
         segment.length += added;
-        segment.held_bytes += added;
+        segment.retained_bytes += added;
         self.live_bytes += data.len() as u64;
         Ok(payload)
     }
@@ -372,7 +379,7 @@
         if range.is_empty() {
             return Ok(Vec::new());
         }
-        let position = self.position(payload)?;
+        let position = self.record_offset(payload)?;
         let failed = || corrupted(format!("{payload:?} fails its checksum"));
         let header = self.read_bytes(payload.segment, position, header_bytes(total))?;
         if !record::header_matches(&header, payload.length) {
@@ -394,7 +401,7 @@
             .segments
             .get_mut(&payload.segment)
             .ok_or_else(|| corrupted(format!("{} is missing", segment_path(payload.segment))))?;
-        segment.held_bytes += record_bytes(payload);
+        segment.retained_bytes += record_bytes(payload);
         self.live_bytes += u64::from(payload.length);
         Ok(())
     }
@@ -405,9 +412,9 @@
     }
 
     fn sync(&mut self) -> StorageResult<()> {
-        self.refuse_if_failed()?;
+        self.check_not_failed()?;
         let synced = self.sync_files();
-        self.note_failure(synced)
+        self.record_failure(synced)
     }
 
     fn live_bytes(&self) -> u64 {
@@ -426,28 +433,32 @@
             segment,
             offset,
         };
-        let releases = self.settled_releases + self.releases.len() as u64;
+        let releases = self.reclaimed_releases + self.releases.len() as u64;
         self.checkpoints.push_back((mark, releases));
         Ok(mark)
     }
 
     fn reclaim_before(&mut self, mark: PayloadMark) -> StorageResult<()> {
-        let Some(position) = self.checkpoints.iter().rposition(|(made, _)| *made <= mark) else {
+        let Some(position) = self
+            .checkpoints
+            .iter()
+            .rposition(|(recorded, _)| *recorded <= mark)
+        else {
             return Ok(());
         };
         let (_, before) = self.checkpoints[position];
         self.checkpoints.drain(..=position);
-        while self.settled_releases < before {
+        while self.reclaimed_releases < before {
             let Some(payload) = self.releases.pop_front() else {
                 break;
             };
-            self.settled_releases += 1;
+            self.reclaimed_releases += 1;
             if let Some(segment) = self.segments.get_mut(&payload.segment) {
                 let bytes = record_bytes(&payload);
-                segment.held_bytes = segment.held_bytes.saturating_sub(bytes);
+                segment.retained_bytes = segment.retained_bytes.saturating_sub(bytes);
             }
         }
-        self.reclaim()
+        self.remove_unused_segments()
     }
 
     fn compaction_candidate(&self) -> Option<u32> {
@@ -456,27 +467,27 @@
         self.segments
             .iter()
             .filter(|(number, _)| *number != newest)
-            .filter(|(_, segment)| segment.held_bytes * 100 < segment.length * threshold)
-            .min_by_key(|(_, segment)| segment.held_bytes)
+            .filter(|(_, segment)| segment.retained_bytes * 100 < segment.length * threshold)
+            .min_by_key(|(_, segment)| segment.retained_bytes)
             .map(|(number, _)| *number)
     }
 
     fn compact(&mut self, number: u32, live: &[PayloadRef]) -> StorageResult<()> {
-        let mut kept: Vec<PayloadRef> = live
+        let mut retained: Vec<PayloadRef> = live
             .iter()
             .chain(&self.releases)
             .filter(|payload| payload.segment == number)
             .copied()
             .collect();
-        kept.sort_unstable();
-        kept.dedup();
-        let mut records = Vec::with_capacity(kept.len());
-        for payload in &kept {
+        retained.sort_unstable();
+        retained.dedup();
+        let mut records = Vec::with_capacity(retained.len());
+        for payload in &retained {
             records.push((payload.offset, self.read(payload)?));
         }
         let file = write_compacted(self.file_system.as_ref(), number, &records)?;
         let path = compacted_path(number);
-        let compacted = Compacted::load(file.as_ref(), &path)?;
+        let offset_table = OffsetTable::load(file.as_ref(), &path)?;
         if self.file_system.exists(&segment_path(number))? {
             self.file_system.remove(&segment_path(number))?;
         }
@@ -484,9 +495,9 @@
             return Ok(());
         };
         segment.length = file.length()?;
-        segment.held_bytes = kept.iter().map(record_bytes).sum();
+        segment.retained_bytes = retained.iter().map(record_bytes).sum();
         segment.file = file;
-        segment.compacted = Some(compacted);
+        segment.offset_table = Some(offset_table);
         Ok(())
     }
 }
@@ -497,7 +508,7 @@
         .is_err_and(|report| *report.current_context() == ErrorKind::StorageFull)
 }
 
-/// Bytes that a payload takes in its segment.
+/// Bytes of a payload's record in its segment.
 fn record_bytes(payload: &PayloadRef) -> u64 {
     let length = payload.length as usize;
     (header_bytes(length) + length) as u64
--- a/crates/storage/src/payload/memory.rs
+++ b/crates/storage/src/payload/memory.rs
@@ -1,4 +1,4 @@
-//! Payloads in memory, for tests and for state that need not survive.
+//! An in-memory payload store, for tests and for state that need not be durable.
 
 use std::collections::HashMap;
 
@@ -8,7 +8,7 @@
 use super::{PayloadMark, PayloadRef, Payloads};
 use crate::file_system::StorageResult;
 
-/// Payloads in memory; released ones are dropped at once.
+/// An in-memory payload store; a released payload is dropped at once.
 #[derive(Clone, Debug, Default)]
 pub struct MemoryPayloads {
     payloads: HashMap<(u32, u32), Vec<u8>>,
@@ -35,7 +35,7 @@
 impl Payloads for MemoryPayloads {
     fn append(&mut self, data: &[u8]) -> StorageResult<PayloadRef> {
         let length = u32::try_from(data.len()).map_err(|_| {
-            Report::new(ErrorKind::BodyTooLarge).attach("a payload must be under 4 GiB")
+            Report::new(ErrorKind::BodyTooLarge).attach("a payload must be smaller than 4 GiB")
         })?;
         let payload = PayloadRef {
             segment: (self.next >> 32) as u32,
--- a/crates/storage/src/payload/mod.rs
+++ b/crates/storage/src/payload/mod.rs
@@ -1,4 +1,4 @@
-//! Big payloads (input files, results) outside the state machine's memory.
+//! Storage of large payloads (input files, results) outside the state machine's memory.
 
 mod compact;
 mod files;
@@ -12,7 +12,7 @@
 
 use crate::file_system::StorageResult;
 
-/// Where a payload lies on this member's disk. Other members store it elsewhere.
+/// Position of a payload on this member's disk. The position differs between members.
 #[derive(
     Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Archive, Serialize, Deserialize,
 )]
@@ -25,9 +25,9 @@
     pub length: u32,
 }
 
-/// A position in the store; what was appended before it is synced.
+/// A position in the store; all payloads before the position are synced.
 ///
-/// A checkpoint of the state machine keeps the mark beside its references.
+/// A checkpoint of the state machine stores the mark together with its references.
 #[derive(
     Clone,
     Copy,
@@ -43,19 +43,19 @@
     Deserialize,
 )]
 pub struct PayloadMark {
-    /// Number of the checkpoint; grows.
+    /// Number of the checkpoint; grows with each one.
     pub checkpoint: u64,
-    /// Number of the newest segment; 0 when there was none.
+    /// Number of the newest segment; 0 if the store was empty.
     pub segment: u32,
-    /// Bytes of it.
+    /// Bytes of the newest segment.
     pub offset: u32,
 }
 
 /// A store of payloads.
 ///
-/// Payloads last only once synced. A released payload stays readable until a
-/// newer checkpoint of the state machine is durable, so that a replay after a
-/// crash finds everything that it reads.
+/// Payloads are durable only once synced. A released payload remains readable
+/// until a later checkpoint of the state machine is durable, so that a replay
+/// after a crash can still read it.
 pub trait Payloads: Send {
     /// Stores a payload.
     ///
@@ -69,9 +69,9 @@
     /// `NotFound`, `Corrupted`, `Io`.
     fn read(&self, payload: &PayloadRef) -> StorageResult<Vec<u8>>;
 
-    /// Reads a part of a payload; less is returned only at the payload's end.
+    /// Reads a range of a payload; fewer bytes are returned only at the payload's end.
     ///
-    /// Parts are checked block by block, so a small part of a large payload is cheap.
+    /// Only the blocks of the range are checked, so a small range of a large payload is cheap.
     ///
     /// # Errors
     /// `NotFound`, `Corrupted`, `Io`.
@@ -82,46 +82,46 @@
         length: usize,
     ) -> StorageResult<Vec<u8>>;
 
-    /// Counts a payload as live that a restored checkpoint refers to.
+    /// Counts a payload as live, because a restored checkpoint refers to it.
     ///
     /// # Errors
     /// `Corrupted` when its segment is missing.
     fn mark_live(&mut self, payload: &PayloadRef) -> StorageResult<()>;
 
-    /// Gives a payload up; its space is reclaimed later.
+    /// Releases a payload; its space is reclaimed later.
     fn release(&mut self, payload: &PayloadRef);
 
-    /// Makes everything appended so far last.
+    /// Makes all appended payloads durable.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
     fn sync(&mut self) -> StorageResult<()>;
 
-    /// Bytes of payloads that were not released.
+    /// Bytes of payloads that are not released.
     fn live_bytes(&self) -> u64;
 
-    /// Syncs and tells the position, when the state machine makes a checkpoint.
+    /// Syncs and returns the position, when the state machine takes a checkpoint.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
     fn checkpoint(&mut self) -> StorageResult<PayloadMark>;
 
-    /// Told once the oldest checkpoint that a restart may go back to has this mark.
+    /// Reclaims the space of payloads that were released before the checkpoint with this mark.
     ///
-    /// Space of what was released before that checkpoint is given back.
+    /// Must be called only once a restart cannot restore an older checkpoint.
     ///
     /// # Errors
     /// `Io`.
     fn reclaim_before(&mut self, mark: PayloadMark) -> StorageResult<()>;
 
-    /// A segment that is mostly dead, if there is one, to hand to [`Payloads::compact`].
+    /// A segment with few live bytes, if there is one, to pass to [`Payloads::compact`].
     fn compaction_candidate(&self) -> Option<u32>;
 
-    /// Rewrites a segment without its dead records; references stay valid.
+    /// Rewrites a segment without its dead records; references remain valid.
     ///
-    /// `live` are all live payloads of that segment.
+    /// `live` must contain all live payloads of that segment.
     ///
     /// # Errors
-    /// `Corrupted`, `StorageFull` (the segment stays as it was), `Io`.
+    /// `Corrupted`, `StorageFull` (the segment is unchanged), `Io`.
     fn compact(&mut self, segment: u32, live: &[PayloadRef]) -> StorageResult<()>;
 }
--- a/crates/storage/src/real.rs
+++ b/crates/storage/src/real.rs
@@ -12,7 +12,7 @@
 
 use crate::file_system::{File, FileSystem, FolderLock, OpenMode, StorageResult};
 
-/// Name of the file that carries the folder's lock.
+/// Name of the lock file of a data folder.
 pub const LOCK_FILE: &str = "LOCK";
 
 /// A data folder on a real disk.
@@ -32,7 +32,7 @@
         Ok(RealFileSystem { root })
     }
 
-    /// The folder.
+    /// Path of the folder.
     #[must_use]
     pub fn root(&self) -> &Path {
         &self.root
@@ -151,7 +151,7 @@
     fn exists(&self, path: &str) -> StorageResult<bool> {
         let path = self.resolve(path);
         path.try_exists()
-            .map_err(|error| failure(&error, "look for", &path))
+            .map_err(|error| failure(&error, "check the existence of", &path))
     }
 
     fn rename(&self, from: &str, to: &str) -> StorageResult<()> {
--- a/crates/storage/src/revision.rs
+++ b/crates/storage/src/revision.rs
@@ -1,4 +1,4 @@
-//! A small record that is replaced as a whole: the old or the new one, never a mix.
+//! A small record that is replaced atomically.
 
 use std::sync::Arc;
 
@@ -11,17 +11,17 @@
 const MAGIC: [u8; 4] = *b"LHR1";
 /// Bytes before the content: magic, `u32` length, `u32` CRC-32 of the content.
 const HEADER_BYTES: usize = 12;
-/// Longest content, in bytes.
+/// Maximum content, in bytes.
 pub const MAX_REVISION_BYTES: usize = 16 * 1024 * 1024;
 
-/// A checksummed file that is replaced by write, sync, rename and directory sync.
+/// A checksummed file that is replaced atomically by write, sync, rename and directory sync.
 pub struct RevisionFile {
     file_system: Arc<dyn FileSystem>,
     path: String,
 }
 
 impl RevisionFile {
-    /// A file at this path; nothing is read or written yet.
+    /// Uses the file at this path, without reading or writing it.
     pub fn new(file_system: Arc<dyn FileSystem>, path: impl Into<String>) -> Self {
         RevisionFile {
             file_system,
@@ -29,10 +29,10 @@
         }
     }
 
-    /// The content last stored; `None` when nothing ever was.
+    /// The content stored last; `None` when the file does not exist.
     ///
     /// # Errors
-    /// `Corrupted` when the file does not pass its check, `Io`.
+    /// `Corrupted` when the file fails its check, `Io`.
     pub fn load(&self) -> StorageResult<Option<Vec<u8>>> {
         if !self.file_system.exists(&self.path)? {
             return Ok(None);
@@ -47,7 +47,7 @@
     /// Replaces the content; durable on return.
     ///
     /// # Errors
-    /// `StorageFull` (the old content stays), `BodyTooLarge`, `Io`.
+    /// `StorageFull` (the old content remains), `BodyTooLarge`, `Io`.
     pub fn store(&self, content: &[u8]) -> StorageResult<()> {
         if content.len() > MAX_REVISION_BYTES {
             return Err(Report::new(ErrorKind::BodyTooLarge).attach(self.path.clone()));
--- a/crates/storage/src/snapshot.rs
+++ b/crates/storage/src/snapshot.rs
@@ -1,9 +1,9 @@
-//! Snapshots of the state machine: written in pieces, checked, then renamed into place.
+//! Snapshots of the state machine: written in chunks, checked, then renamed into place.
 //!
 //! Layout, little endian: 8 bytes magic, `u32` format version, `u32` length of
 //! the encoded [`SnapshotMeta`], the meta, content, then a trailer of `u64`
 //! content length and `u32` CRC-32 of everything before the trailer's checksum.
-//! Peers are sent the file byte by byte, so the receiver checks the same sum.
+//! Peers receive an identical copy of the file, so the receiver checks the same checksum.
 
 use std::sync::Arc;
 
@@ -15,7 +15,7 @@
 
 /// Directory of the snapshots in the data folder.
 pub const SNAPSHOT_DIRECTORY: &str = "snapshots";
-/// How many complete snapshots are kept where nothing else is asked for.
+/// Default number of complete snapshots that are retained.
 pub const DEFAULT_RETAINED_SNAPSHOTS: usize = 2;
 /// Version of the snapshot format.
 pub const SNAPSHOT_FORMAT_VERSION: u32 = 1;
@@ -23,7 +23,7 @@
 const FIXED_HEADER_BYTES: usize = 16;
 const TRAILER_BYTES: usize = 12;
 const MAX_META_BYTES: usize = 64 * 1024;
-const COPY_BYTES: usize = 256 * 1024;
+const READ_BYTES: usize = 256 * 1024;
 const SUFFIX: &str = ".snapshot";
 const WRITING_SUFFIX: &str = ".writing";
 const RECEIVING_SUFFIX: &str = ".receiving";
@@ -31,11 +31,11 @@
 /// A complete snapshot on disk.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SnapshotInfo {
-    /// Which prefix of the log it stands for.
+    /// Metadata, including the last log index that the snapshot covers.
     pub meta: SnapshotMeta,
-    /// Bytes of the file, as sent to peers.
+    /// Bytes of the complete file, which is what peers receive.
     pub file_bytes: u64,
-    /// Where the content begins in the file.
+    /// File offset of the content.
     content_start: u64,
 }
 
@@ -47,12 +47,12 @@
     }
 }
 
-/// How far a snapshot being received has come.
+/// Progress of receiving a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReceiveProgress {
-    /// The next byte wanted.
+    /// The file offset of the next byte to send.
     pub next_offset: u64,
-    /// Set once the snapshot is complete, checked and durable.
+    /// The snapshot, once it is complete, checked and durable.
     pub installed: Option<SnapshotInfo>,
 }
 
@@ -61,11 +61,11 @@
     file_system: Arc<dyn FileSystem>,
     /// Complete and checked, oldest first.
     complete: Vec<SnapshotInfo>,
-    /// How many of them are kept, at least one.
-    kept: usize,
+    /// Number of complete snapshots to retain, at least one.
+    retained: usize,
 }
 
-/// Reads the content of one complete snapshot piece by piece. Clones share the file.
+/// Reads the content of one complete snapshot in ranges. Clones share the file.
 #[derive(Clone)]
 pub struct SnapshotReader {
     file: Arc<dyn File>,
@@ -83,24 +83,24 @@
     /// Reads exactly this range of the content.
     ///
     /// # Errors
-    /// `Corrupted` when the range leaves the content or the file ends within it, `Io`.
+    /// `Corrupted` when the range exceeds the content or the file ends within the range, `Io`.
     pub fn read(&self, offset: u64, length: usize) -> StorageResult<Vec<u8>> {
         let end = offset.checked_add(length as u64);
         if end.is_none_or(|end| end > self.content_bytes) {
-            return Err(cut_short(offset, length));
+            return Err(out_of_range(offset, length));
         }
         let mut data = vec![0; length];
         let read = self.file.read_at(self.content_start + offset, &mut data)?;
         if read < length {
-            return Err(cut_short(offset, length));
+            return Err(out_of_range(offset, length));
         }
         Ok(data)
     }
 }
 
-fn cut_short(offset: u64, length: usize) -> Report<ErrorKind> {
+fn out_of_range(offset: u64, length: usize) -> Report<ErrorKind> {
     Report::new(ErrorKind::Corrupted).attach(format!(
-        "a snapshot does not hold {length} bytes at {offset}"
+        "snapshot content ends before the {length} bytes at offset {offset}"
     ))
 }
 
@@ -115,14 +115,14 @@
 }
 
 impl SnapshotWriter {
-    /// Writes the next piece of the content.
+    /// Writes the next chunk of the content.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
-    pub fn write(&mut self, piece: &[u8]) -> StorageResult<()> {
-        self.file.write_at(self.position, piece)?;
-        self.checksum.update(piece);
-        self.position += piece.len() as u64;
+    pub fn write(&mut self, chunk: &[u8]) -> StorageResult<()> {
+        self.file.write_at(self.position, chunk)?;
+        self.checksum.update(chunk);
+        self.position += chunk.len() as u64;
         Ok(())
     }
 
@@ -137,9 +137,9 @@
 }
 
 impl SnapshotStore {
-    /// Opens the store and checks every snapshot; those that fail are left out.
+    /// Opens the store and checks every snapshot; snapshots that fail the check are ignored.
     ///
-    /// Snapshots that were being written are removed, those being received stay.
+    /// Partly written snapshots are removed; partly received ones stay.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -147,11 +147,14 @@
         Self::open_retaining(file_system, DEFAULT_RETAINED_SNAPSHOTS)
     }
 
-    /// Like [`SnapshotStore::open`], but keeps this many complete snapshots, at least one.
+    /// Like [`SnapshotStore::open`], but retains this many complete snapshots, at least one.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
-    pub fn open_retaining(file_system: Arc<dyn FileSystem>, kept: usize) -> StorageResult<Self> {
+    pub fn open_retaining(
+        file_system: Arc<dyn FileSystem>,
+        retained: usize,
+    ) -> StorageResult<Self> {
         if !file_system.exists(SNAPSHOT_DIRECTORY)? {
             file_system.create_directory(SNAPSHOT_DIRECTORY)?;
             file_system.sync_directory("")?;
@@ -166,13 +169,13 @@
                 complete.extend(check(file_system.as_ref(), &path)?);
             }
         }
-        // A rename whose directory was not synced becomes durable here.
+        // An earlier rename may not be durable, if its directory was not synced.
         file_system.sync_directory(SNAPSHOT_DIRECTORY)?;
         complete.sort_by_key(|info| info.meta.index);
         Ok(SnapshotStore {
             file_system,
             complete,
-            kept: kept.max(1),
+            retained: retained.max(1),
         })
     }
 
@@ -182,7 +185,7 @@
         self.complete.last()
     }
 
-    /// The oldest complete snapshot that is kept.
+    /// The oldest complete snapshot that is retained.
     #[must_use]
     pub fn oldest(&self) -> Option<&SnapshotInfo> {
         self.complete.first()
@@ -194,7 +197,7 @@
         self.complete.iter().find(|info| info.meta.index == index)
     }
 
-    /// Begins to write a snapshot.
+    /// Starts writing a snapshot.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -218,7 +221,8 @@
         Ok(writer)
     }
 
-    /// Completes a snapshot; it is durable on return. Older ones beyond the kept are removed.
+    /// Completes a snapshot; it is durable on return. The oldest snapshots over the retained
+    /// number are removed.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -232,7 +236,7 @@
         self.install(&writer.path, info)
     }
 
-    /// Gives up a snapshot being written, for example after `StorageFull`.
+    /// Removes a partly written snapshot, for example after `StorageFull`.
     ///
     /// # Errors
     /// `Io`.
@@ -253,54 +257,58 @@
     }
 
     fn remove_older(&mut self) -> StorageResult<()> {
-        while self.complete.len() > self.kept {
+        while self.complete.len() > self.retained {
             let oldest = self.complete.remove(0);
             self.file_system.remove(&snapshot_path(oldest.meta.index))?;
         }
         Ok(())
     }
 
-    /// Reads the file of a snapshot from the offset on, as sent to peers.
+    /// Reads a chunk of a snapshot's file at the offset, to be sent to a peer.
     ///
-    /// The second value tells whether this is the last piece.
+    /// The second value is whether this is the last chunk.
     ///
     /// # Errors
-    /// `NotFound` when the snapshot is gone, `Io`.
+    /// `NotFound` when the snapshot has been removed, `Io`.
     pub fn read_chunk(
         &self,
         index: LogIndex,
         offset: u64,
         max_bytes: usize,
     ) -> StorageResult<(Vec<u8>, bool)> {
-        let info = self.find(index).ok_or_else(|| missing(index))?;
-        let left = info.file_bytes.saturating_sub(offset);
-        let data = self.read_file(index, offset, left.min(max_bytes as u64) as usize)?;
+        let info = self.find(index).ok_or_else(|| not_found(index))?;
+        let remaining_bytes = info.file_bytes.saturating_sub(offset);
+        let data = self.read_file(
+            index,
+            offset,
+            remaining_bytes.min(max_bytes as u64) as usize,
+        )?;
         let last = offset + data.len() as u64 >= info.file_bytes;
         Ok((data, last))
     }
 
-    /// Reads the content of a snapshot from the offset on; empty at its end.
+    /// Reads the content of a snapshot at the offset; empty at the end of the content.
     ///
     /// # Errors
-    /// `NotFound` when the snapshot is gone, `Io`.
+    /// `NotFound` when the snapshot has been removed, `Io`.
     pub fn read_content(
         &self,
         index: LogIndex,
         offset: u64,
         max_bytes: usize,
     ) -> StorageResult<Vec<u8>> {
-        let info = self.find(index).ok_or_else(|| missing(index))?;
-        let left = info.content_bytes().saturating_sub(offset);
-        let length = left.min(max_bytes as u64) as usize;
+        let info = self.find(index).ok_or_else(|| not_found(index))?;
+        let remaining_bytes = info.content_bytes().saturating_sub(offset);
+        let length = remaining_bytes.min(max_bytes as u64) as usize;
         self.read_file(index, info.content_start + offset, length)
     }
 
     /// A reader of a snapshot's content.
     ///
     /// # Errors
-    /// `NotFound` when the snapshot is gone, `Io`.
+    /// `NotFound` when the snapshot has been removed, `Io`.
     pub fn reader(&self, index: LogIndex) -> StorageResult<SnapshotReader> {
-        let info = self.find(index).ok_or_else(|| missing(index))?;
+        let info = self.find(index).ok_or_else(|| not_found(index))?;
         let file = self
             .file_system
             .open(&snapshot_path(index), OpenMode::Read)?;
@@ -321,10 +329,10 @@
         Ok(data)
     }
 
-    /// Takes a piece of a snapshot from a peer; pieces may come again or out of order.
+    /// Stores a chunk of a snapshot from a peer; chunks may be repeated or out of order.
     ///
-    /// The answer names the next byte wanted, also after a restart in between.
-    /// A snapshot that fails its check at the end is wanted anew from byte 0.
+    /// The result contains the next offset to send, also after a restart. A
+    /// snapshot that fails its check at the end must be sent again from offset 0.
     ///
     /// # Errors
     /// `StorageFull`, `Io`.
@@ -345,16 +353,16 @@
         let mode = match offset {
             0 => OpenMode::CreateOrTruncate,
             _ if self.file_system.exists(&path)? => OpenMode::Write,
-            _ => return Ok(wanted(0)),
+            _ => return Ok(incomplete(0)),
         };
         let mut file = self.file_system.open(&path, mode)?;
         let length = file.length()?;
         if offset != length {
-            return Ok(wanted(length));
+            return Ok(incomplete(length));
         }
         file.write_at(offset, data)?;
         if !last {
-            return Ok(wanted(offset + data.len() as u64));
+            return Ok(incomplete(offset + data.len() as u64));
         }
         file.sync()?;
         drop(file);
@@ -368,12 +376,12 @@
             }
             _ => {
                 self.file_system.remove(&path)?;
-                Ok(wanted(0))
+                Ok(incomplete(0))
             }
         }
     }
 
-    /// Removes what was received of snapshots up to this index that never became complete.
+    /// Removes partly received snapshots up to this index.
     ///
     /// # Errors
     /// `Io`.
@@ -391,14 +399,14 @@
     }
 }
 
-fn wanted(next_offset: u64) -> ReceiveProgress {
+fn incomplete(next_offset: u64) -> ReceiveProgress {
     ReceiveProgress {
         next_offset,
         installed: None,
     }
 }
 
-fn missing(index: LogIndex) -> Report<ErrorKind> {
+fn not_found(index: LogIndex) -> Report<ErrorKind> {
     Report::new(ErrorKind::NotFound).attach(format!("no snapshot at {index}"))
 }
 
@@ -410,7 +418,7 @@
     format!("{SNAPSHOT_DIRECTORY}/{}", file_name(index))
 }
 
-/// Reads a whole snapshot file and checks it; `None` when it fails.
+/// Reads a complete snapshot file and checks it; `None` when the check fails.
 fn check(file_system: &dyn FileSystem, path: &str) -> StorageResult<Option<SnapshotInfo>> {
     let file = file_system.open(path, OpenMode::Read)?;
     let file_bytes = file.length()?;
@@ -422,8 +430,8 @@
         file_bytes,
         content_start,
     };
-    let has_room = file_bytes >= content_start + TRAILER_BYTES as u64;
-    if !has_room || !checksum_matches(file.as_ref(), &info)? {
+    let has_trailer = file_bytes >= content_start + TRAILER_BYTES as u64;
+    if !has_trailer || !checksum_matches(file.as_ref(), &info)? {
         return Ok(None);
     }
     Ok(Some(info))
@@ -449,11 +457,11 @@
 
 fn checksum_matches(file: &dyn File, info: &SnapshotInfo) -> StorageResult<bool> {
     let mut hasher = crc32fast::Hasher::new();
-    let mut buffer = vec![0; COPY_BYTES];
-    let summed_bytes = info.file_bytes - 4;
+    let mut buffer = vec![0; READ_BYTES];
+    let checked_bytes = info.file_bytes - 4;
     let mut offset = 0;
-    while offset < summed_bytes {
-        let length = (summed_bytes - offset).min(COPY_BYTES as u64) as usize;
+    while offset < checked_bytes {
+        let length = (checked_bytes - offset).min(READ_BYTES as u64) as usize;
         let read = file.read_at(offset, &mut buffer[..length])?;
         if read == 0 {
             return Ok(false);
--- a/crates/storage/src/virtual_disk.rs
+++ b/crates/storage/src/virtual_disk.rs
@@ -1,9 +1,9 @@
-//! A disk in memory that fails as real ones do, for the simulator and for tests.
+//! An in-memory disk with the failure modes of real disks, for the simulator and for tests.
 //!
-//! Written bytes, created files and renames are visible at once but last only
-//! once synced. A crash loses or tears what was not synced: single sectors
-//! survive, others read as zeros or as they were before. Every choice comes
-//! from the seed, so a run can be repeated.
+//! Written bytes, created files and renames are visible at once but durable
+//! only once synced. A crash loses or tears unsynced writes: some sectors
+//! survive, others read as zeros or have their earlier content. All random
+//! choices come from the seed, so a run is reproducible.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -22,10 +22,10 @@
     revision::parent_directory,
 };
 
-/// Unit that a crash keeps or loses as a whole, in bytes.
+/// Unit that a crash preserves or loses completely, in bytes.
 const SECTOR_BYTES: usize = 512;
 
-/// A disk in memory. Clones are the same disk.
+/// An in-memory disk. Clones write_probability the disk.
 #[derive(Clone)]
 pub struct VirtualDisk {
     state: Arc<Mutex<DiskState>>,
@@ -34,12 +34,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Inode(u64);
 
-/// The content of a file, as read and as it would be found after a crash.
+/// The content of a file: as processes read it, and as it is on the disk after a crash.
 #[derive(Default)]
 struct Content {
     visible: Vec<u8>,
     durable: Vec<u8>,
-    /// Written since the last sync.
+    /// Ranges that were written since the last sync.
     dirty: Vec<Range<usize>>,
 }
 
@@ -59,7 +59,7 @@
     /// Changes that are not durable, oldest first, by directory.
     changes: BTreeMap<String, Vec<DirectoryChange>>,
     next_inode: u64,
-    /// Grows with every crash, so that handles of before are dead.
+    /// Grows with every crash, which invalidates earlier file handles.
     generation: u64,
     locked: bool,
     capacity_bytes: u64,
@@ -92,17 +92,17 @@
         }
     }
 
-    /// The machine stops: what was not synced is lost, kept or torn, as the seed says.
+    /// Simulates a crash of the machine: unsynced writes are randomly lost, preserved or torn.
     pub fn crash(&self) {
         self.state.lock().crash(true);
     }
 
-    /// The process stops but the machine does not: everything written stays.
+    /// Simulates a stop of the process only: all writes survive.
     pub fn stop_process(&self) {
         self.state.lock().crash(false);
     }
 
-    /// The disk is replaced by a blank one.
+    /// Replaces the disk by a blank one.
     pub fn wipe(&self) {
         let mut state = self.state.lock();
         state.generation += 1;
@@ -114,33 +114,34 @@
         state.changes.clear();
     }
 
-    /// Bounds the bytes that all files may hold together.
+    /// Limits the total size of all files, in bytes.
     pub fn set_capacity(&self, bytes: u64) {
         self.state.lock().capacity_bytes = bytes;
     }
 
-    /// Lets syncs of files or directories fail, after some that still pass.
+    /// Makes the next `count` syncs of files or directories fail, after `pass_first` successful
+    /// ones.
     ///
-    /// What a failing sync should have written may be lost.
+    /// Writes may be lost when their sync fails.
     pub fn fail_syncs(&self, pass_first: u32, count: u32) {
         let mut state = self.state.lock();
         state.syncs_to_pass = pass_first;
         state.syncs_to_fail = count;
     }
 
-    /// The disk works again: no sync fails and there is room.
+    /// Clears all injected faults: no sync fails and the capacity is unlimited.
     pub fn clear_faults(&self) {
         self.fail_syncs(0, 0);
         self.set_capacity(u64::MAX);
     }
 
-    /// How many syncs were asked for.
+    /// Number of syncs that were requested.
     #[must_use]
     pub fn syncs(&self) -> u64 {
         self.state.lock().syncs
     }
 
-    /// Bytes that all files hold together.
+    /// Total size of all files, in bytes.
     #[must_use]
     pub fn used_bytes(&self) -> u64 {
         self.state.lock().used_bytes()
@@ -152,7 +153,7 @@
         self.state.lock().visible.keys().cloned().collect()
     }
 
-    /// The content of a file as it is read.
+    /// The content of a file as processes read it.
     #[must_use]
     pub fn content(&self, path: &str) -> Option<Vec<u8>> {
         let state = self.state.lock();
@@ -163,7 +164,7 @@
             .map(|content| content.visible.clone())
     }
 
-    /// Replaces a file's content, durably, as damage from outside would.
+    /// Changes a file's content durably, to simulate damage to the disk.
     pub fn damage(&self, path: &str, change: impl FnOnce(&mut Vec<u8>)) {
         let mut state = self.state.lock();
         let Some(inode) = state.visible.get(path).copied() else {
@@ -185,7 +186,8 @@
         });
     }
 
-    /// Flips one random bit in a file under the directory; tells which file, if there was one.
+    /// Flips one random bit in a file under the directory; returns the file's path, or `None` if
+    /// there is no file with content.
     pub fn flip_random_bit(&self, directory: &str) -> Option<String> {
         let prefix = format!("{directory}/");
         let (path, byte, bit) = {
@@ -233,9 +235,9 @@
         }
         let changes = std::mem::take(&mut self.changes);
         for list in changes.into_values() {
-            // A file system's journal keeps the order of a directory's changes.
-            let kept = self.random.random_range(0..=list.len());
-            for change in list.into_iter().take(kept) {
+            // A file system's journal preserves the order of the changes of a directory.
+            let survivors = self.random.random_range(0..=list.len());
+            for change in list.into_iter().take(survivors) {
                 apply(&mut self.durable, change);
             }
         }
@@ -253,8 +255,8 @@
         );
     }
 
-    /// Forgets contents that no name leads to any more, whatever a crash may undo.
-    fn forget_removed(&mut self) {
+    /// Drops contents that no path refers to, either now or after a crash.
+    fn drop_unreachable_contents(&mut self) {
         let mut reachable: BTreeSet<Inode> = self.visible.values().copied().collect();
         reachable.extend(self.durable.values());
         for change in self.changes.values().flatten() {
@@ -268,13 +270,13 @@
     fn content(&self, inode: Inode) -> StorageResult<&Content> {
         self.contents
             .get(&inode)
-            .ok_or_else(|| Report::new(ErrorKind::Io).attach("the file is gone"))
+            .ok_or_else(|| Report::new(ErrorKind::Io).attach("the file no longer exists"))
     }
 
     fn content_mut(&mut self, inode: Inode) -> StorageResult<&mut Content> {
         self.contents
             .get_mut(&inode)
-            .ok_or_else(|| Report::new(ErrorKind::Io).attach("the file is gone"))
+            .ok_or_else(|| Report::new(ErrorKind::Io).attach("the file no longer exists"))
     }
 
     fn change(&mut self, path: &str, change: DirectoryChange) {
@@ -291,8 +293,8 @@
         inode
     }
 
-    /// Whether the sync asked for now fails.
-    fn sync_fails(&mut self) -> bool {
+    /// Counts a sync and returns whether it fails.
+    fn next_sync_fails(&mut self) -> bool {
         self.syncs += 1;
         if self.syncs_to_pass > 0 {
             self.syncs_to_pass -= 1;
@@ -342,20 +344,20 @@
         }
     }
 
-    /// As on Linux: the pages count as clean although the disk does not have them.
+    /// As on Linux, the pages are marked clean although they may not be on the disk.
     fn fail_sync(&mut self, random: &mut Pcg64Mcg) {
         self.write_back(random);
         self.dirty.clear();
     }
 
-    /// Brings some of the dirty sectors to the disk, as the seed says.
+    /// Writes randomly chosen dirty sectors to the disk.
     fn write_back(&mut self, random: &mut Pcg64Mcg) {
-        let share = [0.0, 0.5, 0.9, 1.0][random.random_range(0..4)];
+        let write_probability = [0.0, 0.5, 0.9, 1.0][random.random_range(0..4)];
         for range in self.dirty.clone() {
             let mut start = range.start;
             while start < range.end {
                 let end = ((start / SECTOR_BYTES + 1) * SECTOR_BYTES).min(range.end);
-                if random.random_bool(share) {
+                if random.random_bool(write_probability) {
                     self.write_sector(start, end);
                 }
                 start = end;
@@ -396,7 +398,7 @@
 }
 
 impl VirtualFile {
-    fn refuse_if_dead(&self, state: &DiskState) -> StorageResult<()> {
+    fn check_handle_is_current(&self, state: &DiskState) -> StorageResult<()> {
         if self.generation == state.generation {
             return Ok(());
         }
@@ -407,13 +409,13 @@
 impl File for VirtualFile {
     fn length(&self) -> StorageResult<u64> {
         let state = self.state.lock();
-        self.refuse_if_dead(&state)?;
+        self.check_handle_is_current(&state)?;
         Ok(state.content(self.inode)?.visible.len() as u64)
     }
 
     fn read_at(&self, offset: u64, buffer: &mut [u8]) -> StorageResult<usize> {
         let state = self.state.lock();
-        self.refuse_if_dead(&state)?;
+        self.check_handle_is_current(&state)?;
         let bytes = &state.content(self.inode)?.visible;
         let start = (offset as usize).min(bytes.len());
         let end = (start + buffer.len()).min(bytes.len());
@@ -423,14 +425,16 @@
 
     fn write_at(&mut self, offset: u64, data: &[u8]) -> StorageResult<()> {
         let mut state = self.state.lock();
-        self.refuse_if_dead(&state)?;
+        self.check_handle_is_current(&state)?;
         let used = state.used_bytes();
         let free = state.capacity_bytes.saturating_sub(used);
         let content = state.content_mut(self.inode)?;
-        let room = (content.visible.len() as u64 + free).saturating_sub(offset);
-        let fits = data.len().min(usize::try_from(room).unwrap_or(usize::MAX));
-        content.write(offset as usize, &data[..fits]);
-        if fits < data.len() {
+        let writable = (content.visible.len() as u64 + free).saturating_sub(offset);
+        let written = data
+            .len()
+            .min(usize::try_from(writable).unwrap_or(usize::MAX));
+        content.write(offset as usize, &data[..written]);
+        if written < data.len() {
             return Err(Report::new(ErrorKind::StorageFull).attach("the disk is full"));
         }
         Ok(())
@@ -438,7 +442,7 @@
 
     fn truncate(&mut self, length: u64) -> StorageResult<()> {
         let mut state = self.state.lock();
-        self.refuse_if_dead(&state)?;
+        self.check_handle_is_current(&state)?;
         let content = state.content_mut(self.inode)?;
         content.visible.resize(length as usize, 0);
         Ok(())
@@ -446,8 +450,8 @@
 
     fn sync(&mut self) -> StorageResult<()> {
         let mut state = self.state.lock();
-        self.refuse_if_dead(&state)?;
-        let fails = state.sync_fails();
+        self.check_handle_is_current(&state)?;
+        let fails = state.next_sync_fails();
         let DiskState {
             contents, random, ..
         } = &mut *state;
@@ -456,7 +460,7 @@
         };
         if fails {
             content.fail_sync(random);
-            return Err(Report::new(ErrorKind::Io).attach("the sync failed"));
+            return Err(Report::new(ErrorKind::Io).attach("the sync of the file failed"));
         }
         content.sync();
         Ok(())
@@ -485,7 +489,7 @@
 
 impl FileSystem for VirtualDisk {
     fn create_directory(&self, path: &str) -> StorageResult<()> {
-        // Directories last at once: losing one is the same as losing the files in it.
+        // Directories are durable at once: losing one has the same effect as losing its files.
         self.state.lock().directories.insert(path.to_owned());
         Ok(())
     }
@@ -519,7 +523,7 @@
                 inode
             }
             (Some(_), OpenMode::CreateNew) => {
-                return Err(Report::new(ErrorKind::Io).attach(format!("{path} exists")));
+                return Err(Report::new(ErrorKind::Io).attach(format!("{path} already exists")));
             }
             (None, OpenMode::Read | OpenMode::Write) => return Err(not_found(path)),
             (None, OpenMode::CreateNew | OpenMode::CreateOrTruncate) => state.create(path),
@@ -538,25 +542,25 @@
 
     fn rename(&self, from: &str, to: &str) -> StorageResult<()> {
         let mut state = self.state.lock();
-        let inside = format!("{from}/");
-        let mut moved: Vec<(String, String)> = state
+        let prefix = format!("{from}/");
+        let mut renames: Vec<(String, String)> = state
             .visible
             .keys()
-            .filter(|path| *path == from || path.starts_with(&inside))
+            .filter(|path| *path == from || path.starts_with(&prefix))
             .map(|path| (path.clone(), format!("{to}{}", &path[from.len()..])))
             .collect();
         let is_directory = state.directories.remove(from);
-        if moved.is_empty() && !is_directory {
+        if renames.is_empty() && !is_directory {
             return Err(not_found(from));
         }
         if is_directory {
             state.directories.insert(to.to_owned());
         }
-        for (old, new) in moved.drain(..) {
+        for (old, new) in renames.drain(..) {
             if let Some(inode) = state.visible.remove(&old) {
                 state.visible.insert(new.clone(), inode);
             }
-            // The entry that moves lies in the parent, also when it is a directory.
+            // A rename changes the entry in the parent directory, also for a renamed directory.
             state.change(to, DirectoryChange::Rename(old, new));
         }
         Ok(())
@@ -573,14 +577,14 @@
 
     fn sync_directory(&self, directory: &str) -> StorageResult<()> {
         let mut state = self.state.lock();
-        if state.sync_fails() {
-            return Err(Report::new(ErrorKind::Io).attach("the directory's sync failed"));
+        if state.next_sync_fails() {
+            return Err(Report::new(ErrorKind::Io).attach("the sync of the directory failed"));
         }
         let changes = state.changes.remove(directory).unwrap_or_default();
         for change in changes {
             apply(&mut state.durable, change);
         }
-        state.forget_removed();
+        state.drop_unreachable_contents();
         Ok(())
     }
 
--- a/crates/storage/tests/all/folder_faults.rs
+++ b/crates/storage/tests/all/folder_faults.rs
@@ -1,4 +1,4 @@
-//! Which data folders are refused, and that refusing touches nothing.
+//! Data folders that are refused without a change to their files, and interrupted formatting.
 
 use std::{collections::BTreeMap, sync::Arc};
 
@@ -52,7 +52,7 @@
     }
 }
 
-/// Sets the format version, with a checksum that is right.
+/// Sets a newer format version, with a valid checksum.
 fn newer_format(disk: &VirtualDisk) {
     disk.damage("identity", |bytes| {
         bytes[12] = 2;
@@ -89,15 +89,15 @@
 #[case::short(short_identity, identity(), "fails its checksum")]
 #[case::identity_lost(lost_identity, identity(), "no identity file")]
 #[case::foreign(foreign_file, identity(), "photo.jpeg")]
-fn refused_and_untouched(
+fn a_foreign_or_damaged_folder_is_refused_and_unchanged(
     #[case] change: fn(&VirtualDisk),
-    #[case] wanted: FolderIdentity,
+    #[case] requested: FolderIdentity,
     #[case] message: &str,
 ) {
     let disk = formatted();
     change(&disk);
     let before = contents(&disk);
-    let refusal = DataFolder::open_or_format(files(&disk), &wanted, DiskId(9))
+    let refusal = DataFolder::open_or_format(files(&disk), &requested, DiskId(9))
         .err()
         .expect("the folder must be refused");
     assert_eq!(*refusal.current_context(), ErrorKind::DataFolderRefused);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn two_processes_on_one_folder() {
+fn a_second_process_cannot_open_a_folder_in_use() {
     let disk = formatted();
     let first = open_folder(&disk, 8).unwrap();
     let before = contents(&disk);
@@ -118,11 +118,11 @@
 }
 
 #[test]
-fn formatting_cut_short_anywhere_can_be_done_again() {
+fn formatting_interrupted_at_any_sync_can_be_repeated() {
     for seed in 0..50 {
-        for passing in 0.. {
+        for successful_syncs in 0.. {
             let disk = VirtualDisk::new(seed);
-            disk.fail_syncs(passing, 1);
+            disk.fail_syncs(successful_syncs, 1);
             let opened = open_folder(&disk, 7).and_then(|mut folder| {
                 folder.open_log(LIMITS)?;
                 Ok(folder.disk())
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_full_disk_cannot_be_formatted_but_can_later() {
+fn formatting_a_full_disk_fails_and_can_be_repeated_with_free_space() {
     for capacity in (0..600).step_by(20) {
         let disk = VirtualDisk::new(capacity);
         disk.set_capacity(capacity);
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_damaged_member_comes_back_blank_under_a_new_disk_id() {
+fn reformatting_a_damaged_folder_makes_it_blank_under_a_new_disk_id() {
     for seed in 0..100 {
         let disk = VirtualDisk::new(seed);
         let mut folder = open_folder(&disk, 7).unwrap();
@@ -186,7 +186,7 @@
                 let log = intact(folder.open_log(LIMITS).unwrap());
                 assert_eq!(log.last_index().0, 0);
             }
-            // The new identity was not durable yet: the damage is still seen.
+            // The new identity was not durable yet, so the damage is still reported.
             other => {
                 assert_eq!(other, DiskId(7));
                 let opened = folder.open_log(LIMITS).unwrap();
@@ -197,12 +197,12 @@
 }
 
 #[test]
-fn what_is_set_aside_can_be_looked_at() {
+fn reformatting_moves_the_damaged_log_to_its_own_directory() {
     let disk = formatted();
     let mut folder = open_folder(&disk, 8).unwrap();
     folder.reformat(DiskId(8)).unwrap();
-    let kept = "damaged-0000000000000007/log/0000000000000001.log";
-    assert!(disk.files().iter().any(|path| path == kept));
+    let damaged_log = "damaged-0000000000000007/log/0000000000000001.log";
+    assert!(disk.files().iter().any(|path| path == damaged_log));
     let files: Arc<dyn FileSystem> = files(&disk);
     assert!(!files.exists("log").unwrap());
 }
--- a/crates/storage/tests/all/log_faults.rs
+++ b/crates/storage/tests/all/log_faults.rs
@@ -1,4 +1,4 @@
-//! What a log does when its disk tears, loses, flips, fills up or fails.
+//! The log on a disk with torn or lost writes, bit flips, failed syncs or no free space.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -16,7 +16,7 @@
     disk.files().pop().unwrap()
 }
 
-/// A disk with six synced entries in one file, and that file's length before the sixth.
+/// A disk with six synced entries in one file, and the file's length before the sixth entry.
 fn six_entries() -> (VirtualDisk, usize) {
     let disk = VirtualDisk::new(0);
     let mut log = log_with(&disk, 5);
@@ -28,23 +28,23 @@
 }
 
 #[test]
-fn a_tail_cut_at_each_byte_loses_only_its_own_batch() {
-    let (whole, length) = six_entries();
-    let path = last_file(&whole);
-    let content = whole.content(&path).unwrap();
+fn a_tail_truncated_at_any_byte_loses_only_the_last_batch() {
+    let (disk, length) = six_entries();
+    let path = last_file(&disk);
+    let content = disk.content(&path).unwrap();
     for cut in length..content.len() {
-        whole.damage(&path, |bytes| bytes.truncate(cut));
-        let mut log = intact(open(&whole));
+        disk.damage(&path, |bytes| bytes.truncate(cut));
+        let mut log = intact(open(&disk));
         assert_eq!(log.last_index(), LogIndex(5), "cut at byte {cut}");
         assert_eq!(*log.hard_state(), hard_state(1, 4));
         log.append(&[entry(6, 2)]).unwrap();
         log.sync().unwrap();
-        assert_eq!(all_entries(&intact(open(&whole)))[5], entry(6, 2));
-        whole.damage(&path, |bytes| bytes.clone_from(&content));
+        assert_eq!(all_entries(&intact(open(&disk)))[5], entry(6, 2));
+        disk.damage(&path, |bytes| bytes.clone_from(&content));
     }
 }
 
-/// Parts of a range of a file that a disk writes or does not write as a whole.
+/// The parts of a file range that a disk writes completely or not at all.
 fn sectors(from: usize, to: usize) -> Vec<std::ops::Range<usize>> {
     let mut sectors = Vec::new();
     let mut start = from;
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_tail_with_any_of_its_sectors_unwritten_loses_only_its_own_batch() {
+fn a_tail_with_any_unwritten_sectors_loses_only_the_last_batch() {
     let disk = VirtualDisk::new(0);
     let mut log = log_with(&disk, 5);
     let path = last_file(&disk);
@@ -83,11 +83,11 @@
 }
 
 #[test]
-fn each_flipped_bit_is_reported_and_nothing_is_touched() {
+fn any_flipped_bit_is_reported_and_no_file_is_changed() {
     let disk = VirtualDisk::new(1);
     drop(log_with(&disk, 20));
     let files = disk.files();
-    assert!(files.len() > 2, "the table needs several segments");
+    assert!(files.len() > 2, "the test needs several segments");
     for path in &files {
         let content = disk.content(path).unwrap();
         for byte in 0..content.len() {
@@ -107,38 +107,41 @@
 }
 
 #[test]
-fn damage_names_the_first_lost_entry() {
+fn damage_reports_the_first_lost_entry() {
     let disk = VirtualDisk::new(2);
     drop(log_with(&disk, 20));
     let first = disk.files()[0].clone();
     let length = disk.content(&first).unwrap().len();
     disk.flip_bit(&first, length - 1, 0);
-    let held = {
+    let entries_in_first_segment = {
         let other = VirtualDisk::new(2);
-        let mut held = 0;
+        let mut entries_in_first_segment = 0;
         while other.files().len() < 2 {
-            held += 1;
+            entries_in_first_segment += 1;
             other.wipe();
-            drop(log_with(&other, held));
+            drop(log_with(&other, entries_in_first_segment));
         }
-        held - 1
+        entries_in_first_segment - 1
     };
-    assert_eq!(damage(open(&disk)).first_lost, LogIndex(held));
+    assert_eq!(
+        damage(open(&disk)).first_lost,
+        LogIndex(entries_in_first_segment)
+    );
 }
 
 #[rstest]
 #[case::oldest_stays_unknown(0, None)]
-#[case::in_between(1, Some("a segment before it is missing"))]
+#[case::in_between(1, Some("the preceding segment is missing"))]
 fn a_missing_segment(#[case] number: usize, #[case] reason: Option<&str>) {
     let disk = VirtualDisk::new(3);
     drop(log_with(&disk, 30));
     let path = disk.files()[number].clone();
     disk.remove(&path).unwrap();
     match (open(&disk), reason) {
-        // As after compaction: the caller compares the first index with its snapshot.
+        // The same as after compaction: the caller compares the first index with its snapshot.
         (OpenedLog::Intact(log), None) => assert!(log.first_index() > LogIndex(1)),
         (OpenedLog::Damaged(found), Some(reason)) => assert_eq!(found.reason, reason),
-        (OpenedLog::Intact(_), Some(_)) => panic!("the missing segment went unnoticed"),
+        (OpenedLog::Intact(_), Some(_)) => panic!("the missing segment was not detected"),
         (OpenedLog::Damaged(found), None) => panic!("{found}"),
     }
 }
@@ -150,7 +153,7 @@
 }
 
 #[test]
-fn a_sealed_segment_cut_short_is_damage() {
+fn a_truncated_sealed_segment_is_damage() {
     let disk = VirtualDisk::new(5);
     drop(log_with(&disk, 30));
     let path = disk.files()[1].clone();
@@ -163,14 +166,14 @@
 }
 
 #[test]
-fn a_crash_keeps_what_was_synced_and_a_prefix_of_the_rest() {
+fn a_crash_preserves_synced_entries_and_loses_or_keeps_unsynced_ones_together() {
     for seed in 0..500 {
         let disk = VirtualDisk::new(seed);
         let mut log = log_with(&disk, 12);
         for index in 13..=16 {
             log.append(&[entry(index, 2)]).unwrap();
         }
-        // The write reaches the disk in part; its sync never returns.
+        // The write reaches the disk only partly, because its sync fails.
         disk.fail_syncs(0, 1);
         assert!(log.sync().is_err());
         disk.crash();
@@ -184,7 +187,7 @@
 }
 
 #[test]
-fn a_failed_sync_ends_the_log() {
+fn the_log_refuses_changes_after_a_failed_sync() {
     let disk = VirtualDisk::new(6);
     let mut log = log_with(&disk, 3);
     log.append(&[entry(4, 1)]).unwrap();
@@ -205,7 +208,7 @@
 }
 
 #[test]
-fn what_a_failed_sync_left_is_made_durable_when_the_log_is_opened() {
+fn reopening_makes_the_writes_of_a_failed_sync_durable() {
     for seed in 0..50 {
         let disk = VirtualDisk::new(seed);
         let mut log = log_with(&disk, 3);
@@ -221,11 +224,11 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_the_log_stays_usable() {
+fn a_sync_on_a_full_disk_fails_and_can_be_retried() {
     let disk = VirtualDisk::new(7);
     let mut log = log_with(&disk, 10);
-    for room in 0..400 {
-        disk.set_capacity(disk.used_bytes() + room);
+    for free_bytes in 0..400 {
+        disk.set_capacity(disk.used_bytes() + free_bytes);
         let next = log.last_index().0 + 1;
         log.append(&[entry(next, 1), entry(next + 1, 1)]).unwrap();
         if let Err(error) = log.sync() {
@@ -254,7 +257,7 @@
             log.append(&[entry(synced + 1, 1)]).unwrap();
             let files_before = disk.files().len();
             // The file's sync succeeds, the directory's fails.
-            if will_begin_segment(&disk) {
+            if next_append_starts_a_segment(&disk) {
                 disk.fail_syncs(1, 1);
             }
             match log.sync() {
@@ -269,17 +272,17 @@
     }
 }
 
-fn will_begin_segment(disk: &VirtualDisk) -> bool {
+fn next_append_starts_a_segment(disk: &VirtualDisk) -> bool {
     disk.content(&last_file(disk)).unwrap().len() as u64 >= LIMITS.segment_bytes
 }
 
 #[test]
-fn a_reset_voids_what_was_before_also_when_a_crash_cuts_it_short() {
+fn a_reset_discards_earlier_entries_and_can_be_repeated_after_a_crash() {
     for seed in 0..200 {
         let disk = VirtualDisk::new(seed);
         let mut log = log_with(&disk, 25);
         log.set_hard_state(&hard_state(7, 25)).unwrap();
-        // The new segment's sync, its directory's, the removal's, or none fails.
+        // The failing sync is that of the new segment, its directory or the removal, or there is none.
         disk.fail_syncs(seed as u32 % 4, 1);
         let succeeded = log.reset_to(LogIndex(100), Term(6)).is_ok();
         assert_eq!(succeeded, seed % 4 == 3);
@@ -314,12 +317,12 @@
     assert_eq!(*error.current_context(), ErrorKind::Corrupted);
 }
 
-/// Entry 1 is as long as told, forty others have 200 KiB each.
+/// The first entry has `first_bytes`, each of the forty others 200 KiB.
 #[rstest]
 #[case::short(1_000)]
 #[case::as_long_as_the_limit(1 << 20)]
 #[case::longer_than_a_read(6 << 20)]
-fn a_read_stops_at_its_limit_whatever_the_first_entry(#[case] first_bytes: usize) {
+fn a_read_respects_its_limit_for_any_size_of_the_first_entry(#[case] first_bytes: usize) {
     const LIMIT: usize = 1 << 20;
     const OTHER: usize = 200 << 10;
     let disk = VirtualDisk::new(9);
@@ -337,12 +340,16 @@
     drop(log);
     let log = intact(Log::open(files(&disk), LogLimits::default()).unwrap());
     let entries = log.entries(LogIndex(1), LogIndex(42), LIMIT).unwrap();
-    let most = if first_bytes < LIMIT {
+    let max_entries = if first_bytes < LIMIT {
         1 + LIMIT.div_ceil(OTHER)
     } else {
         1
     };
-    assert!((1..=most).contains(&entries.len()), "{}", entries.len());
+    assert!(
+        (1..=max_entries).contains(&entries.len()),
+        "{}",
+        entries.len()
+    );
 }
 
 #[test]
@@ -355,7 +362,7 @@
     log.sync().unwrap();
     drop(log);
     let OpenedLog::Intact(log) = Log::open(files(&disk), limits).unwrap() else {
-        panic!("damaged");
+        panic!("the log is damaged");
     };
     assert_eq!(log.index_bytes(), 4 * 20_000);
 }
--- a/crates/storage/tests/all/log_model.rs
+++ b/crates/storage/tests/all/log_model.rs
@@ -1,4 +1,4 @@
-//! Random histories of a log, with crashes, against a model in memory.
+//! Compares random sequences of log operations and crashes with an in-memory model.
 
 use linnethitch_protocol::{
     consensus::{Entry, HardState},
@@ -9,9 +9,9 @@
 
 use crate::support::{LIMITS, all_entries, entry, files, hard_state, intact, open};
 
-/// What a log holds.
+/// The expected state of a log.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-struct Held {
+struct ExpectedState {
     entries: Vec<Entry>,
     hard_state: HardState,
 }
@@ -40,27 +40,27 @@
     prop::collection::vec(step, 1..80)
 }
 
-/// A log beside its model.
-struct Run {
+/// A log and its model.
+struct ModelTest {
     disk: VirtualDisk,
     log: Log,
     compacted: u64,
     term: u64,
-    now: Held,
-    synced: Held,
+    current: ExpectedState,
+    synced: ExpectedState,
 }
 
-impl Run {
+impl ModelTest {
     fn new(seed: u64) -> Self {
         let disk = VirtualDisk::new(seed);
         let log = Log::create(files(&disk), LIMITS).unwrap();
-        Run {
+        ModelTest {
             disk,
             log,
             compacted: 0,
             term: 1,
-            now: Held::default(),
-            synced: Held::default(),
+            current: ExpectedState::default(),
+            synced: ExpectedState::default(),
         }
     }
 
@@ -69,13 +69,13 @@
             Step::Append(count) => self.append(*count),
             Step::Truncate(choice) => self.truncate(*choice),
             Step::SetHardState(term) => {
-                self.now.hard_state = hard_state(u64::from(*term), 0);
-                self.log.set_hard_state(&self.now.hard_state).unwrap();
+                self.current.hard_state = hard_state(u64::from(*term), 0);
+                self.log.set_hard_state(&self.current.hard_state).unwrap();
             }
             Step::Compact(choice) => self.compact(*choice),
             Step::Sync => {
                 self.log.sync().unwrap();
-                self.synced = self.now.clone();
+                self.synced = self.current.clone();
             }
             Step::Crash => {
                 self.disk.crash();
@@ -90,17 +90,17 @@
 
     fn append(&mut self, count: u8) {
         for _ in 0..count {
-            let next = entry(self.now.entries.len() as u64 + 1, self.term);
+            let next = entry(self.current.entries.len() as u64 + 1, self.term);
             self.log.append(std::slice::from_ref(&next)).unwrap();
-            self.now.entries.push(next);
+            self.current.entries.push(next);
         }
     }
 
     fn truncate(&mut self, choice: u8) {
-        let length = self.now.entries.len() as u64;
+        let length = self.current.entries.len() as u64;
         let index = self.compacted + u64::from(choice) % (length - self.compacted + 1);
         self.log.truncate_after(LogIndex(index)).unwrap();
-        self.now.entries.truncate(index as usize);
+        self.current.entries.truncate(index as usize);
         self.term += 1;
     }
 
@@ -118,17 +118,17 @@
         let term = self
             .log
             .term(compacted)
-            .expect("compacted entries stay known");
+            .expect("the term of the last compacted entry is still known");
         self.log.compact_to(compacted, term).unwrap();
-        // Nothing is written between syncs, so a crash goes back to the last one.
-        self.now = self.synced.clone();
+        // Nothing is written between syncs, so a crash restores the state of the last sync.
+        self.current = self.synced.clone();
     }
 
     fn check(&self) {
-        let held = all_entries(&self.log);
-        assert_eq!(held, self.now.entries[self.compacted as usize..]);
-        assert_eq!(*self.log.hard_state(), self.now.hard_state);
-        for entry in &held {
+        let entries = all_entries(&self.log);
+        assert_eq!(entries, self.current.entries[self.compacted as usize..]);
+        assert_eq!(*self.log.hard_state(), self.current.hard_state);
+        for entry in &entries {
             assert_eq!(self.log.term(entry.index), Some(entry.term));
         }
         assert_eq!(self.log.term(LogIndex(self.log.last_index().0 + 1)), None);
@@ -140,16 +140,16 @@
     #![proptest_config(ProptestConfig { cases: 400, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn a_log_holds_what_was_synced(seed: u64, steps in steps()) {
-        let mut run = Run::new(seed);
+    fn a_log_matches_its_model(seed: u64, steps in steps()) {
+        let mut test = ModelTest::new(seed);
         for step in &steps {
-            run.step(step);
-            run.check();
+            test.step(step);
+            test.check();
         }
     }
 
     #[test]
-    fn any_bytes_as_a_record_are_refused_or_parsed(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn parsing_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = record::parse_record(&bytes);
         let _ = record::parse_entry(&bytes);
         let _ = record::parse_batch_header(&bytes, 0, 1);
@@ -166,15 +166,15 @@
     }
 
     #[test]
-    fn any_bytes_as_a_log_file_never_panic(
+    fn opening_a_log_with_arbitrary_bytes_does_not_panic(
         bytes in prop::collection::vec(any::<u8>(), 0..2000),
-        keep in 0usize..200,
+        preserved_bytes in 0usize..200,
     ) {
         let disk = VirtualDisk::new(0);
         drop(crate::support::log_with(&disk, 3));
         let path = disk.files().pop().unwrap();
         disk.damage(&path, |content| {
-            content.truncate(keep);
+            content.truncate(preserved_bytes);
             content.extend_from_slice(&bytes);
         });
         let _ = open(&disk);
--- a/crates/storage/tests/all/payloads.rs
+++ b/crates/storage/tests/all/payloads.rs
@@ -1,4 +1,4 @@
-//! The payload store over a virtual disk: replay, release, compaction, damage.
+//! The payload store on a virtual disk: replay, release, compaction and damage.
 
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
 #[case::just_a_block(16 * 1024)]
 #[case::a_block_and_a_byte(16 * 1024 + 1)]
 #[case::several_blocks(100_000)]
-fn parts_are_read_back(#[case] length: usize) {
+fn ranges_of_a_payload_can_be_read(#[case] length: usize) {
     let disk = VirtualDisk::new(1);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     let data: Vec<u8> = (0..length).map(|at| (at * 7) as u8).collect();
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_replay_after_a_crash_appends_again_what_was_after_the_checkpoint() {
+fn a_replay_after_a_crash_appends_payloads_after_the_checkpoint_again() {
     let disk = VirtualDisk::new(2);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     let before: Vec<PayloadRef> = (0..20)
@@ -69,17 +69,17 @@
     }
     disk.crash();
     let mut store = restore(&disk, mark, &before).unwrap();
-    let again: Vec<PayloadRef> = (20..40)
+    let replayed: Vec<PayloadRef> = (20..40)
         .map(|number| store.append(&payload(number)).unwrap())
         .collect();
-    for (number, stored) in before.iter().chain(&again).enumerate() {
+    for (number, stored) in before.iter().chain(&replayed).enumerate() {
         assert_eq!(store.read(stored).unwrap(), payload(number as u8));
     }
     assert_eq!(store.live_bytes(), 40 * 500);
 }
 
 #[test]
-fn space_comes_back_only_once_a_later_checkpoint_is_settled() {
+fn space_is_reclaimed_only_once_a_later_checkpoint_is_durable() {
     let disk = VirtualDisk::new(3);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     let stored: Vec<PayloadRef> = (0..40)
@@ -99,13 +99,13 @@
 }
 
 #[test]
-fn compaction_keeps_references_valid_also_after_a_restart() {
+fn references_remain_valid_after_compaction_and_a_restart() {
     let disk = VirtualDisk::new(4);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     let stored: Vec<PayloadRef> = (0..40)
         .map(|number| store.append(&payload(number)).unwrap())
         .collect();
-    let (kept, released): (Vec<_>, Vec<_>) = stored
+    let (live_payloads, released): (Vec<_>, Vec<_>) = stored
         .iter()
         .enumerate()
         .partition(|(number, _)| number % 5 == 0);
@@ -115,20 +115,20 @@
     let mark = store.checkpoint().unwrap();
     store.reclaim_before(mark).unwrap();
     let before = disk.used_bytes();
-    let live: Vec<PayloadRef> = kept.iter().map(|(_, stored)| **stored).collect();
+    let live: Vec<PayloadRef> = live_payloads.iter().map(|(_, stored)| **stored).collect();
     while let Some(segment) = store.compaction_candidate() {
         store.compact(segment, &live).unwrap();
     }
     assert!(disk.used_bytes() < before / 2);
     disk.crash();
     let store = restore(&disk, mark, &live).unwrap();
-    for (number, stored) in kept {
+    for (number, stored) in live_payloads {
         assert_eq!(store.read(stored).unwrap(), payload(number as u8));
     }
 }
 
 #[test]
-fn every_flipped_bit_is_found() {
+fn any_flipped_bit_is_reported() {
     let disk = VirtualDisk::new(5);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     let stored = store.append(&payload(1)).unwrap();
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn a_full_disk_refuses_and_takes_up_again() {
+fn a_sync_on_a_full_disk_fails_and_can_be_retried() {
     let disk = VirtualDisk::new(6);
     disk.set_capacity(3000);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
@@ -163,7 +163,7 @@
 #[rstest]
 #[case::within_a_segment(PayloadLimits::default())]
 #[case::at_the_end_of_each_segment(LIMITS)]
-fn while_the_disk_is_full_appended_payloads_wait(#[case] limits: PayloadLimits) {
+fn payloads_appended_to_a_full_disk_stay_buffered(#[case] limits: PayloadLimits) {
     let disk = VirtualDisk::new(1);
     let files: Arc<dyn FileSystem> = Arc::new(disk.clone());
     let mut store = PayloadStore::open(files, limits, PayloadMark::default()).unwrap();
@@ -171,24 +171,24 @@
     let first = store.append(&large).unwrap();
     store.sync().unwrap();
     disk.set_capacity(disk.used_bytes());
-    let waiting: Vec<PayloadRef> = (0..8).map(|_| store.append(&large).unwrap()).collect();
+    let buffered: Vec<PayloadRef> = (0..8).map(|_| store.append(&large).unwrap()).collect();
     let refused = store.checkpoint().unwrap_err();
     assert_eq!(*refused.current_context(), ErrorKind::StorageFull);
-    for payload in waiting.iter().chain([&first]) {
+    for payload in buffered.iter().chain([&first]) {
         assert_eq!(store.read(payload).unwrap(), large);
     }
     disk.set_capacity(u64::MAX);
     let mark = store.checkpoint().unwrap();
     drop(store);
     disk.crash();
-    let store = restore(&disk, mark, &waiting).unwrap();
-    for payload in &waiting {
+    let store = restore(&disk, mark, &buffered).unwrap();
+    for payload in &buffered {
         assert_eq!(store.read(payload).unwrap(), large);
     }
 }
 
 #[test]
-fn a_failed_sync_is_final() {
+fn the_store_refuses_changes_after_a_failed_sync() {
     let disk = VirtualDisk::new(7);
     let mut store = restore(&disk, PayloadMark::default(), &[]).unwrap();
     store.append(&payload(1)).unwrap();
--- a/crates/storage/tests/all/real_disk.rs
+++ b/crates/storage/tests/all/real_disk.rs
@@ -1,4 +1,4 @@
-//! The whole life of a data folder on a real disk.
+//! Log, lock, snapshots and revision file in a data folder on a real disk.
 
 use std::sync::Arc;
 
@@ -74,12 +74,12 @@
     assert_eq!(log.hard_state(), &state);
     let entries = log.entries(LogIndex(41), LogIndex(52), usize::MAX).unwrap();
     assert_eq!(entries, (41..=51).map(entry).collect::<Vec<_>>());
-    let some = log.entries(LogIndex(41), LogIndex(52), 300).unwrap();
-    assert!((1..11).contains(&some.len()));
+    let limited = log.entries(LogIndex(41), LogIndex(52), 300).unwrap();
+    assert!((1..11).contains(&limited.len()));
 }
 
 #[test]
-fn a_folder_is_locked_once() {
+fn a_locked_folder_cannot_be_opened_again() {
     let root = tempfile::tempdir().unwrap();
     let first = folder(root.path());
     let files: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(root.path()).unwrap());
@@ -87,15 +87,15 @@
     let error = second.err().unwrap();
     assert_eq!(*error.current_context(), ErrorKind::DataFolderRefused);
     drop(first);
-    let again = DataFolder::open_or_format(files, &identity(), DiskId(9)).unwrap();
-    assert_eq!(again.disk(), DiskId(7));
+    let reopened = DataFolder::open_or_format(files, &identity(), DiskId(9)).unwrap();
+    assert_eq!(reopened.disk(), DiskId(7));
 }
 
 #[test]
-fn snapshot_travels_in_pieces_and_survives_a_restart_in_between() {
-    let (from, to) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
-    let source: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(from.path()).unwrap());
-    let target: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(to.path()).unwrap());
+fn a_snapshot_is_received_in_chunks_with_a_restart_after_each() {
+    let (source_root, target_root) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
+    let source: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(source_root.path()).unwrap());
+    let target: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(target_root.path()).unwrap());
     let mut source = SnapshotStore::open(source).unwrap();
     let meta = SnapshotMeta {
         index: LogIndex(9),
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn revision_file_holds_the_last_content() {
+fn a_revision_file_returns_the_content_stored_last() {
     let root = tempfile::tempdir().unwrap();
     let files: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(root.path()).unwrap());
     let file = RevisionFile::new(files, "configuration");
--- a/crates/storage/tests/all/snapshot_faults.rs
+++ b/crates/storage/tests/all/snapshot_faults.rs
@@ -1,4 +1,4 @@
-//! Snapshots: crashes while writing and receiving, damage, full disks.
+//! Snapshots and revision files: crashes while writing and receiving, damage, full disks.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -36,8 +36,8 @@
 fn write(disk: &VirtualDisk, index: u64) -> StorageResult<()> {
     let mut store = SnapshotStore::open(files(disk))?;
     let mut writer = store.begin(meta(index))?;
-    for piece in content(index).chunks(700) {
-        writer.write(piece)?;
+    for chunk in content(index).chunks(700) {
+        writer.write(chunk)?;
     }
     store.finish(writer).map(|_| ())
 }
@@ -46,16 +46,16 @@
     let mut content = Vec::new();
     loop {
         let offset = content.len() as u64;
-        let piece = store.read_content(LogIndex(index), offset, 999).unwrap();
-        if piece.is_empty() {
+        let chunk = store.read_content(LogIndex(index), offset, 999).unwrap();
+        if chunk.is_empty() {
             return content;
         }
-        content.extend(piece);
+        content.extend(chunk);
     }
 }
 
 #[test]
-fn the_last_two_are_kept() {
+fn the_last_two_snapshots_are_retained() {
     let disk = VirtualDisk::new(0);
     for index in [10, 20, 30, 40] {
         write(&disk, index).unwrap();
@@ -70,10 +70,10 @@
 #[test]
 fn a_crash_at_any_sync_leaves_the_old_or_the_new_snapshot() {
     for seed in 0..100 {
-        for passing in 0.. {
+        for successful_syncs in 0.. {
             let disk = VirtualDisk::new(seed);
             write(&disk, 10).unwrap();
-            disk.fail_syncs(passing, 1);
+            disk.fail_syncs(successful_syncs, 1);
             let written = write(&disk, 20);
             disk.clear_faults();
             disk.crash();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_snapshot_with_any_flipped_bit_is_left_out() {
+fn a_snapshot_with_any_flipped_bit_is_ignored() {
     let disk = VirtualDisk::new(1);
     write(&disk, 10).unwrap();
     write(&disk, 20).unwrap();
@@ -106,23 +106,23 @@
 }
 
 #[test]
-fn a_snapshot_cut_anywhere_is_left_out() {
+fn a_snapshot_truncated_at_any_byte_is_ignored() {
     let disk = VirtualDisk::new(2);
     write(&disk, 10).unwrap();
     let path = disk.files().pop().unwrap();
-    let whole = disk.content(&path).unwrap();
-    for length in 0..whole.len() {
+    let content = disk.content(&path).unwrap();
+    for length in 0..content.len() {
         disk.damage(&path, |bytes| bytes.truncate(length));
         assert!(store(&disk).latest().is_none(), "cut to {length}");
-        disk.damage(&path, |bytes| bytes.clone_from(&whole));
+        disk.damage(&path, |bytes| bytes.clone_from(&content));
     }
 }
 
-/// Sends a snapshot in pieces, with something done to the receiver after each.
+/// Transfers a snapshot in chunks and calls `between` on the receiver's disk after each one.
 fn transfer(from: &VirtualDisk, to: &VirtualDisk, mut between: impl FnMut(&VirtualDisk, usize)) {
     let source = store(from);
     let mut offset = 0;
-    for piece in 0..1000 {
+    for chunk in 0..1000 {
         let mut target = store(to);
         let (data, last) = source.read_chunk(LogIndex(20), offset, 200).unwrap();
         let Ok(progress) = target.receive(&meta(20), offset, &data, last) else {
@@ -134,50 +134,51 @@
             return;
         }
         offset = progress.next_offset;
-        between(to, piece);
+        between(to, chunk);
     }
-    panic!("the snapshot never arrived");
+    panic!("the snapshot was not received completely");
 }
 
-fn nothing(_disk: &VirtualDisk, _piece: usize) {}
+fn no_fault(_disk: &VirtualDisk, _chunk: usize) {}
 
-fn process_stops(disk: &VirtualDisk, _piece: usize) {
+fn stop_process(disk: &VirtualDisk, _chunk: usize) {
     disk.stop_process();
 }
 
-fn machine_crashes_now_and_then(disk: &VirtualDisk, piece: usize) {
-    if piece % 7 == 6 {
+fn crash_machine_sometimes(disk: &VirtualDisk, chunk: usize) {
+    if chunk % 7 == 6 {
         disk.crash();
     }
 }
 
-fn disk_fills_up_once(disk: &VirtualDisk, piece: usize) {
-    if piece == 4 {
+fn fill_disk_once(disk: &VirtualDisk, chunk: usize) {
+    if chunk == 4 {
         disk.set_capacity(disk.used_bytes() + 50);
     }
 }
 
-fn last_sync_fails_once(disk: &VirtualDisk, piece: usize) {
-    if piece == 4 {
-        // The next sync is that of opening the store, the one after the snapshot's.
+fn fail_last_sync_once(disk: &VirtualDisk, chunk: usize) {
+    if chunk == 4 {
+        // Opening the store syncs once for each chunk, so the failing sync is one while the last
+        // chunk is installed.
         disk.fail_syncs(12, 1);
     }
 }
 
-fn damaged_while_received(disk: &VirtualDisk, piece: usize) {
-    if piece == 3 {
+fn damage_partial_file(disk: &VirtualDisk, chunk: usize) {
+    if chunk == 3 {
         disk.flip_bit("snapshots/00000000000000000020.snapshot.receiving", 300, 4);
     }
 }
 
 #[rstest]
-#[case::undisturbed(nothing)]
-#[case::process_stops_after_each_piece(process_stops)]
-#[case::machine_crashes(machine_crashes_now_and_then)]
-#[case::disk_full(disk_fills_up_once)]
-#[case::sync_fails(last_sync_fails_once)]
-#[case::damaged(damaged_while_received)]
-fn a_snapshot_arrives_whole(#[case] between: fn(&VirtualDisk, usize)) {
+#[case::undisturbed(no_fault)]
+#[case::process_stops_after_each_chunk(stop_process)]
+#[case::machine_crashes(crash_machine_sometimes)]
+#[case::disk_full(fill_disk_once)]
+#[case::sync_fails(fail_last_sync_once)]
+#[case::damaged(damage_partial_file)]
+fn a_snapshot_is_received_completely(#[case] between: fn(&VirtualDisk, usize)) {
     let (from, to) = (VirtualDisk::new(3), VirtualDisk::new(4));
     write(&from, 20).unwrap();
     transfer(&from, &to, between);
@@ -187,26 +188,26 @@
 }
 
 #[test]
-fn pieces_out_of_order_are_asked_for_again() {
+fn chunks_out_of_order_are_requested_again() {
     let (from, to) = (VirtualDisk::new(5), VirtualDisk::new(6));
     write(&from, 20).unwrap();
     let source = store(&from);
     let mut target = store(&to);
-    let piece = |offset| source.read_chunk(LogIndex(20), offset, 100).unwrap().0;
+    let chunk = |offset| source.read_chunk(LogIndex(20), offset, 100).unwrap().0;
     let next = |target: &mut SnapshotStore, offset| {
-        let data = piece(offset);
+        let data = chunk(offset);
         let progress = target.receive(&meta(20), offset, &data, false).unwrap();
         progress.next_offset
     };
     assert_eq!(next(&mut target, 100), 0, "the start is missing");
     assert_eq!(next(&mut target, 0), 100);
-    assert_eq!(next(&mut target, 300), 100, "a piece is missing");
+    assert_eq!(next(&mut target, 300), 100, "a chunk is missing");
     assert_eq!(next(&mut target, 100), 200);
-    assert_eq!(next(&mut target, 100), 200, "a piece comes again");
+    assert_eq!(next(&mut target, 100), 200, "a chunk is repeated");
 }
 
 #[test]
-fn a_snapshot_under_another_name_is_refused() {
+fn a_snapshot_with_other_metadata_is_refused() {
     let (from, to) = (VirtualDisk::new(7), VirtualDisk::new(8));
     write(&from, 20).unwrap();
     let (data, last) = store(&from)
@@ -220,18 +221,22 @@
 }
 
 #[test]
-fn a_full_disk_keeps_the_older_snapshot() {
+fn a_failed_write_on_a_full_disk_preserves_the_older_snapshot() {
     let disk = VirtualDisk::new(9);
     write(&disk, 10).unwrap();
     disk.set_capacity(disk.used_bytes() + 1000);
     let error = write(&disk, 20).unwrap_err();
     assert_eq!(*error.current_context(), ErrorKind::StorageFull);
     assert_eq!(store(&disk).latest().unwrap().meta, meta(10));
-    assert_eq!(disk.files().len(), 1, "what was being written is removed");
+    assert_eq!(
+        disk.files().len(),
+        1,
+        "the partly written snapshot is removed"
+    );
 }
 
 #[test]
-fn a_revision_file_holds_the_old_or_the_new_content_after_a_crash() {
+fn after_a_crash_a_revision_file_has_the_old_or_the_new_content() {
     for seed in 0..200 {
         let disk = VirtualDisk::new(seed);
         let file = RevisionFile::new(files(&disk), "configuration");
--- a/crates/storage/tests/all/support.rs
+++ b/crates/storage/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! What several test modules need.
+//! Helpers that several test modules share.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
     StorageResult, VirtualDisk,
 };
 
-/// Small bounds, so that a few entries fill several segments and overflow the cache.
+/// Small limits, so that a few entries fill several segments and exceed the cache.
 pub(crate) const LIMITS: LogLimits = LogLimits {
     segment_bytes: 700,
     cache_bytes: 200,
@@ -67,7 +67,7 @@
     }
 }
 
-/// A log with synced entries of term 1, one batch each.
+/// A log with synced entries of term 1, each in a batch of its own.
 pub(crate) fn log_with(disk: &VirtualDisk, entries: u64) -> Log {
     let mut log = Log::create(files(disk), LIMITS).unwrap();
     for index in 1..=entries {
@@ -78,15 +78,15 @@
     log
 }
 
-/// All entries from the log's start.
+/// All entries of the log.
 pub(crate) fn all_entries(log: &Log) -> Vec<Entry> {
     let end = LogIndex(log.last_index().0 + 1);
     let mut next = log.first_index();
     let mut entries = Vec::new();
     while next < end {
-        let piece = log.entries(next, end, 500).unwrap();
-        next.0 += piece.len() as u64;
-        entries.extend(piece);
+        let chunk = log.entries(next, end, 500).unwrap();
+        next.0 += chunk.len() as u64;
+        entries.extend(chunk);
     }
     entries
 }
