--- a/crates/emulator/src/answer.rs
+++ b/crates/emulator/src/answer.rs
@@ -1,8 +1,8 @@
-//! The text that an emulated engine answers with.
+//! The text that an emulated engine generates.
 //!
-//! Token `k` of the answer to a prompt depends on the prompt and on `k` alone.
-//! Every engine gives the same text, so a caller can check an answer that was
-//! resumed elsewhere for lost, repeated or foreign tokens.
+//! Token `k` of the answer to a prompt depends only on the prompt and on `k`.
+//! Every engine generates the same text, so a caller can check an answer that was
+//! resumed on another engine for lost and repeated tokens and for tokens of other answers.
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
@@ -12,26 +12,27 @@
 pub const BLOCK_TOKENS: u32 = 64;
 /// Bytes of one block of the prefix cache.
 pub const BLOCK_BYTES: usize = BYTES_PER_TOKEN * BLOCK_TOKENS as usize;
-/// Shortest answer of an engine that may end it by itself, in tokens.
+/// Minimum length of an answer without token limits, in tokens.
 pub const SHORTEST_ANSWER_TOKENS: u32 = 16;
-/// Longest answer of an engine that may end it by itself, in tokens.
+/// Maximum length of an answer without token limits, in tokens.
 pub const LONGEST_ANSWER_TOKENS: u32 = 271;
 
-/// Separates the hash of a prompt from the hashes made of it.
+/// Seed of the hash that sets the answer length; differs from the seeds of the tokens,
+/// which are their indexes.
 const LENGTH_SEED: u64 = 0x006c_656e_6774_6821;
 
-/// What an answer depends on: a hash of the whole prompt.
+/// Hash of the complete prompt, which determines the answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct PromptKey(pub u64);
 
 impl PromptKey {
-    /// The key of a prompt in its canonical text form.
+    /// Computes the key of a prompt in its canonical text form.
     #[must_use]
     pub fn of(prompt: &str) -> PromptKey {
         PromptKey(xxh3_64(prompt.as_bytes()))
     }
 
-    /// The length of the answer when the request sets no lower limit.
+    /// The length of the answer without token limits, in tokens.
     #[must_use]
     pub fn natural_length(self) -> u32 {
         let span = u64::from(LONGEST_ANSWER_TOKENS - SHORTEST_ANSWER_TOKENS + 1);
@@ -39,7 +40,7 @@
         SHORTEST_ANSWER_TOKENS + u32::try_from(offset).unwrap_or(0)
     }
 
-    /// The text of token `index` of the answer, with its leading space.
+    /// The text of token `index` of the answer, with a leading space unless it is the first.
     #[must_use]
     pub fn token_text(self, index: u32) -> String {
         let hash = xxh3_64_with_seed(&self.0.to_le_bytes(), u64::from(index));
@@ -58,7 +59,7 @@
     }
 }
 
-/// The canonical text of a chat's messages, as role and content.
+/// The canonical prompt text of chat messages, given as pairs of role and content.
 #[must_use]
 pub fn chat_prompt<'a>(messages: impl IntoIterator<Item = (&'a str, &'a str)>) -> String {
     let mut prompt = String::new();
@@ -71,14 +72,14 @@
     prompt
 }
 
-/// The number of tokens that a text counts as; at least one.
+/// The number of tokens in a text, at [`BYTES_PER_TOKEN`] per token; at least one.
 #[must_use]
 pub fn count_tokens(text: &str) -> u32 {
     let tokens = text.len().div_ceil(BYTES_PER_TOKEN).max(1);
     u32::try_from(tokens).unwrap_or(u32::MAX)
 }
 
-/// The chained hashes of the whole blocks of a prompt: equal hashes at a
+/// The chained hashes of the complete blocks of a prompt: equal hashes at a
 /// position mean equal prompts up to the end of that block.
 #[must_use]
 pub fn block_hashes(prompt: &str) -> Vec<u64> {
--- a/crates/emulator/src/application/core.rs
+++ b/crates/emulator/src/application/core.rs
@@ -1,4 +1,4 @@
-//! An application replica without clocks and sockets.
+//! The core of the emulated application replica, without clocks and sockets.
 
 use std::{collections::VecDeque, fmt};
 
@@ -8,16 +8,16 @@
 
 use crate::{Time, engine::Fault};
 
-/// How fast a replica is.
+/// Speed and capacity of a replica.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ApplicationModel {
-    /// Shortest service time, in microseconds.
-    pub least_micros: u64,
-    /// Mean of the exponential time on top, in microseconds.
+    /// Minimum service time, in microseconds.
+    pub min_micros: u64,
+    /// Mean of the exponentially distributed time added to the minimum, in microseconds.
     pub mean_extra_micros: u64,
-    /// Calls that run at once.
+    /// Maximum number of calls that run at once.
     pub max_running: u32,
-    /// Calls that wait at most.
+    /// Maximum number of waiting calls.
     pub max_waiting: u32,
     /// Age of a load report when it is read, in microseconds.
     pub report_lag_micros: u64,
@@ -26,7 +26,7 @@
 impl Default for ApplicationModel {
     fn default() -> Self {
         ApplicationModel {
-            least_micros: 2_000,
+            min_micros: 2_000,
             mean_extra_micros: 6_000,
             max_running: 16,
             max_waiting: 256,
@@ -35,29 +35,29 @@
     }
 }
 
-/// A call inside one replica.
+/// Identifies a call inside one replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct CallId(pub u64);
 
-/// A call that ran to its end.
+/// A completed call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Completed {
-    /// Which.
+    /// The call.
     pub id: CallId,
-    /// When.
+    /// When the call completed.
     pub at: Time,
 }
 
-/// Why a replica took no call. Nothing of it ran.
+/// Why a replica refused a call. The call was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum ApplicationRefusal {
-    /// No connection would be answered.
+    /// The replica is dead; its server would refuse the connection.
     Dead,
-    /// It is leaving.
+    /// The replica is leaving.
     Leaving,
-    /// Its queue is full.
+    /// The queue is full.
     Full,
-    /// A fault switch says so.
+    /// The injected [`Fault::Refuse`].
     Fault,
 }
 
@@ -87,7 +87,8 @@
     waiting: u32,
 }
 
-/// A replica that runs a few calls at once and lets others wait in order.
+/// A replica that runs a limited number of calls at once and queues the others in order of
+/// arrival.
 #[derive(Debug)]
 pub struct ApplicationCore {
     model: ApplicationModel,
@@ -101,7 +102,7 @@
 }
 
 impl ApplicationCore {
-    /// An idle replica.
+    /// Creates an idle replica.
     #[must_use]
     pub fn new(model: ApplicationModel, seed: u64) -> ApplicationCore {
         ApplicationCore {
@@ -116,10 +117,10 @@
         }
     }
 
-    /// Takes a call on.
+    /// Starts or queues a call.
     ///
     /// # Errors
-    /// An [`ApplicationRefusal`]; nothing ran.
+    /// An [`ApplicationRefusal`]; the call was not started.
     pub fn submit(&mut self, now: Time, id: CallId) -> Result<(), ApplicationRefusal> {
         self.clock = self.clock.max(now);
         if self.faults.dead {
@@ -151,14 +152,14 @@
             reason = "a service time of minutes at most"
         )]
         let extra = (-(1.0 - uniform).ln() * self.model.mean_extra_micros as f64) as u64;
-        let micros = self.faults.stretch(self.model.least_micros + extra);
+        let micros = self.faults.slowed_micros(self.model.min_micros + extra);
         self.running.push(Running {
             id,
             ends_at: now + micros,
         });
     }
 
-    /// Drops a call.
+    /// Cancels a call; no completion of it follows.
     pub fn cancel(&mut self, id: CallId) {
         self.waiting.retain(|waiting| *waiting != id);
         self.running.retain(|running| running.id != id);
@@ -174,7 +175,7 @@
         }
     }
 
-    /// When [`ApplicationCore::advance`] has something to do next.
+    /// The time at which [`ApplicationCore::advance`] has to be called next.
     #[must_use]
     pub fn next_event_at(&self) -> Option<Time> {
         if self.faults.stopped() {
@@ -183,7 +184,7 @@
         self.running.iter().map(|running| running.ends_at).min()
     }
 
-    /// Lets the time pass and appends the calls that ended, in order.
+    /// Advances to `now` and appends the calls completed up to then, in order.
     pub fn advance(&mut self, now: Time, completed: &mut Vec<Completed>) {
         while let Some(at) = self.next_event_at().filter(|at| *at <= now) {
             self.clock = self.clock.max(at);
@@ -200,8 +201,8 @@
         self.clock = self.clock.max(now);
     }
 
-    /// The newest load report that is as old as the model's lag; `max_running`
-    /// is the concurrency and all calls count as online.
+    /// The newest load report that is at least as old as the report lag of the model;
+    /// `max_running` is the maximum concurrency and all calls count as online.
     #[must_use]
     pub fn load_report(&self, now: Time) -> LoadReport {
         let readable = now - self.model.report_lag_micros;
@@ -232,24 +233,24 @@
         }
     }
 
-    /// Sets whether the replica says that it is leaving.
+    /// Sets whether the replica announces that it is leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.leaving = leaving;
     }
 
-    /// Whether the replica says that it is leaving.
+    /// Whether the replica announces that it is leaving.
     #[must_use]
     pub fn leaving(&self) -> bool {
         self.leaving
     }
 
-    /// The fault switches that are on.
+    /// The injected faults.
     #[must_use]
     pub fn faults(&self) -> &crate::engine::FaultSwitches {
         &self.faults
     }
 
-    /// Sets a fault switch; those of streams have no effect here.
+    /// Injects a fault; faults of streams have no effect on a replica.
     pub fn inject(&mut self, now: Time, fault: Fault) {
         self.clock = self.clock.max(now);
         self.faults.set(fault);
--- a/crates/emulator/src/application/server/mod.rs
+++ b/crates/emulator/src/application/server/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated application replica behind its HTTP interface.
+//! HTTP server of the emulated application replica.
 
 mod routes;
 mod service;
@@ -11,27 +11,27 @@
 use super::core::ApplicationModel;
 use crate::{engine::Fault, http::Server};
 
-/// How to start a replica.
+/// Settings of an emulated replica.
 #[derive(Clone, Debug)]
 pub struct ApplicationSettings {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// The service that it is a replica of.
+    /// Name of the application service.
     pub service: String,
-    /// Its speed.
+    /// Speed and capacity.
     pub model: ApplicationModel,
-    /// How many times as fast as real time it runs.
+    /// Factor by which the replica runs faster than real time.
     pub time_compression: u32,
-    /// Seeds the service times.
+    /// Seed of the random service times.
     pub seed: u64,
 }
 
 impl ApplicationSettings {
-    /// A replica on a loopback port that the system chooses.
+    /// Settings of a replica on a loopback port that the system chooses.
     #[must_use]
     pub fn new(name: &str, zone: &str, service: &str) -> ApplicationSettings {
         ApplicationSettings {
@@ -51,7 +51,7 @@
     server: Arc<Server<ApplicationService>>,
     settings: ApplicationSettings,
     driver: JoinHandle<()>,
-    undertaker: JoinHandle<()>,
+    death_monitor: JoinHandle<()>,
 }
 
 impl ApplicationServer {
@@ -63,28 +63,28 @@
         let service = Arc::new(ApplicationService::new(&settings));
         let server = Arc::new(Server::start(settings.listen, Arc::clone(&service)).await?);
         let driver = tokio::spawn(Arc::clone(&service).drive());
-        let undertaker = tokio::spawn(stop_when_dead(Arc::clone(&server), service));
+        let death_monitor = tokio::spawn(stop_when_dead(Arc::clone(&server), service));
         Ok(ApplicationServer {
             server,
             settings,
             driver,
-            undertaker,
+            death_monitor,
         })
     }
 
-    /// Where it listens.
+    /// The address that the replica listens on, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// How it was started.
+    /// The settings with which the replica was started.
     #[must_use]
     pub fn settings(&self) -> &ApplicationSettings {
         &self.settings
     }
 
-    /// Sets a fault switch. A dead replica is brought back by [`ApplicationServer::restart`].
+    /// Injects a fault. [`ApplicationServer::restart`] restarts a dead replica.
     pub fn inject(&self, fault: Fault) {
         self.server.service().inject(fault);
         if fault == Fault::Die {
@@ -92,34 +92,34 @@
         }
     }
 
-    /// Sets whether the replica says that it is leaving.
+    /// Sets whether the replica announces that it is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         let mut inner = self.server.service().inner.lock();
         inner.core.set_leaving(leaving);
     }
 
-    /// Starts a dead replica's process again on its port.
+    /// Clears all faults and restarts the replica on the same port.
     ///
     /// # Errors
-    /// The port can not be bound any more.
+    /// The port can no longer be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.stop();
         self.server.service().inject(Fault::Recover);
         self.server.restart().await
     }
 
-    /// Waits until a fault has killed the replica.
+    /// Waits until [`Fault::Die`] stops the replica.
     pub async fn died(&self) {
         self.server.service().died().await;
     }
 
-    /// How often a call with this `X-Request-Id` or `Idempotency-Key` was started.
+    /// Number of starts of calls with this `X-Request-Id` or `Idempotency-Key`.
     #[must_use]
     pub fn executions_of(&self, key: &str) -> u64 {
-        self.server.service().inner.lock().executions.of(key)
+        self.server.service().inner.lock().executions.count(key)
     }
 
-    /// How many calls were started in all.
+    /// Number of starts of all calls.
     #[must_use]
     pub fn executions(&self) -> u64 {
         self.server.service().inner.lock().started
@@ -129,7 +129,7 @@
 impl Drop for ApplicationServer {
     fn drop(&mut self) {
         self.driver.abort();
-        self.undertaker.abort();
+        self.death_monitor.abort();
         self.server.stop();
     }
 }
@@ -138,6 +138,6 @@
     loop {
         service.died().await;
         server.stop();
-        service.revived().await;
+        service.recovered().await;
     }
 }
--- a/crates/emulator/src/application/server/routes.rs
+++ b/crates/emulator/src/application/server/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of a replica's HTTP interface.
+//! Routes of the application replica's HTTP interface.
 
 use std::{sync::Arc, time::Duration};
 
@@ -46,10 +46,10 @@
             Ok(call) => call,
             Err(refusal) => return refused(refusal),
         };
-        let done = (&mut call.done).await.is_ok();
+        let completed = (&mut call.completion).await.is_ok();
         let late = self.inner.lock().core.faults().late_millis;
         sleep(Duration::from_millis(late)).await;
-        if !done {
+        if !completed {
             return Reply::error(StatusCode::INTERNAL_SERVER_ERROR, "the replica died");
         }
         let echo = EchoBody {
@@ -87,7 +87,7 @@
             (Method::GET, "executions") => {
                 let inner = self.inner.lock();
                 let started = match request.query("request") {
-                    Some(key) => inner.executions.of(key),
+                    Some(key) => inner.executions.count(key),
                     None => inner.started,
                 };
                 Reply::json(&ExecutionsBody { started })
@@ -103,13 +103,13 @@
         if let Some(control) = path.strip_prefix("/emulator/") {
             return self.control(control, request).await.into();
         }
-        self.while_hung().await;
+        self.wait_while_hung().await;
         let mut reply = match (request.method.clone(), path.as_str()) {
             (Method::GET, "/healthz") => Reply::json(&"ok"),
             (Method::GET, "/load") => Reply::json(&self.load_body()),
             _ => self.call(request).await,
         };
-        self.while_hung().await;
+        self.wait_while_hung().await;
         if let Ok(load) = serde_json::to_string(&self.load_body()) {
             reply = reply.with_header(LOAD_HEADER, load);
         }
@@ -125,7 +125,7 @@
         .with_header(STARTED_HEADER, "no")
 }
 
-/// What the call said, so that its caller can check that the answer is its own.
+/// An echo of the call, with which a caller can check that the answer belongs to its call.
 #[derive(Serialize)]
 struct EchoBody<'a> {
     service: &'a str,
--- a/crates/emulator/src/application/server/service.rs
+++ b/crates/emulator/src/application/server/service.rs
@@ -1,4 +1,4 @@
-//! The core in real time: calls in, their ends out.
+//! Runs the application core in real time and reports completed calls to their handlers.
 
 use std::{collections::HashMap, sync::Arc, time::Duration};
 
@@ -22,10 +22,10 @@
     http::header_text,
 };
 
-/// How often a call to a hung replica looks whether it goes on.
+/// Interval at which a call to a hung replica checks for recovery.
 const HANG_POLL: Duration = Duration::from_millis(20);
 
-/// The replica of one server.
+/// The core of a replica and its open calls.
 pub(super) struct ApplicationService {
     pub(super) name: String,
     pub(super) service: String,
@@ -35,7 +35,7 @@
     dead: watch::Sender<bool>,
 }
 
-/// What the lock guards.
+/// The state behind the lock.
 pub(super) struct Inner {
     pub(super) core: ApplicationCore,
     calls: HashMap<CallId, oneshot::Sender<()>>,
@@ -44,12 +44,12 @@
     completed: Vec<Completed>,
 }
 
-/// A call in progress; dropped when its caller is gone.
+/// A call in progress; dropping it, as when the caller disconnects, cancels the call.
 pub(super) struct Call<'a> {
     service: &'a ApplicationService,
     id: CallId,
-    /// Whether it was answered; an error when the replica died.
-    pub(super) done: oneshot::Receiver<()>,
+    /// Resolves when the call completes; an error if the replica died.
+    pub(super) completion: oneshot::Receiver<()>,
 }
 
 impl Drop for Call<'_> {
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Advances the core whenever it has something to do.
+    /// Advances the core whenever its next event is due.
     pub(super) async fn drive(self: Arc<Self>) {
         loop {
             let next = {
@@ -99,14 +99,14 @@
         }
     }
 
-    /// Waits until a fault has killed the replica.
+    /// Waits until the replica is dead.
     pub(super) async fn died(&self) {
-        // The sender lives in `self`, so waiting can not fail.
+        // `self` owns the sender, so waiting can not fail.
         let _ = self.dead.subscribe().wait_for(|dead| *dead).await;
     }
 
-    /// Waits until a killed replica has been brought back.
-    pub(super) async fn revived(&self) {
+    /// Waits until the replica is not dead.
+    pub(super) async fn recovered(&self) {
         let _ = self.dead.subscribe().wait_for(|dead| !*dead).await;
     }
 
@@ -122,14 +122,15 @@
         self.wake.notify_one();
     }
 
-    /// Returns once the replica does not hang.
-    pub(super) async fn while_hung(&self) {
+    /// Waits while the replica is hung.
+    pub(super) async fn wait_while_hung(&self) {
         while self.inner.lock().core.faults().hung {
             sleep(HANG_POLL).await;
         }
     }
 
-    /// Takes a call on; its content is counted too.
+    /// Submits a call and counts its start under its request id, its idempotency key and its
+    /// content.
     pub(super) fn submit(
         &self,
         headers: &HeaderMap,
@@ -146,18 +147,18 @@
             }
         }
         inner.executions.record(content);
-        let (sender, done) = oneshot::channel();
+        let (sender, completion) = oneshot::channel();
         inner.calls.insert(id, sender);
         drop(inner);
         self.wake.notify_one();
         Ok(Call {
             service: self,
             id,
-            done,
+            completion,
         })
     }
 
-    /// The newest readable load report, its time since the Unix epoch.
+    /// The newest readable load report, with its time since the Unix epoch.
     pub(super) fn load_report(&self) -> LoadReport {
         let mut report = self.inner.lock().core.load_report(self.clock.now());
         report.measured_at = self.clock.timestamp(report.measured_at);
@@ -171,7 +172,7 @@
         self.core.advance(clock.now(), &mut completed);
         for call in completed.drain(..) {
             if let Some(sender) = self.calls.remove(&call.id) {
-                // The caller may just have gone.
+                // The caller may have disconnected meanwhile.
                 let _ = sender.send(());
             }
         }
--- a/crates/emulator/src/clock.rs
+++ b/crates/emulator/src/clock.rs
@@ -1,4 +1,4 @@
-//! Real time as a core's time, possibly compressed.
+//! Conversion between real time and the time of a core.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
@@ -6,7 +6,7 @@
 
 use crate::Time;
 
-/// Maps real time to a core's time, which runs `compression` times as fast.
+/// Maps real time to the time of a core, which runs `compression` times as fast.
 #[derive(Debug)]
 pub(crate) struct CompressedClock {
     origin: Instant,
@@ -15,8 +15,8 @@
 }
 
 impl CompressedClock {
-    /// A clock that starts now, at a core's time of one hour, so that "some
-    /// time ago" never falls before the origin.
+    /// Starts a clock whose core time begins at one hour, so that subtracting a lag
+    /// from the current time does not reach the origin.
     pub(crate) fn start(compression: u32) -> CompressedClock {
         let since_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
@@ -28,19 +28,19 @@
         }
     }
 
-    /// The core's time now.
+    /// The current time of the core.
     pub(crate) fn now(&self) -> Time {
         let micros = u64::try_from(self.origin.elapsed().as_micros()).unwrap_or(u64::MAX);
         Self::START + micros * u64::from(self.compression)
     }
 
-    /// The instant of a core's time.
+    /// Converts a time of the core to an instant.
     pub(crate) fn instant(&self, time: Time) -> Instant {
         let micros = time.micros_since(Self::START) / u64::from(self.compression);
         self.origin + Duration::from_micros(micros)
     }
 
-    /// A core's time as milliseconds since the Unix epoch.
+    /// Converts a time of the core, in milliseconds, to milliseconds since the Unix epoch.
     pub(crate) fn timestamp(&self, core_millis: Timestamp) -> Timestamp {
         let since_start = i128::from(core_millis.0) - i128::from(Self::START.as_millis());
         let real = i128::from(self.origin_millis) + since_start / i128::from(self.compression);
--- a/crates/emulator/src/engine/core.rs
+++ b/crates/emulator/src/engine/core.rs
@@ -1,4 +1,4 @@
-//! The engine without clocks and sockets.
+//! The core of the emulated engine, without clocks and sockets.
 
 use std::collections::VecDeque;
 
@@ -16,13 +16,13 @@
 };
 use crate::Time;
 
-/// A step of the batch that is being computed.
+/// The step that the engine is computing.
 #[derive(Debug)]
 pub(super) struct Step {
     pub(super) ends_at: Time,
-    /// Sequences that decode one token.
+    /// Sequences that decode one token each.
     pub(super) decoding: Vec<SequenceId>,
-    /// Prompt tokens computed for sequences.
+    /// Prompt tokens computed in the step, by sequence.
     pub(super) prefills: Vec<PrefillChunk>,
 }
 
@@ -33,14 +33,14 @@
     pub(super) tokens: u32,
 }
 
-/// A load report with the time of its measurement.
+/// A load report with the time at which it was measured.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Sample {
     pub(super) at: Time,
     pub(super) report: LoadReport,
 }
 
-/// A prefilled KV cache kept for export.
+/// A prefilled KV cache stored for export.
 #[derive(Debug)]
 pub(super) struct Export {
     pub(super) id: SequenceId,
@@ -49,8 +49,8 @@
 
 /// An engine with continuous batching.
 ///
-/// Callers pass times that never fall. Between [`EngineCore::submit`] and the
-/// next [`EngineCore::advance`] nothing happens but what they ask for.
+/// Callers pass times that never decrease. Between [`EngineCore::submit`] and the
+/// next [`EngineCore::advance`], the state changes only by calls of the methods.
 #[derive(Debug)]
 pub struct EngineCore {
     pub(super) model: EngineModel,
@@ -64,14 +64,14 @@
     pub(super) cache: PrefixCache,
     pub(super) exports: VecDeque<Export>,
     pub(super) samples: VecDeque<Sample>,
-    /// Events of the scheduling between two calls of `advance`.
+    /// Scheduling events that the next call of `advance` returns.
     pub(super) unreported: Vec<EngineEvent>,
     arrivals: u64,
     pub(super) clock: Time,
 }
 
 impl EngineCore {
-    /// An idle engine with no model loaded.
+    /// Creates an idle engine with no model loaded.
     #[must_use]
     pub fn new(model: EngineModel, seed: u64) -> EngineCore {
         EngineCore {
@@ -92,35 +92,35 @@
         }
     }
 
-    /// Sets what is loaded, without an order and without load time.
+    /// Sets the loaded model, adapters and role without an order and without load time.
     #[must_use]
     pub fn with_state(mut self, state: EngineState) -> EngineCore {
         self.state = state;
         self
     }
 
-    /// The parameters.
+    /// The parameters of the engine.
     #[must_use]
     pub fn model(&self) -> &EngineModel {
         &self.model
     }
 
-    /// What is loaded.
+    /// The loaded model, adapters, role and fence.
     #[must_use]
     pub fn state(&self) -> &EngineState {
         &self.state
     }
 
-    /// The fault switches that are on.
+    /// The injected faults.
     #[must_use]
     pub fn faults(&self) -> &FaultSwitches {
         &self.faults
     }
 
-    /// Takes a request on.
+    /// Adds a request to the queue.
     ///
     /// # Errors
-    /// A [`Refusal`]; nothing of the request ran.
+    /// A [`Refusal`]; the request was not started.
     pub fn submit(&mut self, now: Time, request: EngineRequest) -> Result<(), Refusal> {
         self.clock = self.clock.max(now);
         self.progress_loading();
@@ -187,19 +187,19 @@
         Ok(())
     }
 
-    /// Whether `name` or `name:adapter` is loaded.
+    /// Whether the model (`name`) or the model with the adapter (`name:adapter`) is loaded.
     #[must_use]
-    pub fn has_model(&self, wanted: &str) -> bool {
+    pub fn has_model(&self, requested: &str) -> bool {
         let Some(loaded) = &self.state.model else {
             return false;
         };
-        if wanted == loaded.0 {
+        if requested == loaded.0 {
             return true;
         }
-        wanted
+        requested
             .strip_prefix(loaded.0.as_str())
-            .and_then(|rest| rest.strip_prefix(':'))
-            .is_some_and(|adapter| self.state.adapters.iter().any(|known| known == adapter))
+            .and_then(|suffix| suffix.strip_prefix(':'))
+            .is_some_and(|adapter| self.state.adapters.iter().any(|loaded| loaded == adapter))
     }
 
     fn role_allows(&self, request: &EngineRequest) -> bool {
@@ -217,7 +217,8 @@
             .find(|sequence| sequence.id() == id)
     }
 
-    /// Drops a request; whether it was there. No event of it follows.
+    /// Removes a request and returns whether it was present. No further events of the request
+    /// follow.
     pub fn cancel(&mut self, id: SequenceId) -> bool {
         let before = self.running.len() + self.waiting.len();
         self.running.retain(|sequence| sequence.id() != id);
@@ -225,7 +226,7 @@
         self.running.len() + self.waiting.len() < before
     }
 
-    /// When [`EngineCore::advance`] has something to do next.
+    /// The time at which [`EngineCore::advance`] has to be called next.
     #[must_use]
     pub fn next_event_at(&self) -> Option<Time> {
         if self.faults.stopped() {
@@ -238,7 +239,7 @@
         [step, self.loading.ends_at()].into_iter().flatten().min()
     }
 
-    /// Lets the time pass up to `now` and appends what happened, in order.
+    /// Advances to `now` and appends the events up to then, in order.
     pub fn advance(&mut self, now: Time, events: &mut Vec<EngineEvent>) {
         events.append(&mut self.unreported);
         if self.faults.stopped() {
@@ -283,11 +284,15 @@
     }
 
     fn finish_prefill(&mut self, chunk: PrefillChunk, at: Time, events: &mut Vec<EngineEvent>) {
-        let Some(sequence) = self.running.iter_mut().find(|one| one.id() == chunk.id) else {
+        let Some(sequence) = self
+            .running
+            .iter_mut()
+            .find(|sequence| sequence.id() == chunk.id)
+        else {
             return;
         };
         sequence.computed_tokens += chunk.tokens;
-        if sequence.prefill_left() > 0 {
+        if sequence.remaining_prefill_tokens() > 0 {
             return;
         }
         self.cache.store(
@@ -301,14 +306,14 @@
                 prompt: sequence.request.prompt,
                 tokens: sequence.computed_tokens,
             };
-            self.keep_export(chunk.id, handle);
+            self.store_export(chunk.id, handle);
             self.finish(chunk.id, FinishReason::Prefilled, at, events);
         } else {
             self.emit_token(chunk.id, at, events);
         }
     }
 
-    fn keep_export(&mut self, id: SequenceId, handle: KvHandle) {
+    fn store_export(&mut self, id: SequenceId, handle: KvHandle) {
         if self.exports.len() >= self.model.max_exports {
             self.exports.pop_front();
         }
@@ -316,12 +321,12 @@
     }
 
     fn emit_token(&mut self, id: SequenceId, at: Time, events: &mut Vec<EngineEvent>) {
-        let drop_after = self.faults.drop_after_tokens;
-        let Some(sequence) = self.running.iter_mut().find(|one| one.id() == id) else {
+        let token_limit = self.faults.drop_after_tokens;
+        let Some(sequence) = self.running.iter_mut().find(|sequence| sequence.id() == id) else {
             return;
         };
-        if drop_after.is_some_and(|most| sequence.decoded_here >= most) {
-            self.running.retain(|one| one.id() != id);
+        if token_limit.is_some_and(|limit| sequence.decoded_here >= limit) {
+            self.running.retain(|sequence| sequence.id() != id);
             events.push(EngineEvent::Broken { at, id });
             return;
         }
@@ -345,7 +350,7 @@
         at: Time,
         events: &mut Vec<EngineEvent>,
     ) {
-        let Some(position) = self.running.iter().position(|one| one.id() == id) else {
+        let Some(position) = self.running.iter().position(|sequence| sequence.id() == id) else {
             return;
         };
         let sequence = self.running.remove(position);
--- a/crates/emulator/src/engine/faults.rs
+++ b/crates/emulator/src/engine/faults.rs
@@ -1,49 +1,49 @@
-//! Faults that can be switched on in an engine.
+//! Faults that can be injected into an engine or an application replica.
 
 use serde::{Deserialize, Serialize};
 
-/// One fault switch. Switches add up until [`Fault::Recover`].
+/// A fault to inject. Faults accumulate until [`Fault::Recover`].
 ///
 /// As JSON: `{"fault":"slow","percent":300}`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "snake_case", deny_unknown_fields)]
 pub enum Fault {
-    /// Stops at once; all requests are lost and no connection is answered.
+    /// Stops at once; all requests are lost and connections are refused.
     Die,
-    /// Answers nothing any more, but keeps its connections.
+    /// Stops answering, but keeps its connections open.
     Hang,
-    /// Steps take this many times as long.
+    /// Computation takes longer by a factor.
     Slow {
         /// The factor, in percent; 100 is the normal speed.
         percent: u32,
     },
     /// Refuses all new work before it starts.
     Refuse,
-    /// Breaks each stream's connection after this many tokens of a run.
+    /// Breaks the connection of each stream after a number of tokens generated in this run.
     DropMidStream {
-        /// How many.
+        /// The number of tokens.
         after_tokens: u32,
     },
-    /// Ends each stream after this many tokens of a run as if that were all,
-    /// without a finish reason.
+    /// Ends each stream after a number of tokens generated in this run as if the answer
+    /// were complete, but without a finish reason.
     EndEarly {
-        /// How many.
+        /// The number of tokens.
         after_tokens: u32,
     },
-    /// Holds each token back.
+    /// Delays each token.
     Late {
-        /// How long, in milliseconds.
+        /// The delay, in milliseconds.
         millis: u64,
     },
-    /// Sends the tokens of a stream pairwise swapped.
+    /// Swaps each two consecutive tokens of a stream.
     OutOfOrder,
-    /// Puts a token of another request's answer into each stream.
+    /// Inserts a token of another request's answer into each stream.
     Stray,
-    /// Switches all faults off.
+    /// Clears all faults.
     Recover,
 }
 
-/// The switches that are on.
+/// The injected faults.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FaultSwitches {
     pub(crate) dead: bool,
@@ -57,7 +57,7 @@
     pub(crate) stray: bool,
 }
 
-/// Percent of the normal step time without a fault.
+/// Duration of a step without a fault, in percent of the normal duration.
 const NORMAL_PERCENT: u32 = 100;
 
 impl Default for FaultSwitches {
@@ -77,7 +77,7 @@
 }
 
 impl FaultSwitches {
-    /// Sets one switch.
+    /// Injects a fault, or clears all faults for [`Fault::Recover`].
     pub(crate) fn set(&mut self, fault: Fault) {
         match fault {
             Fault::Die => self.dead = true,
@@ -99,13 +99,13 @@
         }
     }
 
-    /// Whether no work advances.
+    /// Whether a fault stops all work.
     pub(crate) fn stopped(&self) -> bool {
         self.dead || self.hung
     }
 
-    /// A step's duration under these faults, in microseconds.
-    pub(crate) fn stretch(&self, micros: u64) -> u64 {
+    /// A duration under the injected slow-down, in microseconds.
+    pub(crate) fn slowed_micros(&self, micros: u64) -> u64 {
         micros * u64::from(self.slow_percent) / u64::from(NORMAL_PERCENT)
     }
 }
--- a/crates/emulator/src/engine/loading.rs
+++ b/crates/emulator/src/engine/loading.rs
@@ -1,31 +1,32 @@
-//! Carrying out fenced orders.
+//! Execution of fenced orders.
 
 use linnethitch_protocol::{command::EngineOrder, fleet::EngineState};
 
 use super::model::EngineModel;
 use crate::Time;
 
-/// An accepted order that is not in effect yet.
+/// An accepted order that has not taken effect yet.
 #[derive(Clone, Debug)]
 struct PendingOrder {
     order: EngineOrder,
-    /// When the load ends; `None` while running work is finished first.
+    /// When the load ends; `None` before it starts, while running requests are drained or an
+    /// earlier load is in progress.
     ends_at: Option<Time>,
 }
 
-/// Orders under way, one after the other.
+/// Pending orders, executed one after the other.
 #[derive(Debug, Default)]
 pub(super) struct Loading {
     pending: Vec<PendingOrder>,
 }
 
 impl Loading {
-    /// Takes an order on. Role changes are in effect at once.
+    /// Accepts an order. Role changes take effect at once.
     pub(super) fn accept(&mut self, order: EngineOrder, state: &mut EngineState) {
         match order {
             EngineOrder::ChangeRole(role) => state.role = role,
             EngineOrder::LoadModel { .. } => {
-                // A later model replaces whatever was still to be loaded.
+                // A later model replaces all pending loads.
                 self.pending.clear();
                 self.pending.push(PendingOrder {
                     order,
@@ -39,19 +40,20 @@
         }
     }
 
-    /// Whether a model is being loaded or waits to be, so that no new work is taken.
+    /// Whether the load of a model is pending or in progress; the engine refuses new requests
+    /// meanwhile.
     pub(super) fn model_pending(&self) -> bool {
         self.pending
             .iter()
             .any(|pending| matches!(pending.order, EngineOrder::LoadModel { .. }))
     }
 
-    /// When the load under way ends.
+    /// When the load in progress ends.
     pub(super) fn ends_at(&self) -> Option<Time> {
         self.pending.first().and_then(|pending| pending.ends_at)
     }
 
-    /// Starts and ends loads that are due by `now`; whether a model was replaced.
+    /// Starts and ends the loads that are due by `now`, and returns whether a model was replaced.
     pub(super) fn progress(
         &mut self,
         now: Time,
@@ -78,7 +80,7 @@
                 Some(end) => {
                     let done = self.pending.remove(0);
                     replaced |= is_model;
-                    put_in_effect(done.order, state);
+                    apply_order(done.order, state);
                     start = end;
                 }
             }
@@ -87,7 +89,7 @@
     }
 }
 
-fn put_in_effect(order: EngineOrder, state: &mut EngineState) {
+fn apply_order(order: EngineOrder, state: &mut EngineState) {
     match order {
         EngineOrder::LoadModel { model, version } => {
             state.model = Some(model);
--- a/crates/emulator/src/engine/model.rs
+++ b/crates/emulator/src/engine/model.rs
@@ -1,6 +1,6 @@
 //! The parameters of an emulated engine.
 
-/// How fast an engine is and how much it holds.
+/// Speed and capacity of an engine.
 ///
 /// A step takes `step_micros`, plus `prefill_token_nanos` for each prompt token
 /// computed in it, plus `decode_sequence_nanos` for each sequence that decodes
@@ -13,35 +13,35 @@
     pub prefill_token_nanos: u64,
     /// Cost of one decoding sequence in a step, in nanoseconds.
     pub decode_sequence_nanos: u64,
-    /// Prompt tokens computed in one step at most (chunked prefill).
+    /// Maximum number of prompt tokens computed in one step (chunked prefill).
     pub prefill_budget_tokens: u32,
-    /// Prompt tokens of batch requests computed in one step at most while
+    /// Maximum number of prompt tokens of batch requests computed in one step while
     /// online requests run.
     pub batch_prefill_budget_tokens: u32,
-    /// Sequences that run at once.
+    /// Maximum number of sequences that run at once.
     pub max_running: u32,
-    /// Requests of one priority that wait at most.
+    /// Maximum number of waiting requests of one priority.
     pub max_waiting: u32,
-    /// KV memory, in tokens.
+    /// Capacity of the KV memory, in tokens.
     pub kv_capacity_tokens: u32,
-    /// Memory of the prefix cache, in blocks of
+    /// Capacity of the prefix cache, in blocks of
     /// [`BLOCK_TOKENS`](crate::answer::BLOCK_TOKENS).
     pub cache_blocks: usize,
     /// Fixed cost of a KV import, in microseconds.
     pub kv_import_micros: u64,
     /// Cost of importing the KV cache of one token, in nanoseconds.
     pub kv_import_token_nanos: u64,
-    /// KV exports kept at once; the oldest is dropped beyond that.
+    /// Maximum number of stored KV exports; the oldest is dropped when it is exceeded.
     pub max_exports: usize,
     /// Age of a load report when it is read, in microseconds.
     pub report_lag_micros: u64,
     /// Age of a cache event when it can be read, in microseconds.
     pub cache_event_lag_micros: u64,
-    /// Of a thousand cache events, how many are lost.
+    /// Share of cache events that are lost, per thousand.
     pub cache_event_loss_permille: u32,
-    /// Cache events kept for readers; older ones are lost to them.
+    /// Maximum number of stored cache events; the oldest is dropped when it is exceeded.
     pub max_cache_events: usize,
-    /// Time to load a model once its weights are there, in microseconds.
+    /// Time to load a model whose weights are on the machine, in microseconds.
     pub load_model_micros: u64,
     /// Time to load an adapter, in microseconds.
     pub load_adapter_micros: u64,
--- a/crates/emulator/src/engine/prefix_cache.rs
+++ b/crates/emulator/src/engine/prefix_cache.rs
@@ -10,26 +10,26 @@
 /// A change of the cached blocks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CacheChange {
-    /// The block is cached from now on.
+    /// The block was stored.
     Stored(u64),
-    /// The block is gone.
+    /// The block was removed.
     Removed(u64),
-    /// All blocks are gone.
+    /// All blocks were removed.
     Cleared,
 }
 
 /// A published change. A gap in `sequence` means that events were lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CacheEvent {
-    /// Counts the changes from 1.
+    /// Sequence number of the change, starting at 1.
     pub sequence: u64,
-    /// When it happened.
+    /// When the change happened.
     pub at: Time,
-    /// What changed.
+    /// The change.
     pub change: CacheChange,
 }
 
-/// Blocks of prompts by their chained hash, least recently used out first.
+/// LRU cache of prompt blocks, identified by their chained hashes.
 #[derive(Debug, Default)]
 pub(super) struct PrefixCache {
     last_use: HashMap<u64, u64>,
@@ -40,21 +40,22 @@
 }
 
 impl PrefixCache {
-    /// How many leading blocks are cached; they count as used.
+    /// Returns the number of cached leading blocks and marks them as used.
     pub(super) fn lookup(&mut self, hashes: &[u64]) -> usize {
         let cached = hashes
             .iter()
             .take_while(|hash| self.last_use.contains_key(hash))
             .count();
-        // The first block is touched last: a prefix must not lose its head
-        // before its tail.
+        // The first block is touched last, so that the last blocks of a prefix are evicted
+        // before the first ones.
         for hash in hashes[..cached].iter().rev() {
             self.touch(*hash);
         }
         cached
     }
 
-    /// Caches the blocks of a prefilled prompt.
+    /// Stores the blocks of a prefilled prompt and evicts the least recently used blocks over
+    /// the capacity.
     pub(super) fn store(
         &mut self,
         now: Time,
@@ -63,9 +64,9 @@
         generator: &mut dyn RngCore,
     ) {
         for hash in hashes.iter().rev() {
-            let known = self.last_use.contains_key(hash);
+            let cached = self.last_use.contains_key(hash);
             self.touch(*hash);
-            if !known {
+            if !cached {
                 self.publish(now, CacheChange::Stored(*hash), model, generator);
             }
         }
@@ -78,14 +79,14 @@
         }
     }
 
-    /// Forgets all blocks.
+    /// Removes all blocks.
     pub(super) fn clear(&mut self, now: Time, model: &EngineModel, generator: &mut dyn RngCore) {
         self.last_use.clear();
         self.by_use.clear();
         self.publish(now, CacheChange::Cleared, model, generator);
     }
 
-    /// The events after a sequence number that are old enough to be read.
+    /// The events after a sequence number that happened no later than `until`.
     pub(super) fn events(&self, after: u64, until: Time) -> Vec<CacheEvent> {
         self.events
             .iter()
@@ -96,8 +97,8 @@
 
     fn touch(&mut self, hash: u64) {
         self.uses += 1;
-        if let Some(earlier) = self.last_use.insert(hash, self.uses) {
-            self.by_use.remove(&earlier);
+        if let Some(previous_use) = self.last_use.insert(hash, self.uses) {
+            self.by_use.remove(&previous_use);
         }
         self.by_use.insert(self.uses, hash);
     }
--- a/crates/emulator/src/engine/request.rs
+++ b/crates/emulator/src/engine/request.rs
@@ -1,29 +1,29 @@
-//! What goes into an engine and what comes out.
+//! Requests to the engine core and the events that it returns.
 
 use std::fmt;
 
 use crate::{Time, answer::PromptKey};
 
-/// A request inside one engine; the server maps callers' ids to it.
+/// Identifies a request inside one engine; the server maps the request ids of callers to it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SequenceId(pub u64);
 
-/// The engine's own priorities, the more urgent first.
+/// The priorities of an engine, max urgent first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Priority {
-    /// A caller waits; preempts batch.
+    /// Interactive requests; preempt batch requests.
     #[default]
     Online,
-    /// Runs in what online leaves over.
+    /// Batch requests; use the capacity that online requests leave free.
     Batch,
 }
 
-/// A KV cache on its way from one engine to another.
+/// Handle of an exported KV cache, with which another engine imports it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct KvHandle {
-    /// The prompt that it belongs to.
+    /// The prompt of the KV cache.
     pub prompt: PromptKey,
-    /// The tokens that it covers.
+    /// Number of tokens in the KV cache.
     pub tokens: u32,
 }
 
@@ -34,67 +34,67 @@
     pub id: SequenceId,
     /// `name` or `name:adapter`.
     pub model: String,
-    /// Its priority.
+    /// Scheduling priority.
     pub priority: Priority,
-    /// What its answer depends on.
+    /// The key of the prompt, which determines the answer.
     pub prompt: PromptKey,
     /// Length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// Chained hashes of the prompt's whole blocks.
+    /// Chained hashes of the complete blocks of the prompt.
     pub prefix_hashes: Vec<u64>,
-    /// Tokens of the whole answer at most; `None` lets the engine end it.
+    /// Maximum number of tokens of the complete answer; `None` sets no limit.
     pub max_tokens: Option<u32>,
-    /// Tokens of the whole answer at least, unless `max_tokens` is lower.
+    /// Minimum number of tokens of the complete answer, unless `max_tokens` is lower.
     pub min_tokens: u32,
-    /// Tokens of the answer that were delivered by an earlier run.
+    /// Tokens of the answer that an earlier run delivered.
     pub resume_tokens: u32,
-    /// KV cache to import in place of the prefill.
+    /// KV cache to import instead of computing the prefill.
     pub kv_import: Option<KvHandle>,
-    /// Ends after the prefill and keeps the KV cache for export.
+    /// Whether the request ends after the prefill and its KV cache is stored for export.
     pub prefill_only: bool,
 }
 
 impl EngineRequest {
-    /// The length of the whole answer, in tokens.
+    /// The length of the complete answer, in tokens.
     #[must_use]
     pub fn answer_tokens(&self) -> u32 {
-        let wanted = self.prompt.natural_length().max(self.min_tokens);
-        self.max_tokens.map_or(wanted, |most| wanted.min(most))
+        let uncapped = self.prompt.natural_length().max(self.min_tokens);
+        self.max_tokens.map_or(uncapped, |max| uncapped.min(max))
     }
 
-    /// Why the answer ends where it does.
+    /// Why the answer ends.
     #[must_use]
     pub fn finish_reason(&self) -> FinishReason {
-        let wanted = self.prompt.natural_length().max(self.min_tokens);
+        let uncapped = self.prompt.natural_length().max(self.min_tokens);
         match self.max_tokens {
-            Some(most) if most < wanted => FinishReason::Length,
+            Some(max) if max < uncapped => FinishReason::Length,
             _ => FinishReason::Stop,
         }
     }
 }
 
-/// Why an engine took no work. Nothing of the request ran.
+/// Why an engine refused a request. The request was not started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// The engine is dead: no connection would be answered.
+    /// The engine is dead; its server would refuse the connection.
     Dead,
-    /// It is leaving.
+    /// The engine is leaving.
     Leaving,
-    /// Its queue is full.
+    /// The queue of the request's priority is full.
     Full,
-    /// It has another model loaded, or not this adapter.
+    /// The engine does not have the model or the adapter loaded.
     WrongModel,
-    /// It is loading a model.
+    /// The engine is loading a model.
     Loading,
-    /// Its role excludes the request.
+    /// The role of the engine excludes the request.
     WrongRole,
-    /// Prompt and answer do not fit its KV memory.
+    /// Prompt and answer do not fit into the KV memory.
     TooLong,
     /// The KV handle belongs to another prompt.
     WrongHandle,
-    /// The id is in use.
+    /// An unfinished request has the same id.
     DuplicateId,
-    /// A fault switch says so.
+    /// The injected [`Fault::Refuse`](super::Fault::Refuse).
     Fault,
 }
 
@@ -120,49 +120,49 @@
 /// Why an answer ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum FinishReason {
-    /// The model ended it.
+    /// The model ended the answer.
     Stop,
-    /// The limit of the request ended it.
+    /// The answer reached the `max_tokens` of the request.
     Length,
-    /// It was a prefill only.
+    /// The request was prefill-only.
     Prefilled,
 }
 
-/// What happened in an engine.
+/// An event of a request in an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EngineEvent {
     /// A token was decoded.
     Token {
-        /// When.
+        /// When the event happened.
         at: Time,
-        /// Of which request.
+        /// The request.
         id: SequenceId,
-        /// Its index in the whole answer.
+        /// The index of the token in the complete answer.
         index: u32,
     },
-    /// A request ended by itself; its last token came before.
+    /// A request completed; the event of its last token came before.
     Finished {
-        /// When.
+        /// When the event happened.
         at: Time,
-        /// Which request.
+        /// The request.
         id: SequenceId,
-        /// Why.
+        /// Why the answer ended.
         reason: FinishReason,
-        /// Prompt tokens that the prefix cache saved, in all its runs.
+        /// Tokens found in the prefix cache, summed over all admissions of the request.
         cached_tokens: u32,
     },
-    /// A request lost its place and waits again; its tokens are kept.
+    /// A running request was preempted and waits again; its generated tokens are retained.
     Preempted {
-        /// When.
+        /// When the event happened.
         at: Time,
-        /// Which request.
+        /// The request.
         id: SequenceId,
     },
-    /// A request's stream broke by a fault; the engine has dropped it.
+    /// A fault broke the stream of a request; the engine has removed the request.
     Broken {
-        /// When.
+        /// When the event happened.
         at: Time,
-        /// Which request.
+        /// The request.
         id: SequenceId,
     },
 }
--- a/crates/emulator/src/engine/schedule.rs
+++ b/crates/emulator/src/engine/schedule.rs
@@ -1,4 +1,4 @@
-//! Choosing what the next step of an engine computes.
+//! Scheduling of the engine's steps: admission, preemption and chunked prefill.
 
 use super::{
     core::{EngineCore, PrefillChunk, Step},
@@ -13,14 +13,14 @@
             return;
         }
         self.admit(now);
-        self.make_room_to_decode();
+        self.preempt_until_decoding_fits();
         if self.running.is_empty() {
             return;
         }
         let decoding: Vec<SequenceId> = self
             .running
             .iter()
-            .filter(|sequence| sequence.prefill_left() == 0)
+            .filter(|sequence| sequence.remaining_prefill_tokens() == 0)
             .map(Sequence::id)
             .collect();
         let prefills = self.plan_prefills();
@@ -28,13 +28,13 @@
         let decoding_count = u32::try_from(decoding.len()).unwrap_or(u32::MAX);
         let micros = self.model.step_duration(prefill_tokens, decoding_count);
         self.step = Some(Step {
-            ends_at: now + self.faults.stretch(micros),
+            ends_at: now + self.faults.slowed_micros(micros),
             decoding,
             prefills,
         });
     }
 
-    /// Moves waiting requests into the batch, the most urgent first.
+    /// Admits waiting requests to the running batch, most urgent first.
     fn admit(&mut self, now: Time) {
         self.waiting.sort_unstable_by_key(Sequence::urgency);
         let mut position = 0;
@@ -43,18 +43,19 @@
                 position += 1;
                 continue;
             }
-            if !self.make_room_for(position) {
-                // Nothing less urgent may overtake for want of memory.
+            if !self.preempt_until_fits(position) {
+                // A less urgent request must not overtake a request that waits for memory.
                 break;
             }
             let mut sequence = self.waiting.remove(position);
-            self.use_cache(&mut sequence);
+            self.apply_prefix_cache(&mut sequence);
             self.running.push(sequence);
         }
     }
 
-    /// Preempts less urgent sequences until the waiting one fits.
-    fn make_room_for(&mut self, position: usize) -> bool {
+    /// Preempts sequences of lower priority until the waiting sequence at `position` fits;
+    /// returns whether it fits.
+    fn preempt_until_fits(&mut self, position: usize) -> bool {
         let priority = self.waiting[position].priority();
         let needed = self.waiting[position].context_tokens() + 1;
         loop {
@@ -64,7 +65,8 @@
                 return true;
             }
             let least_urgent = self.least_urgent_running();
-            let preemptible = least_urgent.filter(|one| self.running[*one].priority() > priority);
+            let preemptible =
+                least_urgent.filter(|index| self.running[*index].priority() > priority);
             let Some(victim) = preemptible else {
                 return false;
             };
@@ -72,8 +74,8 @@
         }
     }
 
-    /// Preempts until every decoding sequence can grow by a token.
-    fn make_room_to_decode(&mut self) {
+    /// Preempts sequences until each remaining one can grow by a token.
+    fn preempt_until_decoding_fits(&mut self) {
         while self.running.len() > 1 {
             let growth = u32::try_from(self.running.len()).unwrap_or(u32::MAX);
             if self.reserved_tokens() + growth <= self.model.kv_capacity_tokens {
@@ -87,10 +89,11 @@
     }
 
     fn least_urgent_running(&self) -> Option<usize> {
-        (0..self.running.len()).max_by_key(|one| self.running[*one].urgency())
+        (0..self.running.len()).max_by_key(|index| self.running[*index].urgency())
     }
 
-    /// Puts a running sequence back; its KV cache is lost, its tokens are kept.
+    /// Moves a running sequence back to the queue; its KV cache is lost, its generated tokens
+    /// are retained.
     fn preempt(&mut self, position: usize) {
         let mut sequence = self.running.remove(position);
         sequence.computed_tokens = 0;
@@ -101,13 +104,13 @@
         self.waiting.push(sequence);
     }
 
-    fn use_cache(&mut self, sequence: &mut Sequence) {
+    fn apply_prefix_cache(&mut self, sequence: &mut Sequence) {
         if sequence.computed_tokens > 0 {
             return;
         }
         let blocks = self.cache.lookup(&sequence.request.prefix_hashes);
         let cached = u32::try_from(blocks).unwrap_or(0) * BLOCK_TOKENS;
-        // The last token of the context is always computed: it gives the next one.
+        // The last token of the context is always computed, since its output is the next token.
         let usable = cached.min(sequence.context_tokens().saturating_sub(1));
         sequence.computed_tokens = usable;
         sequence.cached_tokens += usable;
@@ -118,12 +121,12 @@
     }
 
     fn plan_prefills(&self) -> Vec<PrefillChunk> {
-        let online_runs = self
+        let online_running = self
             .running
             .iter()
             .any(|sequence| sequence.priority() == Priority::Online);
         let mut budget = self.model.prefill_budget_tokens;
-        let mut batch_budget = if online_runs {
+        let mut batch_budget = if online_running {
             self.model.batch_prefill_budget_tokens.min(budget)
         } else {
             budget
@@ -131,7 +134,7 @@
         let mut order: Vec<&Sequence> = self
             .running
             .iter()
-            .filter(|sequence| sequence.prefill_left() > 0)
+            .filter(|sequence| sequence.remaining_prefill_tokens() > 0)
             .collect();
         order.sort_unstable_by_key(|sequence| sequence.urgency());
         let mut chunks = Vec::new();
@@ -140,7 +143,7 @@
                 Priority::Online => budget,
                 Priority::Batch => budget.min(batch_budget),
             };
-            let tokens = sequence.prefill_left().min(allowed);
+            let tokens = sequence.remaining_prefill_tokens().min(allowed);
             if tokens == 0 {
                 continue;
             }
--- a/crates/emulator/src/engine/sequence.rs
+++ b/crates/emulator/src/engine/sequence.rs
@@ -1,4 +1,4 @@
-//! One request's progress inside an engine.
+//! Progress of a request in an engine.
 
 use super::request::{EngineRequest, Priority, SequenceId};
 use crate::Time;
@@ -7,19 +7,19 @@
 #[derive(Debug)]
 pub(super) struct Sequence {
     pub(super) request: EngineRequest,
-    /// Order of arrival.
+    /// Sequence number of arrival, the second sort key of scheduling.
     pub(super) arrival: u64,
-    /// It can not run earlier (KV import under way).
+    /// When the KV import ends; the request can not run earlier.
     pub(super) ready_at: Time,
     /// Index of the next token of the answer.
     pub(super) next_index: u32,
-    /// Tokens of the whole answer.
+    /// Tokens of the complete answer.
     pub(super) answer_tokens: u32,
-    /// Tokens of the context whose KV is in memory.
+    /// Tokens of the context that are in KV memory.
     pub(super) computed_tokens: u32,
-    /// Tokens decoded since it was submitted here.
+    /// Tokens that this engine decoded for the request.
     pub(super) decoded_here: u32,
-    /// Prompt tokens that the prefix cache saved.
+    /// Tokens found in the prefix cache, summed over all admissions.
     pub(super) cached_tokens: u32,
 }
 
@@ -32,18 +32,18 @@
         self.request.priority
     }
 
-    /// Sorts the most urgent first.
+    /// Sort key: the most urgent sequence has the lowest.
     pub(super) fn urgency(&self) -> (Priority, u64) {
         (self.request.priority, self.arrival)
     }
 
-    /// Prompt and produced tokens: what must be in KV memory to decode.
+    /// Prompt tokens and generated tokens, which must be in KV memory to decode.
     pub(super) fn context_tokens(&self) -> u32 {
         self.request.prompt_tokens + self.next_index
     }
 
-    /// Tokens still to prefill.
-    pub(super) fn prefill_left(&self) -> u32 {
+    /// Tokens of the context that are not in KV memory.
+    pub(super) fn remaining_prefill_tokens(&self) -> u32 {
         self.context_tokens().saturating_sub(self.computed_tokens)
     }
 }
--- a/crates/emulator/src/engine/server/answers.rs
+++ b/crates/emulator/src/engine/server/answers.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of answers and of the emulator's own switches.
+//! JSON bodies of replies and of the emulator's control paths.
 
 use linnethitch_protocol::fleet::{EngineRole, EngineState};
 use serde::{Deserialize, Serialize};
--- a/crates/emulator/src/engine/server/bodies.rs
+++ b/crates/emulator/src/engine/server/bodies.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests to an engine.
+//! JSON bodies of requests to an engine.
 
 use linnethitch_protocol::{
     command::EngineOrder,
@@ -12,7 +12,7 @@
     engine::KvHandle,
 };
 
-/// The body of a chat or text completion; unknown members are ignored.
+/// The body of a chat or text completion request; unknown members are ignored.
 #[derive(Debug, Deserialize)]
 pub(super) struct CompletionBody {
     pub(super) model: String,
@@ -64,7 +64,7 @@
     include_usage: bool,
 }
 
-/// Output delivered by an earlier run.
+/// Output that an earlier run delivered.
 #[derive(Debug, Deserialize)]
 pub(super) struct Resume {
     pub(super) text: String,
@@ -81,7 +81,7 @@
 }
 
 impl CompletionBody {
-    /// The prompt in its canonical form; `None` when the body has none.
+    /// The prompt in its canonical form; `None` if the body has neither messages nor prompt.
     pub(super) fn canonical_prompt(&self) -> Option<String> {
         if let Some(messages) = &self.messages {
             let texts: Vec<String> = messages
@@ -111,18 +111,18 @@
     }
 }
 
-/// The body of a KV export.
+/// The body of a KV export request.
 #[derive(Debug, Deserialize)]
 pub(super) struct ExportBody {
     pub(super) request_id: String,
 }
 
-/// A handle as text: `kv-PROMPT-TOKENS`.
+/// Formats a handle as `kv-PROMPT-TOKENS`.
 pub(super) fn format_handle(handle: &KvHandle) -> String {
     format!("kv-{:016x}-{}", handle.prompt.0, handle.tokens)
 }
 
-/// Reads a handle's text.
+/// Parses the text of a handle.
 pub(super) fn parse_handle(text: &str) -> Option<KvHandle> {
     let (prompt, tokens) = text.strip_prefix("kv-")?.split_once('-')?;
     Some(KvHandle {
--- a/crates/emulator/src/engine/server/mod.rs
+++ b/crates/emulator/src/engine/server/mod.rs
@@ -1,4 +1,4 @@
-//! The emulated engine behind its HTTP interface.
+//! HTTP server of the emulated engine.
 
 mod answers;
 mod bodies;
@@ -16,27 +16,27 @@
 use super::{Fault, model::EngineModel};
 use crate::{answer::PromptKey, http::Server};
 
-/// How to start an engine.
+/// Settings of an emulated engine.
 #[derive(Clone, Debug)]
 pub struct EngineSettings {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// The machine's name.
+    /// Name of the machine.
     pub name: String,
-    /// The machine's zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// Speed and memory.
+    /// Speed and capacity.
     pub model: EngineModel,
-    /// What is loaded at the start.
+    /// Model, adapters and role that are loaded at the start.
     pub state: EngineState,
-    /// How many times as fast as real time the engine runs.
+    /// Factor by which the engine runs faster than real time.
     pub time_compression: u32,
-    /// Seeds the losses of cache events.
+    /// Seed of the random losses of cache events.
     pub seed: u64,
 }
 
 impl EngineSettings {
-    /// An engine on a loopback port that the system chooses, with nothing loaded.
+    /// Settings of an engine on a loopback port that the system chooses, with nothing loaded.
     #[must_use]
     pub fn new(name: &str, zone: &str) -> EngineSettings {
         EngineSettings {
@@ -56,7 +56,7 @@
     server: Arc<Server<EngineService>>,
     settings: EngineSettings,
     driver: JoinHandle<()>,
-    undertaker: JoinHandle<()>,
+    death_monitor: JoinHandle<()>,
 }
 
 impl EngineServer {
@@ -68,28 +68,28 @@
         let service = Arc::new(EngineService::new(&settings));
         let server = Arc::new(Server::start(settings.listen, Arc::clone(&service)).await?);
         let driver = tokio::spawn(Arc::clone(&service).drive());
-        let undertaker = tokio::spawn(stop_when_dead(Arc::clone(&server), service));
+        let death_monitor = tokio::spawn(stop_when_dead(Arc::clone(&server), service));
         Ok(EngineServer {
             server,
             settings,
             driver,
-            undertaker,
+            death_monitor,
         })
     }
 
-    /// Where it listens.
+    /// The address that the engine listens on, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// How it was started.
+    /// The settings with which the engine was started.
     #[must_use]
     pub fn settings(&self) -> &EngineSettings {
         &self.settings
     }
 
-    /// Sets a fault switch. A dead engine is brought back by [`EngineServer::restart`].
+    /// Injects a fault. [`EngineServer::restart`] restarts a dead engine.
     pub fn inject(&self, fault: Fault) {
         self.service().inject(fault);
         if fault == Fault::Die {
@@ -97,53 +97,53 @@
         }
     }
 
-    /// Sets whether the engine says that it is leaving.
+    /// Sets whether the engine announces that it is leaving.
     pub fn set_leaving(&self, leaving: bool) {
         self.service().set_leaving(leaving);
     }
 
-    /// Starts a dead engine's process again: same port, state of the settings,
-    /// nothing running, an empty cache.
+    /// Restarts the engine on the same port, with the state of the settings, no requests
+    /// and an empty cache.
     ///
     /// # Errors
-    /// The port can not be bound any more.
+    /// The port can no longer be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.stop();
         self.service().reset(&self.settings);
         self.server.restart().await
     }
 
-    /// Waits until a fault has killed the engine.
+    /// Waits until [`Fault::Die`] stops the engine.
     pub async fn died(&self) {
         self.service().died().await;
     }
 
-    /// What is loaded.
+    /// The loaded model, adapters, role and fence.
     #[must_use]
     pub fn state(&self) -> EngineState {
         self.service().state()
     }
 
-    /// The load at this moment, without lag.
+    /// The current load, without the report lag.
     #[must_use]
     pub fn true_load(&self) -> LoadReport {
         self.service().true_load()
     }
 
-    /// How often a request of this id was started.
+    /// Number of starts of requests with this id.
     #[must_use]
     pub fn executions_of_request(&self, request: &str) -> u64 {
         self.service().executions_of(request)
     }
 
-    /// How often a request with this prompt was started.
+    /// Number of starts of requests with this prompt.
     #[must_use]
     pub fn executions_of_prompt(&self, prompt: PromptKey) -> u64 {
         self.service()
             .executions_of(&service::prompt_execution_key(prompt))
     }
 
-    /// How many requests were started in all.
+    /// Number of starts of all requests.
     #[must_use]
     pub fn executions(&self) -> u64 {
         self.service().executions()
@@ -157,7 +157,7 @@
 impl Drop for EngineServer {
     fn drop(&mut self) {
         self.driver.abort();
-        self.undertaker.abort();
+        self.death_monitor.abort();
         self.server.stop();
     }
 }
@@ -166,6 +166,6 @@
     loop {
         service.died().await;
         server.stop();
-        service.revived().await;
+        service.recovered().await;
     }
 }
--- a/crates/emulator/src/engine/server/output.rs
+++ b/crates/emulator/src/engine/server/output.rs
@@ -1,4 +1,4 @@
-//! The output of one request on its way to its caller.
+//! The output of a request from the engine to its caller.
 
 use std::{collections::VecDeque, sync::Arc, time::Instant};
 
@@ -7,38 +7,38 @@
 use super::service::EngineService;
 use crate::engine::{FinishReason, SequenceId};
 
-/// Something of a request's output.
+/// An item of a request's output.
 #[derive(Debug)]
 pub(super) struct OutputItem {
-    /// It may not leave earlier.
+    /// Earliest time at which the item may be sent.
     pub(super) release_at: Option<Instant>,
-    /// It is to be swapped with its neighbour.
+    /// Whether to swap the item with the next one.
     pub(super) out_of_order: bool,
-    /// A token of another request is to be put before it.
+    /// Whether to insert a token of another request before the item.
     pub(super) stray: bool,
     pub(super) kind: OutputKind,
 }
 
-/// What it is.
+/// The content of an output item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum OutputKind {
-    /// A token; the last one says why the answer ends.
+    /// A token; the last one has the finish reason.
     Token {
         index: u32,
         finish: Option<FinishReason>,
     },
     /// A token of another request's answer.
     Stray { index: u32 },
-    /// The whole answer is out.
+    /// The answer is complete.
     End {
         reason: FinishReason,
         cached_tokens: u32,
     },
-    /// The stream broke.
+    /// A fault broke the stream; `cleanly` if it ends as if the answer were complete.
     Broken { cleanly: bool },
 }
 
-/// Receives a request's output; cancels the request when dropped.
+/// Receives the output of a request; cancels the request when dropped.
 pub(super) struct OutputReceiver {
     service: Arc<EngineService>,
     id: SequenceId,
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The next item; `None` when the request was cancelled or the engine died.
+    /// The next item; `None` if the request was cancelled or the engine died.
     pub(super) async fn next(&mut self) -> Option<OutputKind> {
         if let Some(kind) = self.ready.pop_front() {
             return Some(kind);
--- a/crates/emulator/src/engine/server/reply.rs
+++ b/crates/emulator/src/engine/server/reply.rs
@@ -1,4 +1,4 @@
-//! Answers of an engine, streamed and whole.
+//! Completion responses of an engine, streamed and non-streamed.
 
 use std::{
     io,
@@ -13,12 +13,12 @@
 use super::output::{OutputKind, OutputReceiver};
 use crate::{answer::PromptKey, engine::FinishReason};
 
-/// The id in the chunks of another request's answer.
+/// The request id in the chunks that [`Fault::Stray`](crate::engine::Fault::Stray) inserts.
 const STRAY_REQUEST: &str = "req_of_another_caller";
 /// The last event of a stream.
 const DONE: &[u8] = b"data: [DONE]\n\n";
 
-/// Which of OpenAI's two forms an answer has.
+/// Which of the two completion APIs of OpenAI an answer follows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Form {
     /// `/v1/chat/completions`
@@ -27,7 +27,7 @@
     Text,
 }
 
-/// What stays the same over an answer.
+/// Data shared by all chunks of an answer.
 #[derive(Clone, Debug)]
 pub(super) struct AnswerHead {
     pub(super) request: String,
@@ -35,14 +35,14 @@
     pub(super) form: Form,
     pub(super) prompt: PromptKey,
     pub(super) prompt_tokens: u32,
-    /// Index of the first token that this run gives.
+    /// Index of the first token that this run generates.
     pub(super) first_index: u32,
     pub(super) include_usage: bool,
     /// Seconds since the Unix epoch.
     pub(super) created: u64,
 }
 
-/// The current time as OpenAI's `created`.
+/// The current time for OpenAI's `created`, in seconds since the Unix epoch.
 pub(super) fn created_now() -> u64 {
     SystemTime::now()
         .duration_since(UNIX_EPOCH)
@@ -183,9 +183,9 @@
     bytes.into()
 }
 
-/// The error that breaks a connection, once the server has sent what came before it:
-/// it sends when its body has nothing for it, and drops what it holds on an error.
-pub(super) async fn broken() -> io::Error {
+/// Returns the error that breaks a connection. Yields once before: the server sends its
+/// buffer when the body is pending, and drops the buffer on an error.
+pub(super) async fn connection_reset() -> io::Error {
     tokio::task::yield_now().await;
     io::ErrorKind::ConnectionReset.into()
 }
@@ -241,12 +241,13 @@
             Some(OutputKind::Broken { cleanly: true }) => return None,
             Some(OutputKind::Broken { cleanly: false }) | None => {
                 self.ended = true;
-                Err(broken().await)
+                Err(connection_reset().await)
             }
         })
     }
 
-    /// What follows the last token.
+    /// The events after the last token: the finish reason unless it was sent, usage and
+    /// `[DONE]`.
     fn end(&self, reason: FinishReason, cached_tokens: u32) -> Bytes {
         let mut bytes = Vec::new();
         if !self.finished {
@@ -261,19 +262,19 @@
     }
 }
 
-/// Waits for a whole answer and gives its JSON body.
+/// Waits for the complete answer and returns its JSON body.
 ///
 /// # Errors
-/// The request broke; with what came before it the answer would be cut short.
-pub(super) async fn whole_answer(
+/// The request ended before the answer was complete.
+pub(super) async fn complete_answer(
     head: &AnswerHead,
     mut output: OutputReceiver,
-) -> Result<Vec<u8>, CutShort> {
+) -> Result<Vec<u8>, IncompleteAnswer> {
     let mut text = String::new();
     let mut next_index = head.first_index;
     loop {
         match output.next().await {
-            // A whole answer is put in order by its engine.
+            // The tokens of a non-streamed answer are always in order.
             Some(OutputKind::Token { .. }) => {
                 text.push_str(&head.prompt.token_text(next_index));
                 next_index += 1;
@@ -284,18 +285,18 @@
                 cached_tokens,
             }) => {
                 let usage = Usage::new(head.prompt_tokens, next_index, cached_tokens);
-                return Ok(whole_body(head, &text, reason, usage));
+                return Ok(complete_body(head, &text, reason, usage));
             }
-            Some(OutputKind::Broken { .. }) | None => return Err(CutShort),
+            Some(OutputKind::Broken { .. }) | None => return Err(IncompleteAnswer),
         }
     }
 }
 
-/// A whole answer did not come to its end.
+/// The request ended before its answer was complete.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct CutShort;
+pub(super) struct IncompleteAnswer;
 
-fn whole_body(head: &AnswerHead, text: &str, reason: FinishReason, usage: Usage) -> Vec<u8> {
+fn complete_body(head: &AnswerHead, text: &str, reason: FinishReason, usage: Usage) -> Vec<u8> {
     let chat = head.form == Form::Chat;
     let message = Message {
         role: Some("assistant"),
--- a/crates/emulator/src/engine/server/routes.rs
+++ b/crates/emulator/src/engine/server/routes.rs
@@ -1,4 +1,4 @@
-//! The paths of an engine's HTTP interface.
+//! Routes of the engine's HTTP interface.
 
 use std::{io, sync::Arc};
 
@@ -12,7 +12,7 @@
 use super::{
     answers::{CacheEventsBody, CancelBody, HandleBody, LeavingBody, StatusBody},
     bodies::{CompletionBody, ExportBody, OrderBody, format_handle, parse_handle},
-    reply::{AnswerHead, Form, broken, created_now, stream_answer, whole_answer},
+    reply::{AnswerHead, Form, complete_answer, connection_reset, created_now, stream_answer},
     service::EngineService,
 };
 use crate::{
@@ -34,13 +34,13 @@
         if let Some(control) = path.strip_prefix("/emulator/") {
             return self.control(control, request).await.into();
         }
-        self.while_hung().await;
+        self.wait_while_hung().await;
         let mut response = match (request.method.clone(), path.as_str()) {
             (Method::POST, "/v1/chat/completions") => self.complete(Form::Chat, request).await,
             (Method::POST, "/v1/completions") => self.complete(Form::Text, request).await,
-            (method, path) => self.administer(&method, path, request).await.into(),
+            (method, path) => self.manage(&method, path, request).await.into(),
         };
-        self.while_hung().await;
+        self.wait_while_hung().await;
         self.add_headers(&mut response);
         response
     }
@@ -74,7 +74,7 @@
             return invalid("the body has neither messages nor prompt");
         };
         let request_id = header_text(&headers, REQUEST_HEADER)
-            .map_or_else(|| self.name_request(), str::to_owned);
+            .map_or_else(|| self.generate_request_id(), str::to_owned);
         let batch = header_text(&headers, PRIORITY_HEADER) == Some("batch");
         let priority = if batch {
             Priority::Batch
@@ -100,14 +100,14 @@
                 .with_header(REQUEST_HEADER, head.request)
                 .into(),
             Ok(output) if body.stream => streamed(head, output),
-            Ok(output) => match whole_answer(&head, output).await {
-                Ok(bytes) => answered(&head, "application/json", Body::new(full(bytes))),
+            Ok(output) => match complete_answer(&head, output).await {
+                Ok(bytes) => answered(&head, "application/json", Body::new(full_body(bytes))),
                 Err(_) => answered(&head, "application/json", broken_body()),
             },
         }
     }
 
-    async fn administer(&self, method: &Method, path: &str, request: IncomingRequest) -> Reply {
+    async fn manage(&self, method: &Method, path: &str, request: IncomingRequest) -> Reply {
         match (method, path) {
             (&Method::GET, "/healthz") => Reply::json(&"ok"),
             (&Method::GET, "/engine/load") => Reply::json(&self.load_body()),
@@ -163,7 +163,7 @@
         }
     }
 
-    /// The switches of the emulator itself; they work in any state but death.
+    /// The control paths of the emulator; they work unless the engine is dead.
     async fn control(&self, path: &str, request: IncomingRequest) -> Reply {
         match (request.method.clone(), path) {
             (Method::POST, "faults") => match request.into_json::<Fault>().await {
@@ -262,15 +262,15 @@
         .unwrap_or_else(|error| invalid(&error.to_string()))
 }
 
-fn full(bytes: Vec<u8>) -> impl http_body::Body<Data = Bytes, Error = io::Error> {
+fn full_body(bytes: Vec<u8>) -> impl http_body::Body<Data = Bytes, Error = io::Error> {
     use http_body_util::BodyExt;
     http_body_util::Full::new(Bytes::from(bytes)).map_err(|never| match never {})
 }
 
-/// A body that breaks its connection after its first bytes.
+/// A body that breaks its connection after the first bytes.
 fn broken_body() -> Body {
     let first = Ok(Frame::data(Bytes::from_static(b"{\"id\":")));
     let first = futures_util::stream::iter([first]);
-    let end = futures_util::stream::once(async { Err(broken().await) });
+    let end = futures_util::stream::once(async { Err(connection_reset().await) });
     Body::new(StreamBody::new(first.chain(end)))
 }
--- a/crates/emulator/src/engine/server/service.rs
+++ b/crates/emulator/src/engine/server/service.rs
@@ -1,4 +1,4 @@
-//! The core in real time: submissions in, tokens out to their streams.
+//! Runs the engine core in real time and sends tokens to the streams of the requests.
 
 use std::{
     collections::{HashMap, VecDeque},
@@ -30,15 +30,15 @@
     executions::Executions,
 };
 
-/// How often a request to a hung engine looks whether it goes on.
+/// Interval at which a request to a hung engine checks for recovery.
 const HANG_POLL: Duration = Duration::from_millis(20);
 
-/// The key under which starts of a prompt are counted.
+/// The key under which the starts of a prompt are counted.
 pub(super) fn prompt_execution_key(prompt: PromptKey) -> String {
     format!("prompt:{:016x}", prompt.0)
 }
 
-/// The engine of one server.
+/// The core of an engine and its open requests.
 pub(super) struct EngineService {
     name: String,
     clock: CompressedClock,
@@ -47,7 +47,7 @@
     dead: watch::Sender<bool>,
 }
 
-/// What the lock guards.
+/// The state behind the lock.
 struct Inner {
     core: EngineCore,
     outputs: HashMap<SequenceId, Output>,
@@ -55,12 +55,12 @@
     exported: VecDeque<(String, SequenceId)>,
     executions: Executions,
     last_id: u64,
-    /// Requests that came without an id.
-    unnamed: u64,
+    /// Number of request ids generated so far.
+    generated_request_ids: u64,
     events: Vec<EngineEvent>,
 }
 
-/// Where the tokens of a request go.
+/// Channel to the stream of a request.
 struct Output {
     sender: mpsc::UnboundedSender<OutputItem>,
     request: String,
@@ -78,7 +78,7 @@
                 exported: VecDeque::new(),
                 executions: Executions::default(),
                 last_id: 0,
-                unnamed: 0,
+                generated_request_ids: 0,
                 events: Vec::new(),
             }),
             wake: Notify::new(),
@@ -86,7 +86,7 @@
         }
     }
 
-    /// Forgets everything but the counts of executions.
+    /// Resets the engine to its settings, except for the counts of executions.
     pub(super) fn reset(&self, settings: &EngineSettings) {
         let mut inner = self.inner.lock();
         inner.core = new_core(settings);
@@ -98,7 +98,7 @@
         self.wake.notify_one();
     }
 
-    /// Advances the core whenever it has something to do.
+    /// Advances the core whenever its next event is due.
     pub(super) async fn drive(self: Arc<Self>) {
         loop {
             let next = {
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Takes a request on; its output ends with the receiver.
+    /// Submits a request; dropping the receiver cancels it.
     pub(super) fn submit(
         self: &Arc<Self>,
         request_id: &str,
@@ -138,7 +138,7 @@
         inner.executions.record(request_id);
         inner.executions.record(&prompt_execution_key(prompt));
         if prefill_only {
-            inner.remember_export(request_id, id);
+            inner.record_export(request_id, id);
         }
         let (sender, receiver) = mpsc::unbounded_channel();
         let request = request_id.to_owned();
@@ -149,21 +149,21 @@
         Ok(OutputReceiver::new(Arc::clone(self), id, receiver))
     }
 
-    /// Drops a request if it is still there.
+    /// Cancels a request and returns whether it was present.
     pub(super) fn cancel(&self, id: SequenceId) -> bool {
         let mut inner = self.inner.lock();
-        inner.forget(id);
+        inner.remove_output(id);
         inner.core.cancel(id)
     }
 
-    /// Drops the request that a caller named.
+    /// Cancels the request with the given request id and returns whether it was present.
     pub(super) fn cancel_request(&self, request: &str) -> bool {
         let id = self.inner.lock().by_request.get(request).copied();
         id.is_some_and(|id| self.cancel(id))
     }
 
-    /// Returns once the engine does not hang.
-    pub(super) async fn while_hung(&self) {
+    /// Waits while the engine is hung.
+    pub(super) async fn wait_while_hung(&self) {
         while self.inner.lock().core.faults().hung {
             sleep(HANG_POLL).await;
         }
@@ -184,11 +184,11 @@
     }
 
     pub(super) async fn died(&self) {
-        // The sender lives in `self`, so waiting can not fail.
+        // `self` owns the sender, so waiting can not fail.
         let _ = self.dead.subscribe().wait_for(|dead| *dead).await;
     }
 
-    pub(super) async fn revived(&self) {
+    pub(super) async fn recovered(&self) {
         let _ = self.dead.subscribe().wait_for(|dead| !*dead).await;
     }
 
@@ -212,11 +212,11 @@
         self.inner.lock().core.set_leaving(leaving);
     }
 
-    /// An id for a request that came without one.
-    pub(super) fn name_request(&self) -> String {
+    /// Generates an id for a request without one.
+    pub(super) fn generate_request_id(&self) -> String {
         let mut inner = self.inner.lock();
-        inner.unnamed += 1;
-        format!("{}-{}", self.name, inner.unnamed)
+        inner.generated_request_ids += 1;
+        format!("{}-{}", self.name, inner.generated_request_ids)
     }
 
     pub(super) fn state(&self) -> EngineState {
@@ -227,7 +227,7 @@
         self.inner.lock().core.true_load()
     }
 
-    /// The newest readable load report, its time since the Unix epoch.
+    /// The newest readable load report, with its time since the Unix epoch.
     pub(super) fn load_report(&self) -> LoadReport {
         let mut report = self.inner.lock().core.load_report(self.clock.now());
         report.measured_at = self.clock.timestamp(report.measured_at);
@@ -239,7 +239,7 @@
     }
 
     pub(super) fn executions_of(&self, key: &str) -> u64 {
-        self.inner.lock().executions.of(key)
+        self.inner.lock().executions.count(key)
     }
 
     pub(super) fn executions(&self) -> u64 {
@@ -272,7 +272,7 @@
     ) {
         match event {
             EngineEvent::Token { at, id, index } => {
-                // The last token and the end of the answer go out as one chunk.
+                // The last token and the finish reason are sent in one chunk.
                 let finish = match next {
                     Some(EngineEvent::Finished {
                         id: ended, reason, ..
@@ -296,18 +296,18 @@
                     cached_tokens,
                 };
                 self.send(id, self.release(clock.instant(at)), kind);
-                self.forget(id);
+                self.remove_output(id);
             }
             EngineEvent::Broken { at, id } => {
                 let cleanly = self.core.faults().drop_cleanly;
                 self.send(id, clock.instant(at), OutputKind::Broken { cleanly });
-                self.forget(id);
+                self.remove_output(id);
             }
             EngineEvent::Preempted { .. } => {}
         }
     }
 
-    /// When an item may leave under the fault of late answers.
+    /// Earliest time to send an item under [`Fault::Late`].
     fn release(&self, at: Instant) -> Option<Instant> {
         let late = self.core.faults().late_millis;
         (late > 0).then(|| at + Duration::from_millis(late))
@@ -316,7 +316,7 @@
     fn send(&self, id: SequenceId, release_at: impl Into<Option<Instant>>, kind: OutputKind) {
         if let Some(output) = self.outputs.get(&id) {
             let faults = self.core.faults();
-            // A receiver that is gone has cancelled, or is about to.
+            // A dropped receiver has cancelled the request or is about to.
             let _ = output.sender.send(OutputItem {
                 release_at: release_at.into(),
                 out_of_order: faults.out_of_order,
@@ -326,13 +326,13 @@
         }
     }
 
-    fn forget(&mut self, id: SequenceId) {
+    fn remove_output(&mut self, id: SequenceId) {
         if let Some(output) = self.outputs.remove(&id) {
             self.by_request.remove(&output.request);
         }
     }
 
-    fn remember_export(&mut self, request: &str, id: SequenceId) {
+    fn record_export(&mut self, request: &str, id: SequenceId) {
         if self.exported.len() >= self.core.model().max_exports {
             self.exported.pop_front();
         }
--- a/crates/emulator/src/engine/view.rs
+++ b/crates/emulator/src/engine/view.rs
@@ -1,4 +1,4 @@
-//! What others see of an engine and order it to do.
+//! Load reports, cache events, KV exports, orders and fault injection of the engine core.
 
 use linnethitch_protocol::{
     command::EngineOrder,
@@ -16,7 +16,7 @@
 use crate::Time;
 
 impl EngineCore {
-    /// The newest load report that is as old as the model's lag.
+    /// The newest load report that is at least as old as the report lag of the model.
     #[must_use]
     pub fn load_report(&self, now: Time) -> LoadReport {
         let readable = now - self.model.report_lag_micros;
@@ -27,47 +27,56 @@
         let Some(position) = newest else {
             return LoadReport {
                 measured_at: Timestamp(readable.as_millis()),
-                ..self.measure_idle()
+                ..self.idle_load()
             };
         };
-        // Without a later sample nothing changed since, up to the lag.
-        let holds_until = self
+        // The sample is valid until the next one, or up to the lag if there is none.
+        let valid_until = self
             .samples
             .get(position + 1)
             .map_or(readable, |next| next.at.min(readable));
         LoadReport {
-            measured_at: Timestamp(holds_until.as_millis()),
+            measured_at: Timestamp(valid_until.as_millis()),
             ..self.samples[position].report
         }
     }
 
-    /// The load at this moment, which no real caller can see.
+    /// The current load without the report lag, for tests and experiments.
     #[must_use]
     pub fn true_load(&self) -> LoadReport {
         let count = |priority| {
-            let running = self.running.iter().filter(|one| one.priority() == priority);
+            let running = self
+                .running
+                .iter()
+                .filter(|sequence| sequence.priority() == priority);
             u32::try_from(running.count()).unwrap_or(u32::MAX)
         };
         let all = self.running.iter().chain(&self.waiting);
-        let batch = all.clone().filter(|one| one.priority() == Priority::Batch);
+        let batch = all
+            .clone()
+            .filter(|sequence| sequence.priority() == Priority::Batch);
         let waiting_batch = self
             .waiting
             .iter()
-            .filter(|one| one.priority() == Priority::Batch);
+            .filter(|sequence| sequence.priority() == Priority::Batch);
         LoadReport {
             measured_at: Timestamp(self.clock.as_millis()),
             running_online: count(Priority::Online),
             running_batch: count(Priority::Batch),
             waiting: u32::try_from(self.waiting.len()).unwrap_or(u32::MAX),
-            queued_prefill_tokens: all.map(Sequence::prefill_left).sum(),
+            queued_prefill_tokens: all.map(Sequence::remaining_prefill_tokens).sum(),
             waiting_batch: u32::try_from(waiting_batch.count()).unwrap_or(u32::MAX),
-            queued_batch_prefill_tokens: batch.map(Sequence::prefill_left).sum(),
-            kv_used_tokens: self.running.iter().map(|one| one.computed_tokens).sum(),
-            ..self.measure_idle()
+            queued_batch_prefill_tokens: batch.map(Sequence::remaining_prefill_tokens).sum(),
+            kv_used_tokens: self
+                .running
+                .iter()
+                .map(|sequence| sequence.computed_tokens)
+                .sum(),
+            ..self.idle_load()
         }
     }
 
-    fn measure_idle(&self) -> LoadReport {
+    fn idle_load(&self) -> LoadReport {
         LoadReport {
             kv_capacity_tokens: self.model.kv_capacity_tokens,
             max_running: self.model.max_running,
@@ -90,14 +99,14 @@
         }
     }
 
-    /// The cache events after a sequence number that can be read by now.
+    /// The cache events after a sequence number that are at least as old as the event lag at `now`.
     #[must_use]
     pub fn cache_events(&self, now: Time, after: u64) -> Vec<CacheEvent> {
         let until = now - self.model.cache_event_lag_micros;
         self.cache.events(after, until)
     }
 
-    /// The KV cache of a prefill-only request, if it is still kept.
+    /// The handle of the KV cache of a prefill-only request, if it is still stored.
     #[must_use]
     pub fn export(&self, id: SequenceId) -> Option<KvHandle> {
         self.exports
@@ -106,8 +115,8 @@
             .map(|export| export.handle.clone())
     }
 
-    /// Accepts a fenced order; whether its token was not below the highest seen.
-    /// The order of the highest token, sent again, changes nothing.
+    /// Accepts a fenced order unless its token is below the highest received one, and returns
+    /// whether it was accepted. A repeated order with the highest token has no effect.
     pub fn order(&mut self, now: Time, token: FencingToken, order: EngineOrder) -> bool {
         self.clock = self.clock.max(now);
         if token < self.state.fence {
@@ -121,18 +130,18 @@
         true
     }
 
-    /// Sets whether the engine says that it is leaving.
+    /// Sets whether the engine announces that it is leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.state.leaving = leaving;
     }
 
-    /// Sets a fault switch.
+    /// Injects a fault.
     pub fn inject(&mut self, now: Time, fault: Fault) {
         let was_stopped = self.faults.stopped();
         self.clock = self.clock.max(now);
         self.faults.set(fault);
         if self.faults.dead {
-            self.forget_all();
+            self.clear_all();
         }
         if was_stopped && !self.faults.stopped() {
             self.step = None;
@@ -140,7 +149,7 @@
         }
     }
 
-    fn forget_all(&mut self) {
+    fn clear_all(&mut self) {
         self.waiting.clear();
         self.running.clear();
         self.step = None;
--- a/crates/emulator/src/executions.rs
+++ b/crates/emulator/src/executions.rs
@@ -1,11 +1,11 @@
-//! Counting what ran, so that tests can prove at-most-once.
+//! Counts of executions, with which tests check at-most-once execution.
 
 use std::{collections::HashMap, collections::VecDeque};
 
-/// Keys remembered; the oldest is forgotten beyond that.
+/// Maximum number of stored keys; the oldest key is removed when it is exceeded.
 const MAX_KEYS: usize = 1_000_000;
 
-/// How often each key was started, for the newest keys.
+/// Number of starts of each of the newest keys.
 #[derive(Debug, Default)]
 pub(crate) struct Executions {
     counts: HashMap<String, u64>,
@@ -14,7 +14,7 @@
 }
 
 impl Executions {
-    /// Counts one start.
+    /// Counts a start of the key.
     pub(crate) fn record(&mut self, key: &str) {
         self.total += 1;
         if let Some(count) = self.counts.get_mut(key) {
@@ -30,12 +30,12 @@
         self.order.push_back(key.to_owned());
     }
 
-    /// How often the key was started.
-    pub(crate) fn of(&self, key: &str) -> u64 {
+    /// Number of starts of the key; zero if the key was removed.
+    pub(crate) fn count(&self, key: &str) -> u64 {
         self.counts.get(key).copied().unwrap_or(0)
     }
 
-    /// All starts.
+    /// Number of starts of all keys, including removed ones.
     pub(crate) fn total(&self) -> u64 {
         self.total
     }
--- a/crates/emulator/src/http/connection.rs
+++ b/crates/emulator/src/http/connection.rs
@@ -1,4 +1,4 @@
-//! A TCP connection that can be broken from outside, as when its process dies.
+//! A TCP connection that a token can break, as when its process is killed.
 
 use std::{
     io,
@@ -12,10 +12,10 @@
 };
 use tokio_util::sync::{CancellationToken, WaitForCancellationFutureOwned};
 
-/// Fails every operation once its token is cancelled.
+/// Fails every read and write once its token is cancelled.
 pub(super) struct BreakableConnection {
     stream: TcpStream,
-    broken: Pin<Box<WaitForCancellationFutureOwned>>,
+    cancelled: Pin<Box<WaitForCancellationFutureOwned>>,
     token: CancellationToken,
 }
 
@@ -23,12 +23,12 @@
     pub(super) fn new(stream: TcpStream, token: CancellationToken) -> BreakableConnection {
         BreakableConnection {
             stream,
-            broken: Box::pin(token.clone().cancelled_owned()),
+            cancelled: Box::pin(token.clone().cancelled_owned()),
             token,
         }
     }
 
-    fn check(&self) -> io::Result<()> {
+    fn check_open(&self) -> io::Result<()> {
         if self.token.is_cancelled() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
@@ -42,7 +42,7 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.broken.as_mut().poll(context).is_ready() {
+        if self.cancelled.as_mut().poll(context).is_ready() {
             return Poll::Ready(Err(io::ErrorKind::ConnectionReset.into()));
         }
         Pin::new(&mut self.stream).poll_read(context, buffer)
@@ -55,12 +55,12 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.check()?;
+        self.check_open()?;
         Pin::new(&mut self.stream).poll_write(context, bytes)
     }
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.check()?;
+        self.check_open()?;
         Pin::new(&mut self.stream).poll_flush(context)
     }
 
--- a/crates/emulator/src/http/exchange.rs
+++ b/crates/emulator/src/http/exchange.rs
@@ -1,4 +1,4 @@
-//! Requests and replies of the stand-ins, apart from any server.
+//! Requests and replies of the emulators, independent of the server.
 
 use std::{io, sync::Arc};
 
@@ -8,12 +8,12 @@
 use http_body_util::{BodyExt, Full, Limited};
 use serde::{Serialize, de::DeserializeOwned};
 
-/// Largest body that a stand-in takes, in bytes.
+/// Maximum size of a request body, in bytes.
 const MAX_BODY_BYTES: usize = 64 * 1024 * 1024;
 
-/// What a stand-in does with a request.
+/// Handler of the requests to an emulator.
 pub(crate) trait Service: Send + Sync + 'static {
-    /// Answers one request. Dropping the future means that the caller is gone.
+    /// Answers a request. The future is dropped when the caller disconnects.
     fn respond(
         self: Arc<Self>,
         request: IncomingRequest,
@@ -29,7 +29,7 @@
 }
 
 impl IncomingRequest {
-    /// Takes a request out of gotham's state.
+    /// Takes the request out of gotham's state.
     pub(super) fn take_from(state: &mut State) -> IncomingRequest {
         IncomingRequest {
             method: state.take(),
@@ -39,7 +39,7 @@
         }
     }
 
-    /// A parameter of the query; values are taken as they stand.
+    /// The value of a query parameter, without percent-decoding.
     pub(crate) fn query(&self, name: &str) -> Option<&str> {
         self.uri
             .query()?
@@ -49,7 +49,7 @@
             .map(|(_, value)| value)
     }
 
-    /// The whole body.
+    /// Reads the complete body.
     pub(crate) async fn into_bytes(self) -> Result<Bytes, Reply> {
         Limited::new(self.body, MAX_BODY_BYTES)
             .collect()
@@ -58,7 +58,7 @@
             .map_err(|error| Reply::error(StatusCode::BAD_REQUEST, &error.to_string()))
     }
 
-    /// The whole body as JSON.
+    /// Reads the complete body as JSON.
     pub(crate) async fn into_json<T: DeserializeOwned>(self) -> Result<T, Reply> {
         let bytes = self.into_bytes().await?;
         serde_json::from_slice(&bytes)
@@ -66,12 +66,12 @@
     }
 }
 
-/// The text of a header, if it is there and is text.
+/// The value of a header, if it is present and valid text.
 pub(crate) fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name)?.to_str().ok()
 }
 
-/// An error body in OpenAI's form.
+/// An error body in the format of OpenAI.
 #[derive(Serialize)]
 struct ErrorBody<'a> {
     error: ErrorMembers<'a>,
@@ -84,7 +84,7 @@
     code: Option<&'a str>,
 }
 
-/// A reply whose body is whole.
+/// A reply that is not streamed.
 pub(crate) struct Reply {
     status: StatusCode,
     headers: Vec<(&'static str, String)>,
@@ -93,7 +93,7 @@
 }
 
 impl Reply {
-    /// A JSON body with status 200.
+    /// Creates a reply with a JSON body and status 200.
     pub(crate) fn json(body: &impl Serialize) -> Reply {
         Reply {
             status: StatusCode::OK,
@@ -103,7 +103,7 @@
         }
     }
 
-    /// An error body.
+    /// Creates a reply with an error body.
     pub(crate) fn error(status: StatusCode, message: &str) -> Reply {
         let kind = if status.is_server_error() {
             "server_error"
@@ -125,19 +125,17 @@
         Reply::error(StatusCode::NOT_FOUND, "no such path")
     }
 
-    /// Sets the status.
     pub(crate) fn with_status(mut self, status: StatusCode) -> Reply {
         self.status = status;
         self
     }
 
-    /// Adds a header.
     pub(crate) fn with_header(mut self, name: &'static str, value: impl Into<String>) -> Reply {
         self.headers.push((name, value.into()));
         self
     }
 
-    /// The reply as gotham sends it.
+    /// Converts the reply to a response for gotham.
     pub(crate) fn into_response(self) -> Response<Body> {
         let body = Full::new(self.body).map_err(|never| match never {});
         let mut builder = Response::builder()
@@ -148,7 +146,7 @@
         }
         builder
             .body(Body::new(body))
-            .unwrap_or_else(|error| unsendable(&error))
+            .unwrap_or_else(|error| invalid_response(&error))
     }
 }
 
@@ -158,8 +156,8 @@
     }
 }
 
-/// A header value that HTTP does not allow.
-fn unsendable(error: &http::Error) -> Response<Body> {
+/// The response that replaces a reply with an invalid header value.
+fn invalid_response(error: &http::Error) -> Response<Body> {
     let text = Full::new(Bytes::from(error.to_string()));
     let mut response = Response::new(Body::new(text.map_err(io::Error::other)));
     *response.status_mut() = StatusCode::INTERNAL_SERVER_ERROR;
--- a/crates/emulator/src/http/mod.rs
+++ b/crates/emulator/src/http/mod.rs
@@ -1,4 +1,4 @@
-//! What the stand-ins' HTTP servers share.
+//! HTTP server shared by the emulators.
 
 mod connection;
 mod exchange;
--- a/crates/emulator/src/http/server.rs
+++ b/crates/emulator/src/http/server.rs
@@ -1,4 +1,4 @@
-//! A gotham server that can be stopped as hard as a dying process.
+//! A gotham server that can stop abruptly, like a killed process.
 
 use std::{
     future::{self, Future},
@@ -22,107 +22,107 @@
     exchange::{IncomingRequest, Service},
 };
 
-/// A listening server; stops when dropped.
+/// A listening server. It can be stopped and restarted on the same port, and stops when
+/// dropped.
 pub(crate) struct Server<S> {
     service: Arc<S>,
     address: SocketAddr,
-    life: Mutex<Option<Life>>,
+    running: Mutex<Option<RunningServer>>,
 }
 
-/// From a bind to the next stop.
-struct Life {
+/// The accept task and the connections from a bind until the next stop.
+struct RunningServer {
     connections: CancellationToken,
-    accepting: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
 impl<S: Service> Server<S> {
-    /// Listens; port 0 lets the system choose one.
+    /// Binds and listens; with port 0 the system chooses the port.
     ///
     /// # Errors
     /// The address can not be bound.
     pub(crate) async fn start(listen: SocketAddr, service: Arc<S>) -> io::Result<Server<S>> {
         let listener = TcpListener::bind(listen).await?;
         let address = listener.local_addr()?;
-        let life = Life::begin(listener, Arc::clone(&service));
+        let running = RunningServer::begin(listener, Arc::clone(&service));
         Ok(Server {
             service,
             address,
-            life: Mutex::new(Some(life)),
+            running: Mutex::new(Some(running)),
         })
     }
 
-    /// Where it listens, with the real port.
+    /// The address that the server listens on, with the actual port.
     pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// What it serves.
     pub(crate) fn service(&self) -> &Arc<S> {
         &self.service
     }
 
     /// Closes the port and breaks every connection.
     pub(crate) fn stop(&self) {
-        drop(self.life.lock().take());
+        drop(self.running.lock().take());
     }
 
-    /// Listens again on the same port; nothing happens if it still does.
+    /// Listens again on the same port; does nothing if the server still listens.
     ///
     /// # Errors
-    /// The address can not be bound any more.
+    /// The address can no longer be bound.
     pub(crate) async fn restart(&self) -> io::Result<()> {
-        if self.life.lock().is_some() {
+        if self.running.lock().is_some() {
             return Ok(());
         }
         let listener = TcpListener::bind(self.address).await?;
-        *self.life.lock() = Some(Life::begin(listener, Arc::clone(&self.service)));
+        *self.running.lock() = Some(RunningServer::begin(listener, Arc::clone(&self.service)));
         Ok(())
     }
 }
 
-impl Life {
-    fn begin<S: Service>(listener: TcpListener, service: Arc<S>) -> Life {
+impl RunningServer {
+    fn begin<S: Service>(listener: TcpListener, service: Arc<S>) -> RunningServer {
         let connections = CancellationToken::new();
         let token = connections.clone();
-        let handlers = Handlers(AssertUnwindSafe(service));
-        let accepting = tokio::spawn(async move {
+        let handlers = HandlerFactory(AssertUnwindSafe(service));
+        let accept_task = tokio::spawn(async move {
             gotham::bind_server(listener, handlers, move |socket| {
-                // Without it, small chunks of a stream would wait for acknowledgements.
+                // Without TCP_NODELAY, small chunks of a stream would wait for acknowledgements.
                 let result = socket.set_nodelay(true).map_err(drop);
                 let connection = BreakableConnection::new(socket, token.clone());
                 future::ready(result.map(|()| connection))
             })
             .await;
         });
-        Life {
+        RunningServer {
             connections,
-            accepting,
+            accept_task,
         }
     }
 }
 
-impl Drop for Life {
+impl Drop for RunningServer {
     fn drop(&mut self) {
         self.connections.cancel();
-        self.accepting.abort();
+        self.accept_task.abort();
     }
 }
 
-/// Makes a handler for each request.
-struct Handlers<S>(AssertUnwindSafe<Arc<S>>);
+/// Creates a handler for each request.
+struct HandlerFactory<S>(AssertUnwindSafe<Arc<S>>);
 
-impl<S: Service> NewHandler for Handlers<S> {
-    type Instance = OneRequest<S>;
+impl<S: Service> NewHandler for HandlerFactory<S> {
+    type Instance = RequestHandler<S>;
 
-    fn new_handler(&self) -> gotham::anyhow::Result<OneRequest<S>> {
-        Ok(OneRequest(Arc::clone(&self.0)))
+    fn new_handler(&self) -> gotham::anyhow::Result<RequestHandler<S>> {
+        Ok(RequestHandler(Arc::clone(&self.0)))
     }
 }
 
-/// Handles one request.
-struct OneRequest<S>(Arc<S>);
+/// Handles a single request.
+struct RequestHandler<S>(Arc<S>);
 
-impl<S: Service> Handler for OneRequest<S> {
+impl<S: Service> Handler for RequestHandler<S> {
     fn handle(self, mut state: State) -> Pin<Box<HandlerFuture>> {
         let request = IncomingRequest::take_from(&mut state);
         let response: Pin<Box<dyn Future<Output = _> + Send>> = Box::pin(self.0.respond(request));
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! Stand-ins for the outside systems: model engines, application replicas and
+//! Emulators of the external systems: model engines, application replicas and
 //! the platform.
 //!
-//! Each stand-in has a core without clocks or sockets, driven by a [`Time`]
-//! that its caller passes in, so that experiments run it in virtual time. The
-//! HTTP servers drive the same cores in real time; their contract is
-//! `docs/reference/back-ends.md`.
+//! Each emulator has a core without clocks or sockets. The caller passes the
+//! current [`Time`] to the core, so experiments can run it in virtual time. The
+//! HTTP servers drive the same cores in real time; `docs/reference/back-ends.md`
+//! specifies their interfaces.
 
 pub mod answer;
 pub mod application;
--- a/crates/emulator/src/platform/core.rs
+++ b/crates/emulator/src/platform/core.rs
@@ -1,4 +1,4 @@
-//! The platform without clocks and sockets.
+//! The core of the emulated platform, without clocks and sockets.
 
 use std::collections::VecDeque;
 
@@ -9,14 +9,15 @@
 
 use crate::Time;
 
-/// How late the list is and how fast the weight store.
+/// Lag of the machine list and rate of the weight store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlatformModel {
-    /// Age of the list when it is read, in microseconds.
+    /// Age of the machine list when it is read, in microseconds.
     pub list_lag_micros: u64,
-    /// Time between two transfers that the weight store starts, in microseconds.
+    /// Interval between the starts of transfers at the sustained rate of the weight store, in
+    /// microseconds.
     pub transfer_interval_micros: u64,
-    /// Transfers that may start at once after a quiet time.
+    /// Maximum number of transfers that may start at once after an idle period.
     pub transfer_burst: u32,
     /// Duration of one transfer, in microseconds.
     pub transfer_micros: u64,
@@ -33,19 +34,19 @@
     }
 }
 
-/// A transfer of weights that may start.
+/// A reserved transfer of weights.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Reservation {
-    /// Its number.
+    /// Number of the reservation.
     pub number: u64,
-    /// When the weights are on the machine, counted from now in microseconds.
+    /// Time until the weights are on the machine, in microseconds.
     pub ready_after_micros: u64,
 }
 
-/// The weight store's rate is used up.
+/// The rate limit of the weight store is reached.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreBusy {
-    /// When a transfer can start, counted from now in microseconds.
+    /// Time until a transfer can start, in microseconds.
     pub retry_after_micros: u64,
 }
 
@@ -55,18 +56,20 @@
     machines: Vec<Machine>,
 }
 
-/// The list as it was at each change, as far back as it can be read.
+/// The machine list with its earlier versions, as far back as the lag, and the rate limiter of
+/// the weight store.
 #[derive(Debug)]
 pub struct PlatformCore {
     model: PlatformModel,
     versions: VecDeque<ListVersion>,
-    /// When the store's rate would be wholly unused again.
-    store_free_at: Time,
+    /// Theoretical arrival time of the rate limiter (GCRA): from then on a full burst is
+    /// allowed.
+    theoretical_arrival: Time,
     reservations: u64,
 }
 
 impl PlatformCore {
-    /// A platform that lists `machines` from the start.
+    /// Creates a platform that lists `machines` from the start.
     #[must_use]
     pub fn new(model: PlatformModel, machines: Vec<Machine>) -> PlatformCore {
         PlatformCore {
@@ -75,12 +78,12 @@
                 at: Time::ZERO,
                 machines,
             }]),
-            store_free_at: Time::ZERO,
+            theoretical_arrival: Time::ZERO,
             reservations: 0,
         }
     }
 
-    /// Replaces the list.
+    /// Replaces the machine list.
     pub fn set_machines(&mut self, now: Time, machines: Vec<Machine>) {
         self.versions.push_back(ListVersion { at: now, machines });
         let readable = now - self.model.list_lag_micros;
@@ -89,18 +92,18 @@
         }
     }
 
-    /// Adds a machine or replaces the one of its name.
+    /// Adds a machine or replaces the one with the same name.
     pub fn put_machine(&mut self, now: Time, machine: Machine) {
         let mut machines = self.current().to_vec();
-        machines.retain(|known| known.replica != machine.replica);
+        machines.retain(|listed| listed.replica != machine.replica);
         machines.push(machine);
         self.set_machines(now, machines);
     }
 
-    /// Changes a machine's state; whether it is known.
+    /// Sets the state of a machine; returns whether the machine is listed.
     pub fn set_state(&mut self, now: Time, name: &ReplicaId, state: MachineState) -> bool {
         let mut machines = self.current().to_vec();
-        let Some(machine) = machines.iter_mut().find(|known| known.replica == *name) else {
+        let Some(machine) = machines.iter_mut().find(|listed| listed.replica == *name) else {
             return false;
         };
         machine.state = state;
@@ -108,11 +111,11 @@
         true
     }
 
-    /// Takes a machine off the list; whether it was known.
+    /// Removes a machine from the list; returns whether it was listed.
     pub fn remove_machine(&mut self, now: Time, name: &ReplicaId) -> bool {
         let mut machines = self.current().to_vec();
         let before = machines.len();
-        machines.retain(|known| known.replica != *name);
+        machines.retain(|listed| listed.replica != *name);
         let removed = machines.len() < before;
         if removed {
             self.set_machines(now, machines);
@@ -120,7 +123,7 @@
         removed
     }
 
-    /// The list without lag.
+    /// The machine list without the lag.
     #[must_use]
     pub fn current(&self) -> &[Machine] {
         self.versions
@@ -128,7 +131,7 @@
             .map_or(&[], |version| &version.machines)
     }
 
-    /// The list as readers see it.
+    /// The machine list that readers get, which has the lag.
     #[must_use]
     pub fn machines(&self, now: Time) -> &[Machine] {
         let readable = now - self.model.list_lag_micros;
@@ -140,20 +143,20 @@
             .map_or(&[], |version| &version.machines)
     }
 
-    /// Asks for a transfer of weights.
+    /// Reserves a transfer of weights.
     ///
     /// # Errors
-    /// The rate is used up; a later try can succeed.
+    /// The rate limit is reached; a retry after the returned time can succeed.
     pub fn reserve(&mut self, now: Time) -> Result<Reservation, StoreBusy> {
         let interval = self.model.transfer_interval_micros;
         let tolerance = interval * u64::from(self.model.transfer_burst.saturating_sub(1));
-        let earliest = self.store_free_at - tolerance;
+        let earliest = self.theoretical_arrival - tolerance;
         if earliest > now {
             return Err(StoreBusy {
                 retry_after_micros: earliest.micros_since(now),
             });
         }
-        self.store_free_at = self.store_free_at.max(now) + interval;
+        self.theoretical_arrival = self.theoretical_arrival.max(now) + interval;
         self.reservations += 1;
         Ok(Reservation {
             number: self.reservations,
--- a/crates/emulator/src/platform/server.rs
+++ b/crates/emulator/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The emulated platform behind its HTTP interface.
+//! HTTP server of the emulated platform.
 
 use std::{io, net::SocketAddr, sync::Arc};
 
@@ -20,25 +20,25 @@
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Reads a list of machines in the form of `GET /machines`.
+/// Parses a list of machines in the format of `GET /machines`.
 ///
 /// # Errors
-/// The text is not such a list.
+/// The text does not have this format.
 pub fn machines_from_json(text: &str) -> Result<Vec<Machine>, serde_json::Error> {
     let bodies: Vec<MachineBody> = serde_json::from_str(text)?;
     Ok(bodies.into_iter().map(MachineBody::into_machine).collect())
 }
 
-/// How to start a platform.
+/// Settings of an emulated platform.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// Where to listen; port 0 lets the system choose.
+    /// Address to listen on; with port 0 the system chooses the port.
     pub listen: SocketAddr,
-    /// Lag and rates.
+    /// Lag of the machine list and rate of the weight store.
     pub model: PlatformModel,
-    /// The list at the start.
+    /// The machine list at the start.
     pub machines: Vec<Machine>,
-    /// How many times as fast as real time it runs.
+    /// Factor by which the platform runs faster than real time.
     pub time_compression: u32,
 }
 
@@ -74,49 +74,49 @@
         })
     }
 
-    /// Where it listens.
+    /// The address that the platform listens on, with the actual port.
     #[must_use]
     pub fn address(&self) -> SocketAddr {
         self.server.address()
     }
 
-    /// Replaces the list; readers see it after the lag.
+    /// Replaces the machine list; readers get it after the lag.
     pub fn set_machines(&self, machines: Vec<Machine>) {
         let service = self.server.service();
         let mut core = service.core.lock();
         core.set_machines(service.clock.now(), machines);
     }
 
-    /// Adds or replaces a machine.
+    /// Adds a machine or replaces the one with the same name.
     pub fn put_machine(&self, machine: Machine) {
         let service = self.server.service();
         let mut core = service.core.lock();
         core.put_machine(service.clock.now(), machine);
     }
 
-    /// Changes a machine's state; whether it is known.
+    /// Sets the state of a machine; returns whether the machine is listed.
     pub fn set_state(&self, name: &str, state: MachineState) -> bool {
         let service = self.server.service();
         let mut core = service.core.lock();
         core.set_state(service.clock.now(), &ReplicaId::from(name), state)
     }
 
-    /// Takes a machine off the list; whether it was known.
+    /// Removes a machine from the list; returns whether it was listed.
     pub fn remove_machine(&self, name: &str) -> bool {
         let service = self.server.service();
         let mut core = service.core.lock();
         core.remove_machine(service.clock.now(), &ReplicaId::from(name))
     }
 
-    /// Breaks every connection and closes the port, as when the platform's interface is down.
+    /// Closes the port and breaks every connection, as in an outage of the platform's interface.
     pub fn stop(&self) {
         self.server.stop();
     }
 
-    /// Listens again.
+    /// Listens again on the same port.
     ///
     /// # Errors
-    /// The port can not be bound any more.
+    /// The port can no longer be bound.
     pub async fn restart(&self) -> io::Result<()> {
         self.server.restart().await
     }
@@ -169,11 +169,11 @@
         match reserved {
             Ok(reservation) => Reply::json(&ReservationBody {
                 reservation: format!("reservation-{}", reservation.number),
-                ready_after_ms: self.real(reservation.ready_after_micros) / MICROS_PER_MILLI,
+                ready_after_ms: self.real_micros(reservation.ready_after_micros) / MICROS_PER_MILLI,
             }),
             Err(busy) => {
                 let seconds = self
-                    .real(busy.retry_after_micros)
+                    .real_micros(busy.retry_after_micros)
                     .div_ceil(MICROS_PER_SECOND);
                 Reply::error(StatusCode::TOO_MANY_REQUESTS, "the weight store is busy")
                     .with_header("retry-after", seconds.to_string())
@@ -181,8 +181,8 @@
         }
     }
 
-    /// Microseconds of the core in real microseconds.
-    fn real(&self, micros: u64) -> u64 {
+    /// Converts microseconds of the core to real microseconds.
+    fn real_micros(&self, micros: u64) -> u64 {
         micros / self.compression
     }
 
@@ -221,7 +221,7 @@
     }
 }
 
-/// A line of the list as JSON.
+/// An entry of the machine list as JSON.
 #[derive(Serialize, Deserialize)]
 struct MachineBody {
     name: String,
@@ -286,7 +286,7 @@
 }
 
 #[derive(Deserialize)]
-#[allow(dead_code, reason = "the members are checked to be there")]
+#[allow(dead_code, reason = "only their presence in the body is checked")]
 struct ReservationRequest {
     model: String,
     version: String,
--- a/crates/emulator/src/time.rs
+++ b/crates/emulator/src/time.rs
@@ -1,4 +1,4 @@
-//! Time as the cores count it.
+//! The time type of the cores.
 
 use std::ops::{Add, Sub};
 
@@ -10,7 +10,7 @@
     /// The origin.
     pub const ZERO: Time = Time(0);
 
-    /// A time in milliseconds.
+    /// Converts milliseconds since the origin.
     #[must_use]
     pub const fn from_millis(millis: u64) -> Time {
         Time(millis * 1_000)
@@ -41,7 +41,7 @@
 impl Sub<u64> for Time {
     type Output = Time;
 
-    /// Takes microseconds away, down to the origin.
+    /// Subtracts microseconds; the result is not before the origin.
     fn sub(self, micros: u64) -> Time {
         Time(self.0.saturating_sub(micros))
     }
--- a/crates/emulator/src/wire.rs
+++ b/crates/emulator/src/wire.rs
@@ -1,4 +1,4 @@
-//! JSON bodies of the contract that more than one stand-in sends.
+//! JSON bodies of the HTTP interfaces.
 
 use linnethitch_protocol::{fleet::LoadReport, ids::Timestamp};
 use serde::Serialize;
@@ -44,9 +44,9 @@
     pub(crate) max_running: u32,
 }
 
-/// How often something ran.
+/// The reply to a query for executions.
 #[derive(Serialize)]
 pub(crate) struct ExecutionsBody {
-    /// Starts of the key asked for, or of everything.
+    /// Number of starts of the requested key, or of all requests if the query names none.
     pub(crate) started: u64,
 }
--- a/crates/emulator/tests/all/application_core.rs
+++ b/crates/emulator/tests/all/application_core.rs
@@ -1,4 +1,4 @@
-//! The application replica's core in virtual time.
+//! Tests of the application core in virtual time.
 
 use linnethitch_emulator::{
     Time,
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_cancelled_call_makes_room() {
+fn a_cancelled_call_frees_its_slot() {
     let mut replica = replica(1, 1);
     replica.submit(Time::ZERO, CallId(1)).unwrap();
     replica.submit(Time::ZERO, CallId(2)).unwrap();
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn load_reports_are_late() {
+fn load_reports_have_a_lag() {
     let mut replica = replica(2, 8);
     let lag = ApplicationModel::default().report_lag_micros;
     let start = Time::from_millis(1_000);
--- a/crates/emulator/tests/all/client.rs
+++ b/crates/emulator/tests/all/client.rs
@@ -1,4 +1,4 @@
-//! A small HTTP client for the tests.
+//! HTTP client for the tests.
 
 use std::net::SocketAddr;
 
@@ -31,7 +31,7 @@
     }
 }
 
-/// A streamed answer as far as it came.
+/// The received part of a streamed answer.
 #[derive(Debug, Default)]
 pub(crate) struct Streamed {
     pub(crate) chunks: Vec<Value>,
@@ -40,7 +40,7 @@
 }
 
 impl Streamed {
-    /// Token indexes and texts of the request's own chunks.
+    /// Token indexes and texts of the chunks with the request's id.
     pub(crate) fn tokens(&self, id: &str) -> Vec<(u64, String)> {
         self.chunks
             .iter()
@@ -91,7 +91,7 @@
             .await
     }
 
-    pub(crate) async fn ask(
+    pub(crate) async fn request(
         &self,
         method: &str,
         path: &str,
@@ -109,11 +109,11 @@
     }
 
     pub(crate) async fn get(&self, path: &str) -> Answer {
-        self.ask("GET", path, &[], &Value::Null).await
+        self.request("GET", path, &[], &Value::Null).await
     }
 
     pub(crate) async fn post(&self, path: &str, body: &Value) -> Answer {
-        self.ask("POST", path, &[], body).await
+        self.request("POST", path, &[], body).await
     }
 
     pub(crate) async fn stream(
--- a/crates/emulator/tests/all/engine_core.rs
+++ b/crates/emulator/tests/all/engine_core.rs
@@ -1,4 +1,4 @@
-//! The engine's core in virtual time.
+//! Tests of the engine core in virtual time.
 
 use linnethitch_emulator::{
     Time,
@@ -49,24 +49,24 @@
     events
 }
 
-fn indexes(events: &[EngineEvent], wanted: u64) -> Vec<u32> {
+fn indexes(events: &[EngineEvent], request_id: u64) -> Vec<u32> {
     events
         .iter()
         .filter_map(|event| match event {
-            EngineEvent::Token { id, index, .. } if id.0 == wanted => Some(*index),
+            EngineEvent::Token { id, index, .. } if id.0 == request_id => Some(*index),
             _ => None,
         })
         .collect()
 }
 
-fn finish(events: &[EngineEvent], wanted: u64) -> Option<(Time, FinishReason, u32)> {
+fn finish(events: &[EngineEvent], request_id: u64) -> Option<(Time, FinishReason, u32)> {
     events.iter().find_map(|event| match event {
         EngineEvent::Finished {
             at,
             id,
             reason,
             cached_tokens,
-        } if id.0 == wanted => Some((*at, *reason, *cached_tokens)),
+        } if id.0 == request_id => Some((*at, *reason, *cached_tokens)),
         _ => None,
     })
 }
@@ -81,9 +81,9 @@
 #[test]
 fn an_answer_has_each_token_once_and_in_order() {
     let mut engine = engine(EngineModel::default());
-    let asked = request(1, "what does a pallet to Portland cost");
-    let length = asked.answer_tokens();
-    engine.submit(Time::ZERO, asked).unwrap();
+    let submitted = request(1, "what does a pallet to Portland cost");
+    let length = submitted.answer_tokens();
+    engine.submit(Time::ZERO, submitted).unwrap();
     let events = run(&mut engine, END);
     assert_eq!(indexes(&events, 1), (0..length).collect::<Vec<_>>());
     assert_eq!(finish(&events, 1).unwrap().1, FinishReason::Stop);
@@ -91,9 +91,9 @@
 }
 
 #[rstest]
-#[case::cut_by_the_limit(Some(5), 0, 5, FinishReason::Length)]
-#[case::lengthened(None, 400, 400, FinishReason::Stop)]
-#[case::limit_beats_the_least(Some(300), 400, 300, FinishReason::Length)]
+#[case::limited_by_max_tokens(Some(5), 0, 5, FinishReason::Length)]
+#[case::extended_by_min_tokens(None, 400, 400, FinishReason::Stop)]
+#[case::maximum_beats_minimum(Some(300), 400, 300, FinishReason::Length)]
 fn limits_set_the_length(
     #[case] max_tokens: Option<u32>,
     #[case] min_tokens: u32,
@@ -101,23 +101,23 @@
     #[case] reason: FinishReason,
 ) {
     let mut engine = engine(EngineModel::default());
-    let asked = EngineRequest {
+    let submitted = EngineRequest {
         max_tokens,
         min_tokens,
         ..request(1, "hello")
     };
-    engine.submit(Time::ZERO, asked).unwrap();
+    engine.submit(Time::ZERO, submitted).unwrap();
     let events = run(&mut engine, END);
     assert_eq!(indexes(&events, 1).len(), length);
     assert_eq!(finish(&events, 1).unwrap().1, reason);
 }
 
 #[test]
-fn a_resumed_run_goes_on_where_the_first_ended() {
+fn a_resumed_run_continues_where_the_first_ended() {
     let mut first = engine(EngineModel::default());
-    let asked = request(1, "a long contract to sum up");
-    let length = asked.answer_tokens();
-    first.submit(Time::ZERO, asked.clone()).unwrap();
+    let submitted = request(1, "a long contract to sum up");
+    let length = submitted.answer_tokens();
+    first.submit(Time::ZERO, submitted.clone()).unwrap();
     let mut delivered = indexes(&run(&mut first, Time::from_millis(200)), 1);
     assert!(first.cancel(SequenceId(1)));
     assert!(!first.cancel(SequenceId(1)));
@@ -126,7 +126,7 @@
     let mut second = engine(EngineModel::default());
     let resumed = EngineRequest {
         resume_tokens: u32::try_from(delivered.len()).unwrap(),
-        ..asked
+        ..submitted
     };
     second.submit(Time::ZERO, resumed).unwrap();
     delivered.extend(indexes(&run(&mut second, END), 1));
@@ -155,7 +155,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(preempted, vec![2], "the newest batch request gives way");
+    assert_eq!(preempted, vec![2], "the newest batch request is preempted");
     assert_eq!(indexes(&events, 2), (0..length).collect::<Vec<_>>());
     for id in 1..=3 {
         assert!(finish(&events, id).is_some(), "request {id} ends");
@@ -188,12 +188,12 @@
     };
     let mut engine = engine(model);
     for id in 0..8 {
-        let asked = EngineRequest {
+        let submitted = EngineRequest {
             min_tokens: 300,
             max_tokens: Some(300),
             ..batch(id, &format!("item {id}"))
         };
-        engine.submit(Time::ZERO, asked).unwrap();
+        engine.submit(Time::ZERO, submitted).unwrap();
     }
     let events = run(&mut engine, END);
     for id in 0..8 {
@@ -246,7 +246,7 @@
 }
 
 #[test]
-fn the_cache_is_bounded_and_tells_its_changes_late_and_with_gaps() {
+fn the_cache_is_bounded_and_publishes_its_changes_with_lag_and_gaps() {
     let model = EngineModel {
         cache_blocks: 4,
         cache_event_loss_permille: 300,
@@ -265,13 +265,13 @@
     assert!(
         events
             .windows(2)
-            .all(|two| two[0].sequence < two[1].sequence)
+            .all(|pair| pair[0].sequence < pair[1].sequence)
     );
     assert!(
         events
             .windows(2)
-            .any(|two| two[1].sequence > two[0].sequence + 1),
-        "some are lost"
+            .any(|pair| pair[1].sequence > pair[0].sequence + 1),
+        "some events are lost"
     );
     assert!(
         events
@@ -286,18 +286,18 @@
 }
 
 #[test]
-fn load_reports_are_late() {
+fn load_reports_have_a_lag() {
     let mut engine = engine(EngineModel::default());
     let lag = engine.model().report_lag_micros;
     let start = Time::from_millis(1_000);
     engine.submit(start, request(1, "hello")).unwrap();
     assert_eq!(engine.true_load().running_online, 1);
-    let early = engine.load_report(start + (lag - 1));
-    assert_eq!(early.running_online, 0);
-    assert!(early.measured_at.0 < 1_000);
-    let late = engine.load_report(start + lag);
-    assert_eq!(late.running_online, 1);
-    assert_eq!(late.measured_at.0, 1_000);
+    let before_lag = engine.load_report(start + (lag - 1));
+    assert_eq!(before_lag.running_online, 0);
+    assert!(before_lag.measured_at.0 < 1_000);
+    let after_lag = engine.load_report(start + lag);
+    assert_eq!(after_lag.running_online, 1);
+    assert_eq!(after_lag.measured_at.0, 1_000);
     run(&mut engine, END);
     let idle = engine.load_report(END);
     assert_eq!(idle.running_online, 0);
@@ -305,16 +305,16 @@
 }
 
 #[test]
-fn a_prefilled_prompt_goes_on_at_another_engine() {
+fn a_prefilled_prompt_continues_on_another_engine() {
     let mut prefill = engine(EngineModel::default());
-    let asked = request(1, &"terms ".repeat(1_000));
-    let length = asked.answer_tokens();
+    let submitted = request(1, &"terms ".repeat(1_000));
+    let length = submitted.answer_tokens();
     prefill
         .submit(
             Time::ZERO,
             EngineRequest {
                 prefill_only: true,
-                ..asked.clone()
+                ..submitted.clone()
             },
         )
         .unwrap();
@@ -326,7 +326,7 @@
     let mut decode = engine(EngineModel::default());
     let imported = EngineRequest {
         kv_import: Some(handle.clone()),
-        ..asked.clone()
+        ..submitted.clone()
     };
     decode.submit(Time::ZERO, imported).unwrap();
     let imported_events = run(&mut decode, END);
@@ -335,15 +335,15 @@
         (0..length).collect::<Vec<_>>()
     );
     let mut plain = engine(EngineModel::default());
-    plain.submit(Time::ZERO, asked).unwrap();
+    plain.submit(Time::ZERO, submitted).unwrap();
     let plain_events = run(&mut plain, END);
     assert!(finish(&imported_events, 1).unwrap().0 < finish(&plain_events, 1).unwrap().0);
 
-    let foreign = EngineRequest {
+    let other_prompt = EngineRequest {
         kv_import: Some(handle),
         ..request(2, "another prompt")
     };
-    assert_eq!(decode.submit(END, foreign), Err(Refusal::WrongHandle));
+    assert_eq!(decode.submit(END, other_prompt), Err(Refusal::WrongHandle));
 }
 
 #[test]
@@ -394,22 +394,22 @@
 }
 
 #[rstest]
-#[case::prefill_takes_no_decoding(EngineRole::Prefill, false, Err(Refusal::WrongRole))]
-#[case::prefill_takes_prefill(EngineRole::Prefill, true, Ok(()))]
-#[case::decode_takes_no_prefill(EngineRole::Decode, true, Err(Refusal::WrongRole))]
-#[case::decode_takes_decoding(EngineRole::Decode, false, Ok(()))]
-fn roles_limit_what_is_taken(
+#[case::prefill_refuses_decoding(EngineRole::Prefill, false, Err(Refusal::WrongRole))]
+#[case::prefill_accepts_prefill(EngineRole::Prefill, true, Ok(()))]
+#[case::decode_refuses_prefill(EngineRole::Decode, true, Err(Refusal::WrongRole))]
+#[case::decode_accepts_decoding(EngineRole::Decode, false, Ok(()))]
+fn roles_limit_accepted_requests(
     #[case] role: EngineRole,
     #[case] prefill_only: bool,
     #[case] expected: Result<(), Refusal>,
 ) {
     let mut engine = engine(EngineModel::default());
     assert!(engine.order(Time::ZERO, token(1), EngineOrder::ChangeRole(role)));
-    let asked = EngineRequest {
+    let submitted = EngineRequest {
         prefill_only,
         ..request(1, "hello")
     };
-    assert_eq!(engine.submit(Time::ZERO, asked), expected);
+    assert_eq!(engine.submit(Time::ZERO, submitted), expected);
 }
 
 #[rstest]
@@ -420,13 +420,13 @@
 #[case::dropping(Fault::DropMidStream { after_tokens: 3 }, Ok(()), false)]
 fn faults_take_effect(
     #[case] fault: Fault,
-    #[case] taken: Result<(), Refusal>,
+    #[case] second_result: Result<(), Refusal>,
     #[case] first_ends: bool,
 ) {
     let mut engine = engine(EngineModel::default());
     engine.submit(Time::ZERO, request(1, "hello")).unwrap();
     engine.inject(Time::ZERO, fault);
-    assert_eq!(engine.submit(Time::ZERO, request(2, "more")), taken);
+    assert_eq!(engine.submit(Time::ZERO, request(2, "more")), second_result);
     let events = run(&mut engine, END);
     assert_eq!(finish(&events, 1).is_some(), first_ends);
     if let Fault::DropMidStream { after_tokens } = fault {
@@ -440,7 +440,7 @@
 }
 
 #[test]
-fn a_hung_engine_goes_on_after_recovery() {
+fn a_hung_engine_continues_after_recovery() {
     let mut engine = engine(EngineModel::default());
     engine.submit(Time::ZERO, request(1, "hello")).unwrap();
     engine.inject(Time::ZERO, Fault::Hang);
@@ -454,14 +454,14 @@
 #[rstest]
 #[case::leaving(|engine: &mut EngineCore| engine.set_leaving(true), Refusal::Leaving)]
 #[case::too_long(|_: &mut EngineCore| (), Refusal::TooLong)]
-fn refusals_say_why(#[case] prepare: fn(&mut EngineCore), #[case] refusal: Refusal) {
+fn refusals_state_the_reason(#[case] prepare: fn(&mut EngineCore), #[case] refusal: Refusal) {
     let mut engine = engine(EngineModel::default());
     prepare(&mut engine);
-    let asked = EngineRequest {
+    let submitted = EngineRequest {
         prompt_tokens: 300_000,
         ..request(1, "hello")
     };
-    assert_eq!(engine.submit(Time::ZERO, asked), Err(refusal));
+    assert_eq!(engine.submit(Time::ZERO, submitted), Err(refusal));
 }
 
 #[test]
--- a/crates/emulator/tests/all/engine_http.rs
+++ b/crates/emulator/tests/all/engine_http.rs
@@ -1,4 +1,4 @@
-//! The engine's HTTP interface against the contract of its reference page.
+//! Tests of the engine's HTTP interface against its reference page.
 
 use http::StatusCode;
 use linnethitch_emulator::{
@@ -41,9 +41,9 @@
     json!({"model": MODEL, "messages": [{"role": "user", "content": prompt}]})
 }
 
-fn with(mut body: Value, more: Value) -> Value {
+fn with_members(mut body: Value, more: Value) -> Value {
     let Value::Object(more) = more else {
-        panic!("an object is needed")
+        panic!("the added members must be a JSON object")
     };
     body.as_object_mut().unwrap().extend(more);
     body
@@ -58,20 +58,20 @@
 }
 
 #[tokio::test]
-async fn whole_and_streamed_answers_are_the_same() {
+async fn streamed_and_non_streamed_answers_are_the_same() {
     let (engine, client) = engine(50).await;
-    let whole = client.ask("POST", CHAT, &[ID], &chat("hello")).await;
-    assert_eq!(whole.status, StatusCode::OK);
-    assert_eq!(whole.header("x-request-id"), "req_1");
-    assert_eq!(whole.body["id"], "req_1");
-    assert_eq!(whole.body["object"], "chat.completion");
-    let choice = &whole.body["choices"][0];
+    let complete = client.request("POST", CHAT, &[ID], &chat("hello")).await;
+    assert_eq!(complete.status, StatusCode::OK);
+    assert_eq!(complete.header("x-request-id"), "req_1");
+    assert_eq!(complete.body["id"], "req_1");
+    assert_eq!(complete.body["object"], "chat.completion");
+    let choice = &complete.body["choices"][0];
     assert_eq!(choice["message"]["content"], expected("hello"));
     assert_eq!(choice["finish_reason"], "stop");
-    let usage = &whole.body["usage"];
+    let usage = &complete.body["usage"];
     assert_eq!(usage["completion_tokens"], key("hello").natural_length());
 
-    let body = with(
+    let body = with_members(
         chat("hello"),
         json!({"stream": true, "stream_options": {"include_usage": true}}),
     );
@@ -111,7 +111,7 @@
         .stream(
             "/v1/completions",
             &[ID],
-            &with(body, json!({"stream": true})),
+            &with_members(body, json!({"stream": true})),
         )
         .await;
     assert_eq!(streamed.text("req_1"), PromptKey::of("once").text(4));
@@ -131,10 +131,10 @@
 }
 
 #[tokio::test]
-async fn a_resumed_stream_goes_on_at_its_index() {
+async fn a_resumed_stream_continues_at_its_index() {
     let (_engine, client) = engine(50).await;
     let text = key("hello").text(5);
-    let body = with(
+    let body = with_members(
         chat("hello"),
         json!({"stream": true, "resume": {"text": text, "tokens": 5}}),
     );
@@ -146,11 +146,11 @@
     );
 
     let all = key("hello").natural_length();
-    let nothing_left = with(
+    let fully_resumed = with_members(
         chat("hello"),
         json!({"stream": true, "resume": {"text": expected("hello"), "tokens": all}}),
     );
-    let streamed = client.stream(CHAT, &[ID], &nothing_left).await;
+    let streamed = client.stream(CHAT, &[ID], &fully_resumed).await;
     assert!(streamed.done);
     assert_eq!(streamed.text("req_1"), "");
     assert_eq!(streamed.chunks[0]["choices"][0]["finish_reason"], "stop");
@@ -174,7 +174,7 @@
     StatusCode::BAD_REQUEST
 )]
 #[tokio::test]
-async fn refusals_say_that_nothing_ran(#[case] body: Value, #[case] status: StatusCode) {
+async fn refusals_report_that_nothing_started(#[case] body: Value, #[case] status: StatusCode) {
     let (engine, client) = engine(50).await;
     let answer = client.post("/v1/completions", &body).await;
     assert_eq!(answer.status, status);
@@ -197,7 +197,7 @@
 }
 
 #[tokio::test]
-async fn a_leaving_engine_says_so_and_takes_nothing() {
+async fn a_leaving_engine_announces_it_and_refuses_requests() {
     let (engine, client) = engine(50).await;
     engine.set_leaving(true);
     let answer = client.post(CHAT, &chat("hello")).await;
@@ -214,7 +214,7 @@
 }
 
 #[tokio::test]
-async fn load_comes_as_header_and_by_path() {
+async fn load_is_reported_in_a_header_and_by_path() {
     let (_engine, client) = engine(50).await;
     let by_path = client.get("/engine/load").await;
     let header: Value = serde_json::from_str(by_path.header("x-engine-load")).unwrap();
@@ -238,7 +238,7 @@
 #[tokio::test]
 async fn closing_the_connection_cancels_the_request() {
     let (engine, client) = engine(1).await;
-    let body = with(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
+    let body = with_members(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
     let response = client.send("POST", CHAT, &[ID], &body).await.unwrap();
     assert_eq!(engine.true_load().running_online, 1);
     drop(response);
@@ -248,32 +248,32 @@
 }
 
 #[tokio::test]
-async fn a_cancelled_stream_breaks_and_is_never_silently_short() {
+async fn a_cancelled_stream_breaks_instead_of_ending_cleanly() {
     let (engine, client) = engine(1).await;
-    let body = with(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
+    let body = with_members(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
     let response = client.send("POST", CHAT, &[ID], &body).await.unwrap();
     let cancel = ("DELETE", "/engine/requests/req_1");
-    let answer = client.ask(cancel.0, cancel.1, &[], &Value::Null).await;
+    let answer = client.request(cancel.0, cancel.1, &[], &Value::Null).await;
     assert_eq!(answer.body, json!({"cancelled": true}));
     let streamed = read_stream(response.into_body()).await;
     assert!(streamed.broken && !streamed.done);
     assert_eq!(engine.true_load().running_online, 0);
-    let again = client.ask(cancel.0, cancel.1, &[], &Value::Null).await;
+    let again = client.request(cancel.0, cancel.1, &[], &Value::Null).await;
     assert_eq!(again.status, StatusCode::NOT_FOUND);
 }
 
 #[tokio::test]
 async fn a_prefill_is_exported_and_imported() {
     let (_first, prefill) = engine(50).await;
-    let body = with(chat("hello"), json!({"prefill_only": true}));
-    let answer = prefill.ask("POST", CHAT, &[ID], &body).await;
+    let body = with_members(chat("hello"), json!({"prefill_only": true}));
+    let answer = prefill.request("POST", CHAT, &[ID], &body).await;
     assert_eq!(answer.body["choices"][0]["message"]["content"], "");
     let export = prefill
         .post("/engine/kv/export", &json!({"request_id": "req_1"}))
         .await;
     assert!(export.body["tokens"].as_u64().unwrap() > 0);
     let (_second, decode) = engine(50).await;
-    let body = with(chat("hello"), json!({"kv_import": export.body["handle"]}));
+    let body = with_members(chat("hello"), json!({"kv_import": export.body["handle"]}));
     let answer = decode.post(CHAT, &body).await;
     assert_eq!(
         answer.body["choices"][0]["message"]["content"],
@@ -330,7 +330,7 @@
     }
 }
 
-/// What a faulty stream looks like to its caller.
+/// Each stream fault has its documented effect on the caller's stream.
 #[rstest]
 #[case::drop_mid_stream(json!({"fault": "drop_mid_stream", "after_tokens": 3}), true, false, 3)]
 #[case::end_early(json!({"fault": "end_early", "after_tokens": 3}), false, false, 3)]
@@ -350,7 +350,7 @@
         client.post("/emulator/faults", &fault).await.status,
         StatusCode::OK
     );
-    let body = with(
+    let body = with_members(
         chat("hello"),
         json!({"stream": true, "min_tokens": 16, "max_tokens": 16}),
     );
@@ -363,8 +363,8 @@
     own.sort();
     let text: String = own.into_iter().map(|(_, text)| text).collect();
     assert_eq!(text, key("hello").text(u32::try_from(tokens).unwrap()));
-    let foreign = streamed.chunks.iter().any(|chunk| chunk["id"] != "req_1");
-    assert_eq!(foreign, fault["fault"] == "stray");
+    let has_stray_chunk = streamed.chunks.iter().any(|chunk| chunk["id"] != "req_1");
+    assert_eq!(has_stray_chunk, fault["fault"] == "stray");
     let recover = json!({"fault": "recover"});
     client.post("/emulator/faults", &recover).await;
     let healthy = client.stream(CHAT, &[ID], &body).await;
@@ -374,7 +374,7 @@
 #[tokio::test]
 async fn a_dead_engine_breaks_its_streams_and_refuses_connections_until_restarted() {
     let (engine, client) = engine(1).await;
-    let body = with(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
+    let body = with_members(chat("hello"), json!({"stream": true, "min_tokens": 10_000}));
     let response = client.send("POST", CHAT, &[ID], &body).await.unwrap();
     engine.inject(Fault::Die);
     let streamed = read_stream(response.into_body()).await;
@@ -388,17 +388,21 @@
     engine.died().await;
     engine.restart().await.unwrap();
     assert_eq!(client.get("/healthz").await.status, StatusCode::OK);
-    assert_eq!(engine.executions_of_request("req_1"), 1, "counts survive");
+    assert_eq!(
+        engine.executions_of_request("req_1"),
+        1,
+        "counts survive the restart"
+    );
     let answer = client
-        .post(CHAT, &with(chat("hello"), json!({"max_tokens": 1})))
+        .post(CHAT, &with_members(chat("hello"), json!({"max_tokens": 1})))
         .await;
     assert_eq!(answer.status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn death_by_the_switch_over_http_is_noticed() {
+async fn an_engine_killed_over_http_stops_listening() {
     let (engine, client) = engine(1).await;
-    // The answer may or may not get out before the connections break.
+    // The connection may break before the answer arrives.
     let _ = client
         .send("POST", "/emulator/faults", &[], &json!({"fault": "die"}))
         .await;
@@ -416,23 +420,23 @@
 async fn a_hung_engine_answers_nothing_until_it_recovers() {
     let (engine, client) = engine(50).await;
     engine.inject(Fault::Hang);
-    let patience = std::time::Duration::from_millis(100);
+    let wait_limit = std::time::Duration::from_millis(100);
     let health = client.send("GET", "/healthz", &[], &Value::Null);
-    assert!(tokio::time::timeout(patience, health).await.is_err());
+    assert!(tokio::time::timeout(wait_limit, health).await.is_err());
     let body = chat("hello");
-    let asked = client.ask("POST", CHAT, &[], &body);
+    let pending_answer = client.request("POST", CHAT, &[], &body);
     let recover = async {
         let switch = json!({"fault": "recover"});
         client.post("/emulator/faults", &switch).await;
     };
-    let (answer, ()) = tokio::join!(asked, recover);
+    let (answer, ()) = tokio::join!(pending_answer, recover);
     assert_eq!(answer.status, StatusCode::OK);
 }
 
 #[tokio::test]
-async fn executions_can_be_asked_for_over_http() {
+async fn executions_can_be_queried_over_http() {
     let (_engine, client) = engine(50).await;
-    client.ask("POST", CHAT, &[ID], &chat("hello")).await;
+    client.request("POST", CHAT, &[ID], &chat("hello")).await;
     let prompt = format!("{:016x}", key("hello").0);
     for (query, started) in [
         (String::new(), 1),
--- a/crates/emulator/tests/all/main.rs
+++ b/crates/emulator/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the stand-ins.
+//! Tests of the emulators.
 
 mod application_core;
 mod client;
--- a/crates/emulator/tests/all/other_http.rs
+++ b/crates/emulator/tests/all/other_http.rs
@@ -1,4 +1,4 @@
-//! The HTTP interfaces of application replicas and of the platform.
+//! Tests of the HTTP interfaces of application replicas and of the platform.
 
 use http::StatusCode;
 use linnethitch_emulator::{
@@ -22,7 +22,7 @@
     let (server, client) = replica().await;
     let body = json!({"gate": 7});
     let answer = client
-        .ask(
+        .request(
             "PUT",
             "/gates/7?full=1",
             &[("x-request-id", "req_9")],
@@ -46,7 +46,7 @@
 }
 
 #[tokio::test]
-async fn a_replica_refuses_hangs_and_dies_by_switch() {
+async fn injected_faults_and_leaving_refuse_calls() {
     let (server, client) = replica().await;
     client
         .post("/emulator/faults", &json!({"fault": "refuse"}))
--- a/crates/emulator/tests/all/platform_core.rs
+++ b/crates/emulator/tests/all/platform_core.rs
@@ -1,4 +1,4 @@
-//! The platform's core in virtual time.
+//! Tests of the platform core in virtual time.
 
 use linnethitch_emulator::{
     Time,
