--- a/crates/emulator/src/engine/request.rs
+++ b/crates/emulator/src/engine/request.rs
@@ -8,7 +8,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct SequenceId(pub u64);
 
-/// The priorities of an engine, max urgent first.
+/// The priorities of an engine, most urgent first.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Priority {
     /// Interactive requests; preempt batch requests.
--- a/crates/emulator/src/engine/sequence.rs
+++ b/crates/emulator/src/engine/sequence.rs
@@ -32,7 +32,7 @@
         self.request.priority
     }
 
-    /// Sort key: the most urgent sequence has the lowest.
+    /// Sort key: the most urgent sequence has the lowest value.
     pub(super) fn urgency(&self) -> (Priority, u64) {
         (self.request.priority, self.arrival)
     }
