--- a/crates/simulator/src/actors/batch_caller.rs
+++ b/crates/simulator/src/actors/batch_caller.rs
@@ -1,4 +1,4 @@
-//! Batch callers: they upload, create jobs, resend, cancel, and read results.
+//! Batch callers, which upload files, create jobs, retry, cancel and read results.
 
 use linnethitch_protocol::{ids::FileId, query::JobRecord};
 use rand::Rng;
@@ -13,8 +13,8 @@
     network::{Address, Packet},
 };
 
-/// Wait between two jobs of one caller, in milliseconds.
-const PACE_MS: std::ops::Range<u64> = 3_000..25_000;
+/// Interval between two jobs of a caller, in milliseconds.
+const JOB_INTERVAL_MS: std::ops::Range<u64> = 3_000..25_000;
 
 /// A batch caller.
 pub(crate) struct BatchCaller {
@@ -26,7 +26,7 @@
 }
 
 impl BatchCaller {
-    /// A caller with a name of its own.
+    /// Creates a caller with a unique name.
     pub(crate) fn new(name: String) -> Self {
         BatchCaller {
             name,
@@ -44,8 +44,8 @@
         self.jobs.push(job);
     }
 
-    /// Makes the calls that are due.
-    fn proceed(&mut self, context: &mut Context) {
+    /// Sends the calls that are due.
+    fn send_due_calls(&mut self, context: &mut Context) {
         for job in &mut self.jobs {
             if job.busy || job.next_ms > context.now_ms {
                 continue;
@@ -65,11 +65,11 @@
         let job = &mut self.jobs[position];
         job.busy = false;
         job.next_ms = context.now_ms;
-        if job.on_result(&self.name, result, context) == Progress::Over {
+        if job.on_result(&self.name, result, context) == Progress::Ended {
             self.jobs.remove(position);
         } else {
-            let wait = job.next_ms.saturating_sub(context.now_ms);
-            context.wake_in(wait.max(1));
+            let delay_ms = job.next_ms.saturating_sub(context.now_ms);
+            context.wake_in(delay_ms.max(1));
         }
     }
 }
@@ -79,13 +79,13 @@
         for number in self.calls.take_expired(context.now_ms) {
             self.on_result(number, CallResult::Unknown, context);
         }
-        if context.now_ms >= self.next_job_ms && !context.resting {
-            let wait = context.random.random_range(PACE_MS);
-            self.next_job_ms = context.now_ms + wait;
-            context.wake_in(wait);
+        if context.now_ms >= self.next_job_ms && !context.recovering {
+            let delay_ms = context.random.random_range(JOB_INTERVAL_MS);
+            self.next_job_ms = context.now_ms + delay_ms;
+            context.wake_in(delay_ms);
             self.begin_job(context);
         }
-        self.proceed(context);
+        self.send_due_calls(context);
     }
 
     fn receive(&mut self, _from: Address, packet: Packet, context: &mut Context) {
@@ -96,7 +96,7 @@
         }
     }
 
-    fn unsettled(&self, _checker: &Checker) -> Option<String> {
+    fn open_work(&self, _checker: &Checker) -> Option<String> {
         let job = self.jobs.first()?;
         let open = self.jobs.len();
         let record = job.record.as_ref().map(|record| {
@@ -111,7 +111,7 @@
             format!("{job} {state:?}, {completed} and {failed} of {total}")
         });
         Some(format!(
-            "{} has {open} jobs open, one at {:?}: {record:?}",
+            "{} has {open} open jobs, one at step {:?}: {record:?}",
             self.name, job.step
         ))
     }
--- a/crates/simulator/src/actors/callers_job.rs
+++ b/crates/simulator/src/actors/callers_job.rs
@@ -1,4 +1,4 @@
-//! A job as its caller knows it, from the upload to the results.
+//! The state of a job at its caller, from the upload to the results.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::{
@@ -15,9 +15,9 @@
 };
 use crate::checker::custom_id;
 
-/// The path of all items.
+/// The endpoint of all items.
 const ENDPOINT: &str = "/v1/chat/completions";
-/// Items of a job.
+/// Number of items of a job.
 const ITEMS: std::ops::Range<u32> = 1..40;
 /// Share of items that must run at most once.
 const AT_MOST_ONCE_SHARE: f64 = 0.25;
@@ -29,13 +29,13 @@
 const SHORT_WINDOW_MS: u64 = 8_000;
 /// The usual completion window, in milliseconds.
 const WINDOW_MS: u64 = 24 * 3_600_000;
-/// Share of refused jobs that are given up, if they were sent only once.
+/// Share of refused jobs that the caller abandons if the job was sent only once.
 const GIVE_UP_SHARE: f64 = 0.3;
-/// Wait before a call is made again, in milliseconds.
+/// Delay before a call is retried, in milliseconds.
 const RETRY_MS: u64 = 700;
-/// Wait between two looks at a job, in milliseconds.
+/// Interval between two reads of a job, in milliseconds.
 const POLL_MS: u64 = 3_000;
-/// Bytes of a file that are read at once.
+/// Maximum number of bytes per read of a file.
 const READ_BYTES: u32 = 16 * 1024;
 
 /// The next step of a job.
@@ -51,7 +51,7 @@
     ReadErrors { cursor: u64 },
 }
 
-/// A job as its caller knows it.
+/// The state of a job at its caller.
 pub(super) struct CallersJob {
     pub(super) number: u64,
     pub(super) file: FileId,
@@ -68,17 +68,17 @@
     pub(super) errors: Vec<u8>,
 }
 
-/// What a job asks of control.
+/// A call to control.
 pub(super) enum Request {
     Propose(CommandBody),
     Query(Query),
 }
 
-/// Whether a job goes on.
+/// Whether a job continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Progress {
-    GoesOn,
-    Over,
+    Continues,
+    Ended,
 }
 
 impl CallersJob {
@@ -100,7 +100,7 @@
         }
         let short = context.random.random_bool(SHORT_WINDOW_SHARE);
         let cancelled = context.random.random_bool(CANCEL_SHARE);
-        let cancel_in = context.random.random_range(1_000..20_000);
+        let cancel_after_ms = context.random.random_range(1_000..20_000);
         CallersJob {
             number,
             file,
@@ -112,13 +112,14 @@
             next_ms: context.now_ms,
             creations: 0,
             record: None,
-            cancel_at_ms: cancelled.then_some(context.now_ms + cancel_in),
+            cancel_at_ms: cancelled.then_some(context.now_ms + cancel_after_ms),
             output: Vec::new(),
             errors: Vec::new(),
         }
     }
 
-    /// A resent creation has another id, as another gateway would choose it.
+    /// The job id of a creation attempt. Each attempt has another id, as when another gateway
+    /// receives the retry.
     fn job_id(&self, caller: &str, creation: u64) -> JobId {
         JobId(format!("batch_{caller}-{}-{creation}", self.number))
     }
@@ -168,11 +169,11 @@
             }),
             Step::ReadOutput { cursor } => {
                 let file = self.record.as_ref().map(|record| record.output.clone());
-                Request::Query(read(tenant, file.unwrap_or_default(), cursor))
+                Request::Query(read_query(tenant, file.unwrap_or_default(), cursor))
             }
             Step::ReadErrors { cursor } => {
                 let file = self.record.as_ref().map(|record| record.errors.clone());
-                Request::Query(read(tenant, file.unwrap_or_default(), cursor))
+                Request::Query(read_query(tenant, file.unwrap_or_default(), cursor))
             }
         }
     }
@@ -189,7 +190,7 @@
             CallResult::Refused(kind) => return self.on_refused(caller, kind, context),
             CallResult::Unknown => self.next_ms = context.now_ms + RETRY_MS,
         }
-        Progress::GoesOn
+        Progress::Continues
     }
 
     fn on_outcome(&mut self, outcome: Outcome, context: &mut Context) {
@@ -220,26 +221,26 @@
             {
                 let job = self.job_id(caller, 1);
                 context.checker.on_job_refused(&job);
-                Progress::Over
+                Progress::Ended
             }
-            // It ended before it could be cancelled.
+            // The job ended before it could be cancelled.
             (Step::Cancel, ErrorKind::InvalidState) => {
                 self.cancel_at_ms = None;
                 self.step = Step::Watch;
-                Progress::GoesOn
+                Progress::Continues
             }
             (
                 Step::Cancel | Step::ReadOutput { .. } | Step::ReadErrors { .. },
                 ErrorKind::NotFound,
             ) => {
                 context.checker.on_job_missing(&self.accepted_id());
-                Progress::Over
+                Progress::Ended
             }
-            // An upload that took too long was dropped.
+            // An upload that took too long was removed.
             (Step::AppendFile | Step::FinishFile | Step::CreateJob, ErrorKind::NotFound) => {
-                Progress::Over
+                Progress::Ended
             }
-            _ => Progress::GoesOn,
+            _ => Progress::Continues,
         }
     }
 
@@ -247,11 +248,11 @@
         match (self.step.clone(), answer) {
             (Step::Watch, QueryAnswer::Job(Some(record))) => {
                 self.on_record(record, context);
-                Progress::GoesOn
+                Progress::Continues
             }
             (Step::Watch, QueryAnswer::Job(None)) => {
                 context.checker.on_job_missing(&self.accepted_id());
-                Progress::Over
+                Progress::Ended
             }
             (Step::ReadOutput { .. }, QueryAnswer::FileContent { data, next }) => {
                 self.output.extend(data);
@@ -259,18 +260,18 @@
                     Some(cursor) => Step::ReadOutput { cursor },
                     None => Step::ReadErrors { cursor: 0 },
                 };
-                Progress::GoesOn
+                Progress::Continues
             }
             (Step::ReadErrors { .. }, QueryAnswer::FileContent { data, next }) => {
                 self.errors.extend(data);
                 if let Some(cursor) = next {
                     self.step = Step::ReadErrors { cursor };
-                    return Progress::GoesOn;
+                    return Progress::Continues;
                 }
                 self.end(context);
-                Progress::Over
+                Progress::Ended
             }
-            _ => Progress::GoesOn,
+            _ => Progress::Continues,
         }
     }
 
@@ -302,7 +303,7 @@
     }
 }
 
-fn read(tenant: TenantId, file: FileId, cursor: u64) -> Query {
+fn read_query(tenant: TenantId, file: FileId, cursor: u64) -> Query {
     Query::FileContent {
         tenant,
         file,
--- a/crates/simulator/src/actors/calls.rs
+++ b/crates/simulator/src/actors/calls.rs
@@ -1,4 +1,5 @@
-//! Calls of an actor to control: any member, a timeout, the answer by number.
+//! Calls of an actor to control: each goes to a random member and has a timeout; answers are
+//! matched by number.
 
 use std::collections::BTreeMap;
 
@@ -13,20 +14,19 @@
 use super::Context;
 use crate::network::{Address, Packet};
 
-/// Time after which an actor gives a call up, in milliseconds. Members answer
-/// within five seconds.
+/// Timeout of a call, in milliseconds. Members answer within five seconds.
 const CALL_TIMEOUT_MS: u64 = 6_000;
 
-/// What became of a call, as its sender sees it.
+/// The result of a call, as its sender knows it.
 #[derive(Clone, Debug)]
 pub(crate) enum CallResult {
-    /// The command was carried out.
+    /// The command was executed.
     Outcome(Box<Outcome>),
     /// The read was answered.
     Answer(Box<QueryAnswer>),
-    /// It was certainly not carried out.
+    /// The call was certainly not executed.
     Refused(ErrorKind),
-    /// Nobody knows.
+    /// It is unknown whether the call was executed.
     Unknown,
 }
 
@@ -35,14 +35,14 @@
     deadline_ms: u64,
 }
 
-/// Calls under way, each with its purpose.
+/// Pending calls, each with its purpose.
 pub(crate) struct Calls<T> {
     next_number: u64,
     pending: BTreeMap<u64, Pending<T>>,
 }
 
 impl<T> Calls<T> {
-    /// No calls.
+    /// Creates an empty set of calls.
     pub(crate) fn new() -> Self {
         Calls {
             next_number: 0,
@@ -50,7 +50,8 @@
         }
     }
 
-    /// No calls, after a restart: answers to earlier ones belong to nothing.
+    /// Drops all pending calls, as a restart does. Numbers continue, so answers to earlier calls
+    /// are ignored.
     pub(crate) fn restarted(self) -> Self {
         Calls {
             next_number: self.next_number,
@@ -58,17 +59,17 @@
         }
     }
 
-    /// Whether none is under way.
+    /// Whether no call is pending.
     pub(crate) fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Proposes a command through any member.
+    /// Proposes a command to a random member.
     pub(crate) fn propose(&mut self, body: CommandBody, purpose: T, context: &mut Context) {
         self.call(ControlCall::Propose(body), purpose, context);
     }
 
-    /// Reads through any member.
+    /// Sends a query to a random member.
     pub(crate) fn query(&mut self, query: Query, purpose: T, context: &mut Context) {
         self.call(ControlCall::Query(query), purpose, context);
     }
@@ -88,7 +89,8 @@
         context.wake_in(CALL_TIMEOUT_MS);
     }
 
-    /// Takes an answer; late ones belong to nothing any more.
+    /// Removes the call of an answer and returns its purpose and result; `None` if the call has
+    /// timed out.
     pub(crate) fn take_answer(
         &mut self,
         number: u64,
@@ -96,7 +98,7 @@
     ) -> Option<(T, CallResult)> {
         let pending = self.pending.remove(&number)?;
         let result = match body {
-            // The ledger itself refused it, so it is certain that nothing changed.
+            // The ledger refused the command, so it is certain that nothing changed.
             ControlAnswer::Outcome(Outcome::Refused(refusal)) => {
                 CallResult::Refused(refusal.kind())
             }
@@ -110,7 +112,7 @@
         Some((pending.purpose, result))
     }
 
-    /// Takes the calls whose time is up.
+    /// Removes the calls that have timed out and returns their purposes.
     pub(crate) fn take_expired(&mut self, now_ms: u64) -> Vec<T> {
         let expired: Vec<u64> = self
             .pending
@@ -118,9 +120,9 @@
             .filter(|(_, pending)| pending.deadline_ms <= now_ms)
             .map(|(number, _)| *number)
             .collect();
-        let taken = expired
+        let removed = expired
             .iter()
             .filter_map(|number| self.pending.remove(number));
-        taken.map(|pending| pending.purpose).collect()
+        removed.map(|pending| pending.purpose).collect()
     }
 }
--- a/crates/simulator/src/actors/fleet_text.rs
+++ b/crates/simulator/src/actors/fleet_text.rs
@@ -1,11 +1,12 @@
-//! The fleet files that operators apply.
+//! Text of the fleet files that operators apply.
 
 /// The model of all items and requests.
 pub(crate) const MODEL: &str = "granite";
 /// The tenant of all jobs and requests.
 pub(crate) const TENANT: &str = "acme";
 
-/// A valid fleet file that differs by its note and by whether a zone is evacuated.
+/// Creates a valid fleet file that contains the note. A zone is evacuated if the length of the
+/// note is even.
 pub(crate) fn fleet_text(note: &str) -> String {
     let evacuated = note.len().is_multiple_of(2);
     format!(
--- a/crates/simulator/src/actors/gateway/attachment.rs
+++ b/crates/simulator/src/actors/gateway/attachment.rs
@@ -1,4 +1,4 @@
-//! A gateway's connection to one control member, and what it brings.
+//! A gateway's connection to a control member, and the updates received on it.
 
 use std::time::Duration;
 
@@ -11,21 +11,21 @@
 use linnethitch_storage::VirtualDisk;
 use rand::seq::IndexedRandom;
 
-use super::follower::{ConfigurationOnDisk, Followed};
+use super::follower::{StoredConfiguration, UpdateResult};
 use crate::{
     actors::Context,
     checker::{Checker, Invariant},
     network::{Address, Packet},
 };
 
-/// What the connection brought for the other parts of the gateway.
+/// An update from control for the batch execution of the gateway.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(super) enum Brought {
-    /// Items pending in the ledger.
+pub(super) enum BatchUpdate {
+    /// The pending items in the ledger.
     Pending(Vec<PendingItems>),
     /// Jobs whose items must stop.
     Cancelled(Vec<JobId>),
-    /// Nothing.
+    /// No update.
     Nothing,
 }
 
@@ -36,33 +36,33 @@
     watch: FreshnessWatch,
 }
 
-/// Follows the configuration through one member after another.
+/// Follows the configuration over a connection to one member at a time.
 pub(super) struct Attachment {
     name: String,
-    configuration: ConfigurationOnDisk,
+    configuration: StoredConfiguration,
     connection: Option<Connection>,
     /// Number of the newest connection.
     number: u64,
-    /// Asks for the whole configuration with the next connection.
-    needs_whole: bool,
-    /// The highest revision that was ever in force here.
-    highest: Revision,
+    /// Whether to request the full configuration text with the next connection.
+    needs_full_text: bool,
+    /// The highest revision that has been in force at this gateway.
+    highest_revision: Revision,
 }
 
 impl Attachment {
-    /// Not attached, over a blank disk.
+    /// Creates an attachment without a connection and with a blank disk.
     pub(super) fn new(name: String, disk_seed: u64) -> Self {
         Attachment {
             name,
-            configuration: ConfigurationOnDisk::open(VirtualDisk::new(disk_seed)),
+            configuration: StoredConfiguration::open(VirtualDisk::new(disk_seed)),
             connection: None,
             number: 0,
-            needs_whole: false,
-            highest: Revision(0),
+            needs_full_text: false,
+            highest_revision: Revision(0),
         }
     }
 
-    /// Moves to another member when this one lags or is silent.
+    /// Attaches to a random member if the current one lags or is silent, or if there is none.
     pub(super) fn check(&mut self, context: &mut Context) {
         let now = Duration::from_millis(context.now_ms);
         let connection = self.connection.as_ref();
@@ -71,13 +71,13 @@
         }
     }
 
-    /// Attaches to any member, with what is stored here.
+    /// Attaches to a random member and reports the stored revision.
     fn attach(&mut self, context: &mut Context) {
         let Some(machine) = context.machines.choose(context.random).copied() else {
             return;
         };
         let member = Address::Control(machine);
-        let revision = match std::mem::take(&mut self.needs_whole) {
+        let revision = match std::mem::take(&mut self.needs_full_text) {
             true => Revision(0),
             false => self.configuration.revision(),
         };
@@ -94,7 +94,7 @@
         context.send(member, packet);
     }
 
-    /// Takes a message of the member; a gap means that the connection broke.
+    /// Handles a message from the member; a gap in the sequence means that the connection broke.
     pub(super) fn receive(
         &mut self,
         from: Address,
@@ -102,22 +102,23 @@
         sequence: u64,
         message: ControlMessage,
         context: &mut Context,
-    ) -> Brought {
+    ) -> BatchUpdate {
         let connection = self.connection.as_mut();
-        let current = connection.filter(|it| it.member == from && number == self.number);
+        let current =
+            connection.filter(|connection| connection.member == from && number == self.number);
         let Some(connection) = current else {
-            return Brought::Nothing;
+            return BatchUpdate::Nothing;
         };
         if connection.next_sequence != sequence {
             self.attach(context);
-            return Brought::Nothing;
+            return BatchUpdate::Nothing;
         }
         connection.next_sequence += 1;
         match message {
             ControlMessage::Configuration(update) => {
-                let followed = self.configuration.on_update(&update);
-                self.on_followed(followed, context);
-                Brought::Nothing
+                let result = self.configuration.on_update(&update);
+                self.on_update_result(result, context);
+                BatchUpdate::Nothing
             }
             ControlMessage::Freshness {
                 confirmed_at,
@@ -126,57 +127,58 @@
                 ..
             } => {
                 let age = Duration::from_millis(now.0.saturating_sub(confirmed_at.0));
-                let here = Duration::from_millis(context.now_ms);
-                connection.watch.on_stamp(here, age);
-                Brought::Pending(pending)
+                let local_now = Duration::from_millis(context.now_ms);
+                connection.watch.on_stamp(local_now, age);
+                BatchUpdate::Pending(pending)
             }
-            ControlMessage::CancelJobs(jobs) => Brought::Cancelled(jobs),
-            _ => Brought::Nothing,
+            ControlMessage::CancelJobs(jobs) => BatchUpdate::Cancelled(jobs),
+            _ => BatchUpdate::Nothing,
         }
     }
 
-    fn on_followed(&mut self, followed: Followed, context: &mut Context) {
-        match followed {
-            Followed::InForce(revision) => self.note_revision(revision, context.checker),
-            Followed::Same => {}
-            Followed::NeedsWhole => {
-                self.needs_whole = true;
+    fn on_update_result(&mut self, result: UpdateResult, context: &mut Context) {
+        match result {
+            UpdateResult::InForce(revision) => self.record_revision(revision, context.checker),
+            UpdateResult::Unchanged => {}
+            UpdateResult::NeedsFullText => {
+                self.needs_full_text = true;
                 self.attach(context);
             }
         }
     }
 
-    fn note_revision(&mut self, revision: Revision, checker: &mut Checker) {
-        let highest = self.highest;
-        checker.require(revision >= highest, Invariant::NeverBack, || {
+    fn record_revision(&mut self, revision: Revision, checker: &mut Checker) {
+        let highest_revision = self.highest_revision;
+        checker.require(revision >= highest_revision, Invariant::NeverBack, || {
             format!(
-                "gateway {} stepped back from {highest} to {revision}",
+                "gateway {} went back from {highest_revision} to {revision}",
                 self.name
             )
         });
-        self.highest = revision;
+        self.highest_revision = revision;
     }
 
-    /// The process starts again from its disk, perhaps with its machine.
+    /// Restarts the process, or the machine, from the disk.
     pub(super) fn restart(&mut self, machine_stops: bool, checker: &mut Checker) {
         self.configuration.restart(machine_stops);
         self.connection = None;
-        self.note_revision(self.configuration.revision(), checker);
+        self.record_revision(self.configuration.revision(), checker);
     }
 
-    /// What is missing until the newest revision is in force here.
-    pub(super) fn unsettled(&self, checker: &Checker) -> Option<String> {
-        let held = self.configuration.revision();
+    /// Describes the missing configuration until the newest revision is in force, if any.
+    pub(super) fn open_work(&self, checker: &Checker) -> Option<String> {
+        let current = self.configuration.revision();
         let newest = checker.newest_revision();
-        (held < newest).then(|| format!("gateway {} holds {held}, not {newest}", self.name))
+        (current < newest)
+            .then(|| format!("gateway {} has revision {current}, not {newest}", self.name))
     }
 
-    /// Compares the text in force with control's.
-    pub(super) fn check_at_rest(&self, ledger: &Ledger, checker: &mut Checker) {
+    /// Compares the configuration text in force with that of control.
+    pub(super) fn check_after_recovery(&self, ledger: &Ledger, checker: &mut Checker) {
         let same = ledger.revision() != self.configuration.revision()
             || *ledger.configuration_text() == *self.configuration.content();
         checker.require(same, Invariant::EqualStates, || {
-            format!("gateway {} holds another text of its revision", self.name)
+            format!("gateway {} has another text for its revision", self.name)
         });
     }
 }
--- a/crates/simulator/src/actors/gateway/execution.rs
+++ b/crates/simulator/src/actors/gateway/execution.rs
@@ -1,5 +1,5 @@
-//! A gateway's batch work: the gateway's own executor, carried out against
-//! virtual engines that record every start.
+//! The batch work of a gateway: the production executor, run against virtual engines
+//! that record every start.
 
 use std::collections::BTreeMap;
 
@@ -18,27 +18,27 @@
 use super::{GatewayCall, GatewayCalls};
 use crate::actors::{Context, calls::CallResult, fleet_text::MODEL};
 
-/// Engines of a run.
+/// Number of engines.
 const ENGINES: u32 = 2;
-/// Sequences that each gateway may have on each engine.
+/// Maximum number of sequences of each gateway on each engine.
 const SEQUENCES: u32 = 4;
-/// How long an item runs, in milliseconds.
+/// Duration of a run of an item, in milliseconds.
 const RUN_MS: std::ops::Range<u64> = 20..3_000;
 /// Share of runs that fail after the engine may have started them.
 const FAILED_SHARE: f64 = 0.04;
-/// Share of runs that certainly do not reach an engine.
+/// Share of runs that fail before they reach an engine.
 const UNSENT_SHARE: f64 = 0.03;
 /// Share of runs that the engine rejects.
 const REJECTED_SHARE: f64 = 0.01;
 
-/// An item that runs at an engine.
+/// A run of an item at an engine.
 struct Run {
     order: RunOrder,
     ends_at_ms: u64,
     end: RunEnd,
 }
 
-/// The batch work of one process.
+/// The batch work of a gateway process.
 pub(super) struct Execution {
     gateway: GatewayId,
     executor: BatchExecutor,
@@ -47,22 +47,22 @@
 }
 
 impl Execution {
-    /// A process that has just started.
+    /// Creates the executor of a process that has just started.
     pub(super) fn new(gateway: GatewayId) -> Self {
         let settings = ExecutorSettings {
             max_items: 16,
             ..ExecutorSettings::default()
         };
         let mut executor = BatchExecutor::new(settings);
-        let rooms = (0..ENGINES).map(|number| ReplicaCapacity {
+        let capacities = (0..ENGINES).map(|number| ReplicaCapacity {
             replica: ReplicaId(format!("engine-{number}")),
             model: ModelId::from(MODEL),
             adapters: Vec::new(),
             sequences: SEQUENCES,
             reason: ReasonCode::IdleCapacity,
         });
-        // It holds nothing yet, so there is nothing to do.
-        let _ = executor.handle(Timestamp(0), BatchEvent::Capacity(rooms.collect()));
+        // The executor has no items yet, so it returns no actions.
+        let _ = executor.handle(Timestamp(0), BatchEvent::Capacity(capacities.collect()));
         Execution {
             gateway,
             executor,
@@ -71,18 +71,18 @@
         }
     }
 
-    /// What is not at an end yet, if anything.
-    pub(super) fn under_way(&self) -> Option<String> {
-        let (held, waiting) = (
+    /// Describes unfinished work, if any.
+    pub(super) fn unfinished(&self) -> Option<String> {
+        let (leased, uncommitted) = (
             self.executor.leased_items(),
             self.executor.uncommitted_results(),
         );
         let runs = self.runs.len();
         (!self.executor.is_idle())
-            .then(|| format!("{held} items, {runs} runs, {waiting} results not committed"))
+            .then(|| format!("{leased} items, {runs} runs, {uncommitted} results not committed"))
     }
 
-    /// Lets time pass: runs end, the session may have changed.
+    /// Handles a changed session and ended runs, and ticks the executor.
     pub(super) fn tick(
         &mut self,
         now: Timestamp,
@@ -112,7 +112,7 @@
         self.handle(now, BatchEvent::Tick, calls, context);
     }
 
-    /// Hands an event to the executor and carries out what it decides.
+    /// Passes an event to the executor and executes the resulting actions.
     pub(super) fn handle(
         &mut self,
         now: Timestamp,
@@ -123,12 +123,12 @@
         let mut events = vec![event];
         while let Some(event) = events.pop() {
             for action in self.executor.handle(now, event) {
-                events.extend(self.carry_out(action, calls, context));
+                events.extend(self.execute(action, calls, context));
             }
         }
     }
 
-    fn carry_out(
+    fn execute(
         &mut self,
         action: BatchAction,
         calls: &mut GatewayCalls,
@@ -200,7 +200,7 @@
         None
     }
 
-    /// Sends an item to its engine, which records the start.
+    /// Starts a run of an item and draws its result; the engine records the start.
     fn run(&mut self, order: RunOrder, context: &mut Context) {
         let key = &order.item.key;
         let unsent = context.random.random_bool(UNSENT_SHARE);
@@ -235,7 +235,7 @@
         self.runs.insert(run.order.run, run);
     }
 
-    /// The answer to a call of the executor.
+    /// Handles the answer to a call of the executor.
     pub(super) fn on_result(
         &mut self,
         now: Timestamp,
@@ -287,11 +287,11 @@
     }
 }
 
-/// Sorts an answer as the gateway's driver does.
-fn answer<T>(result: CallResult, pick: impl FnOnce(Outcome) -> Option<T>) -> CallAnswer<T> {
+/// Converts the result of a call like the driver in the production gateway.
+fn answer<T>(result: CallResult, extract: impl FnOnce(Outcome) -> Option<T>) -> CallAnswer<T> {
     match result {
         CallResult::Outcome(outcome) => {
-            pick(*outcome).map_or(CallAnswer::Unknown, CallAnswer::Done)
+            extract(*outcome).map_or(CallAnswer::Unknown, CallAnswer::Done)
         }
         CallResult::Refused(ErrorKind::InvalidState) => CallAnswer::Fenced,
         _ => CallAnswer::Unknown,
--- a/crates/simulator/src/actors/gateway/follower.rs
+++ b/crates/simulator/src/actors/gateway/follower.rs
@@ -1,5 +1,5 @@
-//! The configuration of a gateway: followed and stored by the gateway's own
-//! code, on a virtual disk.
+//! The configuration of a gateway, followed and stored by the production code of the
+//! gateway on a virtual disk.
 
 use std::sync::Arc;
 
@@ -10,69 +10,71 @@
 use linnethitch_protocol::{attach::ConfigurationUpdate, ids::Revision};
 use linnethitch_storage::VirtualDisk;
 
-/// What an update led to.
+/// The result of a configuration update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Followed {
-    /// Another configuration is stored, synced and in force.
+pub(crate) enum UpdateResult {
+    /// A new revision is stored, synced and in force.
     InForce(Revision),
     /// Nothing changed.
-    Same,
-    /// The whole text is needed.
-    NeedsWhole,
+    Unchanged,
+    /// The full text is needed.
+    NeedsFullText,
 }
 
 /// The configuration of one gateway.
-pub(crate) struct ConfigurationOnDisk {
+pub(crate) struct StoredConfiguration {
     disk: VirtualDisk,
     store: ConfigurationStore,
     follower: Follower,
 }
 
-impl ConfigurationOnDisk {
-    /// Starts from what the disk holds.
+impl StoredConfiguration {
+    /// Opens the configuration stored on the disk.
     pub(crate) fn open(disk: VirtualDisk) -> Self {
         let store = ConfigurationStore::with_file_system(Arc::new(disk.clone()));
-        let held = store.load().ok().flatten();
-        ConfigurationOnDisk {
+        let stored = store.load().ok().flatten();
+        StoredConfiguration {
             disk,
             store,
-            follower: Follower::new(held),
+            follower: Follower::new(stored),
         }
     }
 
-    /// The revision in force here.
+    /// The revision in force.
     pub(crate) fn revision(&self) -> Revision {
         self.follower.revision()
     }
 
-    /// Takes an update.
-    pub(crate) fn on_update(&mut self, update: &ConfigurationUpdate) -> Followed {
+    /// Handles an update.
+    pub(crate) fn on_update(&mut self, update: &ConfigurationUpdate) -> UpdateResult {
         match self.follower.on_update(update) {
-            FollowerAction::ConfirmCurrent(_) => Followed::Same,
-            FollowerAction::RequestFullText(_) => Followed::NeedsWhole,
+            FollowerAction::ConfirmCurrent(_) => UpdateResult::Unchanged,
+            FollowerAction::RequestFullText(_) => UpdateResult::NeedsFullText,
             FollowerAction::Store(stored) => {
                 if self.store.store(&stored).is_err() {
-                    return Followed::Same;
+                    return UpdateResult::Unchanged;
                 }
                 let revision = stored.revision;
                 self.follower.on_stored(stored);
-                Followed::InForce(revision)
+                UpdateResult::InForce(revision)
             }
         }
     }
 
     /// The text in force.
     pub(crate) fn content(&self) -> &str {
-        self.follower.current().map_or("", |held| held.content())
+        self.follower
+            .current()
+            .map_or("", |current| current.content())
     }
 
-    /// The process dies, perhaps with its machine, and starts again from the disk.
+    /// Stops the process, or the machine, and restarts it from the disk.
     pub(crate) fn restart(&mut self, machine_stops: bool) {
         if machine_stops {
             self.disk.crash();
         } else {
             self.disk.stop_process();
         }
-        *self = ConfigurationOnDisk::open(self.disk.clone());
+        *self = StoredConfiguration::open(self.disk.clone());
     }
 }
--- a/crates/simulator/src/actors/gateway/mod.rs
+++ b/crates/simulator/src/actors/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway process: it follows the configuration, keeps a session, executes
+//! A gateway process, which follows the configuration, maintains a session, executes
 //! batch items and runs callers' requests.
 
 mod attachment;
@@ -13,7 +13,7 @@
 use rand::Rng;
 
 use self::{
-    attachment::{Attachment, Brought},
+    attachment::{Attachment, BatchUpdate},
     execution::Execution,
     requests::Requests,
     session::SessionKeeper,
@@ -28,11 +28,11 @@
     network::{Address, Packet},
 };
 
-/// How often a gateway looks at its timers, in milliseconds.
+/// Interval at which a gateway checks its timers, in milliseconds.
 const TICK_MS: u64 = 100;
-/// How long a gateway process is down or stands still, in milliseconds.
+/// Duration for which a gateway process is down or paused, in milliseconds.
 const DOWN_MS: std::ops::Range<u64> = 200..30_000;
-/// Most that a gateway's clock is off, in milliseconds.
+/// Limit of the clock skew of a gateway, in milliseconds.
 const MAX_SKEW_MS: i64 = 3_000;
 
 /// A call of a gateway to control.
@@ -40,26 +40,26 @@
 pub(crate) enum GatewayCall {
     /// Opens a session.
     OpenSession,
-    /// Renews it to this.
+    /// Renews the session; contains the renewed session.
     RenewSession(BatchSession),
-    /// Leases items, by sequence.
+    /// Leases items; contains the sequence number of the lease call.
     Lease(u64),
-    /// Marks items as started, by the executor's number.
+    /// Marks items as started; contains the executor's number of the call.
     MarkStarted(u64),
-    /// Commits results, by the executor's number.
+    /// Commits results; contains the executor's number of the call.
     Commit(u64),
-    /// Gives items back, by the executor's number.
+    /// Releases items; contains the executor's number of the call.
     Release(u64),
-    /// Claims a request's key, by attempt.
+    /// Claims the key of a request; contains the attempt.
     Claim(u64),
-    /// Ends a claim, by attempt.
+    /// Finishes a claim; contains the attempt.
     FinishClaim(u64),
 }
 
-/// The calls of a gateway under way.
+/// The pending calls of a gateway.
 pub(crate) type GatewayCalls = Calls<GatewayCall>;
 
-/// What a process has in memory.
+/// The volatile state of a gateway process.
 struct Process {
     calls: GatewayCalls,
     session: SessionKeeper,
@@ -113,18 +113,18 @@
     }
 }
 
-/// A gateway on its machine.
+/// A gateway: its machine and its process.
 pub(crate) struct Gateway {
     id: GatewayId,
     attachment: Attachment,
     process: Process,
     skew_ms: i64,
-    /// The process is down or stands still until then.
-    away_until_ms: u64,
+    /// Time until which the process is down or paused, in milliseconds.
+    unavailable_until_ms: u64,
 }
 
 impl Gateway {
-    /// A gateway with a blank disk.
+    /// Creates a gateway with a blank disk.
     pub(crate) fn new(name: String, disk_seed: u64) -> Self {
         let id = GatewayId(name.clone());
         let skew_ms = disk_seed.cast_signed() % MAX_SKEW_MS;
@@ -132,7 +132,7 @@
             attachment: Attachment::new(name, disk_seed),
             process: Process::new(&id),
             skew_ms,
-            away_until_ms: 0,
+            unavailable_until_ms: 0,
             id,
         }
     }
@@ -141,11 +141,11 @@
         Timestamp((START_WALL_MS + context.now_ms).saturating_add_signed(self.skew_ms))
     }
 
-    fn on_brought(&mut self, now: Timestamp, brought: Brought, context: &mut Context) {
-        let event = match brought {
-            Brought::Pending(pending) => BatchEvent::Pending(pending),
-            Brought::Cancelled(jobs) => BatchEvent::JobsCancelled(jobs),
-            Brought::Nothing => return,
+    fn on_update(&mut self, now: Timestamp, update: BatchUpdate, context: &mut Context) {
+        let event = match update {
+            BatchUpdate::Pending(pending) => BatchEvent::Pending(pending),
+            BatchUpdate::Cancelled(jobs) => BatchEvent::JobsCancelled(jobs),
+            BatchUpdate::Nothing => return,
         };
         let process = &mut self.process;
         process
@@ -156,7 +156,7 @@
 
 impl Actor for Gateway {
     fn wake(&mut self, context: &mut Context) {
-        if context.now_ms < self.away_until_ms {
+        if context.now_ms < self.unavailable_until_ms {
             return;
         }
         let now = self.now(context);
@@ -166,7 +166,7 @@
     }
 
     fn receive(&mut self, from: Address, packet: Packet, context: &mut Context) {
-        if context.now_ms < self.away_until_ms {
+        if context.now_ms < self.unavailable_until_ms {
             return;
         }
         let now = self.now(context);
@@ -177,8 +177,8 @@
                 message,
             } => {
                 let attachment = &mut self.attachment;
-                let brought = attachment.receive(from, connection, sequence, message, context);
-                self.on_brought(now, brought, context);
+                let update = attachment.receive(from, connection, sequence, message, context);
+                self.on_update(now, update, context);
             }
             Packet::Answer { number, body } => {
                 if let Some((call, result)) = self.process.calls.take_answer(number, body) {
@@ -199,15 +199,15 @@
         }
     }
 
-    /// The process dies and comes back, or only stands still and goes on with
-    /// what it had in memory.
-    fn die(&mut self, context: &mut Context) {
-        if context.now_ms < self.away_until_ms {
+    /// Either kills the process, which restarts later, or pauses it, so that it continues with
+    /// its state in memory.
+    fn kill(&mut self, context: &mut Context) {
+        if context.now_ms < self.unavailable_until_ms {
             return;
         }
-        let away_ms = context.random.random_range(DOWN_MS);
-        self.away_until_ms = context.now_ms + away_ms;
-        context.wake_in(away_ms);
+        let unavailable_ms = context.random.random_range(DOWN_MS);
+        self.unavailable_until_ms = context.now_ms + unavailable_ms;
+        context.wake_in(unavailable_ms);
         if context.random.random_bool(0.5) {
             let machine_stops = context.random.random_bool(0.5);
             self.attachment.restart(machine_stops, context.checker);
@@ -216,20 +216,20 @@
         }
     }
 
-    fn unsettled(&self, checker: &Checker) -> Option<String> {
-        let held = self.attachment.unsettled(checker);
-        held.or_else(|| {
+    fn open_work(&self, checker: &Checker) -> Option<String> {
+        let attachment_work = self.attachment.open_work(checker);
+        attachment_work.or_else(|| {
             let Process {
                 execution,
                 requests,
                 ..
             } = &self.process;
-            let under_way = execution.under_way().or_else(|| requests.under_way());
-            under_way.map(|what| format!("gateway {} has {what}", self.id))
+            let process_work = execution.unfinished().or_else(|| requests.unfinished());
+            process_work.map(|what| format!("gateway {} has {what}", self.id))
         })
     }
 
-    fn check_at_rest(&mut self, ledger: &Ledger, checker: &mut Checker) {
-        self.attachment.check_at_rest(ledger, checker);
+    fn check_after_recovery(&mut self, ledger: &Ledger, checker: &mut Checker) {
+        self.attachment.check_after_recovery(ledger, checker);
     }
 }
--- a/crates/simulator/src/actors/gateway/requests.rs
+++ b/crates/simulator/src/actors/gateway/requests.rs
@@ -1,5 +1,5 @@
-//! A gateway's requests with idempotency keys: claimed, run, answered, as the
-//! gateway does it.
+//! A gateway's requests with idempotency keys, which are claimed, run and answered like
+//! in the production gateway.
 
 use std::collections::BTreeMap;
 
@@ -18,24 +18,24 @@
     network::{Address, OnlineAnswer, OnlineRequest, Packet},
 };
 
-/// How long a request runs, in milliseconds.
+/// Duration of a request, in milliseconds.
 const RUN_MS: std::ops::Range<u64> = 20..2_000;
-/// Wait before a call that must succeed is made again, in milliseconds.
+/// Delay before a call that must succeed is retried, in milliseconds.
 const RETRY_MS: u64 = 200;
 
-/// The gateway's number of a request; drawn at random, as its attempt.
+/// The attempt number of a request, drawn at random.
 type Attempt = u64;
 
-/// Where a request stands.
+/// The stage of a request.
 #[derive(Clone, Debug)]
 enum Stage {
     /// The key is being claimed.
     Claiming,
-    /// It is not run, but the claim may have been taken: that is to be found out.
+    /// The request does not run; the claim is retried to find out whether it was granted.
     Resolving,
-    /// It runs at a back end.
+    /// The request runs at a back end.
     Running { ends_at_ms: u64 },
-    /// The ledger is told how it ended.
+    /// The result is being reported to the ledger.
     Finishing(Option<KeptAnswer>),
 }
 
@@ -44,18 +44,18 @@
     request: OnlineRequest,
     session: BatchSession,
     stage: Stage,
-    /// A call that was not answered is made again then.
-    again_at_ms: Option<u64>,
+    /// Time to retry the call, in milliseconds, if it failed.
+    retry_at_ms: Option<u64>,
 }
 
-/// The requests of one process.
+/// The open requests of a gateway process.
 pub(super) struct Requests {
     gateway: GatewayId,
     open: BTreeMap<Attempt, Request>,
 }
 
 impl Requests {
-    /// None.
+    /// Creates an empty set of requests.
     pub(super) fn new(gateway: GatewayId) -> Self {
         Requests {
             gateway,
@@ -63,13 +63,13 @@
         }
     }
 
-    /// What is not at an end yet, if anything.
-    pub(super) fn under_way(&self) -> Option<String> {
+    /// Describes an unfinished request, if any.
+    pub(super) fn unfinished(&self) -> Option<String> {
         let open = self.open.values().next()?;
         Some(format!("{} at {:?}", open.request.key, open.stage))
     }
 
-    /// Takes a caller's request; without a session it is refused at once.
+    /// Handles a caller's request; refuses it at once if there is no session.
     pub(super) fn receive(
         &mut self,
         caller: Address,
@@ -93,7 +93,7 @@
             request,
             session,
             stage: Stage::Claiming,
-            again_at_ms: None,
+            retry_at_ms: None,
         };
         self.open.insert(attempt, open);
         self.claim(attempt, calls, context);
@@ -115,7 +115,7 @@
         calls.propose(body, GatewayCall::Claim(attempt), context);
     }
 
-    /// The answer to a claim.
+    /// Handles the answer to a claim.
     pub(super) fn on_claimed(
         &mut self,
         attempt: Attempt,
@@ -144,12 +144,12 @@
             }
             _ => {
                 if !resolving {
-                    // It is not certain that the key is held, so nothing runs.
+                    // It is uncertain whether the claim was granted, so the request must not run.
                     let answer = refused(ErrorKind::ControlUnavailable);
                     reply(open.caller, &open.request, answer, context);
                     open.stage = Stage::Resolving;
                 }
-                open.again_at_ms = Some(context.now_ms + RETRY_MS);
+                open.retry_at_ms = Some(context.now_ms + RETRY_MS);
                 return;
             }
         };
@@ -162,7 +162,7 @@
             }
             other => {
                 if !resolving {
-                    reply(open.caller, &open.request, told(other), context);
+                    reply(open.caller, &open.request, claim_answer(other), context);
                 }
                 self.open.remove(&attempt);
             }
@@ -191,7 +191,7 @@
         calls.propose(body, GatewayCall::FinishClaim(attempt), context);
     }
 
-    /// The answer to the end of a claim.
+    /// Handles the answer to the end of a claim.
     pub(super) fn on_finished(
         &mut self,
         attempt: Attempt,
@@ -203,11 +203,11 @@
         };
         match result {
             CallResult::Outcome(_) | CallResult::Refused(ErrorKind::InvalidState) => {
-                let kept = matches!(result, CallResult::Outcome(_));
+                let stored = matches!(result, CallResult::Outcome(_));
                 if let Stage::Finishing(Some(answer)) = &open.stage {
                     let answer = OnlineAnswer::Answered {
                         body: answer.body.clone(),
-                        kept,
+                        stored,
                     };
                     reply(open.caller, &open.request, answer, context);
                 }
@@ -218,18 +218,18 @@
                 reply(open.caller, &open.request, answer, context);
                 self.open.remove(&attempt);
             }
-            _ => open.again_at_ms = Some(context.now_ms + RETRY_MS),
+            _ => open.retry_at_ms = Some(context.now_ms + RETRY_MS),
         }
     }
 
-    /// Lets time pass: runs end, calls are made again.
+    /// Finishes requests whose run has ended and retries due calls.
     pub(super) fn tick(&mut self, calls: &mut GatewayCalls, context: &mut Context) {
         let attempts: Vec<Attempt> = self.open.keys().copied().collect();
         for attempt in attempts {
             let Some(open) = self.open.get_mut(&attempt) else {
                 continue;
             };
-            let again = open.again_at_ms.take_if(|at_ms| *at_ms <= context.now_ms);
+            let retry = open.retry_at_ms.take_if(|at_ms| *at_ms <= context.now_ms);
             match open.stage.clone() {
                 Stage::Running { ends_at_ms } if ends_at_ms <= context.now_ms => {
                     let answer = KeptAnswer {
@@ -239,8 +239,8 @@
                     };
                     self.finish(attempt, Some(answer), calls, context);
                 }
-                Stage::Resolving if again.is_some() => self.claim(attempt, calls, context),
-                Stage::Finishing(answer) if again.is_some() => {
+                Stage::Resolving if retry.is_some() => self.claim(attempt, calls, context),
+                Stage::Finishing(answer) if retry.is_some() => {
                     self.finish(attempt, answer, calls, context);
                 }
                 _ => {}
@@ -249,12 +249,12 @@
     }
 }
 
-/// What a caller is told of a claim that was not granted.
-fn told(claimed: ClaimOutcome) -> OnlineAnswer {
+/// The answer to a caller whose claim was not granted.
+fn claim_answer(claimed: ClaimOutcome) -> OnlineAnswer {
     match claimed {
         ClaimOutcome::Answered(answer) => OnlineAnswer::Answered {
             body: answer.body,
-            kept: true,
+            stored: true,
         },
         ClaimOutcome::InProgress => refused(ErrorKind::IdempotencyInProgress),
         ClaimOutcome::OutcomeUnknown => refused(ErrorKind::OutcomeUnknown),
@@ -283,7 +283,7 @@
     context.send(caller, Packet::Reply { number, answer });
 }
 
-/// A key of a caller, unique in the run.
-pub(crate) fn key(caller: &str, number: u64) -> IdempotencyKey {
+/// Creates an idempotency key of a caller, unique in the run.
+pub(crate) fn idempotency_key(caller: &str, number: u64) -> IdempotencyKey {
     IdempotencyKey(format!("{caller}-{number}"))
 }
--- a/crates/simulator/src/actors/gateway/session.rs
+++ b/crates/simulator/src/actors/gateway/session.rs
@@ -1,4 +1,4 @@
-//! A gateway's session in the ledger, opened and renewed as the gateway does it.
+//! A gateway's session in the ledger, opened and renewed like in the production gateway.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_gateway::batch::BatchSession;
@@ -11,9 +11,9 @@
 use super::{GatewayCall, GatewayCalls};
 use crate::actors::{Context, calls::CallResult};
 
-/// Lease time of the simulated fleet, in milliseconds.
+/// Lease duration in the fleet file, in milliseconds.
 const LEASE_MS: u64 = 10_000;
-/// Renewals in one lease time.
+/// Number of renewals per lease duration.
 const RENEWALS_PER_LEASE: u64 = 3;
 
 /// The session of a gateway.
@@ -21,13 +21,13 @@
     gateway: GatewayId,
     nonce: u64,
     current: Option<BatchSession>,
-    /// Whether a call is under way.
+    /// Whether a call is pending.
     busy: bool,
     next_call_ms: u64,
 }
 
 impl SessionKeeper {
-    /// No session yet.
+    /// Creates a keeper without a session.
     pub(super) fn new(gateway: GatewayId) -> Self {
         SessionKeeper {
             gateway,
@@ -38,12 +38,12 @@
         }
     }
 
-    /// The session, if it still holds.
+    /// The session, unless its lease has expired.
     pub(super) fn current(&self, now: Timestamp) -> Option<BatchSession> {
         self.current.filter(|session| now < session.until)
     }
 
-    /// Opens or renews the session when it is time.
+    /// Opens or renews the session if a call is due.
     pub(super) fn check(
         &mut self,
         now: Timestamp,
@@ -75,7 +75,7 @@
         calls.propose(body, call, context);
     }
 
-    /// The answer to opening a session.
+    /// Handles the answer to opening a session.
     pub(super) fn on_opened(&mut self, now: Timestamp, result: &CallResult) {
         self.busy = false;
         self.next_call_ms = 0;
@@ -89,7 +89,7 @@
         }
     }
 
-    /// The answer to a renewal.
+    /// Handles the answer to a renewal.
     pub(super) fn on_renewed(
         &mut self,
         now: Timestamp,
@@ -98,7 +98,7 @@
     ) {
         self.busy = false;
         match result {
-            // It ended here before the answer came, and what ran under it was given up.
+            // The lease expired before the answer arrived, and the work under it was stopped.
             CallResult::Outcome(_) if self.current(now).is_none() => self.current = None,
             CallResult::Outcome(_) => self.current = Some(renewed),
             CallResult::Refused(ErrorKind::InvalidState) => self.current = None,
--- a/crates/simulator/src/actors/mod.rs
+++ b/crates/simulator/src/actors/mod.rs
@@ -1,4 +1,4 @@
-//! Processes around control: operators, callers, gateways.
+//! Simulated processes that use control: operators, callers and gateways.
 
 pub(crate) mod batch_caller;
 mod callers_job;
@@ -17,50 +17,50 @@
     network::{Address, Packet},
 };
 
-/// Number of an actor in its run.
+/// Number of an actor in a run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ActorId(pub(crate) u32);
 
-/// What an actor can see and do in one step.
+/// The environment of an actor during one step.
 pub(crate) struct Context<'a> {
     pub(crate) now_ms: u64,
     pub(crate) random: &'a mut Pcg64Mcg,
-    /// Whether work that was begun is to be ended and none begun.
-    pub(crate) resting: bool,
+    /// Whether the system recovers: actors complete open work and start no new work.
+    pub(crate) recovering: bool,
     pub(crate) checker: &'a mut Checker,
     pub(crate) machines: &'a [MachineId],
     /// Messages to send.
     pub(crate) sent: Vec<(Address, Packet)>,
-    /// When to be woken.
+    /// Requested timers, in milliseconds of simulated time.
     pub(crate) wakes: Vec<u64>,
 }
 
 impl Context<'_> {
-    /// Sends a message.
+    /// Sends a message after the step.
     pub(crate) fn send(&mut self, to: Address, packet: Packet) {
         self.sent.push((to, packet));
     }
 
-    /// Asks to be woken after a while.
+    /// Sets a timer.
     pub(crate) fn wake_in(&mut self, milliseconds: u64) {
         self.wakes.push(self.now_ms + milliseconds);
     }
 }
 
-/// A process around control.
+/// A simulated process that uses control.
 pub(crate) trait Actor {
-    /// A timer that was asked for is due; the first comes at the start.
+    /// Handles a due timer. Every actor is also woken at the start of each phase.
     fn wake(&mut self, context: &mut Context);
 
-    /// A message has arrived.
+    /// Handles a received message.
     fn receive(&mut self, from: Address, packet: Packet, context: &mut Context);
 
-    /// Why the actor still has something under way, if it has.
-    fn unsettled(&self, checker: &Checker) -> Option<String>;
+    /// Describes work of the actor that is not complete yet, if any.
+    fn open_work(&self, checker: &Checker) -> Option<String>;
 
-    /// The process dies; it comes back by itself.
-    fn die(&mut self, _context: &mut Context) {}
+    /// Kills or pauses the process; it restarts or continues later.
+    fn kill(&mut self, _context: &mut Context) {}
 
-    /// Checks what the actor was told against a converged state.
-    fn check_at_rest(&mut self, _ledger: &Ledger, _checker: &mut Checker) {}
+    /// Checks the state of the actor against a converged state of control.
+    fn check_after_recovery(&mut self, _ledger: &Ledger, _checker: &mut Checker) {}
 }
--- a/crates/simulator/src/actors/operator.rs
+++ b/crates/simulator/src/actors/operator.rs
@@ -1,4 +1,4 @@
-//! Operators: they race with equal expected revisions and resend after lost answers.
+//! Operators, which race with equal expected revisions and resend changes after lost answers.
 
 use linnethitch_protocol::{
     command::{ApplyOutcome, CommandBody, Outcome},
@@ -17,22 +17,23 @@
     network::{Address, Packet},
 };
 
-/// Operators look at the clock in these steps, so that they often race.
-const PACE_MS: u64 = 4_000;
-/// Wait before a call is sent again, in milliseconds.
+/// Interval of operators' turns, in milliseconds; all take their turns at the same time, so that
+/// they often race.
+const TURN_INTERVAL_MS: u64 = 4_000;
+/// Delay before a change is resent, in milliseconds.
 const RETRY_MS: u64 = 700;
-/// Share of refused changes that are given up, if they were sent only once.
+/// Share of refused changes that the operator abandons if the change was sent only once.
 const GIVE_UP_SHARE: f64 = 0.5;
-/// Share of turns in which an old change is sent again.
+/// Share of turns in which an accepted change is resent.
 const RESEND_SHARE: f64 = 0.2;
 
-/// A change as the operator's tool keeps it.
+/// A change as the operator's tool stores it.
 #[derive(Clone, Debug)]
 struct Change {
     id: ChangeId,
     expected: Revision,
     content: String,
-    /// How often it was sent.
+    /// Number of transmissions.
     sends: u32,
 }
 
@@ -46,19 +47,19 @@
     name: String,
     next_change: u64,
     calls: Calls<Purpose>,
-    /// Changes that are to be sent again.
-    again: Vec<Change>,
+    /// Changes to resend.
+    to_resend: Vec<Change>,
     accepted: Vec<Change>,
 }
 
 impl Operator {
-    /// An operator with a name of its own.
+    /// Creates an operator with a unique name.
     pub(crate) fn new(name: String) -> Self {
         Operator {
             name,
             next_change: 0,
             calls: Calls::new(),
-            again: Vec::new(),
+            to_resend: Vec::new(),
             accepted: Vec::new(),
         }
     }
@@ -86,16 +87,16 @@
     }
 
     fn take_turn(&mut self, context: &mut Context) {
-        for change in std::mem::take(&mut self.again) {
+        for change in std::mem::take(&mut self.to_resend) {
             self.send(change, context);
         }
-        if context.resting || !self.calls.is_empty() {
+        if context.recovering || !self.calls.is_empty() {
             return;
         }
         if context.random.random_bool(RESEND_SHARE)
-            && let Some(old) = self.accepted.choose(context.random).cloned()
+            && let Some(accepted) = self.accepted.choose(context.random).cloned()
         {
-            self.send(old, context);
+            self.send(accepted, context);
             return;
         }
         let floor = context.checker.newest_revision();
@@ -108,7 +109,7 @@
             (Purpose::Read { floor }, CallResult::Answer(answer)) => {
                 if let QueryAnswer::Configuration { revision, .. } = *answer {
                     context.checker.on_revision_read(floor, revision);
-                    if !context.resting {
+                    if !context.recovering {
                         self.apply_new(revision, context);
                     }
                 }
@@ -121,12 +122,12 @@
                 if change.sends == 1 && context.random.random_bool(GIVE_UP_SHARE) {
                     context.checker.on_change_refused(&change.id);
                 } else {
-                    self.again.push(change);
+                    self.to_resend.push(change);
                     context.wake_in(RETRY_MS);
                 }
             }
             (Purpose::Apply(change), _) => {
-                self.again.push(change);
+                self.to_resend.push(change);
                 context.wake_in(RETRY_MS);
             }
         }
@@ -144,7 +145,7 @@
             }
             ApplyOutcome::Conflict(_) => context.checker.on_change_lost(&change.id),
             ApplyOutcome::Invalid(_) | ApplyOutcome::ChangeIdReused => {
-                let detail = format!("{} was told {outcome:?}", change.id);
+                let detail = format!("{} got the answer {outcome:?}", change.id);
                 context.checker.violate(Invariant::OneWinner, detail);
             }
         }
@@ -157,8 +158,8 @@
             self.on_result(purpose, CallResult::Unknown, context);
         }
         self.take_turn(context);
-        if context.now_ms.is_multiple_of(PACE_MS) || self.next_change == 0 {
-            context.wake_in(PACE_MS - context.now_ms % PACE_MS);
+        if context.now_ms.is_multiple_of(TURN_INTERVAL_MS) || self.next_change == 0 {
+            context.wake_in(TURN_INTERVAL_MS - context.now_ms % TURN_INTERVAL_MS);
         }
     }
 
@@ -170,8 +171,8 @@
         }
     }
 
-    fn unsettled(&self, _checker: &Checker) -> Option<String> {
-        let open = !self.calls.is_empty() || !self.again.is_empty();
-        open.then(|| format!("operator {} has a change under way", self.name))
+    fn open_work(&self, _checker: &Checker) -> Option<String> {
+        let open = !self.calls.is_empty() || !self.to_resend.is_empty();
+        open.then(|| format!("operator {} has an open change", self.name))
     }
 }
--- a/crates/simulator/src/checker/jobs.rs
+++ b/crates/simulator/src/checker/jobs.rs
@@ -1,4 +1,4 @@
-//! What must hold of jobs and their items.
+//! Checks of jobs and their items.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,15 +13,16 @@
 use super::{Checker, Invariant};
 use crate::actors::fleet_text::TENANT;
 
-/// Time after a confirmed cancel in which an executor that was not reached may
-/// still start items: its session's lease time and the skew of its clock.
-const STOP_MS: u64 = 20_000;
-/// Bytes of a file that are read at once.
+/// Grace period after a confirmed cancellation, in milliseconds, in which an unreachable
+/// executor may still start items: the lease time of its session and its clock skew.
+const CANCEL_GRACE_MS: u64 = 20_000;
+/// Maximum number of bytes per read of a file.
 const READ_BYTES: u32 = 64 * 1024;
-/// Results are kept for two hours; after this time they are not looked at any more.
-const LOOKED_AT_MS: u64 = 90 * 60 * 1_000;
+/// Time after the end of a job in which its results are checked, in milliseconds. Results are
+/// retained for two hours.
+const RESULTS_CHECKED_MS: u64 = 90 * 60 * 1_000;
 
-/// A line of an output or error file.
+/// A line of an output file or error file.
 #[derive(Debug, Deserialize)]
 struct ResultLine {
     custom_id: String,
@@ -34,9 +35,9 @@
     code: String,
 }
 
-/// What was seen of a job.
+/// The observations of a job.
 #[derive(Clone, Debug, Default)]
-struct SeenJob {
+struct ObservedJob {
     items: u32,
     completed: u32,
     failed: u32,
@@ -44,7 +45,7 @@
     ended: Option<EndedJob>,
 }
 
-/// A job that has ended, as it must stay.
+/// The state and the results of an ended job, which must not change.
 #[derive(Clone, Debug, PartialEq, Eq)]
 struct EndedJob {
     at_ms: u64,
@@ -53,39 +54,39 @@
     errors: Vec<u8>,
 }
 
-/// Everything known of jobs and of the starts that engines recorded.
+/// Observed jobs, and the starts of their items at engines.
 #[derive(Default)]
-pub(crate) struct JobBook {
-    jobs: BTreeMap<JobId, SeenJob>,
+pub(crate) struct JobRecords {
+    jobs: BTreeMap<JobId, ObservedJob>,
     refused: BTreeSet<JobId>,
     starts: BTreeMap<(JobId, ItemNumber), u32>,
     pub(crate) executions: u64,
 }
 
-/// The id of an item's line.
+/// The custom id of an item.
 pub(crate) fn custom_id(item: u32) -> String {
     format!("item-{item}")
 }
 
 impl Checker {
-    /// An engine starts an item.
+    /// Checks and records that an engine starts an item.
     pub(crate) fn on_item_start(&mut self, job: &JobId, item: ItemNumber, at_most_once: bool) {
         self.jobs.executions += 1;
         let count = self.jobs.starts.entry((job.clone(), item)).or_default();
         *count += 1;
-        let again = at_most_once && *count > 1;
-        self.require(!again, Invariant::AtMostOnce, || {
+        let repeated = at_most_once && *count > 1;
+        self.require(!repeated, Invariant::AtMostOnce, || {
             format!("the at-most-once item {item} of {job} was started again")
         });
         let seen = self.jobs.jobs.get(job);
         let cancelled_at = seen.and_then(|seen| seen.cancelled_at_ms);
-        let late = cancelled_at.is_some_and(|at_ms| self.now_ms > at_ms + STOP_MS);
+        let late = cancelled_at.is_some_and(|at_ms| self.now_ms > at_ms + CANCEL_GRACE_MS);
         self.require(!late, Invariant::CancelStops, || {
             format!("item {item} of {job} was started long after its cancel was confirmed")
         });
     }
 
-    /// A job was told to be accepted.
+    /// Records that a job was acknowledged as accepted.
     pub(crate) fn on_job_accepted(&mut self, record: &JobRecord, items: u32) {
         self.acknowledged += 1;
         self.require(record.total == items, Invariant::JobWhole, || {
@@ -95,12 +96,12 @@
         seen.items = items;
     }
 
-    /// A job that was sent only once was told not to be accepted.
+    /// Records that a job that was sent only once was refused as not executed.
     pub(crate) fn on_job_refused(&mut self, job: &JobId) {
         self.jobs.refused.insert(job.clone());
     }
 
-    /// A job's cancel was confirmed.
+    /// Records that the cancellation of a job was confirmed.
     pub(crate) fn on_job_cancelled(&mut self, record: &JobRecord) {
         self.acknowledged += 1;
         self.on_job_read(record);
@@ -110,26 +111,27 @@
         }
     }
 
-    /// A job was read; counts never fall and stand still after a cancel.
+    /// Checks a job record: the counts of results never decrease, and do not change after a
+    /// confirmed cancellation.
     pub(crate) fn on_job_read(&mut self, record: &JobRecord) {
         let Some(seen) = self.jobs.jobs.get(&record.job).cloned() else {
             return;
         };
         let counts = (record.completed, record.failed);
         let before = (seen.completed, seen.failed);
-        let rises = counts.0 >= before.0 && counts.1 >= before.1;
-        self.require(rises, Invariant::AcknowledgedKept, || {
+        let does_not_decrease = counts.0 >= before.0 && counts.1 >= before.1;
+        self.require(does_not_decrease, Invariant::AcknowledgedKept, || {
             format!("{} went from {before:?} results to {counts:?}", record.job)
         });
-        let stands = seen.cancelled_at_ms.is_none() || counts == before;
-        self.require(stands, Invariant::CancelStops, || {
+        let unchanged_if_cancelled = seen.cancelled_at_ms.is_none() || counts == before;
+        self.require(unchanged_if_cancelled, Invariant::CancelStops, || {
             format!(
                 "{} got results after its cancel: {before:?}, then {counts:?}",
                 record.job
             )
         });
-        let whole = counts.0 + counts.1 <= seen.items;
-        self.require(whole, Invariant::ExactlyOnce, || {
+        let within_total = counts.0 + counts.1 <= seen.items;
+        self.require(within_total, Invariant::ExactlyOnce, || {
             format!(
                 "{} has {counts:?} results of {} items",
                 record.job, seen.items
@@ -140,7 +142,7 @@
         }
     }
 
-    /// A job that was acknowledged is not found.
+    /// Records that an acknowledged job was not found.
     pub(crate) fn on_job_missing(&mut self, job: &JobId) {
         self.violate(
             Invariant::AcknowledgedKept,
@@ -148,14 +150,14 @@
         );
     }
 
-    /// A job has ended and its results were read as a whole.
+    /// Checks and records the complete results of an ended job.
     pub(crate) fn on_job_ended(&mut self, record: &JobRecord, output: Vec<u8>, errors: Vec<u8>) {
         self.on_job_read(record);
         let mut items = BTreeSet::new();
         let succeeded = self.check_lines(record, &output, &mut items);
         let failed = self.check_lines(record, &errors, &mut items);
-        let counted = (succeeded, failed) == (record.completed, record.failed);
-        self.require(counted, Invariant::ExactlyOnce, || {
+        let counts_match = (succeeded, failed) == (record.completed, record.failed);
+        self.require(counts_match, Invariant::ExactlyOnce, || {
             format!(
                 "{} has {succeeded} and {failed} lines, its record says {} and {}",
                 record.job, record.completed, record.failed
@@ -181,7 +183,7 @@
         }
     }
 
-    /// Checks the lines of a result file; returns how many there are.
+    /// Checks the lines of a result file and returns their number.
     fn check_lines(
         &mut self,
         record: &JobRecord,
@@ -195,30 +197,30 @@
         {
             count += 1;
             let Ok(line) = serde_json::from_slice::<ResultLine>(line) else {
-                let detail = format!("{} has a line that is no result", record.job);
+                let detail = format!("{} has a line that is not a result", record.job);
                 self.violate(Invariant::ExactlyOnce, detail);
                 continue;
             };
-            let known = (0..record.total).find(|item| custom_id(*item) == line.custom_id);
-            let once = known.is_some() && items.insert(line.custom_id.clone());
-            self.require(once, Invariant::ExactlyOnce, || {
+            let item_number = (0..record.total).find(|item| custom_id(*item) == line.custom_id);
+            let first_result = item_number.is_some() && items.insert(line.custom_id.clone());
+            self.require(first_result, Invariant::ExactlyOnce, || {
                 format!(
-                    "{} has {} twice or it is not its own",
+                    "{} has {} twice, or the line is not an item of the job",
                     record.job, line.custom_id
                 )
             });
-            if let (Some(item), Some(error)) = (known, &line.error) {
+            if let (Some(item), Some(error)) = (item_number, &line.error) {
                 self.check_never_ran(&record.job, ItemNumber(item), &error.code);
             }
         }
         count
     }
 
-    /// An item that ended with `executed: no` must not have been started.
+    /// Checks that an item that ended with `executed: no` was not started.
     fn check_never_ran(&mut self, job: &JobId, item: ItemNumber, code: &str) {
         let kind = ErrorKind::from_code(code);
         let refused = kind.is_some_and(|kind| kind.answer().executed == Executed::No);
-        // The engine's own rejection counts as not executed, though it was sent there.
+        // A request that the engine rejects was sent to the engine, but counts as not executed.
         let rejected = kind == Some(ErrorKind::ContextTooLong);
         let started = self.jobs.starts.contains_key(&(job.clone(), item));
         self.require(
@@ -228,18 +230,18 @@
         );
     }
 
-    /// Checks every job against a converged state.
+    /// Checks all jobs against a converged state.
     pub(crate) fn check_jobs(&mut self, ledger: &Ledger) {
         for job in self.jobs.refused.clone() {
             let found = find_job(ledger, &job);
             self.require(found.is_none(), Invariant::RefusedNeverRan, || {
-                format!("{job} was refused with executed: no and is there")
+                format!("{job} was refused with executed: no and exists")
             });
         }
         let now_ms = self.now_ms;
         self.jobs.jobs.retain(|_, seen| {
             let ended = seen.ended.as_ref();
-            ended.is_none_or(|ended| now_ms < ended.at_ms + LOOKED_AT_MS)
+            ended.is_none_or(|ended| now_ms < ended.at_ms + RESULTS_CHECKED_MS)
         });
         for (job, seen) in self.jobs.jobs.clone() {
             let Some(record) = find_job(ledger, &job) else {
@@ -255,7 +257,7 @@
                     errors: read_file(ledger, &record.errors),
                 };
                 self.require(now == ended, Invariant::AcknowledgedKept, || {
-                    format!("the results of {job} are not what they were")
+                    format!("the results of {job} changed after it ended")
                 });
             }
         }
--- a/crates/simulator/src/checker/mod.rs
+++ b/crates/simulator/src/checker/mod.rs
@@ -1,4 +1,4 @@
-//! The invariants, and what must be remembered to check them.
+//! The invariants and the observations needed to check them.
 
 mod jobs;
 mod requests;
@@ -17,48 +17,51 @@
     query::{Query, QueryAnswer},
 };
 
-/// Digests of states by log index that are kept for comparison.
-const KEPT_DIGESTS: usize = 10_000;
+/// Maximum number of state digests, by log index, that are stored for comparison.
+const MAX_DIGESTS: usize = 10_000;
 
-/// A promise that must hold at every step.
+/// An invariant of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// At most one member leads in a term.
+    /// At most one member is the leader of a term.
     OneLeaderPerTerm,
-    /// Equal logs give equal states.
+    /// Members that have applied the same log index have the same state, and the stored
+    /// configuration of a gateway equals that of control at the same revision.
     EqualStates,
-    /// A member's state, or a gateway's configuration, never steps back.
+    /// The state of a member and the configuration of a gateway never go back to an earlier one.
     NeverBack,
-    /// Exactly one change becomes a revision, and its answer never changes.
+    /// Each revision results from exactly one change, and the answer to a change never differs
+    /// between its transmissions.
     OneWinner,
-    /// What was acknowledged is found by every later read.
+    /// Every later read returns what was acknowledged.
     AcknowledgedKept,
-    /// What was refused with `executed: no` never takes effect.
+    /// Operations refused with `executed: no` never take effect.
     RefusedNeverRan,
     /// Every item of a job gets exactly one result.
     ExactlyOnce,
-    /// What must run at most once never runs twice.
+    /// At-most-once items and requests never run twice.
     AtMostOnce,
-    /// A key always gets the same answer.
+    /// An idempotency key always gets the same answer.
     OneAnswer,
     /// A job is accepted with all its items or not at all.
     JobWhole,
-    /// A cancelled job yields nothing after its cancel was confirmed.
+    /// A cancelled job gets no results after its cancellation was confirmed, and starts no items
+    /// after a grace period.
     CancelStops,
-    /// A member starts from what it stored.
+    /// A member starts from its stored state, unless its disk is faulty.
     Starts,
-    /// Everything converges once the faults are over.
+    /// The system converges after a fault phase.
     Converges,
 }
 
-/// A broken invariant.
+/// A violated invariant.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Violation {
-    /// When, in milliseconds of simulated time.
+    /// Time of the violation, in milliseconds of simulated time.
     pub at_ms: u64,
-    /// Which.
+    /// The invariant.
     pub invariant: Invariant,
-    /// What was seen.
+    /// The observation that violates the invariant.
     pub detail: String,
 }
 
@@ -73,19 +76,19 @@
     }
 }
 
-/// What a process of a member was last seen at.
+/// The last observed progress of a member process.
 #[derive(Clone, Copy, Debug, Default)]
 struct LastSeen {
     applied: LogIndex,
     revision: Revision,
 }
 
-/// Everything that was promised so far, and the first promise that was broken.
+/// The observations of a run, and the first violated invariant.
 #[derive(Default)]
 pub(crate) struct Checker {
     pub(crate) now_ms: u64,
     pub(crate) violation: Option<Violation>,
-    /// Operations whose success was told to an actor.
+    /// Number of operations whose success was reported to an actor.
     pub(crate) acknowledged: u64,
     leaders: BTreeMap<Term, MemberId>,
     digests: BTreeMap<LogIndex, (u64, MachineId)>,
@@ -94,12 +97,12 @@
     accepted: BTreeMap<ChangeId, Revision>,
     refused_changes: BTreeSet<ChangeId>,
     newest_revision: Revision,
-    pub(crate) jobs: jobs::JobBook,
-    requests: requests::RequestBook,
+    pub(crate) jobs: jobs::JobRecords,
+    requests: requests::RequestRecords,
 }
 
 impl Checker {
-    /// Notes a broken invariant; only the first counts.
+    /// Records a violation; only the first one is retained.
     pub(crate) fn violate(&mut self, invariant: Invariant, detail: String) {
         if self.violation.is_none() {
             self.violation = Some(Violation {
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Notes a violation unless the condition holds.
+    /// Records a violation unless the condition holds.
     pub(crate) fn require(
         &mut self,
         holds: bool,
@@ -122,7 +125,7 @@
         }
     }
 
-    /// Looks at what a member told of itself.
+    /// Checks a notice from a member.
     pub(crate) fn on_notice(&mut self, machine: MachineId, notice: &MemberNotice) {
         let MemberNotice::Leader {
             term,
@@ -131,49 +134,49 @@
         else {
             return;
         };
-        let known = *self.leaders.entry(*term).or_insert(*leader);
-        self.require(known == *leader, Invariant::OneLeaderPerTerm, || {
-            format!("{machine} follows {leader} in term {term}, another followed {known}")
+        let first_leader = *self.leaders.entry(*term).or_insert(*leader);
+        self.require(first_leader == *leader, Invariant::OneLeaderPerTerm, || {
+            format!("{machine} follows {leader} in term {term}, another followed {first_leader}")
         });
     }
 
-    /// Looks at a member after each step of it.
+    /// Checks a member after each of its processing steps.
     pub(crate) fn on_member(&mut self, machine: MachineId, member: &Member) {
         let now = LastSeen {
             applied: member.applied(),
             revision: member.ledger().revision(),
         };
         let last = self.seen.insert(machine, now).unwrap_or_default();
-        let rises = now.applied >= last.applied && now.revision >= last.revision;
-        self.require(rises, Invariant::NeverBack, || {
+        let does_not_decrease = now.applied >= last.applied && now.revision >= last.revision;
+        self.require(does_not_decrease, Invariant::NeverBack, || {
             format!("member {machine} went from {last:?} to {now:?}")
         });
     }
 
-    /// A member's process ended; the next one starts from its disk.
+    /// Records that a member process stopped; the next one starts from its disk.
     pub(crate) fn on_stop(&mut self, machine: MachineId) {
         self.seen.remove(&machine);
     }
 
-    /// Compares a member's state with that of others at the same index.
+    /// Compares the state of a member with that of other members at the same index.
     pub(crate) fn on_digest(&mut self, machine: MachineId, member: &Member) {
         let index = member.applied();
         let digest = member.ledger().digest();
-        let (known, by) = *self.digests.entry(index).or_insert((digest, machine));
-        self.require(known == digest, Invariant::EqualStates, || {
-            format!("members {machine} and {by} differ at index {index}")
+        let (first_digest, first_machine) = *self.digests.entry(index).or_insert((digest, machine));
+        self.require(first_digest == digest, Invariant::EqualStates, || {
+            format!("members {machine} and {first_machine} differ at index {index}")
         });
-        if self.digests.len() > KEPT_DIGESTS {
+        if self.digests.len() > MAX_DIGESTS {
             self.digests.pop_first();
         }
     }
 
-    /// The highest revision that was told to anybody as accepted.
+    /// The highest acknowledged revision.
     pub(crate) fn newest_revision(&self) -> Revision {
         self.newest_revision
     }
 
-    /// A change was told to be accepted.
+    /// Records that a change was acknowledged as accepted.
     pub(crate) fn on_change_accepted(
         &mut self,
         change: &ChangeId,
@@ -189,57 +192,63 @@
         self.require(is_winner, Invariant::OneWinner, || {
             format!("{change} and {winner} became revision {revision}, expected {expected}")
         });
-        let told = *self.accepted.entry(change.clone()).or_insert(revision);
-        self.require(told == revision, Invariant::OneWinner, || {
-            format!("{change} was told {told}, then {revision}")
+        let acknowledged = *self.accepted.entry(change.clone()).or_insert(revision);
+        self.require(acknowledged == revision, Invariant::OneWinner, || {
+            format!("{change} was acknowledged as revision {acknowledged}, then as {revision}")
         });
         self.newest_revision = self.newest_revision.max(revision);
         self.acknowledged += 1;
     }
 
-    /// A change was told not to be accepted, for good.
+    /// Records that a change was reported as a conflict, which is final.
     pub(crate) fn on_change_lost(&mut self, change: &ChangeId) {
         let accepted = self.accepted.get(change).copied();
         self.require(accepted.is_none(), Invariant::OneWinner, || {
-            format!("{change} was accepted before and is told to have lost")
+            format!("{change} was accepted before and is reported as a conflict")
         });
     }
 
-    /// A change that was sent only once was told not to have been carried out.
+    /// Records that a change that was sent only once was refused as not executed.
     pub(crate) fn on_change_refused(&mut self, change: &ChangeId) {
         self.refused_changes.insert(change.clone());
     }
 
-    /// A read gave a revision; `floor` was acknowledged before it was sent.
+    /// Checks the revision that a read returned; `floor` was acknowledged before the read was sent.
     pub(crate) fn on_revision_read(&mut self, floor: Revision, revision: Revision) {
         self.require(revision >= floor, Invariant::AcknowledgedKept, || {
             format!("a read gave revision {revision} after {floor} was acknowledged")
         });
     }
 
-    /// Checks everything that was told about changes against a converged state.
+    /// Checks all acknowledged and refused changes against a converged state.
     pub(crate) fn check_changes(&mut self, ledger: &Ledger) {
         let revision = ledger.revision();
         let newest = self.newest_revision;
         self.require(revision >= newest, Invariant::AcknowledgedKept, || {
             format!("revision {newest} was acknowledged, {revision} is in force")
         });
-        for (change, told) in self.accepted.clone() {
-            let kept = kept_change(ledger, &change);
-            self.require(kept == Some(told), Invariant::AcknowledgedKept, || {
-                format!("{change} was told to be {told}, the state says {kept:?}")
-            });
+        for (change, acknowledged) in self.accepted.clone() {
+            let stored = stored_revision(ledger, &change);
+            self.require(
+                stored == Some(acknowledged),
+                Invariant::AcknowledgedKept,
+                || {
+                    format!(
+                        "{change}: acknowledged as revision {acknowledged}, stored as {stored:?}"
+                    )
+                },
+            );
         }
         for change in self.refused_changes.clone() {
-            let kept = kept_change(ledger, &change);
-            self.require(kept.is_none(), Invariant::RefusedNeverRan, || {
-                format!("{change} was refused with executed: no and became {kept:?}")
+            let stored = stored_revision(ledger, &change);
+            self.require(stored.is_none(), Invariant::RefusedNeverRan, || {
+                format!("{change} was refused with executed: no and became {stored:?}")
             });
         }
     }
 }
 
-fn kept_change(ledger: &Ledger, change: &ChangeId) -> Option<Revision> {
+fn stored_revision(ledger: &Ledger, change: &ChangeId) -> Option<Revision> {
     match ledger.query(&Query::Change(change.clone())) {
         Ok(QueryAnswer::Change(revision)) => revision,
         _ => None,
--- a/crates/simulator/src/checker/requests.rs
+++ b/crates/simulator/src/checker/requests.rs
@@ -1,4 +1,4 @@
-//! What must hold of callers' requests with idempotency keys.
+//! Checks of callers' requests with idempotency keys.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,9 +7,9 @@
 use super::{Checker, Invariant};
 use crate::network::OnlineRequest;
 
-/// Everything known of requests and of the starts that back ends recorded.
+/// Observed refusals and answers of requests, and their starts at back ends.
 #[derive(Default)]
-pub(crate) struct RequestBook {
+pub(crate) struct RequestRecords {
     starts: BTreeMap<IdempotencyKey, u32>,
     started: BTreeSet<(IdempotencyKey, u64)>,
     refused: BTreeSet<(IdempotencyKey, u64)>,
@@ -17,16 +17,16 @@
 }
 
 impl Checker {
-    /// A back end starts a request.
+    /// Checks and records that a back end starts a request.
     pub(crate) fn on_request_start(&mut self, request: &OnlineRequest) {
         self.jobs.executions += 1;
-        let sent = (request.key.clone(), request.number);
-        let refused = self.requests.refused.contains(&sent);
-        self.requests.started.insert(sent);
+        let transmission = (request.key.clone(), request.number);
+        let refused = self.requests.refused.contains(&transmission);
+        self.requests.started.insert(transmission);
         let count = self.requests.starts.entry(request.key.clone()).or_default();
         *count += 1;
-        let again = request.at_most_once && *count > 1;
-        self.require(!again, Invariant::AtMostOnce, || {
+        let repeated = request.at_most_once && *count > 1;
+        self.require(!repeated, Invariant::AtMostOnce, || {
             format!("the at-most-once request {} ran again", request.key)
         });
         self.require(!refused, Invariant::RefusedNeverRan, || {
@@ -34,20 +34,20 @@
         });
     }
 
-    /// A gateway refuses a request with `executed: no`.
+    /// Checks and records that a gateway refuses a request with `executed: no`.
     pub(crate) fn on_request_refused(&mut self, request: &OnlineRequest) {
-        let sent = (request.key.clone(), request.number);
-        let started = self.requests.started.contains(&sent);
+        let transmission = (request.key.clone(), request.number);
+        let started = self.requests.started.contains(&transmission);
         self.require(!started, Invariant::RefusedNeverRan, || {
             format!("{} ran and is refused with executed: no", request.key)
         });
-        self.requests.refused.insert(sent);
+        self.requests.refused.insert(transmission);
     }
 
-    /// A caller gets an answer. What is kept under a key is always the same.
-    pub(crate) fn on_request_answered(&mut self, key: &IdempotencyKey, body: &[u8], kept: bool) {
+    /// Checks the answer that a caller received: the stored answer of a key is always the same.
+    pub(crate) fn on_request_answered(&mut self, key: &IdempotencyKey, body: &[u8], stored: bool) {
         self.acknowledged += 1;
-        if !kept {
+        if !stored {
             return;
         }
         let answers = &mut self.requests.answers;
--- a/crates/simulator/src/events.rs
+++ b/crates/simulator/src/events.rs
@@ -1,4 +1,4 @@
-//! The virtual clock: what happens next, and when.
+//! The event queue of the virtual clock.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -9,28 +9,28 @@
 
 use crate::{actors::ActorId, faults::FaultKind, network::Envelope, options::ScriptedFault};
 
-/// Something that happens at its time.
+/// An event of the simulation.
 pub(crate) enum Event {
-    /// A control machine's timer.
+    /// The timer of a control machine is due.
     Tick(MachineId),
-    /// A control machine looks at what has arrived.
+    /// A control machine processes received messages.
     Work(MachineId),
-    /// A control machine that was down starts again.
+    /// A control machine that is down restarts.
     Restart(MachineId),
     /// A message arrives.
     Deliver(Box<Envelope>),
-    /// An actor's timer.
+    /// The timer of an actor is due.
     Wake(ActorId),
-    /// A fault of a kind begins.
+    /// A random fault of a kind is injected.
     Fault(FaultKind),
-    /// A scripted fault begins.
+    /// A scripted fault is injected.
     Scripted(ScriptedFault),
-    /// A fault that lasts is over.
+    /// The fault with this number ends.
     Heal(u64),
-    /// The phase of faults is over; everything is mended.
-    Rest,
-    /// At rest: has everything converged?
-    CheckRest,
+    /// The fault phase ends; all faults are healed.
+    BeginRecovery,
+    /// Checks during recovery whether the system has converged.
+    CheckRecovery,
 }
 
 struct Scheduled {
@@ -59,7 +59,7 @@
     }
 }
 
-/// Events in the order of their time; equal times in the order of scheduling.
+/// Events in order of time; events of the same time in order of scheduling.
 #[derive(Default)]
 pub(crate) struct EventQueue {
     heap: BinaryHeap<Reverse<Scheduled>>,
@@ -78,7 +78,7 @@
         self.heap.push(Reverse(scheduled));
     }
 
-    /// Takes the next event and its time.
+    /// Removes the next event and returns it with its time, in milliseconds.
     pub(crate) fn pop(&mut self) -> Option<(u64, Event)> {
         let Reverse(scheduled) = self.heap.pop()?;
         Some((scheduled.at_ms, scheduled.event))
--- a/crates/simulator/src/faults.rs
+++ b/crates/simulator/src/faults.rs
@@ -12,7 +12,7 @@
         }
 
         impl FaultKind {
-            /// Every kind.
+            /// All kinds.
             pub const ALL: &'static [FaultKind] = &[ $( FaultKind::$name, )+ ];
 
             /// The name on the command line and in reports.
@@ -27,46 +27,47 @@
 }
 
 fault_kinds! {
-    /// A share of all messages is lost for a while.
+    /// A share of all messages is lost for some time.
     Loss => "loss";
-    /// Messages take long and overtake each other for a while.
+    /// Messages are delayed and reordered for some time.
     Delay => "delay";
-    /// A share of the messages between members arrives twice for a while.
+    /// A share of the messages between members is duplicated for some time.
     Duplication => "duplication";
-    /// Messages from one machine to another are silently lost.
+    /// Messages in one direction are dropped: from a machine to another one, from it to all, or
+    /// from all to it.
     OneWayCut => "one-way-cut";
-    /// A machine is silently cut off from everything, for ten minutes at most.
+    /// All messages from and to a machine are dropped, for at most ten minutes.
     Isolation => "isolation";
-    /// The machines fall into two parts that do not hear each other.
+    /// The control machines are partitioned into two groups.
     Split => "split";
-    /// A region is cut off from the others.
+    /// A region is partitioned from the others.
     RegionCut => "region-cut";
-    /// A control machine stops and what was not synced is lost.
+    /// A control machine stops and loses unsynced data.
     Crash => "crash";
-    /// All control machines stop at once.
+    /// All control machines stop at once and lose unsynced data.
     PowerLoss => "power-loss";
-    /// A control machine stops in the middle of a sync, which tears its writes.
+    /// A control machine stops during a sync, which can leave torn writes.
     TornWrite => "torn-write";
-    /// A sync fails; the process starts again on the same machine.
+    /// A sync fails; the process is restarted on the same machine.
     SyncFailure => "sync-failure";
-    /// Syncs take long for a while.
+    /// Syncs are slow for some time.
     SlowSync => "slow-sync";
-    /// A disk is full for a while.
+    /// A disk is full for some time.
     DiskFull => "disk-full";
-    /// A disk is lost: the machine comes back with a blank one.
+    /// A disk is lost; the machine restarts with a blank one.
     DiskLoss => "disk-loss";
-    /// A bit of a stored record flips while the machine is down.
+    /// A stored bit flips while the machine is down.
     Corruption => "corruption";
-    /// A machine's time of day jumps or its clock runs at another rate.
+    /// The time of day of a machine jumps and its clock runs at another rate.
     ClockSkew => "clock-skew";
-    /// A process stands still for a while and then goes on.
+    /// A process pauses for some time and then continues.
     Pause => "pause";
-    /// A gateway process dies with work in flight.
+    /// A gateway process with work in flight dies or pauses.
     GatewayDeath => "gateway-death";
 }
 
 impl FaultKind {
-    /// The kind with a name.
+    /// Finds a kind by its name.
     #[must_use]
     pub fn from_name(name: &str) -> Option<FaultKind> {
         Self::ALL.iter().copied().find(|kind| kind.name() == name)
@@ -79,14 +80,14 @@
     }
 }
 
-/// The kinds of faults that a run may inject.
+/// A set of kinds of faults that a run may inject.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct FaultSet {
     kinds: Vec<FaultKind>,
 }
 
 impl FaultSet {
-    /// Every kind.
+    /// All kinds.
     #[must_use]
     pub fn all() -> Self {
         FaultSet {
@@ -102,7 +103,7 @@
         }
     }
 
-    /// The same without one kind.
+    /// A copy of the set without one kind.
     #[must_use]
     pub fn without(&self, kind: FaultKind) -> Self {
         let kinds = self.kinds.iter().copied();
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The kinds in it.
+    /// The kinds in the set.
     #[must_use]
     pub fn kinds(&self) -> &[FaultKind] {
         &self.kinds
--- a/crates/simulator/src/inject.rs
+++ b/crates/simulator/src/inject.rs
@@ -1,4 +1,4 @@
-//! Carries faults out and heals them.
+//! Injects faults and heals them.
 
 use linnethitch_protocol::ids::MachineId;
 use rand::{
@@ -8,45 +8,45 @@
 
 use crate::{
     faults::FaultKind,
-    machine::RIGHT_RATE_PPM,
-    network::{Address, Cut, REGIONS, Weather},
-    world::{Undo, World},
+    machine::NOMINAL_RATE_PPM,
+    network::{Address, Cut, Disturbance, REGIONS},
+    world::{HealAction, World},
 };
 
-/// How long a disturbance of the whole network lasts, in milliseconds.
-const WEATHER_MS: std::ops::Range<u64> = 2_000..60_000;
-/// How long a cut lasts, in milliseconds; the longest is ten minutes.
+/// Duration of a disturbance of the network, in milliseconds.
+const DISTURBANCE_MS: std::ops::Range<u64> = 2_000..60_000;
+/// Duration of most cuts, in milliseconds.
 const CUT_MS: std::ops::Range<u64> = 500..60_000;
-/// The longest cut, in milliseconds.
+/// Duration of a long cut, in milliseconds: ten minutes, the maximum.
 const LONG_CUT_MS: u64 = 600_000;
-/// Share of cuts that last as long as may be.
+/// Share of long cuts.
 const LONG_CUT_SHARE: f64 = 0.1;
-/// How long a machine is down, in milliseconds.
+/// Time until a stopped machine restarts, in milliseconds.
 const DOWN_MS: std::ops::Range<u64> = 200..40_000;
-/// How long a disk is slow or full, in milliseconds.
-const DISK_TROUBLE_MS: std::ops::Range<u64> = 1_000..30_000;
-/// How long a clock is wrong, in milliseconds.
+/// Duration of a slow or full disk, in milliseconds.
+const DISK_FAULT_MS: std::ops::Range<u64> = 1_000..30_000;
+/// Duration of a clock skew, in milliseconds.
 const SKEW_MS: std::ops::Range<u64> = 10_000..300_000;
-/// How long a process stands still, in milliseconds.
+/// Duration of a process pause, in milliseconds.
 const PAUSE_MS: std::ops::Range<u64> = 100..20_000;
-/// Syncs that still pass before one fails.
+/// Number of successful syncs before one fails.
 const SYNCS_BEFORE_FAILURE: std::ops::Range<u32> = 0..8;
-/// Room left on a disk that runs full, in bytes.
-const ROOM_LEFT: std::ops::Range<u64> = 0..40_000;
+/// Remaining capacity of a disk that runs full, in bytes.
+const REMAINING_CAPACITY_BYTES: std::ops::Range<u64> = 0..40_000;
 
 impl World {
-    /// Injects one fault of a kind on any machine.
-    pub(crate) fn inject_anywhere(&mut self, kind: FaultKind) {
+    /// Injects a fault of a kind on a random machine.
+    pub(crate) fn inject_on_random_machine(&mut self, kind: FaultKind) {
         let machines: Vec<MachineId> = self.machines.keys().copied().collect();
         if let Some(id) = machines.choose(self.nemesis.random(kind)) {
             self.inject(kind, *id);
         }
     }
 
-    /// Injects one fault of a kind on a machine, where the kind strikes one.
+    /// Injects a fault of a kind; the machine matters only if the kind affects a single one.
     pub(crate) fn inject(&mut self, kind: FaultKind, id: MachineId) {
         let machines: Vec<MachineId> = self.machines.keys().copied().collect();
-        self.note_membership();
+        self.record_membership();
         let injected = match kind {
             FaultKind::Loss | FaultKind::Delay | FaultKind::Duplication => self.disturb(kind),
             FaultKind::OneWayCut
@@ -71,23 +71,23 @@
 
     fn disturb(&mut self, kind: FaultKind) -> bool {
         let random = self.nemesis.random(kind);
-        let lasts_ms = random.random_range(WEATHER_MS);
-        let weather = match kind {
-            FaultKind::Loss => Weather {
+        let duration_ms = random.random_range(DISTURBANCE_MS);
+        let disturbance = match kind {
+            FaultKind::Loss => Disturbance {
                 loss: random.random_range(0.01..0.4),
-                ..Weather::default()
+                ..Disturbance::default()
             },
-            FaultKind::Duplication => Weather {
+            FaultKind::Duplication => Disturbance {
                 duplication: random.random_range(0.05..0.5),
-                ..Weather::default()
+                ..Disturbance::default()
             },
-            _ => Weather {
+            _ => Disturbance {
                 delay_ms: random.random_range(5..1_500),
-                ..Weather::default()
+                ..Disturbance::default()
             },
         };
-        let fault = self.begin_lasting(Undo::Network, lasts_ms);
-        self.network.weather.insert(fault, weather);
+        let fault = self.begin_fault(HealAction::Network, duration_ms);
+        self.network.disturbances.insert(fault, disturbance);
         true
     }
 
@@ -111,26 +111,26 @@
             }
             _ => Cut::Region(random.random_range(0..REGIONS)),
         };
-        let lasts_ms = if random.random_bool(LONG_CUT_SHARE) {
+        let duration_ms = if random.random_bool(LONG_CUT_SHARE) {
             LONG_CUT_MS
         } else {
             random.random_range(CUT_MS)
         };
-        let fault = self.begin_lasting(Undo::Network, lasts_ms);
+        let fault = self.begin_fault(HealAction::Network, duration_ms);
         self.network.cuts.insert(fault, cut);
         true
     }
 
     fn crash(&mut self, kind: FaultKind, machines: &[MachineId]) -> bool {
-        let mut any = false;
+        let mut any_stopped = false;
         for id in machines {
             let down_ms = self.nemesis.random(kind).random_range(DOWN_MS);
-            any |= self.stop_machine(*id, down_ms);
+            any_stopped |= self.stop_machine(*id, down_ms);
         }
-        any
+        any_stopped
     }
 
-    /// Stops a machine and starts it again later; false when it was down already.
+    /// Stops a machine and schedules its restart; returns false if its process was not running.
     fn stop_machine(&mut self, id: MachineId, down_ms: u64) -> bool {
         let Some(machine) = self.machine(id) else {
             return false;
@@ -145,18 +145,18 @@
     }
 
     fn fail_sync(&mut self, kind: FaultKind, id: MachineId) -> bool {
-        let passed = self.nemesis.random(kind).random_range(SYNCS_BEFORE_FAILURE);
+        let successful_syncs = self.nemesis.random(kind).random_range(SYNCS_BEFORE_FAILURE);
         let Some(machine) = self.machine(id) else {
             return false;
         };
         if machine.member.is_none() {
             return false;
         }
-        machine.disk.fail_syncs(passed, 1);
+        machine.disk.fail_syncs(successful_syncs, 1);
         if kind == FaultKind::TornWrite {
-            self.tearing.insert(id);
+            self.torn_on_sync_failure.insert(id);
         } else {
-            self.tearing.remove(&id);
+            self.torn_on_sync_failure.remove(&id);
         }
         true
     }
@@ -164,25 +164,25 @@
     fn slow_syncs(&mut self, id: MachineId) -> bool {
         let random = self.nemesis.random(FaultKind::SlowSync);
         let sync_ms = random.random_range(20..2_000);
-        let lasts_ms = random.random_range(DISK_TROUBLE_MS);
+        let duration_ms = random.random_range(DISK_FAULT_MS);
         let Some(machine) = self.machine(id) else {
             return false;
         };
         machine.sync_ms = sync_ms;
-        self.begin_lasting(Undo::SyncTime(id), lasts_ms);
+        self.begin_fault(HealAction::SyncTime(id), duration_ms);
         true
     }
 
     fn fill_disk(&mut self, id: MachineId) -> bool {
         let random = self.nemesis.random(FaultKind::DiskFull);
-        let room = random.random_range(ROOM_LEFT);
-        let lasts_ms = random.random_range(DISK_TROUBLE_MS);
+        let remaining_bytes = random.random_range(REMAINING_CAPACITY_BYTES);
+        let duration_ms = random.random_range(DISK_FAULT_MS);
         let Some(machine) = self.machine(id) else {
             return false;
         };
         let used = machine.disk.used_bytes();
-        machine.disk.set_capacity(used + room);
-        self.begin_lasting(Undo::Capacity(id), lasts_ms);
+        machine.disk.set_capacity(used + remaining_bytes);
+        self.begin_fault(HealAction::Capacity(id), duration_ms);
         true
     }
 
@@ -206,7 +206,7 @@
         true
     }
 
-    /// Stops a machine and flips a bit of what it stored.
+    /// Stops a machine and flips a stored bit.
     fn corrupt(&mut self, id: MachineId) -> bool {
         if !self.may_lose_disk(id) {
             return false;
@@ -228,8 +228,8 @@
         } else {
             ["snapshots", "log"]
         };
-        let mut flips = directories.iter();
-        if !flips.any(|directory| machine.disk.flip_random_bit(directory).is_some()) {
+        let mut targets = directories.iter();
+        if !targets.any(|directory| machine.disk.flip_random_bit(directory).is_some()) {
             return false;
         }
         self.damaged.insert(member);
@@ -238,15 +238,15 @@
 
     fn skew_clock(&mut self, id: MachineId) -> bool {
         let random = self.nemesis.random(FaultKind::ClockSkew);
-        let lasts_ms = random.random_range(SKEW_MS);
+        let duration_ms = random.random_range(SKEW_MS);
         let offset_ms = random.random_range(-30_000..30_000);
-        let rate_ppm = random.random_range(RIGHT_RATE_PPM * 9 / 10..RIGHT_RATE_PPM * 11 / 10);
+        let rate_ppm = random.random_range(NOMINAL_RATE_PPM * 9 / 10..NOMINAL_RATE_PPM * 11 / 10);
         let now_ms = self.now_ms;
         let Some(machine) = self.machine(id) else {
             return false;
         };
         machine.skew_clock(now_ms, offset_ms, rate_ppm);
-        self.begin_lasting(Undo::Clock(id), lasts_ms);
+        self.begin_fault(HealAction::Clock(id), duration_ms);
         true
     }
 
@@ -266,31 +266,31 @@
         let Some(gateway) = gateways.get(number) else {
             return false;
         };
-        self.act(*gateway, |actor, context| actor.die(context));
+        self.act(*gateway, |actor, context| actor.kill(context));
         true
     }
 
-    /// Ends a fault that lasts.
+    /// Ends an active fault.
     pub(crate) fn heal(&mut self, fault: u64) {
         let now_ms = self.now_ms;
-        match self.lasting.remove(&fault) {
-            Some(Undo::Network) => {
+        match self.active_faults.remove(&fault) {
+            Some(HealAction::Network) => {
                 self.network.cuts.remove(&fault);
-                self.network.weather.remove(&fault);
+                self.network.disturbances.remove(&fault);
             }
-            Some(Undo::SyncTime(id)) => {
+            Some(HealAction::SyncTime(id)) => {
                 if let Some(machine) = self.machine(id) {
                     machine.sync_ms = 1;
                 }
             }
-            Some(Undo::Capacity(id)) => {
+            Some(HealAction::Capacity(id)) => {
                 if let Some(machine) = self.machine(id) {
                     machine.disk.set_capacity(u64::MAX);
                 }
             }
-            Some(Undo::Clock(id)) => {
+            Some(HealAction::Clock(id)) => {
                 if let Some(machine) = self.machine(id) {
-                    machine.skew_clock(now_ms, 0, RIGHT_RATE_PPM);
+                    machine.skew_clock(now_ms, 0, NOMINAL_RATE_PPM);
                 }
             }
             None => {}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,10 +1,10 @@
-//! The fault simulator: real control members over a virtual clock, network and
-//! disks, with callers, operators and executors around them, all from one seed.
+//! The fault simulator: real control members on a virtual clock, network and
+//! disks, with simulated callers, operators and gateways. A seed determines the run.
 //!
-//! [`simulate`] runs one seed. Faults of every kind come at random moments;
-//! between them the system is left alone and must converge. The first broken
-//! invariant ends the run. [`shrink`] then looks for the fewest kinds of
-//! faults and the shortest run that still break it.
+//! [`simulate`] runs one seed. Phases with random faults of every kind alternate
+//! with recovery phases without faults, in which the system must converge. The
+//! first violated invariant ends the run. [`shrink`] then looks for a run with fewer
+//! kinds of faults and a shorter duration that violates the same invariant.
 
 mod actors;
 mod checker;
@@ -27,7 +27,7 @@
 pub use rules::SafetyRule;
 pub use shrink::shrink;
 
-/// Runs one seed to its end or to the first broken invariant.
+/// Runs one seed to its end or to the first violated invariant.
 #[must_use]
 pub fn simulate(options: &SimulationOptions) -> SimulationReport {
     world::World::new(options.clone()).run()
--- a/crates/simulator/src/machine.rs
+++ b/crates/simulator/src/machine.rs
@@ -1,4 +1,4 @@
-//! A control machine: its disk, its clock, its process and the driver around it.
+//! A control machine: disk, clock, member process and the driver of the member.
 
 mod attached;
 
@@ -26,26 +26,26 @@
 
 /// Time of day at the start of a run, in milliseconds since the Unix epoch.
 pub(crate) const START_WALL_MS: u64 = 1_700_000_000_000;
-/// Size of the log at which a member takes a snapshot, in bytes.
+/// Log size at which a member takes a snapshot, in bytes.
 const SNAPSHOT_LOG_BYTES: u64 = 96 * 1024;
-/// Free space below which a member refuses new work, in bytes.
+/// Free disk space below which a member refuses new work, in bytes.
 const RESERVED_BYTES: u64 = 16 * 1024;
-/// How often the leader looks for what has expired, in milliseconds.
+/// Interval at which the leader checks for expired state, in milliseconds.
 const EXPIRY_INTERVAL_MS: u64 = 1_000;
-/// Stands for the id of a disk that was not formatted yet.
-const BLANK: DiskId = DiskId(0);
-/// Parts per million of a clock that runs right.
-pub(crate) const RIGHT_RATE_PPM: u64 = 1_000_000;
+/// Placeholder id of a disk that is not formatted yet.
+const BLANK_DISK: DiskId = DiskId(0);
+/// Rate of a clock without skew, in parts per million.
+pub(crate) const NOMINAL_RATE_PPM: u64 = 1_000_000;
 
-/// Settings that all machines of a run share.
+/// Settings shared by all machines of a run.
 #[derive(Clone, Debug)]
-pub(crate) struct MachinePlan {
+pub(crate) struct MachineSettings {
     pub(crate) machines: Vec<MachineId>,
     pub(crate) rules_off: Vec<SafetyRule>,
     pub(crate) seed: u64,
 }
 
-/// A clock that may run too fast or too slowly and whose time of day may be off.
+/// A clock whose rate and time of day can be skewed.
 #[derive(Clone, Copy, Debug)]
 struct SkewedClock {
     wall_offset_ms: i64,
@@ -66,23 +66,23 @@
     }
 }
 
-/// Who waits for the answer to a call.
+/// The actor that made a call and its number for the call.
 #[derive(Clone, Copy, Debug)]
 struct CallOwner {
     actor: ActorId,
     number: u64,
 }
 
-/// What a piece of work gave.
+/// The result of one processing step of a member.
 #[derive(Default)]
 pub(crate) struct WorkResult {
-    /// Messages to send once the syncs are through.
+    /// Messages to send after the syncs complete.
     pub(crate) sent: Vec<Envelope>,
-    /// What the member told of itself.
+    /// Notices from the member.
     pub(crate) notices: Vec<MemberNotice>,
-    /// Syncs that it took.
+    /// Number of syncs in the step.
     pub(crate) syncs: u64,
-    /// Why the member must be stopped, if it must.
+    /// The failure that requires the process to stop, if any.
     pub(crate) failure: Option<Report<ErrorKind>>,
 }
 
@@ -91,13 +91,13 @@
     pub(crate) id: MachineId,
     pub(crate) disk: VirtualDisk,
     pub(crate) member: Option<Member>,
-    /// Nothing is done before this time: a sync or a pause.
+    /// End of the current sync or process pause, in milliseconds; no work is done before.
     pub(crate) busy_until_ms: u64,
-    /// Whether an event to work is scheduled.
+    /// Whether an [`Event::Work`](crate::events::Event::Work) is scheduled.
     pub(crate) work_scheduled: bool,
-    /// Time that one sync takes, in milliseconds.
+    /// Duration of a sync, in milliseconds.
     pub(crate) sync_ms: u64,
-    /// The disk that the last process ran on; `None` before the first one.
+    /// Id of the disk of the last process; `None` before the first start.
     disk_id: Option<DiskId>,
     inbox: VecDeque<Envelope>,
     clock: SkewedClock,
@@ -105,12 +105,12 @@
     next_call: u64,
     attached: BTreeMap<ActorId, AttachedGateway>,
     expiry_call: Option<CallId>,
-    expiry_looked_ms: u64,
-    freshness_told_ms: u64,
+    expiry_checked_ms: u64,
+    freshness_sent_ms: u64,
 }
 
 impl ControlMachine {
-    /// A machine with a blank disk whose process does not run.
+    /// Creates a machine with a blank disk whose process is not running.
     pub(crate) fn new(id: MachineId, disk_seed: u64) -> Self {
         ControlMachine {
             id,
@@ -123,7 +123,7 @@
             inbox: VecDeque::new(),
             clock: SkewedClock {
                 wall_offset_ms: 0,
-                rate_ppm: RIGHT_RATE_PPM,
+                rate_ppm: NOMINAL_RATE_PPM,
                 read_at_ms: 0,
                 monotonic_us: 0,
             },
@@ -131,26 +131,26 @@
             next_call: 0,
             attached: BTreeMap::new(),
             expiry_call: None,
-            expiry_looked_ms: 0,
-            freshness_told_ms: 0,
+            expiry_checked_ms: 0,
+            freshness_sent_ms: 0,
         }
     }
 
-    /// Starts the process; `new_disk` is used if the disk is blank or damaged.
+    /// Starts the process; `new_disk` becomes the disk id if the disk is blank or damaged.
     pub(crate) fn start(
         &mut self,
-        plan: &MachinePlan,
+        machine_settings: &MachineSettings,
         new_disk: DiskId,
         now_ms: u64,
     ) -> Result<(), Report<ErrorKind>> {
         let settings = MemberSettings {
             bootstrap: true,
-            seed: plan.seed ^ (u64::from(self.id.0) << 32) ^ new_disk.0,
+            seed: machine_settings.seed ^ (u64::from(self.id.0) << 32) ^ new_disk.0,
             snapshot_log_bytes: SNAPSHOT_LOG_BYTES,
             reserved_bytes: RESERVED_BYTES,
-            safety: consensus_overrides(&plan.rules_off),
-            ledger_safety: ledger_overrides(&plan.rules_off),
-            ..MemberSettings::new("simulated", self.id, plan.machines.clone())
+            safety: consensus_overrides(&machine_settings.rules_off),
+            ledger_safety: ledger_overrides(&machine_settings.rules_off),
+            ..MemberSettings::new("simulated", self.id, machine_settings.machines.clone())
         };
         let time = self.clock.read(now_ms);
         let files = Arc::new(self.disk.clone());
@@ -160,37 +160,37 @@
         Ok(())
     }
 
-    /// The disk in the machine; `None` before the first start.
+    /// Id of the disk in the machine; `None` before the first start.
     pub(crate) fn disk_id(&self) -> Option<DiskId> {
         self.disk_id
     }
 
-    /// The member that runs here.
+    /// Id of the running member.
     pub(crate) fn member_id(&self) -> Option<MemberId> {
         self.member.as_ref().map(Member::id)
     }
 
-    /// The process dies; the machine goes on.
+    /// Stops the process; the machine keeps running.
     pub(crate) fn stop_process(&mut self) {
-        self.forget_process();
+        self.clear_process_state();
         self.disk.stop_process();
     }
 
-    /// The machine stops; what was not synced is lost or torn.
+    /// Stops the machine; unsynced writes are lost or torn.
     pub(crate) fn crash(&mut self) {
-        self.forget_process();
+        self.clear_process_state();
         self.disk.crash();
     }
 
-    /// The machine stops and its disk is lost.
+    /// Stops the machine and replaces its disk by a blank one.
     pub(crate) fn lose_disk(&mut self) {
-        self.forget_process();
+        self.clear_process_state();
         self.disk.wipe();
         self.disk.clear_faults();
-        self.disk_id = Some(BLANK);
+        self.disk_id = Some(BLANK_DISK);
     }
 
-    fn forget_process(&mut self) {
+    fn clear_process_state(&mut self) {
         self.member = None;
         self.inbox.clear();
         self.calls.clear();
@@ -199,21 +199,21 @@
         self.busy_until_ms = 0;
     }
 
-    /// Sets the machine's clock off.
+    /// Sets the skew of the machine's clock.
     pub(crate) fn skew_clock(&mut self, now_ms: u64, wall_offset_ms: i64, rate_ppm: u64) {
         self.clock.read(now_ms);
         self.clock.wall_offset_ms = wall_offset_ms;
         self.clock.rate_ppm = rate_ppm;
     }
 
-    /// Takes a message; it is looked at with the next work.
+    /// Queues a message for the next processing step; drops it if the process is not running.
     pub(crate) fn receive(&mut self, envelope: Envelope) {
         if self.member.is_some() {
             self.inbox.push_back(envelope);
         }
     }
 
-    /// Lets the process do what is due.
+    /// Runs one processing step of the member.
     pub(crate) fn work(&mut self, now_ms: u64, tick: bool) -> WorkResult {
         let time = self.clock.read(now_ms);
         let mut result = WorkResult::default();
@@ -222,15 +222,15 @@
             return result;
         };
         while let Some(envelope) = self.inbox.pop_front() {
-            self.take(&mut member, envelope, &mut result);
+            self.handle_envelope(&mut member, envelope, &mut result);
         }
         if tick {
             member.tick(time);
             self.expire(&mut member, time);
-            self.tell_freshness(&member, time, &mut result);
+            self.send_freshness(&member, time, &mut result);
         }
         let flushed = member.flush();
-        // What was handed out before a failure may have left the machine.
+        // Outputs from before a failure may have been sent, so they are delivered.
         for output in member.take_outputs() {
             self.carry_out(&member, output, &mut result);
         }
@@ -242,11 +242,16 @@
         result
     }
 
-    fn take(&mut self, member: &mut Member, envelope: Envelope, result: &mut WorkResult) {
+    fn handle_envelope(
+        &mut self,
+        member: &mut Member,
+        envelope: Envelope,
+        result: &mut WorkResult,
+    ) {
         match (envelope.from, envelope.packet) {
             (Address::Control(machine), Packet::Peer(message)) => member.receive(machine, message),
             (Address::Actor(actor), Packet::Call { number, body }) => {
-                let call = self.new_call();
+                let call = self.next_call_id();
                 self.calls.insert(call, CallOwner { actor, number });
                 member.call(call, body);
             }
@@ -263,20 +268,20 @@
         }
     }
 
-    fn new_call(&mut self) -> CallId {
+    fn next_call_id(&mut self) -> CallId {
         self.next_call += 1;
         CallId(self.next_call)
     }
 
-    /// As the leader, proposes to end what is over.
+    /// On the leader, proposes to remove expired state if any is due.
     fn expire(&mut self, member: &mut Member, time: MemberTime) {
-        let due = time.monotonic_ms >= self.expiry_looked_ms + EXPIRY_INTERVAL_MS;
+        let due = time.monotonic_ms >= self.expiry_checked_ms + EXPIRY_INTERVAL_MS;
         if !due || self.expiry_call.is_some() || !member.is_leader() {
             return;
         }
-        self.expiry_looked_ms = time.monotonic_ms;
+        self.expiry_checked_ms = time.monotonic_ms;
         if member.ledger().is_expiry_due(time.wall) {
-            let call = self.new_call();
+            let call = self.next_call_id();
             self.expiry_call = Some(call);
             member.call(call, ControlCall::Propose(CommandBody::Expire));
         }
@@ -289,7 +294,7 @@
             }
             MemberOutput::Answer { call, body } => self.answer(call, body, result),
             MemberOutput::Notice(notice) => {
-                self.tell_gateways(member, &notice, result);
+                self.notify_gateways(member, &notice, result);
                 result.notices.push(notice);
             }
         }
--- a/crates/simulator/src/machine/attached.rs
+++ b/crates/simulator/src/machine/attached.rs
@@ -1,4 +1,4 @@
-//! Gateways that are attached to a control machine, and what they are told.
+//! Gateways attached to a control machine, and the messages sent to them.
 
 use linnethitch_control::member::{Member, MemberNotice, MemberTime};
 use linnethitch_protocol::{attach::ControlMessage, ids::Revision};
@@ -9,20 +9,20 @@
     network::{Address, Packet},
 };
 
-/// How often a member tells gateways how fresh it is, in milliseconds.
+/// Interval at which a member sends its freshness to gateways, in milliseconds.
 const FRESHNESS_INTERVAL_MS: u64 = 400;
 
-/// A gateway that is attached here.
+/// An attached gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct AttachedGateway {
     connection: u64,
     next_sequence: u64,
-    /// The revision that it has or was sent.
+    /// The newest configuration revision that the gateway reported or was sent.
     revision: Revision,
 }
 
 impl ControlMachine {
-    /// Takes a gateway in and sends what it lacks.
+    /// Attaches a gateway and sends the configuration updates that it lacks.
     pub(super) fn attach(
         &mut self,
         member: &Member,
@@ -40,18 +40,18 @@
         self.send_configuration(member, actor, result);
     }
 
-    /// Tells attached gateways how fresh this member is.
-    pub(super) fn tell_freshness(
+    /// Sends the freshness of this member to attached gateways.
+    pub(super) fn send_freshness(
         &mut self,
         member: &Member,
         time: MemberTime,
         result: &mut WorkResult,
     ) {
-        let due = time.monotonic_ms >= self.freshness_told_ms + FRESHNESS_INTERVAL_MS;
+        let due = time.monotonic_ms >= self.freshness_sent_ms + FRESHNESS_INTERVAL_MS;
         if !due || self.attached.is_empty() {
             return;
         }
-        self.freshness_told_ms = time.monotonic_ms;
+        self.freshness_sent_ms = time.monotonic_ms;
         let confirmed_at = member.view().confirmed_at;
         let message = ControlMessage::Freshness {
             confirmed_at,
@@ -59,10 +59,10 @@
             revision: member.ledger().revision(),
             pending: member.ledger().pending_items(),
         };
-        self.tell_all(&message, result);
+        self.send_to_all(&message, result);
     }
 
-    pub(super) fn tell_gateways(
+    pub(super) fn notify_gateways(
         &mut self,
         member: &Member,
         notice: &MemberNotice,
@@ -76,41 +76,47 @@
                 }
             }
             MemberNotice::JobCancelled(job) => {
-                self.tell_all(&ControlMessage::CancelJobs(vec![job.clone()]), result);
+                self.send_to_all(&ControlMessage::CancelJobs(vec![job.clone()]), result);
             }
             _ => {}
         }
     }
 
-    /// Sends what a gateway lacks, as deltas where the history reaches back far enough.
+    /// Sends the configuration updates that a gateway lacks: deltas if the history reaches back
+    /// far enough, otherwise the full text.
     fn send_configuration(&mut self, member: &Member, actor: ActorId, result: &mut WorkResult) {
         let newest = member.ledger().revision();
         let Some(attached) = self.attached.get_mut(&actor) else {
             return;
         };
-        let known = attached.revision;
-        if newest <= known {
+        let sent_revision = attached.revision;
+        if newest <= sent_revision {
             return;
         }
         attached.revision = newest;
         let updates = member
             .ledger()
-            .configuration_updates_since(known)
+            .configuration_updates_since(sent_revision)
             .unwrap_or_else(|| vec![member.ledger().configuration_full()]);
         for update in updates {
-            self.tell(actor, ControlMessage::Configuration(update), result);
+            self.send_to_gateway(actor, ControlMessage::Configuration(update), result);
         }
     }
 
-    fn tell_all(&mut self, message: &ControlMessage, result: &mut WorkResult) {
+    fn send_to_all(&mut self, message: &ControlMessage, result: &mut WorkResult) {
         let actors: Vec<ActorId> = self.attached.keys().copied().collect();
         for actor in actors {
-            self.tell(actor, message.clone(), result);
+            self.send_to_gateway(actor, message.clone(), result);
         }
     }
 
-    /// Sends to an attached gateway.
-    fn tell(&mut self, actor: ActorId, message: ControlMessage, result: &mut WorkResult) {
+    /// Sends a message to an attached gateway.
+    fn send_to_gateway(
+        &mut self,
+        actor: ActorId,
+        message: ControlMessage,
+        result: &mut WorkResult,
+    ) {
         let Some(attached) = self.attached.get_mut(&actor) else {
             return;
         };
--- a/crates/simulator/src/network.rs
+++ b/crates/simulator/src/network.rs
@@ -1,4 +1,4 @@
-//! The virtual network: delay, loss, duplication, reordering and cuts.
+//! The virtual network: delay, loss, duplication, reordering and partitions.
 
 use std::collections::BTreeMap;
 
@@ -12,24 +12,24 @@
 
 use crate::actors::ActorId;
 
-/// Shortest way of a message between two processes, in milliseconds.
+/// Minimum latency of a message, in milliseconds.
 const MIN_LATENCY_MS: u64 = 1;
-/// Longest way of a message when nothing is wrong, in milliseconds.
+/// Maximum latency of a message without faults, in milliseconds.
 const MAX_LATENCY_MS: u64 = 3;
-/// Regions that machines and actors are spread over.
+/// Number of regions of machines and actors.
 pub(crate) const REGIONS: u32 = 3;
 
-/// Who sends or receives.
+/// A sender or receiver of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Address {
     /// A control machine.
     Control(MachineId),
-    /// A process around control.
+    /// A simulated process that uses control.
     Actor(ActorId),
 }
 
 impl Address {
-    /// The region that it is in.
+    /// The number of its region.
     pub(crate) fn region(self) -> u32 {
         match self {
             Address::Control(machine) => machine.0 % REGIONS,
@@ -38,48 +38,49 @@
     }
 }
 
-/// What is sent.
+/// The content of a message.
 #[derive(Clone, Debug)]
 pub(crate) enum Packet {
-    /// Between control members.
+    /// A message between control members.
     Peer(PeerMessage),
-    /// A call of an actor; the number is the actor's.
+    /// A call of an actor to control.
     Call {
-        /// Matches the answer.
+        /// The actor's number of the call, which the answer repeats.
         number: u64,
-        /// What is asked.
+        /// The call.
         body: ControlCall,
     },
     /// The answer to a call.
     Answer {
-        /// The call.
+        /// The number of the call.
         number: u64,
-        /// Its answer.
+        /// The answer.
         body: ControlAnswer,
     },
     /// A gateway attaches.
     Attach {
-        /// The gateway's number of the connection.
+        /// The gateway's number for the connection.
         connection: u64,
-        /// The revision that it has stored.
+        /// The configuration revision that the gateway has stored.
         revision: Revision,
     },
     /// A caller's request to a gateway.
     Request(OnlineRequest),
     /// A gateway's answer to a caller.
     Reply {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
         /// The answer.
         answer: OnlineAnswer,
     },
-    /// To an attached gateway.
+    /// A message to an attached gateway.
     Attached {
-        /// The connection that it belongs to.
+        /// The number of the connection.
         connection: u64,
-        /// Its number on the connection; a gap means that the connection broke.
+        /// The sequence number of the message on the connection; a gap means that the connection
+        /// broke.
         sequence: u64,
-        /// What is said.
+        /// The message.
         message: ControlMessage,
     },
 }
@@ -87,65 +88,65 @@
 /// A caller's request with an idempotency key.
 #[derive(Clone, Debug)]
 pub(crate) struct OnlineRequest {
-    /// The caller's number of this send.
+    /// The caller's number for this transmission.
     pub(crate) number: u64,
-    /// The key; the same in every send.
+    /// The idempotency key; the same in every transmission.
     pub(crate) key: IdempotencyKey,
     /// Digest of the content.
     pub(crate) content_digest: u64,
-    /// Whether it must run at most once.
+    /// Whether the request must run at most once.
     pub(crate) at_most_once: bool,
 }
 
-/// What a gateway answers to a request.
+/// The answer of a gateway to a request.
 #[derive(Clone, Debug)]
 pub(crate) enum OnlineAnswer {
-    /// It ran.
+    /// The request ran.
     Answered {
         /// The answer.
         body: Vec<u8>,
-        /// Whether the ledger keeps it.
-        kept: bool,
+        /// Whether the ledger has stored the answer.
+        stored: bool,
     },
-    /// It is refused.
+    /// The request was refused.
     Refused {
-        /// Why.
+        /// The reason.
         kind: ErrorKind,
-        /// Whether it ran.
+        /// Whether the request ran.
         executed: Executed,
     },
 }
 
-/// A message under way.
+/// A message in transit.
 #[derive(Clone, Debug)]
 pub(crate) struct Envelope {
     /// The sender.
     pub(crate) from: Address,
     /// The receiver.
     pub(crate) to: Address,
-    /// What is sent.
+    /// The content.
     pub(crate) packet: Packet,
 }
 
-/// Messages that do not arrive, without anybody being told.
+/// A set of connections on which messages are silently dropped.
 #[derive(Clone, Debug)]
 pub(crate) enum Cut {
-    /// From one to another.
+    /// From the first address to the second.
     OneWay(Address, Address),
-    /// From and to one.
+    /// From and to the address.
     Both(Address),
-    /// From one to all.
+    /// From the address to all others.
     Outgoing(Address),
-    /// From all to one.
+    /// From all others to the address.
     Incoming(Address),
-    /// Between the control machines listed and those not listed.
+    /// Between the listed control machines and the other ones.
     Split(Vec<MachineId>),
-    /// Between one region and the others.
+    /// Between the region and the other ones.
     Region(u32),
 }
 
 impl Cut {
-    fn stops(&self, from: Address, to: Address) -> bool {
+    fn drops(&self, from: Address, to: Address) -> bool {
         match self {
             Cut::OneWay(one, other) => (from, to) == (*one, *other),
             Cut::Both(one) => from == *one || to == *one,
@@ -162,76 +163,80 @@
     }
 }
 
-/// Disturbances of all messages, for a while.
+/// A temporary disturbance of all messages.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Weather {
+pub(crate) struct Disturbance {
     /// Share of messages that are lost, from 0 to 1.
     pub(crate) loss: f64,
-    /// Share of messages between members that arrive twice, from 0 to 1.
+    /// Share of messages between members that are duplicated, from 0 to 1.
     pub(crate) duplication: f64,
-    /// Longest further delay, in milliseconds.
+    /// Maximum additional delay, in milliseconds.
     pub(crate) delay_ms: u64,
 }
 
-/// The network's state.
+/// The state of the network.
 pub(crate) struct Network {
     random: Pcg64Mcg,
-    /// Cuts by the number of the fault that made them.
+    /// Active cuts by the number of their fault.
     pub(crate) cuts: BTreeMap<u64, Cut>,
-    /// Disturbances by the number of the fault that made them.
-    pub(crate) weather: BTreeMap<u64, Weather>,
+    /// Active disturbances by the number of their fault.
+    pub(crate) disturbances: BTreeMap<u64, Disturbance>,
 }
 
 impl Network {
-    /// A network without faults.
+    /// Creates a network without faults.
     pub(crate) fn new(random: Pcg64Mcg) -> Self {
         Network {
             random,
             cuts: BTreeMap::new(),
-            weather: BTreeMap::new(),
+            disturbances: BTreeMap::new(),
         }
     }
 
-    /// Whether messages are cut off between two.
+    /// Whether a cut drops messages from one address to the other.
     pub(crate) fn is_cut(&self, from: Address, to: Address) -> bool {
-        self.cuts.values().any(|cut| cut.stops(from, to))
+        self.cuts.values().any(|cut| cut.drops(from, to))
     }
 
-    /// Delays after which copies of a message arrive, in milliseconds; none when it is lost.
+    /// Returns the delays of the delivered copies of a message, in milliseconds; empty if the
+    /// message is lost.
     pub(crate) fn route(&mut self, envelope: &Envelope) -> Vec<u64> {
         if self.is_cut(envelope.from, envelope.to) {
             return Vec::new();
         }
         let mut delays = Vec::with_capacity(1);
-        let weather: Vec<Weather> = self.weather.values().copied().collect();
-        for weather in &weather {
-            if weather.loss > 0.0 && self.random.random_bool(weather.loss) {
+        let disturbances: Vec<Disturbance> = self.disturbances.values().copied().collect();
+        for disturbance in &disturbances {
+            if disturbance.loss > 0.0 && self.random.random_bool(disturbance.loss) {
                 return delays;
             }
         }
-        delays.push(self.delay(&weather));
-        // Calls travel over connections that deliver at most once.
-        let repeatable = matches!(
+        delays.push(self.delay(&disturbances));
+        // Calls use connections, which deliver a message at most once.
+        let may_duplicate = matches!(
             envelope.packet,
             Packet::Peer(PeerMessage::Consensus(_) | PeerMessage::Hello { .. })
         );
-        for weather in &weather {
-            if repeatable
-                && weather.duplication > 0.0
-                && self.random.random_bool(weather.duplication)
+        for disturbance in &disturbances {
+            if may_duplicate
+                && disturbance.duplication > 0.0
+                && self.random.random_bool(disturbance.duplication)
             {
-                delays.push(self.delay(std::slice::from_ref(weather)));
+                delays.push(self.delay(std::slice::from_ref(disturbance)));
             }
         }
         delays
     }
 
-    fn delay(&mut self, weather: &[Weather]) -> u64 {
-        let longest = weather.iter().map(|weather| weather.delay_ms).max();
-        let further = match longest {
-            Some(longest) if longest > 0 => self.random.random_range(0..=longest),
+    fn delay(&mut self, disturbances: &[Disturbance]) -> u64 {
+        let max_delay_ms = disturbances
+            .iter()
+            .map(|disturbance| disturbance.delay_ms)
+            .max();
+        let additional_ms = match max_delay_ms {
+            Some(max_delay_ms) if max_delay_ms > 0 => self.random.random_range(0..=max_delay_ms),
             _ => 0,
         };
-        self.random.random_range(MIN_LATENCY_MS..=MAX_LATENCY_MS) + further
+        self.random.random_range(MIN_LATENCY_MS..=MAX_LATENCY_MS) + additional_ms
     }
 }
--- a/crates/simulator/src/options.rs
+++ b/crates/simulator/src/options.rs
@@ -1,44 +1,45 @@
-//! What to simulate.
+//! Options of a simulation run.
 
 use crate::{
     faults::{FaultKind, FaultSet},
     rules::SafetyRule,
 };
 
-/// Milliseconds of an hour.
+/// Milliseconds per hour.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// A fault that comes at a set time.
+/// A fault injected at a given time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ScriptedFault {
-    /// When, in milliseconds after the first phase of faults began.
+    /// Time of the injection, in milliseconds after the start of the first fault phase.
     pub at_ms: u64,
-    /// Which.
+    /// The kind of fault.
     pub kind: FaultKind,
-    /// The control machine that it strikes, from 1; the gateway, from 1, when a gateway dies.
+    /// Number of the affected control machine, from 1; for [`FaultKind::GatewayDeath`], number
+    /// of the gateway, from 1.
     pub machine: u32,
 }
 
-/// One run of the simulator.
+/// Options of one simulation run.
 #[derive(Clone, Debug)]
 pub struct SimulationOptions {
-    /// Where all chance comes from.
+    /// Seed of all random choices.
     pub seed: u64,
-    /// Simulated time, in milliseconds. The run ends with the first phase of
-    /// rest after it.
+    /// Simulated time, in milliseconds. The run ends with the first recovery phase that
+    /// converges after it.
     pub duration_ms: u64,
-    /// The kinds of faults that are injected.
+    /// The kinds of faults to inject at random.
     pub faults: FaultSet,
-    /// Faults that come whatever chance says.
+    /// Faults injected at fixed times, in addition to the random ones.
     pub script: Vec<ScriptedFault>,
-    /// Safety rules that are switched off, to show that this is found.
+    /// Disabled safety rules, to check that the simulator detects the violation.
     pub rules_off: Vec<SafetyRule>,
-    /// Whether the report lists faults, notices and restarts.
+    /// Whether the report lists injected faults, notices of members and restarts.
     pub trace: bool,
 }
 
 impl SimulationOptions {
-    /// A run of a seed with all kinds of faults.
+    /// Creates the options of a run with random faults of all kinds.
     #[must_use]
     pub fn new(seed: u64, hours: f64) -> Self {
         SimulationOptions {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// A run of the given faults and no others.
+    /// Creates the options of a run with only the given faults.
     #[must_use]
     pub fn scripted(seed: u64, hours: f64, script: Vec<ScriptedFault>) -> Self {
         SimulationOptions {
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,30 +1,31 @@
-//! What a run gave.
+//! The result of a simulation run.
 
 use std::collections::BTreeMap;
 
 use crate::{checker::Violation, faults::FaultKind};
 
-/// Milliseconds of an hour.
+/// Milliseconds per hour.
 const HOUR_MS: f64 = 3_600_000.0;
 
-/// The figures of one run, or of several added up.
+/// The result of one run, or the sum of several.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SimulationReport {
     /// Simulated time, in milliseconds.
     pub simulated_ms: u64,
-    /// Faults injected, by kind.
+    /// Number of injected faults by kind.
     pub faults: BTreeMap<FaultKind, u64>,
-    /// Operations whose success was told to an actor.
+    /// Number of operations whose success was reported to an actor.
     pub acknowledged: u64,
-    /// Phases of rest in which everything converged.
+    /// Number of recovery phases that converged.
     pub convergences: u64,
-    /// Executions that back ends began.
+    /// Number of executions that back ends started.
     pub executions: u64,
-    /// Digest over everything that happened: equal for equal seeds.
+    /// Digest of the injected faults, the converged states and the number of acknowledged
+    /// operations: equal for equal options.
     pub trace: u64,
-    /// What happened, one line each, where it was asked for.
+    /// Trace of the run, one line per event; empty unless requested.
     pub events: Vec<String>,
-    /// The first broken invariant of each run.
+    /// The first violated invariant of each run.
     pub violations: Vec<Violation>,
 }
 
@@ -35,7 +36,7 @@
         self.simulated_ms as f64 / HOUR_MS
     }
 
-    /// Adds another run.
+    /// Adds the result of another run, except for its trace.
     pub fn add(&mut self, other: &SimulationReport) {
         self.simulated_ms += other.simulated_ms;
         for (kind, count) in &other.faults {
@@ -48,7 +49,7 @@
         self.violations.extend(other.violations.iter().cloned());
     }
 
-    /// All figures on one line.
+    /// The result as one line of text.
     #[must_use]
     pub fn summary(&self) -> String {
         let kinds = self.faults.iter();
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,12 +1,12 @@
-//! Safety rules that a run may switch off, to show that the simulator finds it.
+//! Safety rules that a run can disable, to check that the simulator detects the violation.
 
 use linnethitch_consensus::SafetyOverrides as ConsensusOverrides;
 use linnethitch_ledger::SafetyOverrides as LedgerOverrides;
 
-/// A rule that may be switched off.
+/// A safety rule that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SafetyRule {
-    /// A blank disk does not vote under its machine's old identity.
+    /// A machine with a blank disk does not vote under the identity of its former disk.
     BlankDisk,
     /// A vote is synced before it counts.
     VoteSync,
@@ -14,14 +14,14 @@
     AppendSync,
     /// Reads are confirmed by a round of heartbeats.
     ReadConfirmation,
-    /// Results under an ended lease are refused, at-most-once items never run again.
+    /// Results under an ended lease are refused, and at-most-once items are not run again.
     LeaseFencing,
-    /// The key of an at-most-once request is not freed when its gateway dies.
+    /// The key of an at-most-once request is not released when its gateway dies.
     ClaimFencing,
 }
 
 impl SafetyRule {
-    /// Every rule.
+    /// All rules.
     pub const ALL: &'static [SafetyRule] = &[
         SafetyRule::BlankDisk,
         SafetyRule::VoteSync,
@@ -44,28 +44,28 @@
         }
     }
 
-    /// The rule with a name.
+    /// Finds a rule by its name.
     #[must_use]
     pub fn from_name(name: &str) -> Option<SafetyRule> {
         Self::ALL.iter().copied().find(|rule| rule.name() == name)
     }
 }
 
-/// The overrides of consensus for the rules that are off.
-pub(crate) fn consensus_overrides(off: &[SafetyRule]) -> ConsensusOverrides {
+/// The safety overrides of consensus for the disabled rules.
+pub(crate) fn consensus_overrides(disabled: &[SafetyRule]) -> ConsensusOverrides {
     ConsensusOverrides {
-        blank_disk_may_vote: off.contains(&SafetyRule::BlankDisk),
-        skip_vote_sync: off.contains(&SafetyRule::VoteSync),
-        skip_append_sync: off.contains(&SafetyRule::AppendSync),
-        skip_read_confirmation: off.contains(&SafetyRule::ReadConfirmation),
+        blank_disk_may_vote: disabled.contains(&SafetyRule::BlankDisk),
+        skip_vote_sync: disabled.contains(&SafetyRule::VoteSync),
+        skip_append_sync: disabled.contains(&SafetyRule::AppendSync),
+        skip_read_confirmation: disabled.contains(&SafetyRule::ReadConfirmation),
         ..ConsensusOverrides::default()
     }
 }
 
-/// The overrides of the ledger for the rules that are off.
-pub(crate) fn ledger_overrides(off: &[SafetyRule]) -> LedgerOverrides {
+/// The safety overrides of the ledger for the disabled rules.
+pub(crate) fn ledger_overrides(disabled: &[SafetyRule]) -> LedgerOverrides {
     LedgerOverrides {
-        skip_lease_fencing: off.contains(&SafetyRule::LeaseFencing),
-        skip_claim_fencing: off.contains(&SafetyRule::ClaimFencing),
+        skip_lease_fencing: disabled.contains(&SafetyRule::LeaseFencing),
+        skip_claim_fencing: disabled.contains(&SafetyRule::ClaimFencing),
     }
 }
--- a/crates/simulator/src/shrink.rs
+++ b/crates/simulator/src/shrink.rs
@@ -1,14 +1,14 @@
-//! Looks for the fewest kinds of faults and the shortest run that still fail.
+//! Shrinks a failing run to fewer kinds of faults and a shorter duration.
 
 use crate::{SimulationOptions, SimulationReport, simulate};
 
-/// Time after a violation that a shortened run still covers, in milliseconds.
+/// Time by which a shortened run extends past the violation, in milliseconds.
 const MARGIN_MS: u64 = 1_000;
 
-/// Shrinks a failing run; returns the smaller run and what it gives.
+/// Shrinks a failing run; returns the options and the report of the smaller run.
 ///
-/// Each kind of fault has random numbers of its own, so leaving one out
-/// changes little else.
+/// Each kind of fault has its own random generator, so removing one kind changes
+/// little of the remaining run.
 #[must_use]
 pub fn shrink(
     failing: &SimulationOptions,
@@ -20,7 +20,7 @@
         let mut smaller = best.0.clone();
         smaller.faults = smaller.faults.without(*kind);
         let report = simulate(&smaller);
-        if breaks_the_same(&best.1, &report) {
+        if violate_same_invariant(&best.1, &report) {
             best = (smaller, report);
             shorten(&mut best);
         }
@@ -28,15 +28,15 @@
     best
 }
 
-/// Whether two runs broke the same invariant.
-fn breaks_the_same(one: &SimulationReport, other: &SimulationReport) -> bool {
+/// Whether two runs violated the same invariant.
+fn violate_same_invariant(one: &SimulationReport, other: &SimulationReport) -> bool {
     match (one.violations.first(), other.violations.first()) {
         (Some(one), Some(other)) => one.invariant == other.invariant,
         _ => false,
     }
 }
 
-/// A run ends at its violation; nothing after it is needed.
+/// Reduces the duration of a run to the time of its violation and a margin.
 fn shorten(run: &mut (SimulationOptions, SimulationReport)) {
     if let Some(violation) = run.1.violations.first() {
         let end = violation.at_ms + MARGIN_MS;
--- a/crates/simulator/src/world.rs
+++ b/crates/simulator/src/world.rs
@@ -1,4 +1,4 @@
-//! One run: machines, network and actors on one virtual clock.
+//! A simulation run: machines, network and actors on one virtual clock.
 
 mod disks;
 mod machines;
@@ -22,43 +22,43 @@
     checker::Checker,
     events::{Event, EventQueue},
     faults::FaultKind,
-    machine::{ControlMachine, MachinePlan},
+    machine::{ControlMachine, MachineSettings},
     nemesis::Nemesis,
     network::{Address, Envelope, Network},
     options::SimulationOptions,
     report::SimulationReport,
 };
 
-/// Control machines.
+/// Number of control machines.
 const MACHINES: u32 = 5;
-/// Gateways; they are the first actors.
+/// Number of gateways; they are the first actors.
 const GATEWAYS: u32 = 4;
-/// Operators.
+/// Number of operators.
 const OPERATORS: u32 = 3;
-/// Callers that create jobs.
+/// Number of callers that create jobs.
 const BATCH_CALLERS: u32 = 2;
-/// Callers that send online requests.
+/// Number of callers that send online requests.
 const ONLINE_CALLERS: u32 = 2;
-/// How often all members' states are compared, in milliseconds.
+/// Interval at which the states of all members are compared, in milliseconds.
 const DIGEST_INTERVAL_MS: u64 = 2_000;
-/// Time in which everything must converge once the faults are over, in milliseconds.
-const REST_LIMIT_MS: u64 = 180_000;
-/// How often it is looked whether everything has converged, in milliseconds.
-const REST_CHECK_MS: u64 = 500;
+/// Maximum time for the system to converge after a fault phase, in milliseconds.
+const RECOVERY_TIMEOUT_MS: u64 = 180_000;
+/// Interval of the checks for convergence, in milliseconds.
+const RECOVERY_CHECK_MS: u64 = 500;
 
-/// What ends with a fault that lasts.
-pub(crate) enum Undo {
-    /// A cut or disturbance of the network.
+/// What to restore at the end of a fault.
+pub(crate) enum HealAction {
+    /// Removes a cut or disturbance of the network.
     Network,
-    /// The syncs of a machine are as quick as before.
+    /// Restores the sync duration of a machine.
     SyncTime(MachineId),
-    /// The disk of a machine has room again.
+    /// Restores the disk capacity of a machine.
     Capacity(MachineId),
-    /// The clock of a machine is right again.
+    /// Removes the clock skew of a machine.
     Clock(MachineId),
 }
 
-/// One run.
+/// The state of a run.
 pub(crate) struct World {
     pub(crate) options: SimulationOptions,
     pub(crate) now_ms: u64,
@@ -66,29 +66,29 @@
     pub(crate) network: Network,
     pub(crate) nemesis: Nemesis,
     pub(crate) machines: BTreeMap<MachineId, ControlMachine>,
-    pub(crate) lasting: BTreeMap<u64, Undo>,
+    pub(crate) active_faults: BTreeMap<u64, HealAction>,
     pub(crate) next_fault: u64,
-    /// Machines that stop as a whole when their next sync fails.
-    pub(crate) tearing: BTreeSet<MachineId>,
-    /// Disks with damage that may not have been noticed.
+    /// Machines that crash, instead of only their process, when their next sync fails.
+    pub(crate) torn_on_sync_failure: BTreeSet<MachineId>,
+    /// Disks with corrupted data, which their member may not have detected.
     pub(crate) damaged: BTreeSet<MemberId>,
-    pub(crate) resting: bool,
+    pub(crate) recovering: bool,
     pub(crate) checker: Checker,
     pub(crate) report: SimulationReport,
-    plan: MachinePlan,
+    machine_settings: MachineSettings,
     actors: Vec<Box<dyn Actor>>,
     actor_random: Vec<Pcg64Mcg>,
     wakes: BTreeSet<(ActorId, u64)>,
     random: Pcg64Mcg,
     next_disk: u64,
     committed_membership: Membership,
-    rest_until_ms: u64,
-    digests_at_ms: u64,
+    recovery_deadline_ms: u64,
+    next_digest_ms: u64,
     trace: Xxh3,
 }
 
 impl World {
-    /// A run that has not begun: all disks are blank.
+    /// Creates a run with blank disks.
     pub(crate) fn new(options: SimulationOptions) -> Self {
         let mut random = Pcg64Mcg::seed_from_u64(options.seed);
         let ids: Vec<MachineId> = (1..=MACHINES).map(MachineId).collect();
@@ -118,14 +118,14 @@
             network: Network::new(Pcg64Mcg::seed_from_u64(random.random())),
             nemesis: Nemesis::new(&options.faults, options.seed),
             machines,
-            lasting: BTreeMap::new(),
+            active_faults: BTreeMap::new(),
             next_fault: 0,
-            tearing: BTreeSet::new(),
+            torn_on_sync_failure: BTreeSet::new(),
             damaged: BTreeSet::new(),
-            resting: true,
+            recovering: true,
             checker: Checker::default(),
             report: SimulationReport::default(),
-            plan: MachinePlan {
+            machine_settings: MachineSettings {
                 machines: ids,
                 rules_off: options.rules_off.clone(),
                 seed: options.seed,
@@ -136,19 +136,19 @@
             random,
             next_disk: 1_000,
             committed_membership: Membership::default(),
-            rest_until_ms: REST_LIMIT_MS,
-            digests_at_ms: 0,
+            recovery_deadline_ms: RECOVERY_TIMEOUT_MS,
+            next_digest_ms: 0,
             trace: Xxh3::new(),
             options,
         }
     }
 
-    /// Runs to the end or to the first broken invariant.
+    /// Runs to the end or to the first violated invariant.
     pub(crate) fn run(mut self) -> SimulationReport {
-        for machine in self.plan.machines.clone() {
+        for machine in self.machine_settings.machines.clone() {
             self.events.push(0, Event::Restart(machine));
         }
-        self.events.push(REST_CHECK_MS, Event::CheckRest);
+        self.events.push(RECOVERY_CHECK_MS, Event::CheckRecovery);
         while self.checker.violation.is_none() {
             let Some((at_ms, event)) = self.events.pop() else {
                 break;
@@ -168,7 +168,7 @@
         self.report
     }
 
-    /// Carries one event out; false when the run is over.
+    /// Handles an event; returns false when the run ends.
     fn handle(&mut self, event: Event) -> bool {
         match event {
             Event::Tick(id) => self.tick(id),
@@ -180,16 +180,16 @@
                 self.act(actor, |actor, context| actor.wake(context));
             }
             Event::Fault(kind) => {
-                if !self.resting {
-                    self.inject_anywhere(kind);
+                if !self.recovering {
+                    self.inject_on_random_machine(kind);
                     let next = self.nemesis.next_in(kind);
                     self.events.push(self.now_ms + next, Event::Fault(kind));
                 }
             }
             Event::Scripted(fault) => self.inject(fault.kind, MachineId(fault.machine)),
             Event::Heal(fault) => self.heal(fault),
-            Event::Rest => self.begin_rest(),
-            Event::CheckRest => return self.check_rest(),
+            Event::BeginRecovery => self.begin_recovery(),
+            Event::CheckRecovery => return self.check_recovery(),
         }
         true
     }
@@ -218,7 +218,7 @@
         }
     }
 
-    /// The gateways among the actors.
+    /// The ids of the gateways.
     pub(crate) fn gateways(&self) -> Vec<ActorId> {
         (0..GATEWAYS).map(ActorId).collect()
     }
@@ -233,9 +233,9 @@
         let mut context = Context {
             now_ms: self.now_ms,
             random,
-            resting: self.resting,
+            recovering: self.recovering,
             checker: &mut self.checker,
-            machines: &self.plan.machines,
+            machines: &self.machine_settings.machines,
             sent: Vec::new(),
             wakes: Vec::new(),
         };
@@ -252,16 +252,16 @@
         }
     }
 
-    /// Begins a fault that lasts; returns its number.
-    pub(crate) fn begin_lasting(&mut self, undo: Undo, milliseconds: u64) -> u64 {
+    /// Registers a fault that lasts for a time, schedules its end and returns its number.
+    pub(crate) fn begin_fault(&mut self, action: HealAction, milliseconds: u64) -> u64 {
         self.next_fault += 1;
-        self.lasting.insert(self.next_fault, undo);
+        self.active_faults.insert(self.next_fault, action);
         let at_ms = self.now_ms + milliseconds;
         self.events.push(at_ms, Event::Heal(self.next_fault));
         self.next_fault
     }
 
-    /// Notes what happened, where that was asked for.
+    /// Adds a line to the trace, if tracing is enabled.
     pub(crate) fn log(&mut self, text: impl FnOnce() -> String) {
         if self.options.trace {
             let seconds = self.now_ms as f64 / 1_000.0;
--- a/crates/simulator/src/world/disks.rs
+++ b/crates/simulator/src/world/disks.rs
@@ -1,4 +1,4 @@
-//! Which disks may be lost: the design promises to survive any two.
+//! Which disks may be lost: the design tolerates the loss of any two.
 
 use std::collections::BTreeSet;
 
@@ -7,11 +7,11 @@
 
 use super::World;
 
-/// Voters whose disks may be lost at once.
+/// Maximum number of voters whose disks are lost at the same time.
 const MAX_LOST_DISKS: usize = 2;
 
 impl World {
-    pub(crate) fn note_membership(&mut self) {
+    pub(crate) fn record_membership(&mut self) {
         if let Some(status) = self.newest_leader()
             && status.membership_committed
         {
@@ -19,7 +19,7 @@
         }
     }
 
-    /// The leader of the newest term that any member knows of.
+    /// The status of the leader, if it leads the newest term that any member knows.
     pub(super) fn newest_leader(&self) -> Option<Status> {
         let members = self
             .machines
@@ -31,20 +31,20 @@
         (newest.role == Role::Leader).then_some(newest)
     }
 
-    /// Whether the design promises to survive the loss of one more disk now.
+    /// Whether the design tolerates the loss of this disk now.
     pub(crate) fn may_lose_disk(&self, lost: MachineId) -> bool {
         let voters = self.possible_voters();
         if voters.len() < self.machines.len() {
             return false;
         }
-        let gone = voters.iter().filter(|voter| {
+        let lost_disks = voters.iter().filter(|voter| {
             voter.machine == lost || self.damaged.contains(voter) || !self.is_present(**voter)
         });
-        gone.count() <= MAX_LOST_DISKS
+        lost_disks.count() <= MAX_LOST_DISKS
     }
 
-    /// All disks that may be voters now: while a change is under way or nobody
-    /// leads, those of every membership that may be the newest one.
+    /// All members that may be voters now: during a membership change or without a leader,
+    /// those of every membership that may be the newest.
     pub(super) fn possible_voters(&self) -> BTreeSet<MemberId> {
         let leader = self.newest_leader();
         if let Some(status) = &leader
@@ -62,7 +62,7 @@
             .collect()
     }
 
-    /// Whether a voter's disk is still the one in its machine.
+    /// Whether the disk of a voter is still in its machine.
     pub(super) fn is_present(&self, voter: MemberId) -> bool {
         self.machines
             .get(&voter.machine)
--- a/crates/simulator/src/world/machines.rs
+++ b/crates/simulator/src/world/machines.rs
@@ -1,4 +1,4 @@
-//! Control machines: starting, working, failing.
+//! Start, processing steps and failures of control machines.
 
 use linnethitch_errors::ErrorKind;
 use linnethitch_protocol::ids::{DiskId, MachineId};
@@ -11,10 +11,10 @@
     machine::{ControlMachine, WorkResult},
 };
 
-/// How often a member's timer fires, in milliseconds.
+/// Interval of a member's timer, in milliseconds.
 const TICK_MS: u64 = 20;
-/// Wait before a process that failed is started again, in milliseconds.
-const RESTART_MS: std::ops::Range<u64> = 500..5_000;
+/// Delay before a failed process is restarted, in milliseconds.
+const RESTART_DELAY_MS: std::ops::Range<u64> = 500..5_000;
 
 impl World {
     pub(crate) fn machine(&mut self, id: MachineId) -> Option<&mut ControlMachine> {
@@ -38,7 +38,7 @@
             return;
         }
         machine.disk.fail_syncs(0, 0);
-        match machine.start(&self.plan, new_disk, now_ms) {
+        match machine.start(&self.machine_settings, new_disk, now_ms) {
             Ok(()) => {
                 self.events.push(now_ms, Event::Tick(id));
                 self.log(|| format!("member {id} starts"));
@@ -50,7 +50,7 @@
                 let damaged = self.damaged.iter().any(|member| member.machine == id);
                 match kind {
                     ErrorKind::StorageFull => self.restart_in(id, 1_000),
-                    // An operator sees the refusal and replaces the disk.
+                    // The member refuses to start on a damaged disk; an operator replaces it.
                     _ if damaged => self.replace_disk(id),
                     _ => self.checker.violate(
                         Invariant::Starts,
@@ -106,8 +106,8 @@
         let Some(machine) = self.machines.get_mut(&id) else {
             return;
         };
-        let syncing_ms = result.syncs * machine.sync_ms;
-        machine.busy_until_ms = machine.busy_until_ms.max(self.now_ms + syncing_ms);
+        let sync_duration_ms = result.syncs * machine.sync_ms;
+        machine.busy_until_ms = machine.busy_until_ms.max(self.now_ms + sync_duration_ms);
         if let Some(member) = &machine.member {
             self.checker.on_member(id, member);
         }
@@ -116,16 +116,16 @@
             self.log(|| format!("member {id}: {notice:?}"));
         }
         for envelope in result.sent {
-            self.send(envelope, syncing_ms);
+            self.send(envelope, sync_duration_ms);
         }
         if let Some(report) = result.failure {
             self.fail(id, *report.current_context());
         }
     }
 
-    /// A member stopped itself, since its disk failed.
+    /// Stops a member that reported a failure and schedules its restart.
     pub(super) fn fail(&mut self, id: MachineId, kind: ErrorKind) {
-        let torn = self.tearing.remove(&id);
+        let torn = self.torn_on_sync_failure.remove(&id);
         self.log(|| format!("member {id} stopped itself: {kind}"));
         self.checker.on_stop(id);
         let Some(machine) = self.machines.get_mut(&id) else {
@@ -141,11 +141,12 @@
         self.checker.require(expected, Invariant::Starts, || {
             format!("member {id} stopped itself: {kind}")
         });
-        let wait = self.random.random_range(RESTART_MS);
-        self.restart_in(id, wait);
+        let delay_ms = self.random.random_range(RESTART_DELAY_MS);
+        self.restart_in(id, delay_ms);
     }
 
-    /// Work is done as soon as the machine is free; one event is enough for many messages.
+    /// Schedules a processing step as soon as the machine is not busy; one step processes all
+    /// queued messages.
     pub(super) fn schedule_work(&mut self, id: MachineId) {
         let now_ms = self.now_ms;
         let Some(machine) = self.machines.get_mut(&id) else {
@@ -159,10 +160,10 @@
     }
 
     pub(super) fn compare_states(&mut self) {
-        if self.now_ms < self.digests_at_ms {
+        if self.now_ms < self.next_digest_ms {
             return;
         }
-        self.digests_at_ms = self.now_ms + DIGEST_INTERVAL_MS;
+        self.next_digest_ms = self.now_ms + DIGEST_INTERVAL_MS;
         for (id, machine) in &self.machines {
             if let Some(member) = &machine.member {
                 self.checker.on_digest(*id, member);
--- a/crates/simulator/src/world/phases.rs
+++ b/crates/simulator/src/world/phases.rs
@@ -1,21 +1,22 @@
-//! Phases of faults and of rest, and what must hold at rest.
+//! Fault phases and recovery phases, and the checks after recovery.
 
-use super::{REST_CHECK_MS, REST_LIMIT_MS, World};
+use super::{RECOVERY_CHECK_MS, RECOVERY_TIMEOUT_MS, World};
 use crate::{actors::ActorId, checker::Invariant, events::Event};
 use rand::Rng;
 
-/// Shortest and longest phase of faults, in milliseconds.
+/// Duration of a fault phase, in milliseconds.
 const PHASE_MS: std::ops::Range<u64> = 120_000..720_000;
-/// The last phase is cut down to the run's end, but not below this, in milliseconds.
-const SHORTEST_PHASE_MS: u64 = 30_000;
+/// Minimum duration of the last fault phase, which is shortened to the end of the run, in
+/// milliseconds.
+const MIN_PHASE_MS: u64 = 30_000;
 
 impl World {
-    pub(super) fn begin_faults(&mut self) {
-        self.resting = false;
-        let left_ms = self.options.duration_ms.saturating_sub(self.now_ms);
+    pub(super) fn begin_fault_phase(&mut self) {
+        self.recovering = false;
+        let remaining_ms = self.options.duration_ms.saturating_sub(self.now_ms);
         let length = self.random.random_range(PHASE_MS);
-        let length = length.min(left_ms.max(SHORTEST_PHASE_MS));
-        self.events.push(self.now_ms + length, Event::Rest);
+        let length = length.min(remaining_ms.max(MIN_PHASE_MS));
+        self.events.push(self.now_ms + length, Event::BeginRecovery);
         for (kind, first) in self.nemesis.begin_phase() {
             self.events.push(self.now_ms + first, Event::Fault(kind));
         }
@@ -26,22 +27,22 @@
         self.wake_all();
     }
 
-    pub(super) fn begin_rest(&mut self) {
-        self.resting = true;
-        let faults: Vec<u64> = self.lasting.keys().copied().collect();
+    pub(super) fn begin_recovery(&mut self) {
+        self.recovering = true;
+        let faults: Vec<u64> = self.active_faults.keys().copied().collect();
         for fault in faults {
             self.heal(fault);
         }
-        self.tearing.clear();
+        self.torn_on_sync_failure.clear();
         for machine in self.machines.values_mut() {
             machine.disk.fail_syncs(0, 0);
         }
-        for id in self.plan.machines.clone() {
+        for id in self.machine_settings.machines.clone() {
             self.restart_in(id, 100);
         }
-        self.rest_until_ms = self.now_ms + REST_LIMIT_MS;
+        self.recovery_deadline_ms = self.now_ms + RECOVERY_TIMEOUT_MS;
         self.events
-            .push(self.now_ms + REST_CHECK_MS, Event::CheckRest);
+            .push(self.now_ms + RECOVERY_CHECK_MS, Event::CheckRecovery);
         self.wake_all();
     }
 
@@ -52,15 +53,15 @@
         }
     }
 
-    /// At rest: false when the run is over.
-    pub(super) fn check_rest(&mut self) -> bool {
+    /// Checks for convergence; returns false when the run ends.
+    pub(super) fn check_recovery(&mut self) -> bool {
         if let Some(reason) = self.not_converged() {
-            if self.now_ms >= self.rest_until_ms {
+            if self.now_ms >= self.recovery_deadline_ms {
                 self.checker.violate(Invariant::Converges, reason);
                 return false;
             }
             self.events
-                .push(self.now_ms + REST_CHECK_MS, Event::CheckRest);
+                .push(self.now_ms + RECOVERY_CHECK_MS, Event::CheckRecovery);
             return true;
         }
         self.check_converged();
@@ -70,11 +71,11 @@
         if self.now_ms >= self.options.duration_ms {
             return false;
         }
-        self.begin_faults();
+        self.begin_fault_phase();
         true
     }
 
-    /// What is missing until everything has converged.
+    /// Why the system has not converged yet, if it has not.
     pub(super) fn not_converged(&self) -> Option<String> {
         let members: Vec<_> = self
             .machines
@@ -82,10 +83,10 @@
             .filter_map(|machine| machine.member.as_ref())
             .collect();
         if members.len() != self.machines.len() {
-            return Some("a member does not run".to_owned());
+            return Some("a member is not running".to_owned());
         }
         let Some(leader) = members.iter().find(|member| member.is_leader()) else {
-            return Some("nobody leads".to_owned());
+            return Some("there is no leader".to_owned());
         };
         let status = leader.status();
         let voters = &status.membership.voters;
@@ -101,7 +102,7 @@
         }
         self.actors
             .iter()
-            .find_map(|actor| actor.unsettled(&self.checker))
+            .find_map(|actor| actor.open_work(&self.checker))
     }
 
     pub(super) fn check_converged(&mut self) {
@@ -111,7 +112,7 @@
                 self.trace.update(&member.ledger().digest().to_le_bytes());
             }
         }
-        self.note_membership();
+        self.record_membership();
         let first = self.machines.values().next();
         let Some(member) = first.and_then(|machine| machine.member.as_ref()) else {
             return;
@@ -119,7 +120,7 @@
         self.checker.check_changes(member.ledger());
         self.checker.check_jobs(member.ledger());
         for actor in &mut self.actors {
-            actor.check_at_rest(member.ledger(), &mut self.checker);
+            actor.check_after_recovery(member.ledger(), &mut self.checker);
         }
     }
 }
--- a/crates/simulator/tests/all/scripts.rs
+++ b/crates/simulator/tests/all/scripts.rs
@@ -1,4 +1,4 @@
-//! Each failure of the promises' list at set times: alone, twice, in pairs.
+//! Scripted faults at fixed times, alone, repeated and in pairs: all invariants must hold.
 
 use linnethitch_simulator::{
     FaultKind::{
@@ -12,7 +12,8 @@
 /// Simulated hours of one script.
 const HOURS: f64 = 0.02;
 
-/// Milliseconds after the start, what happens, and on which machine.
+/// Faults as milliseconds after the start of the fault phase, kind of fault, and number of the
+/// machine or gateway.
 type Script = &'static [(u64, FaultKind, u32)];
 
 fn options(seed: u64, script: Script) -> SimulationOptions {
@@ -24,7 +25,7 @@
     SimulationOptions::scripted(seed, HOURS, faults.collect())
 }
 
-fn holds(script: Script) {
+fn assert_invariants_hold(script: Script) {
     let report = simulate(&options(11, script));
     assert_eq!(report.violations, []);
     let injected: u64 = report.faults.values().sum();
@@ -55,12 +56,12 @@
 #[case::failed_sync_and_power_lost(&[(15_000, SyncFailure, 2), (16_000, PowerLoss, 1)])]
 #[case::two_disks_full(&[(15_000, DiskFull, 1), (15_000, DiskFull, 2)])]
 #[case::damaged_disk_and_disk_lost(&[(15_000, Corruption, 4), (18_000, DiskLoss, 5)])]
-fn every_promise_holds(#[case] script: Script) {
-    holds(script);
+fn every_invariant_holds(#[case] script: Script) {
+    assert_invariants_hold(script);
 }
 
-/// A safety rule that is switched off is found within a few seeds, by its own
-/// invariant; with the rule the same run holds.
+/// With a safety rule disabled, one of a few seeds violates the invariant that the rule
+/// protects; with the rule, the same run violates none.
 #[rstest]
 #[case::blank_disk(SafetyRule::BlankDisk, Invariant::Converges, &[(10_000, DiskLoss, 2)])]
 #[case::lease_fencing(SafetyRule::LeaseFencing, Invariant::AtMostOnce, &[
@@ -71,21 +72,22 @@
     (20_000, GatewayDeath, 1), (20_000, GatewayDeath, 2), (20_000, GatewayDeath, 3),
     (55_000, GatewayDeath, 1), (55_000, GatewayDeath, 2), (55_000, GatewayDeath, 3),
 ])]
-fn a_rule_switched_off_is_found(
+fn a_disabled_rule_is_detected(
     #[case] rule: SafetyRule,
     #[case] invariant: Invariant,
     #[case] script: Script,
 ) {
     let found = (1..=5).find_map(|seed| {
         let with_rule = options(seed, script);
-        let without = SimulationOptions {
+        let without_rule = SimulationOptions {
             rules_off: vec![rule],
             ..with_rule.clone()
         };
-        let violation = simulate(&without).violations.pop()?;
+        let violation = simulate(&without_rule).violations.pop()?;
         Some((with_rule, violation))
     });
-    let (with_rule, violation) = found.expect("the rule is off and nothing was found");
+    let (with_rule, violation) =
+        found.expect("the rule is disabled, but no seed violated an invariant");
     assert_eq!(violation.invariant, invariant, "{violation}");
     assert_eq!(simulate(&with_rule).violations, []);
 }
--- a/crates/simulator/tests/all/seeds.rs
+++ b/crates/simulator/tests/all/seeds.rs
@@ -1,13 +1,13 @@
-//! Fixed seeds: no promise breaks, equal seeds give equal runs.
+//! Runs of fixed seeds: they violate no invariant, and equal seeds give equal runs.
 
 use linnethitch_simulator::{SimulationOptions, simulate};
 use rstest::rstest;
 
-/// Simulated hours of one seed; short, since tests run without optimisation.
+/// Simulated hours per seed; short, since tests run without optimisation.
 const HOURS: f64 = 0.02;
 
 #[rstest]
-fn no_promise_breaks(#[values(1, 2, 3)] seed: u64) {
+fn no_invariant_is_violated(#[values(1, 2, 3)] seed: u64) {
     let report = simulate(&SimulationOptions::new(seed, HOURS));
     assert_eq!(report.violations, []);
     assert!(report.convergences >= 2, "{}", report.summary());
