--- a/crates/cli/src/apply.rs
+++ b/crates/cli/src/apply.rs
@@ -1,6 +1,6 @@
-//! `apply`: one change, sent until its outcome is known.
+//! `apply`: sends one change until its outcome is known.
 
-mod kept_change;
+mod pending_change;
 
 use std::time::{Duration, Instant};
 
@@ -13,10 +13,10 @@
     operator::{Change, OperatorClient},
     options::ApplyOptions,
 };
-use kept_change::{KeptChange, new_change_id};
+use pending_change::{PendingChange, new_change_id};
 
-/// Pause between two looks at the revisions in force.
-const WAIT_PAUSE: Duration = Duration::from_millis(100);
+/// Interval at which the revisions in force are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Applies a fleet file.
 pub(crate) async fn run(options: &ApplyOptions) -> Result<ExitStatus, CommandError> {
@@ -25,19 +25,19 @@
     let operator = OperatorClient::new(&options.operator_options)?;
     let limit = Duration::from_secs(options.timeout);
     let started = Instant::now();
-    let kept = keep_change(options, &operator, &content, limit).await?;
+    let pending = find_or_create_change(options, &operator, &content, limit).await?;
     let change = Change {
-        id: kept.change_id.clone(),
-        expected_revision: kept.expected_revision,
+        id: pending.change_id.clone(),
+        expected_revision: pending.expected_revision,
         content,
     };
     println!(
         "change {} on revision {}",
         change.id, change.expected_revision
     );
-    let answer = operator.retrying(limit, || operator.apply(&change)).await;
-    if is_settled(&answer) {
-        kept.forget()?;
+    let answer = operator.retry_for(limit, || operator.apply(&change)).await;
+    if is_final(&answer) {
+        pending.remove_file()?;
     }
     let accepted = answer?;
     println!("accepted as revision {}", accepted.revision);
@@ -47,30 +47,30 @@
     wait_until_in_force(&operator, accepted.revision, started + limit).await
 }
 
-/// Finds the change that an earlier run kept, or makes and keeps a new one.
-async fn keep_change(
+/// Returns the pending change that an earlier run stored, or stores a new one.
+async fn find_or_create_change(
     options: &ApplyOptions,
     operator: &OperatorClient,
     content: &str,
     limit: Duration,
-) -> Result<KeptChange, CommandError> {
-    let kept = KeptChange::find(&options.file, content)?.filter(|kept| {
+) -> Result<PendingChange, CommandError> {
+    let pending = PendingChange::find(&options.file, content)?.filter(|pending| {
         options
             .change_id
             .as_ref()
-            .is_none_or(|id| *id == kept.change_id)
+            .is_none_or(|id| *id == pending.change_id)
             && options
                 .expected_revision
-                .is_none_or(|revision| revision == kept.expected_revision)
+                .is_none_or(|revision| revision == pending.expected_revision)
     });
-    if let Some(kept) = kept {
-        return Ok(kept);
+    if let Some(pending) = pending {
+        return Ok(pending);
     }
     let expected_revision = match options.expected_revision {
         Some(revision) => revision,
         None => {
             operator
-                .retrying(limit, || operator.configuration())
+                .retry_for(limit, || operator.configuration())
                 .await?
                 .revision
         }
@@ -79,11 +79,11 @@
         Some(id) => id.clone(),
         None => new_change_id()?,
     };
-    KeptChange::keep(&options.file, content, change_id, expected_revision)
+    PendingChange::store(&options.file, content, change_id, expected_revision)
 }
 
-/// Whether the outcome of the change is known for good.
-fn is_settled<T>(answer: &Result<T, ApiError>) -> bool {
+/// Whether the outcome of the change is final.
+fn is_final<T>(answer: &Result<T, ApiError>) -> bool {
     match answer {
         Ok(_) => true,
         Err(error) => error.kind.is_some_and(|kind| {
@@ -119,6 +119,6 @@
             );
             return Err(CommandError::new(ExitStatus::NotInForce, message));
         }
-        tokio::time::sleep(WAIT_PAUSE).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/cli/src/batch.rs
+++ b/crates/cli/src/batch.rs
@@ -1,4 +1,4 @@
-//! `batch`: jobs over the callers' interface.
+//! `batch`: manages batch jobs over the callers' interface.
 
 use std::{
     path::Path,
@@ -23,34 +23,34 @@
     options::{BatchCommand, CallerOptions, SubmitOptions},
 };
 
-/// Pause between two looks at a job that is waited for.
-const WAIT_PAUSE: Duration = Duration::from_millis(500);
-/// Ends the name of the file beside the input that keeps its upload.
+/// Interval at which `submit --wait` polls the job.
+const POLL_INTERVAL: Duration = Duration::from_millis(500);
+/// Suffix of the file next to the input file that records its upload.
 const UPLOAD_SUFFIX: &str = ".upload";
-/// States that a job does not leave.
-const LAST_STATES: [&str; 4] = ["completed", "failed", "cancelled", "expired"];
+/// Final states of a job.
+const FINAL_STATES: [&str; 4] = ["completed", "failed", "cancelled", "expired"];
 
-/// Carries a batch command out.
+/// Runs a batch command.
 pub(crate) async fn run(command: &BatchCommand) -> Result<ExitStatus, CommandError> {
     match command {
         BatchCommand::Submit(options) => submit(options).await,
         BatchCommand::Get(options) => {
             let path = format!("/v1/batches/{}", options.job);
-            show(&options.caller_options, ApiRequest::get(path)).await
+            print_answer(&options.caller_options, ApiRequest::get(path)).await
         }
         BatchCommand::List(options) => {
             let after = options.after.as_ref();
             let after = after.map_or_else(String::new, |job| format!("&after={job}"));
             let path = format!("/v1/batches?limit={}{after}", options.limit);
-            show(&options.caller_options, ApiRequest::get(path)).await
+            print_answer(&options.caller_options, ApiRequest::get(path)).await
         }
         BatchCommand::Cancel(options) => {
             let path = format!("/v1/batches/{}/cancel", options.job);
             let request = ApiRequest::json(Method::POST, path, &json!({}));
-            show(&options.caller_options, request).await
+            print_answer(&options.caller_options, request).await
         }
         BatchCommand::Output(options) => {
-            let client = client_of(&options.caller_options)?;
+            let client = client_for(&options.caller_options)?;
             let job: Value = client
                 .fetch(ApiRequest::get(format!("/v1/batches/{}", options.job)))
                 .await?;
@@ -81,7 +81,7 @@
 }
 
 async fn submit(options: &SubmitOptions) -> Result<ExitStatus, CommandError> {
-    let client = client_of(&options.caller_options)?;
+    let client = client_for(&options.caller_options)?;
     let file = match &options.idempotency_key {
         Some(key) => upload_once(&client, &options.file, key).await?,
         None => upload(&client, &options.file).await?,
@@ -96,8 +96,8 @@
         request = request.with_header("idempotency-key", key);
     }
     let mut job: Value = client.fetch(request).await?;
-    while options.wait && !is_at_its_end(&job) {
-        tokio::time::sleep(WAIT_PAUSE).await;
+    while options.wait && !is_final(&job) {
+        tokio::time::sleep(POLL_INTERVAL).await;
         let id = job["id"].as_str().unwrap_or_default();
         job = client
             .fetch(ApiRequest::get(format!("/v1/batches/{id}")))
@@ -106,55 +106,56 @@
     print_json(&job)
 }
 
-fn is_at_its_end(job: &Value) -> bool {
+fn is_final(job: &Value) -> bool {
     job["status"]
         .as_str()
-        .is_some_and(|status| LAST_STATES.contains(&status))
+        .is_some_and(|status| FINAL_STATES.contains(&status))
 }
 
-/// An upload that a resend of the same submission uses again.
+/// A recorded upload, which is reused when the same submission is sent again.
 #[derive(Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct KeptUpload {
+struct RecordedUpload {
     idempotency_key: String,
     bytes: u64,
     modified_ms: u128,
     file_id: String,
 }
 
-/// Uploads a file, unless it was uploaded under this key and has not changed.
+/// Uploads a file, unless it has already been uploaded under this key and has not changed.
 ///
-/// The key belongs to a job of one input file: a second upload would be another file.
+/// The idempotency key belongs to a job with one input file; a second upload would create
+/// another file.
 async fn upload_once(client: &ApiClient, path: &Path, key: &str) -> Result<String, CommandError> {
     let file_error = |error| CommandError::refused(format!("{}: {error}", path.display()));
     let metadata = tokio::fs::metadata(path).await.map_err(file_error)?;
     let modified = metadata.modified().map_err(file_error)?;
-    let since = modified.duration_since(UNIX_EPOCH).unwrap_or_default();
-    let mut memo_path = path.as_os_str().to_owned();
-    memo_path.push(UPLOAD_SUFFIX);
-    let mut kept = KeptUpload {
+    let since_epoch = modified.duration_since(UNIX_EPOCH).unwrap_or_default();
+    let mut record_path = path.as_os_str().to_owned();
+    record_path.push(UPLOAD_SUFFIX);
+    let mut record = RecordedUpload {
         idempotency_key: key.to_owned(),
         bytes: metadata.len(),
-        modified_ms: since.as_millis(),
+        modified_ms: since_epoch.as_millis(),
         file_id: String::new(),
     };
-    if let Ok(text) = tokio::fs::read(&memo_path).await
-        && let Ok(earlier) = serde_json::from_slice::<KeptUpload>(&text)
+    if let Ok(text) = tokio::fs::read(&record_path).await
+        && let Ok(earlier) = serde_json::from_slice::<RecordedUpload>(&text)
     {
-        kept.file_id = earlier.file_id.clone();
-        if kept == earlier {
-            return Ok(kept.file_id);
+        record.file_id = earlier.file_id.clone();
+        if record == earlier {
+            return Ok(record.file_id);
         }
     }
-    kept.file_id = upload(client, path).await?;
-    let text = serde_json::to_vec_pretty(&kept)
+    record.file_id = upload(client, path).await?;
+    let text = serde_json::to_vec_pretty(&record)
         .map_err(|error| CommandError::failed(error.to_string()))?;
-    tokio::fs::write(&memo_path, text)
+    tokio::fs::write(&record_path, text)
         .await
         .map_err(file_error)?;
-    Ok(kept.file_id)
+    Ok(record.file_id)
 }
 
-/// Uploads a file as it is read; it is never whole in memory.
+/// Uploads a file as a stream, without loading the complete file into memory.
 async fn upload(client: &ApiClient, path: &Path) -> Result<String, CommandError> {
     let file_error = |error| CommandError::refused(format!("{}: {error}", path.display()));
     let file = File::open(path).await.map_err(file_error)?;
@@ -173,7 +174,7 @@
     answer["id"]
         .as_str()
         .map(str::to_owned)
-        .ok_or_else(|| CommandError::failed("the upload's answer holds no id"))
+        .ok_or_else(|| CommandError::failed("the answer to the upload contains no file id"))
 }
 
 async fn download(
@@ -184,8 +185,9 @@
     let path = format!("/v1/files/{file}/content");
     let response = client.send(ApiRequest::get(path)).await?;
     let mut frames = BodyStream::new(response.into_body());
-    let broken = |error: hyper::Error| CommandError::failed(format!("the download broke: {error}"));
-    while let Some(frame) = frames.try_next().await.map_err(broken)? {
+    let download_error =
+        |error: hyper::Error| CommandError::failed(format!("the download failed: {error}"));
+    while let Some(frame) = frames.try_next().await.map_err(download_error)? {
         if let Ok(data) = frame.into_data() {
             writer
                 .write_all(&data)
@@ -199,12 +201,15 @@
         .map_err(|error| CommandError::failed(error.to_string()))
 }
 
-async fn show(caller: &CallerOptions, request: ApiRequest) -> Result<ExitStatus, CommandError> {
-    let answer: Value = client_of(caller)?.fetch(request).await?;
+async fn print_answer(
+    caller: &CallerOptions,
+    request: ApiRequest,
+) -> Result<ExitStatus, CommandError> {
+    let answer: Value = client_for(caller)?.fetch(request).await?;
     print_json(&answer)
 }
 
-fn client_of(caller: &CallerOptions) -> Result<ApiClient, CommandError> {
+fn client_for(caller: &CallerOptions) -> Result<ApiClient, CommandError> {
     Ok(ApiClient::new(caller.gateway, read_key(&caller.key_file)?))
 }
 
--- a/crates/cli/src/clock_offsets.rs
+++ b/crates/cli/src/clock_offsets.rs
@@ -1,22 +1,23 @@
-//! How far machines' clocks differ, as their log lines show.
+//! Estimates the offsets between machines' clocks from their log lines.
 //!
 //! A configuration comes into force on all machines within milliseconds. Where two
-//! processes tell of the same versions, the median difference of the times that they
-//! tell is the difference of their clocks.
+//! processes log the same versions, the median difference between the times of these
+//! lines is the offset between their clocks.
 
 use std::collections::BTreeMap;
 
 use crate::log_files::{LogFile, LogLine};
 
-/// When a process first told of each version.
+/// Time at which a process first logged each version.
 type Versions = BTreeMap<u64, i64>;
 
-/// How a process's clock compares with that of the reference.
+/// Offset of a process's clock from that of the reference process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ClockOffset {
-    /// To be taken off its times, in milliseconds.
+    /// Subtracted from the process's times, in milliseconds.
     pub(crate) ahead_ms: i64,
-    /// Versions by which this is known; 0 where it is not, and taken to be none.
+    /// Versions that the estimate is based on; 0 if the offset is unknown, in which case
+    /// `ahead_ms` is 0.
     pub(crate) versions: usize,
 }
 
@@ -26,20 +27,21 @@
 };
 
 /// The offset of each process, in the order of the files. The reference is the process
-/// that tells of the most versions.
+/// that logs the most versions.
 pub(crate) fn estimate(files: &[LogFile]) -> Vec<ClockOffset> {
-    let told: Vec<Versions> = files.iter().map(versions).collect();
+    let versions_by_file: Vec<Versions> = files.iter().map(versions).collect();
     let mut offsets = vec![None; files.len()];
-    let reference = (0..files.len()).max_by_key(|file| told[*file].len());
+    let reference = (0..files.len()).max_by_key(|file| versions_by_file[*file].len());
     let Some(reference) = reference else {
         return Vec::new();
     };
     offsets[reference] = Some(ClockOffset {
         ahead_ms: 0,
-        versions: told[reference].len(),
+        versions: versions_by_file[reference].len(),
     });
-    // Step by step from what is known: some share versions with others only.
-    while let Some((file, offset)) = next_known(&told, &offsets) {
+    // A process may share no version with the reference but some with a process whose
+    // offset is already known, so the estimate proceeds from process to process.
+    while let Some((file, offset)) = next_offset(&versions_by_file, &offsets) {
         offsets[file] = Some(offset);
     }
     let known = offsets.into_iter();
@@ -47,12 +49,15 @@
 }
 
 /// The process that shares the most versions with one whose offset is known.
-fn next_known(told: &[Versions], offsets: &[Option<ClockOffset>]) -> Option<(usize, ClockOffset)> {
-    let unknown = (0..told.len()).filter(|file| offsets[*file].is_none());
+fn next_offset(
+    versions_by_file: &[Versions],
+    offsets: &[Option<ClockOffset>],
+) -> Option<(usize, ClockOffset)> {
+    let unknown = (0..versions_by_file.len()).filter(|file| offsets[*file].is_none());
     let pairs = unknown.flat_map(|file| {
         let known = offsets.iter().enumerate();
         known.filter_map(move |(other, offset)| {
-            let ahead = median_difference(&told[file], &told[other])?;
+            let ahead = median_difference(&versions_by_file[file], &versions_by_file[other])?;
             let ahead_ms = ahead.ahead_ms + (*offset)?.ahead_ms;
             Some((file, ClockOffset { ahead_ms, ..ahead }))
         })
@@ -83,12 +88,12 @@
     versions
 }
 
-/// The version that a line tells to be in force now.
+/// The version that a line reports as in force.
 fn version_in_force(line: &LogLine) -> Option<u64> {
-    let is_told = match line.message() {
+    let is_in_force = match line.message() {
         "configuration" => line.text("held")?.starts_with("Ok"),
         "fleet changed" => true,
         _ => false,
     };
-    is_told.then(|| line.fields.get("version")?.as_u64())?
+    is_in_force.then(|| line.fields.get("version")?.as_u64())?
 }
--- a/crates/cli/src/exit.rs
+++ b/crates/cli/src/exit.rs
@@ -8,21 +8,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u8)]
 pub(crate) enum ExitStatus {
-    /// Done as asked.
+    /// Succeeded.
     Done = 0,
-    /// Failed for a reason that has no status of its own.
+    /// Failed for a reason without an exit status of its own.
     Failed = 1,
     /// The command line is wrong.
     Usage = 2,
     /// A file, a setting or a request was refused; nothing was changed.
     Refused = 3,
-    /// Another change took the expected revision or the change id.
+    /// Another change has already used the expected revision or the change id.
     Conflict = 4,
     /// No process answered, or the outcome is unknown; the same command may be sent again.
     Unreachable = 5,
     /// The change is accepted but not yet in force everywhere.
     NotInForce = 6,
-    /// Nothing is known of what was asked for.
+    /// The requested object is unknown.
     NotFound = 7,
 }
 
@@ -32,7 +32,7 @@
     }
 }
 
-/// Why a command did not do what was asked.
+/// Why a command failed.
 #[derive(Debug)]
 pub(crate) struct CommandError {
     pub(crate) status: ExitStatus,
@@ -55,13 +55,13 @@
         Self::new(ExitStatus::Refused, message)
     }
 
-    /// The error of an answer with a code of the error table.
+    /// The error for an answer that carries a code of the error table.
     pub(crate) fn from_kind(kind: ErrorKind, message: impl Into<String>) -> Self {
         Self::new(status_of(kind), message)
     }
 }
 
-/// The exit status of an error of the table.
+/// The exit status for an error kind.
 fn status_of(kind: ErrorKind) -> ExitStatus {
     match kind {
         ErrorKind::RevisionConflict
--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -20,33 +20,33 @@
     records: Vec<JournalRecord>,
 }
 
-/// A record and the process whose journal holds it.
-struct Found {
+/// A record and the address of the process whose journal contains it.
+struct JournalEntry {
     source: String,
     record: JournalRecord,
 }
 
-/// Shows what is known, in the order of time: by log files where a folder is named, else
-/// by every named process.
+/// Prints the records about an id in order of time: from log files if a folder is given,
+/// otherwise from the journals of all given processes.
 pub(crate) async fn run(options: &ExplainOptions) -> Result<ExitStatus, CommandError> {
     match &options.logs {
-        Some(folder) => explain_by_logs(options, folder),
-        None => explain_by_journals(options).await,
+        Some(folder) => explain_from_logs(options, folder),
+        None => explain_from_journals(options).await,
     }
 }
 
-/// Shows the lines about an id, each at its time by the clock of one machine.
-fn explain_by_logs(options: &ExplainOptions, folder: &Path) -> Result<ExitStatus, CommandError> {
+/// Prints the lines about an id, with their times converted to the clock of one machine.
+fn explain_from_logs(options: &ExplainOptions, folder: &Path) -> Result<ExitStatus, CommandError> {
     let files = log_files::read_folder(folder)?;
     let offsets = clock_offsets::estimate(&files);
     let mut found = Vec::new();
     for (file, offset) in files.iter().zip(&offsets) {
-        let about = file.lines.iter().filter(|line| line.is_about(&options.id));
-        let placed = about.map(|line| (line.time_ms - offset.ahead_ms, file, line));
+        let matching = file.lines.iter().filter(|line| line.is_about(&options.id));
+        let timed = matching.map(|line| (line.time_ms - offset.ahead_ms, file, line));
         let before = found.len();
-        found.extend(placed);
+        found.extend(timed);
         if found.len() > before {
-            eprintln!("{}", clock_remark(file, *offset));
+            eprintln!("{}", clock_note(file, *offset));
         }
     }
     // The lines of one process keep their order.
@@ -57,22 +57,22 @@
     if found.is_empty() {
         return Err(CommandError::new(
             ExitStatus::NotFound,
-            format!("no line in {} is about `{}`", folder.display(), options.id),
+            format!("no line in {} refers to `{}`", folder.display(), options.id),
         ));
     }
     Ok(ExitStatus::Done)
 }
 
-fn clock_remark(file: &LogFile, offset: ClockOffset) -> String {
+fn clock_note(file: &LogFile, offset: ClockOffset) -> String {
     let name = &file.name;
-    let foreign = match file.foreign {
+    let unparsed_note = match file.unparsed_lines {
         0 => String::new(),
-        count => format!("; {count} lines are none of a node"),
+        count => format!("; {count} lines are not log lines of a node"),
     };
     match offset.versions {
-        0 => format!("linnethitch: {name}: its clock could not be compared{foreign}"),
+        0 => format!("linnethitch: {name}: its clock could not be compared{unparsed_note}"),
         versions => format!(
-            "linnethitch: {name}: clock ahead by {} ms, by {versions} versions{foreign}",
+            "linnethitch: {name}: clock ahead by {} ms, by {versions} versions{unparsed_note}",
             offset.ahead_ms
         ),
     }
@@ -88,7 +88,7 @@
     serde_json::Value::Object(fields).to_string()
 }
 
-async fn explain_by_journals(options: &ExplainOptions) -> Result<ExitStatus, CommandError> {
+async fn explain_from_journals(options: &ExplainOptions) -> Result<ExitStatus, CommandError> {
     let Some(key_file) = &options.key_file else {
         return Err(CommandError::new(
             ExitStatus::Usage,
@@ -107,7 +107,7 @@
     let mut unreachable = Vec::new();
     for address in &addresses {
         let client = ApiClient::new(**address, key.clone());
-        match ask(&client, &options.id).await {
+        match fetch_records(&client, &options.id).await {
             Ok(records) => found.extend(records),
             Err(error) => unreachable.push(error),
         }
@@ -123,23 +123,23 @@
         Some(error) if found.is_empty() => Err(error.into()),
         _ if found.is_empty() => Err(CommandError::new(
             ExitStatus::NotFound,
-            format!("no journal that was asked knows `{}`", options.id),
+            format!("no queried journal has a record of `{}`", options.id),
         )),
         _ => Ok(ExitStatus::Done),
     }
 }
 
-async fn ask(client: &ApiClient, id: &str) -> Result<Vec<Found>, ApiError> {
+async fn fetch_records(client: &ApiClient, id: &str) -> Result<Vec<JournalEntry>, ApiError> {
     let path = format!("/v1/explain/{}", encode_path(id));
     let explanation: Explanation = client.fetch(ApiRequest::get(path)).await?;
-    let found = explanation.records.into_iter().map(|record| Found {
+    let found = explanation.records.into_iter().map(|record| JournalEntry {
         source: client.address().to_string(),
         record,
     });
     Ok(found.collect())
 }
 
-/// Percent-encodes everything but unreserved characters; an item's `/` is kept.
+/// Percent-encodes everything but unreserved characters; the `/` in an item id is kept.
 fn encode_path(id: &str) -> String {
     id.bytes()
         .map(|byte| match byte {
@@ -151,7 +151,7 @@
         .collect()
 }
 
-impl Found {
+impl JournalEntry {
     fn render(&self, json: bool) -> Result<String, CommandError> {
         if json {
             return serde_json::to_string(&self.record)
@@ -188,11 +188,11 @@
             text.push_str(&format!(" -> {}", record.outcome));
         }
         for other in &record.considered {
-            let weighed = match other.score {
+            let verdict = match other.score {
                 Some(score) => format!("score {score:.2}"),
                 None => format!("left out: {}", other.excluded),
             };
-            text.push_str(&format!("\n    {}  {weighed}", other.replica));
+            text.push_str(&format!("\n    {}  {verdict}", other.replica));
         }
         text
     }
--- a/crates/cli/src/files.rs
+++ b/crates/cli/src/files.rs
@@ -25,7 +25,7 @@
     Ok(ExitStatus::Done)
 }
 
-/// Tells what a fleet file would change.
+/// Prints the changes that a fleet file would make.
 pub(crate) async fn diff(options: &DiffOptions) -> Result<ExitStatus, CommandError> {
     let text = read_text(&options.file)?;
     let new = parse(&options.file, &text)?;
@@ -49,13 +49,13 @@
     Ok(ExitStatus::Done)
 }
 
-/// Reads a file of the operator.
+/// Reads a text file given on the command line.
 pub(crate) fn read_text(file: &Path) -> Result<String, CommandError> {
     fs::read_to_string(file)
         .map_err(|error| CommandError::refused(format!("{}: {error}", file.display())))
 }
 
-/// Parses a fleet file; the error holds a line for every fault.
+/// Parses a fleet file; the error message has one line for each fault.
 pub(crate) fn parse(file: &Path, text: &str) -> Result<Fleet, CommandError> {
     let lines = |errors: Vec<FleetError>| {
         errors
--- a/crates/cli/src/http_client.rs
+++ b/crates/cli/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Requests of the command line over HTTP/1.1, with bounded time and size.
+//! HTTP/1.1 client of the command line, with limits on time and size.
 
 use std::{net::SocketAddr, path::Path, time::Duration};
 
@@ -15,9 +15,9 @@
 
 use crate::exit::{CommandError, ExitStatus};
 
-/// Longest time to connect.
+/// Timeout of connecting.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
-/// Longest time for the head of an answer.
+/// Timeout of the head of an answer, and of its body.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(60);
 /// Largest answer that is read into memory, in bytes.
 const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
@@ -25,21 +25,24 @@
 /// The body of a request.
 pub(crate) type RequestBody = BoxBody<Bytes, std::io::Error>;
 
-/// A body held in memory.
-pub(crate) fn whole_body(bytes: impl Into<Bytes>) -> RequestBody {
+/// A request body from bytes in memory.
+pub(crate) fn full_body(bytes: impl Into<Bytes>) -> RequestBody {
     Full::new(bytes.into())
         .map_err(|never| match never {})
         .boxed()
 }
 
-/// A bearer key read from a file.
+/// Reads a bearer key from a file.
 pub(crate) fn read_key(file: &Path) -> Result<String, CommandError> {
     let text = std::fs::read_to_string(file)
         .map_err(|error| CommandError::refused(format!("{}: {error}", file.display())))?;
     let key = text.trim();
     let printable = key.bytes().all(|byte| byte.is_ascii_graphic());
     if key.is_empty() || !printable {
-        let message = format!("{}: holds no key of printable characters", file.display());
+        let message = format!(
+            "{}: contains no key of printable ASCII characters",
+            file.display()
+        );
         return Err(CommandError::refused(message));
     }
     Ok(key.to_owned())
@@ -59,7 +62,7 @@
             method: Method::GET,
             path: path.into(),
             headers: Vec::new(),
-            body: whole_body(Bytes::new()),
+            body: full_body(Bytes::new()),
         }
     }
 
@@ -68,7 +71,7 @@
             method,
             path: path.into(),
             headers: vec![("content-type", "application/json".to_owned())],
-            body: whole_body(body.to_string()),
+            body: full_body(body.to_string()),
         }
     }
 
@@ -78,7 +81,7 @@
     }
 }
 
-/// A client for one process, with one key.
+/// Sends requests to one process with one bearer key.
 pub(crate) struct ApiClient {
     address: SocketAddr,
     key: String,
@@ -107,8 +110,8 @@
         let sent = tokio::time::timeout(ANSWER_TIMEOUT, self.client.request(request)).await;
         let response = match sent {
             Ok(Ok(response)) => response,
-            Ok(Err(error)) => return Err(self.no_answer(&deepest_cause(&error))),
-            Err(_) => return Err(self.no_answer("no answer in time")),
+            Ok(Err(error)) => return Err(self.no_answer(&root_cause(&error))),
+            Err(_) => return Err(self.no_answer("timed out waiting for the answer")),
         };
         if response.status().is_success() {
             return Ok(response);
@@ -150,7 +153,7 @@
         match tokio::time::timeout(ANSWER_TIMEOUT, body).await {
             Ok(Ok(body)) => Ok(body.to_bytes()),
             Ok(Err(error)) => Err(self.no_answer(&error.to_string())),
-            Err(_) => Err(self.no_answer("the answer did not end in time")),
+            Err(_) => Err(self.no_answer("timed out reading the answer")),
         }
     }
 
@@ -181,8 +184,8 @@
     }
 }
 
-/// The innermost error, which names the cause.
-fn deepest_cause(error: &(dyn std::error::Error + 'static)) -> String {
+/// The message of the innermost error, which names the cause.
+fn root_cause(error: &(dyn std::error::Error + 'static)) -> String {
     let mut deepest = error;
     while let Some(cause) = deepest.source() {
         deepest = cause;
@@ -193,7 +196,7 @@
 /// Why a request got no successful answer.
 #[derive(Debug)]
 pub(crate) struct ApiError {
-    /// The kind of the error table, when the process named one.
+    /// The error kind, if the process answered with a known code.
     pub(crate) kind: Option<ErrorKind>,
     /// Whether the process answered.
     pub(crate) reached: bool,
@@ -201,7 +204,7 @@
 }
 
 impl ApiError {
-    /// Whether sending the same request again, perhaps elsewhere, can help.
+    /// Whether the same request may succeed when it is sent again or to another process.
     pub(crate) fn is_retryable(&self) -> bool {
         match self.kind {
             Some(kind) => kind.answer().retryable,
--- a/crates/cli/src/log_files.rs
+++ b/crates/cli/src/log_files.rs
@@ -1,4 +1,4 @@
-//! Log files of nodes: a folder with one file a process.
+//! Log files of nodes: a folder with one file for each process.
 
 use std::{fs, path::Path};
 
@@ -7,10 +7,10 @@
 
 use crate::exit::{CommandError, ExitStatus};
 
-/// Fields that name what a line is about.
+/// Fields that identify the subject of a line.
 const ID_FIELDS: [&str; 4] = ["request", "item", "job", "replica"];
-/// Fields that stand in front of a line or tell nothing about an id.
-const LEFT_OUT: [&str; 4] = ["time", "level", "module", "message"];
+/// Fields that are printed at the start of a line or do not relate to an id.
+const HIDDEN_FIELDS: [&str; 4] = ["time", "level", "module", "message"];
 
 /// One line of a process.
 #[derive(Clone, Debug)]
@@ -20,18 +20,18 @@
     pub(crate) fields: Map<String, Value>,
 }
 
-/// What one process logged, in its own order.
+/// Log lines of one process, in the order in which it wrote them.
 #[derive(Clone, Debug)]
 pub(crate) struct LogFile {
-    /// Name of the file without its ending.
+    /// Name of the file without its extension.
     pub(crate) name: String,
     pub(crate) lines: Vec<LogLine>,
-    /// Lines that are none of a node.
-    pub(crate) foreign: usize,
+    /// Number of lines that are not log lines of a node.
+    pub(crate) unparsed_lines: usize,
 }
 
 impl LogLine {
-    /// Reads a line; whatever stands before its first brace is passed over.
+    /// Parses a line; any text before the first brace is ignored.
     fn parse(text: &str) -> Option<LogLine> {
         let text = &text[text.find('{')?..];
         let Value::Object(fields) = serde_json::from_str(text).ok()? else {
@@ -50,17 +50,17 @@
         self.fields.get(field)?.as_str()
     }
 
-    /// Whether it is about a request, item, job or replica of this id.
+    /// Whether the line is about a request, item, job or replica with this id.
     pub(crate) fn is_about(&self, id: &str) -> bool {
         ID_FIELDS.iter().any(|field| self.text(field) == Some(id))
     }
 
-    /// The line for people, at a time by a clock that all machines share.
+    /// The line as text, with a time on the clock that all machines' lines are converted to.
     pub(crate) fn render(&self, machine: &str, time_ms: i64) -> String {
         let time = rfc3339(u64::try_from(time_ms).unwrap_or_default());
-        let others = self.fields.iter();
-        let fields: String = others
-            .filter(|(name, _)| !LEFT_OUT.contains(&name.as_str()))
+        let all_fields = self.fields.iter();
+        let fields: String = all_fields
+            .filter(|(name, _)| !HIDDEN_FIELDS.contains(&name.as_str()))
             .map(|(name, value)| format!(" {name}={value}"))
             .collect();
         format!("{time} {machine} {}{fields}", self.message())
@@ -70,7 +70,7 @@
 /// Reads every file of a folder.
 ///
 /// # Errors
-/// `Refused` when the folder or a file cannot be read, or no file holds a line of a node.
+/// `Refused` when the folder or a file cannot be read, or no file contains a log line of a node.
 pub(crate) fn read_folder(folder: &Path) -> Result<Vec<LogFile>, CommandError> {
     let unreadable = |path: &Path, error: std::io::Error| {
         CommandError::refused(format!("cannot read {}: {error}", path.display()))
@@ -90,7 +90,10 @@
     if files.iter().all(|file| file.lines.is_empty()) {
         return Err(CommandError::new(
             ExitStatus::Refused,
-            format!("no file in {} holds log lines of a node", folder.display()),
+            format!(
+                "no file in {} contains log lines of a node",
+                folder.display()
+            ),
         ));
     }
     Ok(files)
@@ -99,24 +102,24 @@
 fn read_file(name: &str, bytes: &[u8]) -> LogFile {
     let text = String::from_utf8_lossy(bytes);
     let mut lines = Vec::new();
-    let mut foreign = 0;
+    let mut unparsed_lines = 0;
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         match LogLine::parse(line) {
             Some(line) => lines.push(line),
-            None => foreign += 1,
+            None => unparsed_lines += 1,
         }
     }
     LogFile {
         name: name.to_owned(),
         lines,
-        foreign,
+        unparsed_lines,
     }
 }
 
-const MS_A_SECOND: i64 = 1_000;
-const SECONDS_A_DAY: i64 = 86_400;
+const MS_PER_SECOND: i64 = 1_000;
+const SECONDS_PER_DAY: i64 = 86_400;
 
-/// Milliseconds since the Unix epoch of a time such as `2026-12-02T06:50:10.123Z`.
+/// Converts a time to milliseconds since the Unix epoch. Example of the format: `2026-12-02T06:50:10.123Z`.
 fn parse_time(text: &str) -> Option<i64> {
     let (date, time) = text.strip_suffix('Z')?.split_once('T')?;
     let date: Vec<i64> = numbers(date, '-')?;
@@ -126,8 +129,8 @@
         (date.try_into().ok()?, clock.try_into().ok()?);
     let milliseconds: i64 = format!("{fraction:0<3}").get(..3)?.parse().ok()?;
     let seconds =
-        days_since_epoch(year, month, day) * SECONDS_A_DAY + hour * 3_600 + minute * 60 + second;
-    Some(seconds * MS_A_SECOND + milliseconds)
+        days_since_epoch(year, month, day) * SECONDS_PER_DAY + hour * 3_600 + minute * 60 + second;
+    Some(seconds * MS_PER_SECOND + milliseconds)
 }
 
 fn numbers(text: &str, separator: char) -> Option<Vec<i64>> {
@@ -136,8 +139,8 @@
         .collect()
 }
 
-/// Days since 1970-01-01 of a date of the Gregorian calendar, counted in years that
-/// begin in March, so that a leap day is the last one of its year.
+/// Days from 1970-01-01 to a date of the Gregorian calendar. Years are counted from March,
+/// so that a leap day is the last day of its year.
 fn days_since_epoch(year: i64, month: i64, day: i64) -> i64 {
     let year = if month <= 2 { year - 1 } else { year };
     let months_since_march = (month + 9) % 12;
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -23,7 +23,7 @@
     options::Command,
 };
 
-/// Columns that messages of the option parser are wrapped at.
+/// Column at which messages of the option parser are wrapped.
 const MESSAGE_WIDTH: usize = 100;
 
 fn main() -> ExitCode {
--- a/crates/cli/src/operator.rs
+++ b/crates/cli/src/operator.rs
@@ -7,12 +7,12 @@
 
 use crate::{
     exit::CommandError,
-    http_client::{ApiClient, ApiError, ApiRequest, read_key, whole_body},
+    http_client::{ApiClient, ApiError, ApiRequest, full_body, read_key},
     options::OperatorOptions,
 };
 
-/// Pause after every address was tried in vain.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+/// Delay before the next round after all addresses have failed.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// The configuration in force.
 #[derive(Clone, Debug, Deserialize)]
@@ -27,7 +27,7 @@
     pub(crate) revision: u64,
 }
 
-/// The fleet at a glance.
+/// An overview of the fleet.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Status {
     pub(crate) revision: u64,
@@ -36,7 +36,7 @@
     pub(crate) members: Vec<Member>,
     pub(crate) gateways: Vec<Gateway>,
     pub(crate) replicas: Vec<Replica>,
-    /// Missing where control is of an earlier build.
+    /// Missing if the control member runs an earlier build.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub(crate) evacuated_zones: Vec<String>,
     pub(crate) open_jobs: u64,
@@ -55,7 +55,7 @@
     pub(crate) silent_ms: u64,
 }
 
-/// A gateway and what it has in force.
+/// A gateway and the configuration revision that it has in force.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub(crate) struct Gateway {
     pub(crate) gateway: String,
@@ -72,7 +72,7 @@
     pub(crate) state: String,
 }
 
-/// Asks control members in turn until one answers.
+/// Sends each request to the control members in turn until one answers.
 pub(crate) struct OperatorClient {
     clients: Vec<ApiClient>,
 }
@@ -86,26 +86,28 @@
         })
     }
 
-    /// The configuration in force, after a confirmed read.
+    /// Fetches the configuration in force, by a linearizable read.
     pub(crate) async fn configuration(&self) -> Result<Configuration, ApiError> {
         self.first_answer(|client| client.fetch(ApiRequest::get("/v1/configuration")))
             .await
     }
 
-    /// The fleet at a glance.
+    /// Fetches an overview of the fleet.
     pub(crate) async fn status(&self) -> Result<Status, ApiError> {
         self.first_answer(|client| client.fetch(ApiRequest::get("/v1/status")))
             .await
     }
 
-    /// Sends a change. The same change may be sent again whatever became of the first.
+    /// Sends a change. Sending the same change again is safe, whatever the outcome of the first
+    /// request was.
     pub(crate) async fn apply(&self, change: &Change) -> Result<Accepted, ApiError> {
         self.first_answer(|client| client.fetch(change.request()))
             .await
     }
 
-    /// Repeats a call until it succeeds, fails for good, or the time is over.
-    pub(crate) async fn retrying<T, F>(
+    /// Repeats a call until it succeeds, fails with an error that is not retryable, or `limit`
+    /// has passed.
+    pub(crate) async fn retry_for<T, F>(
         &self,
         limit: Duration,
         call: impl Fn() -> F,
@@ -117,7 +119,7 @@
         loop {
             match call().await {
                 Err(error) if error.is_retryable() && started.elapsed() < limit => {
-                    tokio::time::sleep(RETRY_PAUSE).await;
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
                 result => return result,
             }
@@ -131,18 +133,18 @@
     where
         F: Future<Output = Result<T, ApiError>>,
     {
-        let mut last = None;
+        let mut last_error = None;
         for client in &self.clients {
             match call(client).await {
-                Err(error) if error.is_retryable() => last = Some(error),
+                Err(error) if error.is_retryable() => last_error = Some(error),
                 result => return result,
             }
         }
-        Err(last.unwrap_or_else(|| unreachable!("the options name at least one address")))
+        Err(last_error.unwrap_or_else(|| unreachable!("the options name at least one address")))
     }
 }
 
-/// A change of the configuration, the same over all retries.
+/// A change of the configuration; all retries send the same one.
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) id: String,
@@ -163,7 +165,7 @@
                     self.expected_revision.to_string(),
                 ),
             ],
-            body: whole_body(self.content.clone()),
+            body: full_body(self.content.clone()),
         }
     }
 }
--- a/crates/cli/src/options.rs
+++ b/crates/cli/src/options.rs
@@ -120,7 +120,7 @@
     Batch(#[bpaf(external(batch::batch_command))] BatchCommand),
 }
 
-/// Where and as whom an operator connects.
+/// Address and credentials of an operator's connection.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub(crate) struct OperatorOptions {
--- a/crates/cli/src/options/batch.rs
+++ b/crates/cli/src/options/batch.rs
@@ -4,7 +4,7 @@
 
 use bpaf::Bpaf;
 
-/// Where and as which tenant a caller connects.
+/// Address and credentials of a caller's connection.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub(crate) struct CallerOptions {
--- a/crates/cli/src/options/control.rs
+++ b/crates/cli/src/options/control.rs
@@ -7,7 +7,7 @@
 
 use super::gateway::log_settings;
 
-/// The settings file and the flags over it.
+/// The settings file and the flags that override it.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub(crate) struct ControlOptions {
@@ -73,16 +73,16 @@
             .ok_or_else(|| "a peer is N=IP:PORT".to_owned())?;
         let machine = machine
             .parse()
-            .map_err(|_| format!("`{machine}` is no machine number"))?;
+            .map_err(|_| format!("`{machine}` is not a machine number"))?;
         let address = address
             .parse()
-            .map_err(|_| format!("`{address}` is no IP:PORT"))?;
+            .map_err(|_| format!("`{address}` is not an IP:PORT"))?;
         Ok(PeerFlag(ControlPeer { machine, address }))
     }
 }
 
 impl ControlOptions {
-    /// The flags as settings that win over the file.
+    /// The flags as settings that override the file.
     pub(crate) fn values(&self) -> ControlValues {
         let peers = self.peers.iter().map(|PeerFlag(peer)| peer.clone());
         ControlValues {
--- a/crates/cli/src/options/gateway.rs
+++ b/crates/cli/src/options/gateway.rs
@@ -5,7 +5,7 @@
 use bpaf::Bpaf;
 use linnethitch_config::settings::{GatewayValues, LogLevel, LogSettings};
 
-/// The settings file and the flags over it.
+/// The settings file and the flags that override it.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(ignore_rustdoc)]
 pub(crate) struct GatewayOptions {
@@ -48,7 +48,7 @@
 }
 
 impl GatewayOptions {
-    /// The flags as settings that win over the file.
+    /// The flags as settings that override the file.
     pub(crate) fn values(&self) -> GatewayValues {
         GatewayValues {
             gateway_id: self.gateway_id.clone(),
--- a/crates/cli/src/serve.rs
+++ b/crates/cli/src/serve.rs
@@ -1,4 +1,4 @@
-//! Running gateways and control members until a signal ends them.
+//! Runs gateways and control members until a signal stops them.
 
 use std::future::Future;
 
@@ -30,8 +30,8 @@
             .await
             .map_err(|report| start_error(&report))?;
         println!("gateway listens on {}", process.address());
-        signals.first(&logger).await;
-        stopped(process.stop(), &mut signals, &logger).await
+        signals.wait_for_first(&logger).await;
+        wait_for_stop(process.stop(), &mut signals, &logger).await
     })
 }
 
@@ -52,10 +52,10 @@
             process.addresses().operator
         );
         tokio::select! {
-            () = signals.first(&logger) => {}
+            () = signals.wait_for_first(&logger) => {}
             ended = process.failed() => return Err(member_error(ended)),
         }
-        stopped(process.stop(), &mut signals, &logger).await
+        wait_for_stop(process.stop(), &mut signals, &logger).await
     })
 }
 
@@ -75,10 +75,10 @@
     CommandError::from_kind(kind, format!("cannot start: {report:?}"))
 }
 
-/// A member that ended by itself must be looked at by somebody.
+/// A member that ends without a stop signal is an error, so that an operator notices it.
 fn member_error(ended: Result<(), error_stack::Report<ErrorKind>>) -> CommandError {
     match ended {
-        Ok(()) => CommandError::failed("the control member ended without being told to"),
+        Ok(()) => CommandError::failed("the control member ended without a stop signal"),
         Err(report) => {
             let kind = *report.current_context();
             CommandError::from_kind(kind, format!("the control member failed: {report:?}"))
@@ -86,8 +86,8 @@
     }
 }
 
-/// Waits for a planned stop; a second signal gives it up.
-async fn stopped(
+/// Waits for a planned stop; a second signal aborts it.
+async fn wait_for_stop(
     stop: impl Future<Output = ()>,
     signals: &mut StopSignals,
     logger: &Logger,
@@ -97,8 +97,8 @@
             info!(logger, "stopped");
             Ok(ExitStatus::Done)
         }
-        () = signals.next() => {
-            warn!(logger, "second signal; work in progress is cut off");
+        () = signals.wait() => {
+            warn!(logger, "second signal; aborting work in progress");
             Err(CommandError::failed("stopped by a second signal"))
         }
     }
@@ -123,12 +123,12 @@
         })
     }
 
-    async fn first(&mut self, logger: &Logger) {
-        self.next().await;
+    async fn wait_for_first(&mut self, logger: &Logger) {
+        self.wait().await;
         info!(logger, "signal; stopping once work in progress is finished");
     }
 
-    async fn next(&mut self) {
+    async fn wait(&mut self) {
         tokio::select! {
             _ = self.interrupt.recv() => {}
             _ = self.terminate.recv() => {}
--- a/crates/cli/src/status.rs
+++ b/crates/cli/src/status.rs
@@ -1,4 +1,4 @@
-//! `status`: the fleet at a glance.
+//! `status`: prints an overview of the fleet.
 
 mod table;
 
@@ -9,7 +9,7 @@
 };
 use table::Table;
 
-/// Shows the fleet.
+/// Prints the status of the fleet.
 pub(crate) async fn run(options: &StatusOptions) -> Result<ExitStatus, CommandError> {
     let status = OperatorClient::new(&options.operator_options)?
         .status()
@@ -55,7 +55,7 @@
             (false, true) => "voter",
             (false, false) => "learner",
         };
-        table.row([
+        table.add_row([
             member.machine.to_string(),
             member.disk.clone(),
             role.to_owned(),
@@ -69,7 +69,7 @@
 fn gateways(status: &Status) -> Table {
     let mut table = Table::new(["gateway", "revision", "silent"]);
     for gateway in &status.gateways {
-        table.row([
+        table.add_row([
             gateway.gateway.clone(),
             gateway.revision.to_string(),
             milliseconds(gateway.silent_ms),
@@ -81,7 +81,7 @@
 fn replicas(status: &Status) -> Table {
     let mut table = Table::new(["replica", "zone", "serves", "state"]);
     for replica in &status.replicas {
-        table.row([
+        table.add_row([
             replica.replica.clone(),
             replica.zone.clone(),
             replica.serves.clone(),
--- a/crates/cli/src/status/table.rs
+++ b/crates/cli/src/status/table.rs
@@ -5,19 +5,19 @@
 /// Spaces between columns.
 const GAP: &str = "  ";
 
-/// A table that is printed as a whole.
+/// A table whose column widths depend on all rows.
 pub(super) struct Table {
     rows: Vec<Vec<String>>,
 }
 
 impl Table {
-    pub(super) fn new<const N: usize>(heads: [&str; N]) -> Self {
+    pub(super) fn new<const N: usize>(headers: [&str; N]) -> Self {
         Table {
-            rows: vec![heads.map(str::to_owned).to_vec()],
+            rows: vec![headers.map(str::to_owned).to_vec()],
         }
     }
 
-    pub(super) fn row<const N: usize>(&mut self, cells: [String; N]) {
+    pub(super) fn add_row<const N: usize>(&mut self, cells: [String; N]) {
         self.rows.push(cells.to_vec());
     }
 
--- a/crates/cli/tests/all/apply.rs
+++ b/crates/cli/tests/all/apply.rs
@@ -1,4 +1,4 @@
-//! `apply` sends one change, however often it has to be sent.
+//! `apply` sends one change, with the same id in every retry.
 
 use std::fs;
 
@@ -24,7 +24,7 @@
 
 #[rstest]
 #[case::accepted(&[accepted()], 0, "accepted as revision 5", false, 1)]
-#[case::answer_lost_once(&[Reply::Hang, accepted()], 0, "accepted as revision 5", false, 2)]
+#[case::answer_lost_once(&[Reply::Close, accepted()], 0, "accepted as revision 5", false, 2)]
 #[case::outcome_unknown_once(
     &[Reply::error(504, "control_outcome_unknown", "lost"), accepted()],
     0,
@@ -43,12 +43,12 @@
 #[case::invalid(&[Reply::error(422, "invalid_configuration", "bad")], 3, "bad", false, 1)]
 #[case::wrong_key(&[Reply::error(401, "invalid_api_key", "no")], 3, "invalid_api_key", true, 1)]
 #[case::defect(&[Reply::error(500, "internal", "broken")], 1, "broken", true, 1)]
-fn an_answer_decides_status_and_whether_the_change_is_kept(
+fn the_answer_determines_the_exit_status_and_whether_the_change_file_remains(
     #[case] replies: &[Reply],
     #[case] exit_status: i32,
     #[case] expected: &str,
-    #[case] kept: bool,
-    #[case] sent: usize,
+    #[case] file_remains: bool,
+    #[case] requests: usize,
 ) {
     let workplace = Workplace::new();
     let server = ScriptedServer::start(&[
@@ -60,9 +60,9 @@
     assert_eq!(finished.status, exit_status, "{finished:?}");
     let shown = format!("{}{}", finished.output, finished.errors);
     assert!(shown.contains(expected), "{shown}");
-    assert_eq!(workplace.path("fleet.toml.change").exists(), kept);
+    assert_eq!(workplace.path("fleet.toml.change").exists(), file_remains);
     let changes = server.received("PUT /v1/configuration");
-    assert_eq!(changes.len(), sent);
+    assert_eq!(changes.len(), requests);
     let ids: Vec<&String> = changes
         .iter()
         .map(|change| &change.headers["linnethitch-change"])
@@ -76,12 +76,12 @@
 }
 
 #[test]
-fn a_run_after_a_lost_answer_sends_the_same_change() {
+fn a_run_after_a_lost_answer_resends_the_same_change() {
     let workplace = Workplace::new();
     let file = workplace.path_text("fleet.toml");
     let lost = ScriptedServer::start(&[
         ("GET /v1/configuration", &[Reply::ok(CONFIGURATION)]),
-        ("PUT /v1/configuration", &[Reply::Hang]),
+        ("PUT /v1/configuration", &[Reply::Close]),
     ]);
     let finished = workplace.operate("apply", &[lost.address], &["--timeout", "0", &file]);
     assert_eq!(finished.status, 5, "{finished:?}");
@@ -103,12 +103,12 @@
 }
 
 #[test]
-fn a_changed_file_is_another_change() {
+fn a_changed_file_gets_a_new_change_id() {
     let workplace = Workplace::new();
     let file = workplace.path_text("fleet.toml");
     let server = ScriptedServer::start(&[
         ("GET /v1/configuration", &[Reply::ok(CONFIGURATION)]),
-        ("PUT /v1/configuration", &[Reply::Hang]),
+        ("PUT /v1/configuration", &[Reply::Close]),
     ]);
     workplace.operate("apply", &[server.address], &["--timeout", "0", &file]);
     let text = fs::read_to_string(&file).unwrap() + "# more\n";
@@ -141,13 +141,13 @@
 }
 
 #[test]
-fn wait_ends_once_the_lowest_revision_is_reached() {
+fn wait_ends_once_every_gateway_has_the_revision_in_force() {
     let workplace = Workplace::new();
     let file = workplace.path_text("fleet.toml");
     let server = ScriptedServer::start(&[
         ("GET /v1/configuration", &[Reply::ok(CONFIGURATION)]),
         ("PUT /v1/configuration", &[accepted()]),
-        ("GET /v1/status", &[status(4), Reply::Hang, status(5)]),
+        ("GET /v1/status", &[status(4), Reply::Close, status(5)]),
     ]);
     let finished = workplace.operate("apply", &[server.address], &["--wait", &file]);
     assert_eq!(finished.status, 0, "{finished:?}");
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn wait_gives_up_with_a_status_of_its_own() {
+fn wait_times_out_with_its_own_exit_status() {
     let workplace = Workplace::new();
     let file = workplace.path_text("fleet.toml");
     let server = ScriptedServer::start(&[
--- a/crates/cli/tests/all/explain.rs
+++ b/crates/cli/tests/all/explain.rs
@@ -1,4 +1,4 @@
-//! `explain` merges journals in the order of time.
+//! `explain` merges journals and log files in order of time.
 
 use std::fs;
 
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn nothing_known_has_a_status_of_its_own() {
+fn an_unknown_id_has_its_own_exit_status() {
     let workplace = Workplace::new();
     let server =
         ScriptedServer::start(&[("GET /v1/explain/req_1", &[Reply::ok(r#"{"records":[]}"#)])]);
@@ -51,8 +51,8 @@
     assert_eq!(finished.status, 7, "{finished:?}");
 }
 
-/// Lines of a control member and of two gateways whose clocks are 5 s ahead and 2 s
-/// behind; the second one tells of no version that control tells of.
+/// Log lines of a control member and of two gateways whose clocks are 5 s ahead and 2 s
+/// behind; the second gateway shares no version with the control member.
 const CONTROL_LOG: &str = r#"
 {"time":"2026-12-02T10:00:01.000Z","level":"info","message":"configuration","version":5,"held":"Ok(5)"}
 {"time":"2026-12-02T10:00:05.000Z","level":"info","message":"configuration","version":6,"held":"Err(Unavailable)"}
@@ -85,11 +85,11 @@
 }
 
 #[test]
-fn lines_of_machines_whose_clocks_differ_are_put_in_order() {
+fn lines_of_machines_with_different_clocks_are_ordered() {
     let finished = explain_logs("r-1", &[]);
     assert_eq!(finished.status, 0, "{finished:?}");
     let lines: Vec<&str> = finished.output.lines().collect();
-    // By the clock of front-1, which tells of the most versions.
+    // Times are on the clock of front-1, which logs the most versions.
     assert_eq!(
         lines,
         [
@@ -97,14 +97,14 @@
             "2026-12-02T10:00:08.700Z front-2 request: served ms=9 request=\"r-1\"",
         ]
     );
-    let remarks = &finished.errors;
+    let notes = &finished.errors;
     assert!(
-        remarks.contains("front-1: clock ahead by 0 ms, by 3 versions; 1 lines"),
-        "{remarks}"
+        notes.contains("front-1: clock ahead by 0 ms, by 3 versions; 1 lines"),
+        "{notes}"
     );
     assert!(
-        remarks.contains("front-2: clock ahead by -7000 ms, by 1 versions"),
-        "{remarks}"
+        notes.contains("front-2: clock ahead by -7000 ms, by 1 versions"),
+        "{notes}"
     );
 }
 
@@ -122,10 +122,10 @@
 #[case::no_such_folder(&["explain", "r-1", "--logs", "/nonexistent"], 3, "/nonexistent")]
 #[case::no_lines_of_nodes(&["explain", "r-1", "--logs", "EMPTY"], 3, "no file in")]
 #[case::neither_logs_nor_a_key(&["explain", "r-1"], 2, "--key-file")]
-fn what_is_wrong_with_logs_is_told(
+fn problems_with_the_logs_option_are_reported(
     #[case] arguments: &[&str],
     #[case] status: i32,
-    #[case] told: &str,
+    #[case] expected: &str,
 ) {
     let (logs, empty) = (tempfile::tempdir().unwrap(), tempfile::tempdir().unwrap());
     fs::write(logs.path().join("front-1.log"), FIRST_LOG).unwrap();
@@ -142,5 +142,5 @@
         .collect();
     let finished = run(&arguments);
     assert_eq!(finished.status, status, "{finished:?}");
-    assert!(finished.errors.contains(told), "{finished:?}");
+    assert!(finished.errors.contains(expected), "{finished:?}");
 }
--- a/crates/cli/tests/all/files.rs
+++ b/crates/cli/tests/all/files.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn every_fault_of_a_file_is_told_with_its_line() {
+fn every_fault_of_a_file_is_reported_with_its_line() {
     let workplace = Workplace::new();
     let file = workplace.path("bad.toml");
     fs::write(
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_difference_is_told_against_the_revision_in_force() {
+fn a_difference_is_shown_against_the_revision_in_force() {
     let workplace = Workplace::new();
     let content = fs::read_to_string(workplace.path("fleet.toml")).unwrap();
     let old = content.replace("replicas = 4 }", "replicas = 3 }");
--- a/crates/cli/tests/all/help.rs
+++ b/crates/cli/tests/all/help.rs
@@ -1,4 +1,4 @@
-//! Help texts name what a newcomer needs.
+//! Help texts and messages about wrong command lines.
 
 use rstest::rstest;
 
@@ -35,7 +35,7 @@
 #[case::bad_address(&["status", "--operator", "here", "--key-file", "k"], "couldn't parse `here`")]
 #[case::bad_peer(&["control", "--peer", "1:127.0.0.1:7101"], "a peer is N=IP:PORT")]
 #[case::explain_whom(&["explain", "--key-file", "/dev/null", "x"], "")]
-fn a_wrong_command_line_is_told_apart(#[case] arguments: &[&str], #[case] expected: &str) {
+fn a_wrong_command_line_is_reported(#[case] arguments: &[&str], #[case] expected: &str) {
     let finished = run(arguments);
     assert!(finished.errors.contains(expected), "{}", finished.errors);
     let refused_key = arguments.contains(&"/dev/null");
--- a/crates/cli/tests/all/program.rs
+++ b/crates/cli/tests/all/program.rs
@@ -1,4 +1,4 @@
-//! Runs the program and shows what came out.
+//! Runs the program and captures its output.
 
 use std::{
     fs,
@@ -9,7 +9,7 @@
 
 use tempfile::TempDir;
 
-/// What a finished run left behind.
+/// Exit status and output of a finished run.
 #[derive(Debug)]
 pub(crate) struct Finished {
     pub(crate) status: i32,
@@ -52,7 +52,7 @@
         self.path(name).display().to_string()
     }
 
-    /// Runs an operator's command against the given addresses.
+    /// Runs an operator command against the given addresses.
     pub(crate) fn operate(
         &self,
         command: &str,
--- a/crates/cli/tests/all/real_fleet.rs
+++ b/crates/cli/tests/all/real_fleet.rs
@@ -12,22 +12,22 @@
 
 use crate::program::{Finished, Workplace, run};
 
-const LIMIT: Duration = Duration::from_secs(30);
-const PAUSE: Duration = Duration::from_millis(50);
+const TIMEOUT: Duration = Duration::from_secs(30);
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 const ITEM: &str = r#"{"custom_id":"one","method":"POST","url":"/v1/chat/completions","body":{"model":"quote-writer","messages":[{"role":"user","content":"hello"}]}}"#;
 
-/// A process that ends with this value.
+/// A process that is killed when this value is dropped.
 struct Running(Child);
 
 impl Drop for Running {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may already have ended.
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-/// A member and a gateway, as their settings files start them.
+/// A control member and a gateway, started from settings files.
 struct RealFleet {
     workplace: Workplace,
     operator: SocketAddr,
@@ -44,7 +44,7 @@
         )
         .unwrap();
         fs::write(workplace.path("tenant.key"), "lh-dev-key\n").unwrap();
-        let [peer, attach, operator, gateway, nowhere] = free_addresses();
+        let [peer, attach, operator, gateway, unused] = free_addresses();
         let cluster = format!(
             "cluster = \"test\"\ncluster_key_file = \"{}\"\n",
             workplace.path_text("cluster.key")
@@ -53,7 +53,7 @@
             "machine = 1\nzone = \"worcester\"\nregion = \"new-england\"\npeer_address = \"{peer}\"\n\
              attach_address = \"{attach}\"\noperator_address = \"{operator}\"\nbootstrap = true\n\
              peers = [{{ machine = 1, address = \"{peer}\" }}]\noperator_key_sha256 = \"{}\"\n\
-             platform_address = \"{nowhere}\"\ndata_dir = \"{}\"\n{cluster}",
+             platform_address = \"{unused}\"\ndata_dir = \"{}\"\n{cluster}",
             key_sha256("lh-operator-key"),
             workplace.path_text("control")
         );
@@ -97,27 +97,27 @@
     Running(child.unwrap())
 }
 
-/// Addresses whose ports were free a moment ago.
+/// Loopback addresses with ports that were free when this function looked.
 fn free_addresses<const COUNT: usize>() -> [SocketAddr; COUNT] {
     let sockets = [(); COUNT].map(|()| TcpListener::bind(("127.0.0.1", 0)).unwrap());
     sockets.map(|socket| socket.local_addr().unwrap())
 }
 
-/// Runs a command until its output holds a text.
+/// Repeats a command until its output contains a text.
 fn until(expected: &str, command: impl Fn() -> Finished) -> Finished {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + TIMEOUT;
     loop {
         let finished = command();
         if finished.output.contains(expected) {
             return finished;
         }
         assert!(Instant::now() < deadline, "no {expected:?}: {finished:?}");
-        thread::sleep(PAUSE);
+        thread::sleep(POLL_INTERVAL);
     }
 }
 
 #[test]
-fn a_fleet_is_applied_shown_and_used() {
+fn a_fleet_is_applied_shown_and_runs_batch_commands() {
     let fleet = RealFleet::start();
     let file = fleet.workplace.path_text("fleet.toml");
     until("\"revision\"", || fleet.operate("status", &["--json"]));
--- a/crates/cli/tests/all/scripted_server.rs
+++ b/crates/cli/tests/all/scripted_server.rs
@@ -1,4 +1,4 @@
-//! A server that answers requests by a script, one connection each.
+//! A server that answers requests from a script, one request per connection.
 
 use std::{
     collections::HashMap,
@@ -8,7 +8,7 @@
     thread,
 };
 
-/// A request as it arrived.
+/// A received request.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Received {
     pub(crate) line: String,
@@ -22,7 +22,7 @@
     /// Answers.
     Answer(u16, String),
     /// Closes the connection without an answer.
-    Hang,
+    Close,
 }
 
 impl Reply {
@@ -43,7 +43,8 @@
 }
 
 impl ScriptedServer {
-    /// Answers by method and path; the replies of one are given in turn, the last one again and again.
+    /// Answers by method and path. Replies to the same method and path are given in turn, and
+    /// the last one is repeated.
     pub(crate) fn start(script: &[(&str, &[Reply])]) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").unwrap();
         let address = listener.local_addr().unwrap();
@@ -61,7 +62,7 @@
         ScriptedServer { address, received }
     }
 
-    /// The requests so far whose line begins so.
+    /// The requests received so far whose request line starts with `line`.
     pub(crate) fn received(&self, line: &str) -> Vec<Received> {
         let received = self.received.lock().unwrap();
         received
--- a/crates/cli/tests/all/status.rs
+++ b/crates/cli/tests/all/status.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn json_holds_the_same() {
+fn json_shows_the_same_status() {
     let workplace = Workplace::new();
     let server = ScriptedServer::start(&[("GET /v1/status", &[Reply::ok(STATUS)])]);
     let finished = workplace.operate("status", &[server.address], &["--json"]);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn no_answer_has_a_status_of_its_own() {
+fn an_unreachable_member_has_its_own_exit_status() {
     let workplace = Workplace::new();
     let finished = workplace.operate("status", &[dead_address()], &[]);
     assert_eq!(finished.status, 5, "{finished:?}");
