--- a/crates/lab/src/application.rs
+++ b/crates/lab/src/application.rs
@@ -8,7 +8,7 @@
 use linnethitch_errors::ErrorKind;
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict, runtime, stop_signal},
 };
 
@@ -54,8 +54,8 @@
     let replica = ApplicationServer::start(settings)
         .await
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not listen on {}", arguments.listen))?;
-    say(&format!(
+        .attach_with(|| format!("cannot listen on {}", arguments.listen))?;
+    print_line(&format!(
         "application {} listens on {}",
         arguments.name,
         replica.address()
--- a/crates/lab/src/capacity.rs
+++ b/crates/lab/src/capacity.rs
@@ -14,11 +14,11 @@
 };
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
-/// The command whose results are taken in.
+/// The command whose results are merged into the measurements.
 const SCALE_COMMAND: &str = "linnethitch-lab scale";
 
 /// The page and the measurements that its tables are made of:
@@ -52,10 +52,10 @@
     check: bool,
 }
 
-/// Renders the page; the verdict is bad when a check found it different.
+/// Renders the page; the verdict is bad when a check finds a difference.
 pub(crate) fn run(arguments: &Arguments) -> Outcome {
     if let Some(results) = &arguments.scale_results {
-        take_in(arguments, results)?;
+        merge_scale_results(arguments, results)?;
     }
     let page = fs::read_to_string(&arguments.page)
         .change_context(ErrorKind::Io)
@@ -64,20 +64,20 @@
         MeasuredFile::read(&arguments.measured).change_context(ErrorKind::MalformedRequest)?;
     let rendered = render_page(&page, &measured).change_context(ErrorKind::MalformedRequest)?;
     if rendered == page {
-        say("the page is up to date");
+        print_line("the page is up to date");
         return Ok(Verdict::Good);
     }
     if arguments.check {
-        say("the page differs from its measurements; run `linnethitch-lab capacity`");
+        print_line("the page differs from its measurements; run `linnethitch-lab capacity`");
         return Ok(Verdict::Bad);
     }
     write_page(&arguments.page, &rendered)?;
-    say("the page's measured parts are written anew");
+    print_line("the page's measured parts have been updated");
     Ok(Verdict::Good)
 }
 
-/// Puts the figures of a scale run into the measurements.
-fn take_in(arguments: &Arguments, results: &Path) -> Result<(), Report<ErrorKind>> {
+/// Merges the figures of a scale run into the measurements.
+fn merge_scale_results(arguments: &Arguments, results: &Path) -> Result<(), Report<ErrorKind>> {
     let text = fs::read_to_string(results)
         .change_context(ErrorKind::Io)
         .attach_with(|| results.display().to_string())?;
--- a/crates/lab/src/commands.rs
+++ b/crates/lab/src/commands.rs
@@ -51,7 +51,7 @@
     Simulate(#[bpaf(external(simulate::arguments))] simulate::Arguments),
 }
 
-/// Reads the command line; prints help and ends the process where asked to.
+/// Parses the command line; prints help and exits if the command line asks for it.
 pub(crate) fn parse() -> Command {
     command().run()
 }
--- a/crates/lab/src/dev/back_ends.rs
+++ b/crates/lab/src/dev/back_ends.rs
@@ -15,7 +15,7 @@
     ids::{ModelId, ReplicaId, ServiceId, ZoneId},
 };
 
-/// Everything outside linnethitch itself.
+/// The emulated processes, which are not part of linnethitch itself.
 pub(super) struct BackEnds {
     engines: Vec<EngineServer>,
     applications: Vec<ApplicationServer>,
@@ -23,7 +23,7 @@
 }
 
 impl BackEnds {
-    /// Starts what the fleet file wants, with every model loaded.
+    /// Starts the replicas that the fleet file requests, with every model loaded.
     pub(super) async fn start(fleet: &Fleet, speed: u32) -> Result<BackEnds, Report<ErrorKind>> {
         let mut engines = Vec::new();
         for pool in &fleet.models {
@@ -57,7 +57,7 @@
         self.applications.len()
     }
 
-    /// Where the platform listens.
+    /// Address of the platform.
     pub(super) fn platform(&self) -> SocketAddr {
         self.platform.address()
     }
--- a/crates/lab/src/dev/control.rs
+++ b/crates/lab/src/dev/control.rs
@@ -21,12 +21,12 @@
 const ANY_PORT: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
-/// All control members, the first with the operator interface of the command line.
+/// All control members; the first has the operator address given on the command line.
 pub(super) struct Control {
     members: Vec<ControlHandle>,
 }
 
-/// What the members have in common.
+/// Settings that all members share.
 pub(super) struct ControlPlan<'a> {
     pub(super) arguments: &'a Arguments,
     pub(super) fleet: &'a Fleet,
@@ -38,7 +38,8 @@
 impl Control {
     /// Starts five members, each with a folder of its own.
     pub(super) async fn start(plan: ControlPlan<'_>) -> Result<Control, Report<ErrorKind>> {
-        // All are bound first, so that each knows the addresses of all.
+        // All sockets are bound first, because each member's settings have the addresses of all
+        // members.
         let mut bound = Vec::new();
         for machine in 1..=MEMBERS {
             let operator = match machine {
@@ -65,12 +66,12 @@
         Ok(Control { members })
     }
 
-    /// Where each member listens.
+    /// Addresses of each member.
     pub(super) fn addresses(&self) -> Vec<ControlAddresses> {
         self.members.iter().map(ControlHandle::addresses).collect()
     }
 
-    /// Resolves when a member ends by itself, such as by a failed disk.
+    /// Resolves when a member ends without being stopped, for example after a disk failure.
     pub(super) fn failed(&mut self) -> impl Future<Output = Result<(), Report<ErrorKind>>> {
         let ends = self
             .members
@@ -80,7 +81,7 @@
         async move { first.await.0 }
     }
 
-    /// Stops all at once.
+    /// Stops all members concurrently.
     pub(super) async fn stop(self) {
         join_all(self.members.into_iter().map(ControlHandle::stop)).await;
     }
--- a/crates/lab/src/dev/deployment.rs
+++ b/crates/lab/src/dev/deployment.rs
@@ -4,7 +4,7 @@
 
 use sha2::{Digest, Sha256};
 
-/// The key whose hash the example files hold.
+/// The key whose hash the example files contain.
 pub(super) const DEFAULT_API_KEY: &str = "lh-dev-key";
 
 /// A fleet file of the examples.
@@ -17,7 +17,7 @@
 }
 
 impl Deployment {
-    /// The fleet file, with the hash of another key where one is given.
+    /// The fleet file, with the hash of the given key.
     pub(super) fn fleet_text(self, api_key: &str) -> String {
         let text = match self {
             Deployment::GraniteLane => include_str!("../../../../examples/granite-lane.toml"),
--- a/crates/lab/src/dev/gateways.rs
+++ b/crates/lab/src/dev/gateways.rs
@@ -14,12 +14,12 @@
 use super::{Arguments, deployment::key_hash};
 
 /// A gateway and its name.
-struct Named {
+struct NamedGateway {
     name: String,
     handle: GatewayHandle,
 }
 
-/// What the gateways have in common.
+/// Settings that all gateways share.
 pub(super) struct GatewayPlan<'a> {
     pub(super) arguments: &'a Arguments,
     pub(super) fleet: &'a Fleet,
@@ -29,9 +29,9 @@
     pub(super) logger: Logger,
 }
 
-/// All gateways, the first on the address of the command line.
+/// All gateways; the first has the address given on the command line.
 pub(super) struct Gateways {
-    gateways: Vec<Named>,
+    gateways: Vec<NamedGateway>,
 }
 
 impl Gateways {
@@ -48,25 +48,25 @@
                 let settings = plan.settings(zone, &name, listen);
                 let logger = plan.logger.new(o!("gateway" => name.clone()));
                 let handle = GatewayProcess::start(settings, logger).await?;
-                gateways.push(Named { name, handle });
+                gateways.push(NamedGateway { name, handle });
             }
         }
         Ok(Gateways { gateways })
     }
 
-    /// Names and addresses.
+    /// Names and addresses of all gateways.
     pub(super) fn addresses(&self) -> impl Iterator<Item = (&str, SocketAddr)> {
         self.gateways
             .iter()
             .map(|gateway| (gateway.name.as_str(), gateway.handle.address()))
     }
 
-    /// Where the first one listens.
+    /// Address of the first gateway.
     pub(super) fn first(&self) -> SocketAddr {
         self.gateways[0].handle.address()
     }
 
-    /// Stops all at once, each when its requests are finished.
+    /// Stops all gateways concurrently, each after its requests are finished.
     pub(super) async fn stop(self) {
         let stops = self
             .gateways
--- a/crates/lab/src/dev/hints.rs
+++ b/crates/lab/src/dev/hints.rs
@@ -1,4 +1,4 @@
-//! What to try on a running fleet.
+//! Example commands for a running fleet.
 
 use std::net::SocketAddr;
 
@@ -6,7 +6,7 @@
 
 use super::keys::KeyFiles;
 
-/// What the command lines need.
+/// Values that the example commands contain.
 pub(super) struct Hints<'a> {
     pub(super) fleet: &'a Fleet,
     pub(super) gateway: SocketAddr,
--- a/crates/lab/src/dev/keys.rs
+++ b/crates/lab/src/dev/keys.rs
@@ -11,12 +11,12 @@
 use linnethitch_errors::ErrorKind;
 
 const KEY_BYTES: usize = 32;
-/// Readable by the owner alone.
+/// Readable and writable only by the owner.
 const FILE_MODE: u32 = 0o600;
 
-/// Where the keys are.
+/// Paths of the key files.
 pub(super) struct KeyFiles {
-    /// Proves membership of the cluster; made once.
+    /// Proves membership of the cluster; generated once.
     pub(super) cluster: PathBuf,
     /// The operators' bearer key, for `linnethitch … --key-file`.
     pub(super) operator: PathBuf,
@@ -25,10 +25,10 @@
 }
 
 impl KeyFiles {
-    /// Makes the data folder and its key files; an existing cluster key is kept.
+    /// Creates the data folder and its key files; an existing cluster key is not replaced.
     ///
     /// # Errors
-    /// `Io` with the file that can not be written.
+    /// `Io` with the folder or file that cannot be written.
     pub(super) fn prepare(
         data_dir: &Path,
         operator_key: &str,
@@ -36,7 +36,7 @@
     ) -> Result<KeyFiles, Report<ErrorKind>> {
         fs::create_dir_all(data_dir)
             .change_context(ErrorKind::Io)
-            .attach_with(|| format!("can not make the folder {}", data_dir.display()))?;
+            .attach_with(|| format!("cannot create the folder {}", data_dir.display()))?;
         let files = KeyFiles {
             cluster: data_dir.join("cluster.key"),
             operator: data_dir.join("operator.key"),
@@ -51,7 +51,7 @@
         write_key(&files.tenant, tenant_key)?;
         sync_folder(data_dir)
             .change_context(ErrorKind::Io)
-            .attach_with(|| format!("can not sync {}", data_dir.display()))?;
+            .attach_with(|| format!("cannot sync {}", data_dir.display()))?;
         Ok(files)
     }
 }
@@ -59,7 +59,7 @@
 fn write_key(file: &Path, key: &str) -> Result<(), Report<ErrorKind>> {
     replace(file, key)
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not write {}", file.display()))
+        .attach_with(|| format!("cannot write {}", file.display()))
 }
 
 fn replace(file: &Path, key: &str) -> std::io::Result<()> {
--- a/crates/lab/src/dev/mod.rs
+++ b/crates/lab/src/dev/mod.rs
@@ -1,4 +1,4 @@
-//! `linnethitch-lab dev`: a whole fleet in one process, over real loopback sockets.
+//! `linnethitch-lab dev`: a complete fleet in one process, over real loopback sockets.
 
 mod back_ends;
 mod control;
@@ -31,7 +31,7 @@
     ready::ReadyClient,
 };
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict, runtime, stop_signal},
 };
 
@@ -84,15 +84,15 @@
 
 async fn serve(arguments: &Arguments, logging: &Logging) -> Outcome {
     let mut running = Running::start(arguments, &logging.logger()).await?;
-    running.say_addresses();
+    running.print_addresses();
     let ended = running.serve(arguments).await;
-    say("stopping: requests in progress are finished first");
+    print_line("stopping: requests in progress are finished first");
     running.stop().await;
-    say("stopped");
+    print_line("stopped");
     ended.map(|()| Verdict::Good)
 }
 
-/// All that runs, and what it was made from.
+/// The running processes and the files that they were started from.
 struct Running {
     fleet: Fleet,
     fleet_text: String,
@@ -139,8 +139,8 @@
         })
     }
 
-    fn say_addresses(&self) {
-        say(&format!(
+    fn print_addresses(&self) {
+        print_line(&format!(
             "{}: {} engines and {} application replicas run",
             self.fleet.name,
             self.back_ends.engine_count(),
@@ -148,17 +148,17 @@
         ));
         for (index, member) in self.control.addresses().iter().enumerate() {
             let number = index + 1;
-            say(&format!(
+            print_line(&format!(
                 "control member {number} listens for operators on {}",
                 member.operator
             ));
         }
         for (name, address) in self.gateways.addresses() {
-            say(&format!("gateway {name} listens on {address}"));
+            print_line(&format!("gateway {name} listens on {address}"));
         }
     }
 
-    /// Makes the fleet ready and serves until a signal comes or a control member fails.
+    /// Waits until the fleet is ready and serves until a signal arrives or a control member fails.
     async fn serve(&mut self, arguments: &Arguments) -> Result<(), Report<ErrorKind>> {
         let operator = self.control.addresses()[0].operator;
         let client = ReadyClient::new(operator, &arguments.operator_key);
@@ -172,17 +172,19 @@
         };
         let serving = async {
             let in_force = client.configure(&self.fleet_text).await?;
-            say(&format!("revision {} is in force", in_force.revision));
+            print_line(&format!("revision {} is in force", in_force.revision));
             if in_force.differs {
-                say("it is not the deployment's file: the folder's own configuration stays");
+                print_line(
+                    "the data folder has a configuration other than the deployment's file; it stays in force",
+                );
             }
             let back_ends = self.back_ends.engine_count() + self.back_ends.application_count();
             client.wait_for_replicas(back_ends).await?;
             for (_, address) in self.gateways.addresses() {
                 client.wait_for_gateway(address).await?;
             }
-            say(&hints.text());
-            say("ready");
+            print_line(&hints.text());
+            print_line("ready");
             std::future::pending().await
         };
         tokio::select! {
@@ -192,7 +194,7 @@
         }
     }
 
-    /// Planned stop: gateways finish their requests while control is still there.
+    /// Planned stop: gateways finish their requests while control is still available.
     async fn stop(self) {
         self.gateways.stop().await;
         self.control.stop().await;
--- a/crates/lab/src/dev/ready.rs
+++ b/crates/lab/src/dev/ready.rs
@@ -1,4 +1,4 @@
-//! From started processes to a fleet that serves.
+//! Configures the started processes and waits until the fleet serves.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -17,17 +17,18 @@
 
 const CONFIGURATION: &str = "/v1/configuration";
 const STATUS: &str = "/v1/status";
-const POLL: Duration = Duration::from_millis(50);
-/// Longest wait for each step.
-const PATIENCE: Duration = Duration::from_secs(60);
-/// The change that brings in the deployment's file, the same however often it is sent.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout of each step.
+const STEP_TIMEOUT: Duration = Duration::from_secs(60);
+/// Id of the change that applies the deployment's file; every retry has the same id.
 const FIRST_CHANGE: &str = "linnethitch-lab-dev-first";
 
 /// What is in force when the fleet is ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct InForce {
     pub(super) revision: u64,
-    /// Whether it is another file than the deployment's, from an earlier run on the same folder.
+    /// Whether the configuration is not the deployment's file but one of an earlier run on the
+    /// same folder.
     pub(super) differs: bool,
 }
 
@@ -66,20 +67,22 @@
         }
     }
 
-    /// Applies the fleet file as the first revision; a later one in force stays.
+    /// Applies the fleet file as the first revision; a configuration already in force is not
+    /// replaced.
     ///
     /// # Errors
     /// `NotReady` when control does not answer in time, `InvalidConfiguration` when it refuses the file.
     pub(super) async fn configure(&self, content: &str) -> Result<InForce, Report<ErrorKind>> {
-        let read = self.insist(|| self.operator_request(Method::GET, CONFIGURATION, ""));
-        let known: Configuration = parse(&read.await?)?;
-        if known.revision > 0 {
+        let read = self.request_until_ok(|| self.operator_request(Method::GET, CONFIGURATION, ""));
+        let current: Configuration = parse(&read.await?)?;
+        if current.revision > 0 {
             return Ok(InForce {
-                revision: known.revision,
-                differs: known.content != content,
+                revision: current.revision,
+                differs: current.content != content,
             });
         }
-        let apply = self.insist(|| self.operator_request(Method::PUT, CONFIGURATION, content));
+        let apply =
+            self.request_until_ok(|| self.operator_request(Method::PUT, CONFIGURATION, content));
         let accepted: Accepted = parse(&apply.await?)?;
         Ok(InForce {
             revision: accepted.revision,
@@ -87,37 +90,37 @@
         })
     }
 
-    /// Waits until control knows all back ends.
+    /// Waits until control lists all back ends.
     ///
     /// # Errors
-    /// `NotReady` when it does not in time.
+    /// `NotReady` when this takes longer than the timeout.
     pub(super) async fn wait_for_replicas(&self, count: usize) -> Result<(), Report<ErrorKind>> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
-            let read = self.insist(|| self.operator_request(Method::GET, STATUS, ""));
+            let read = self.request_until_ok(|| self.operator_request(Method::GET, STATUS, ""));
             let status: Status = parse(&read.await?)?;
             if status.replicas.len() >= count {
                 return Ok(());
             }
             if Instant::now() >= end {
-                let known = status.replicas.len();
+                let listed = status.replicas.len();
                 return Err(Report::new(ErrorKind::NotReady)
-                    .attach(format!("control knows {known} of {count} back ends")));
+                    .attach(format!("control lists {listed} of {count} back ends")));
             }
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until a gateway takes requests.
+    /// Waits until a gateway is ready for requests.
     ///
     /// # Errors
-    /// `NotReady` when it does not in time.
+    /// `NotReady` when this takes longer than the timeout.
     pub(super) async fn wait_for_gateway(
         &self,
         gateway: SocketAddr,
     ) -> Result<(), Report<ErrorKind>> {
         let probe = || Request::get(format!("http://{gateway}/readyz")).body(Full::default());
-        self.insist(probe).await.map(drop)
+        self.request_until_ok(probe).await.map(drop)
     }
 
     fn operator_request(
@@ -138,16 +141,16 @@
             .body(Full::new(Bytes::copy_from_slice(body.as_bytes())))
     }
 
-    /// Repeats a request until it is answered with 200; its body.
-    async fn insist(
+    /// Repeats a request until it is answered with 200 and returns the body.
+    async fn request_until_ok(
         &self,
         request: impl Fn() -> http::Result<Request<Full<Bytes>>>,
     ) -> Result<Bytes, Report<ErrorKind>> {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + STEP_TIMEOUT;
         loop {
             let request = request().change_context(ErrorKind::Internal)?;
             let answer = match self.client.request(request).await {
-                Ok(response) => whole(response).await,
+                Ok(response) => ok_body(response).await,
                 Err(error) => Err(error.to_string()),
             };
             match answer {
@@ -155,14 +158,14 @@
                 Err(reason) if Instant::now() >= end => {
                     return Err(Report::new(ErrorKind::NotReady).attach(reason));
                 }
-                Err(_) => sleep(POLL).await,
+                Err(_) => sleep(POLL_INTERVAL).await,
             }
         }
     }
 }
 
-/// The body of an answer with 200; otherwise what was answered.
-async fn whole(response: Response<Incoming>) -> Result<Bytes, String> {
+/// The complete body of an answer with status 200; otherwise status and body as an error.
+async fn ok_body(response: Response<Incoming>) -> Result<Bytes, String> {
     let status = response.status();
     let collected = response.into_body().collect().await;
     let body = collected.map_err(|error| error.to_string())?.to_bytes();
--- a/crates/lab/src/engine.rs
+++ b/crates/lab/src/engine.rs
@@ -12,7 +12,7 @@
 use linnethitch_protocol::{fleet::EngineState, ids::ModelId};
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict, runtime, stop_signal},
 };
 
@@ -69,8 +69,8 @@
     let engine = EngineServer::start(settings)
         .await
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not listen on {}", arguments.listen))?;
-    say(&format!(
+        .attach_with(|| format!("cannot listen on {}", arguments.listen))?;
+    print_line(&format!(
         "engine {} listens on {}",
         arguments.name,
         engine.address()
--- a/crates/lab/src/experiment.rs
+++ b/crates/lab/src/experiment.rs
@@ -1,4 +1,5 @@
-//! `linnethitch-lab experiment`: the decisions against emulated engines in virtual time.
+//! `linnethitch-lab experiment`: measures routing decisions against emulated engines in
+//! virtual time.
 
 use std::path::PathBuf;
 
@@ -12,7 +13,7 @@
 };
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
@@ -53,7 +54,7 @@
             .map_err(Report::new)
             .attach_with(|| format!("experiment {} failed", experiment.name))?;
         for table in &finding.tables {
-            say(&table.to_text());
+            print_line(&table.to_text());
         }
         sections.push(Section {
             experiment,
@@ -63,14 +64,14 @@
     if let Some(folder) = &arguments.output {
         report::write(folder, &settings, &sections)
             .map_err(Report::new)
-            .attach_with(|| format!("can not write the report to {}", folder.display()))?;
+            .attach_with(|| format!("cannot write the report to {}", folder.display()))?;
     }
     Ok(Verdict::Good)
 }
 
 fn list() {
     for experiment in EXPERIMENTS.into_iter().chain([DECISION_COST]) {
-        say(&format!("{:<16} {}", experiment.name, experiment.question));
+        print_line(&format!("{:<16} {}", experiment.name, experiment.question));
     }
 }
 
--- a/crates/lab/src/load/arrivals.rs
+++ b/crates/lab/src/load/arrivals.rs
@@ -1,4 +1,4 @@
-//! When requests are due.
+//! Due times of requests.
 
 use std::{fmt, str::FromStr, time::Duration};
 
@@ -7,9 +7,9 @@
 
 /// Time between two bursts.
 const BURST_INTERVAL: Duration = Duration::from_secs(3);
-/// Of the requests, the share that comes in bursts.
+/// Share of the requests that arrive in bursts.
 const BURST_SHARE: f64 = 0.5;
-/// How long a burst lasts.
+/// Duration of a burst.
 const BURST_LENGTH: Duration = Duration::from_millis(300);
 
 /// How requests arrive.
@@ -19,7 +19,7 @@
     Poisson,
     /// Half of them independently, half in bursts of 0.3 s every 3 s.
     Bursts,
-    /// At even distances.
+    /// At equal intervals.
     Even,
 }
 
@@ -48,7 +48,7 @@
     }
 }
 
-/// An endless sequence of due times, counted from the start; the same for the same seed.
+/// An endless sequence of due times relative to the start, determined by the seed.
 pub(super) struct Arrivals {
     pattern: Pattern,
     rate: f64,
@@ -66,18 +66,18 @@
         }
     }
 
-    /// Requests a second at a time.
+    /// Requests per second at a given time.
     fn rate_at(&self, time: Duration) -> f64 {
         if self.pattern != Pattern::Bursts {
             return self.rate;
         }
-        let calm = self.rate * (1.0 - BURST_SHARE);
+        let base_rate = self.rate * (1.0 - BURST_SHARE);
         let into_interval = time.as_secs_f64() % BURST_INTERVAL.as_secs_f64();
         if into_interval < BURST_LENGTH.as_secs_f64() {
-            let extra = self.rate * BURST_SHARE;
-            calm + extra * BURST_INTERVAL.as_secs_f64() / BURST_LENGTH.as_secs_f64()
+            let burst_rate = self.rate * BURST_SHARE;
+            base_rate + burst_rate * BURST_INTERVAL.as_secs_f64() / BURST_LENGTH.as_secs_f64()
         } else {
-            calm
+            base_rate
         }
     }
 
--- a/crates/lab/src/load/batch.rs
+++ b/crates/lab/src/load/batch.rs
@@ -1,4 +1,5 @@
-//! One batch job: upload, create, resend, follow, read and check each item.
+//! One batch job: uploads and creates it, resends the creation, waits for its end and checks each
+//! result.
 
 use std::{
     collections::BTreeMap,
@@ -11,23 +12,23 @@
 use super::{
     Driver,
     client::{Call, Failed},
-    online::{ChatBody, ChatMessage, Expected, WholeAnswer},
+    online::{ChatBody, ChatMessage, CompleteAnswer, Expected},
     prompts::user_key,
     tally::{JobResult, Observation},
 };
 
-/// Time between two looks at a job.
-const POLL: Duration = Duration::from_millis(200);
+/// Interval at which a job is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Separates the parts of an upload.
 const BOUNDARY: &str = "linnethitch-lab-upload";
 const MULTIPART: &str = "multipart/form-data; boundary=linnethitch-lab-upload";
 const ENDPOINT: &str = "/v1/chat/completions";
-/// Attempts of one call about a job; calls about jobs may be repeated.
-const ATTEMPTS: u32 = 20;
+/// Maximum attempts of one call about a job; these calls are safe to repeat.
+const MAX_ATTEMPTS: u32 = 20;
 /// Time between two attempts.
-const RETRY_PAUSE: Duration = Duration::from_millis(500);
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// What a job consists of.
+/// Contents and timeout of a job.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct JobPlan {
     pub(super) seed: u64,
@@ -65,7 +66,7 @@
 }
 
 impl JobObject {
-    fn ended(&self) -> bool {
+    fn has_ended(&self) -> bool {
         matches!(
             self.status.as_str(),
             "completed" | "failed" | "expired" | "cancelled"
@@ -85,30 +86,30 @@
     body: serde_json::Value,
 }
 
-/// Runs a job to its end and reports what came of it.
+/// Runs a job to its end and reports the result.
 pub(super) async fn run_job(driver: Driver, plan: JobPlan) {
     let mut result = JobResult {
         items: plan.items,
         ..JobResult::default()
     };
-    if let Err(failed) = follow(&driver, plan, &mut result).await {
+    if let Err(failed) = run_steps(&driver, plan, &mut result).await {
         result.failure = failed.code;
     }
-    // The tally ends only after all senders.
+    // The receiver is dropped only after all senders.
     let _ = driver.observations.send(Observation::Job(result)).await;
 }
 
-async fn follow(driver: &Driver, plan: JobPlan, result: &mut JobResult) -> Result<(), Failed> {
-    let began = Instant::now();
+async fn run_steps(driver: &Driver, plan: JobPlan, result: &mut JobResult) -> Result<(), Failed> {
+    let started = Instant::now();
     let file = upload(driver, plan).await?;
     let key = format!("load-{}-{}-{}", plan.seed, plan.number, file.id);
     let job = create(driver, &file.id, &key).await?;
     result.job.clone_from(&job.id);
-    result.accept_seconds = began.elapsed().as_secs_f64();
+    result.accept_seconds = started.elapsed().as_secs_f64();
     let accepted = Instant::now();
     // A caller whose answer was lost sends the creation again.
-    let again = create(driver, &file.id, &key).await?;
-    result.created_twice = again.id != job.id;
+    let resent = create(driver, &file.id, &key).await?;
+    result.created_twice = resent.id != job.id;
     let ended = wait(driver, &job.id, plan.timeout).await?;
     result.run_seconds = accepted.elapsed().as_secs_f64();
     check(driver, plan, &ended, result).await
@@ -117,7 +118,7 @@
 async fn upload(driver: &Driver, plan: JobPlan) -> Result<FileObject, Failed> {
     let body = Bytes::from(multipart(&input_file(driver, plan)));
     let call = || Call::post("/v1/files", body.clone()).with_content_type(MULTIPART);
-    insist(driver, call).await
+    fetch_with_retries(driver, call).await
 }
 
 async fn create(driver: &Driver, file: &str, key: &str) -> Result<JobObject, Failed> {
@@ -128,30 +129,31 @@
     };
     let body = Bytes::from(serde_json::to_vec(&body).unwrap_or_default());
     let call = || Call::post("/v1/batches", body.clone()).with_idempotency_key(key.to_owned());
-    insist(driver, call).await
+    fetch_with_retries(driver, call).await
 }
 
 async fn wait(driver: &Driver, job: &str, timeout: Duration) -> Result<JobObject, Failed> {
-    let began = Instant::now();
+    let started = Instant::now();
     loop {
         let call = || Call::get(format!("/v1/batches/{job}"));
-        let seen: JobObject = insist(driver, call).await?;
-        if seen.ended() {
+        let seen: JobObject = fetch_with_retries(driver, call).await?;
+        if seen.has_ended() {
             return Ok(seen);
         }
-        if began.elapsed() > timeout {
+        if started.elapsed() > timeout {
             return Err(Failed::connection(&format!(
                 "still {} after {} s",
                 seen.status,
                 timeout.as_secs()
             )));
         }
-        tokio::time::sleep(POLL).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Repeats a call that may be repeated until it succeeds or is refused for good.
-async fn insist<T: for<'a> Deserialize<'a>>(
+/// Repeats a call until it succeeds, fails with an error that is not retryable, or has no
+/// attempts left.
+async fn fetch_with_retries<T: for<'a> Deserialize<'a>>(
     driver: &Driver,
     call: impl Fn() -> Call,
 ) -> Result<T, Failed> {
@@ -159,14 +161,14 @@
     loop {
         match driver.client.fetch_json(call()).await {
             Ok(answer) => return Ok(answer),
-            Err(failed) if attempt >= ATTEMPTS || is_final(&failed) => return Err(failed),
+            Err(failed) if attempt >= MAX_ATTEMPTS || is_final(&failed) => return Err(failed),
             Err(_) => attempt += 1,
         }
-        tokio::time::sleep(RETRY_PAUSE).await;
+        tokio::time::sleep(RETRY_DELAY).await;
     }
 }
 
-/// Whether repeating the call can not help, by the table of errors.
+/// Whether the error is not retryable according to the error table.
 fn is_final(failed: &Failed) -> bool {
     linnethitch_errors::ErrorKind::from_code(&failed.code)
         .is_some_and(|kind| !kind.answer().retryable)
@@ -201,7 +203,7 @@
                 stream: false,
             },
         };
-        // Writing to a vector can not fail.
+        // Writing to a vector cannot fail.
         let _ = serde_json::to_writer(&mut lines, &line);
         lines.push(b'\n');
     }
@@ -251,21 +253,26 @@
 fn count_output(driver: &Driver, plan: JobPlan, line: &OutputLine, result: &mut JobResult) {
     let number = line.custom_id.strip_prefix("item-");
     let item = number.and_then(|number| number.parse().ok());
-    let right = item.is_some_and(|item| is_right(driver, plan, item, line.response.as_ref()));
-    if right {
+    let correct = item.is_some_and(|item| is_correct(driver, plan, item, line.response.as_ref()));
+    if correct {
         result.right += 1;
     } else {
         result.wrong += 1;
     }
 }
 
-fn is_right(driver: &Driver, plan: JobPlan, item: u32, response: Option<&OutputResponse>) -> bool {
+fn is_correct(
+    driver: &Driver,
+    plan: JobPlan,
+    item: u32,
+    response: Option<&OutputResponse>,
+) -> bool {
     let Some(response) = response.filter(|response| response.status_code == 200) else {
         return false;
     };
     let expected = Expected::new(user_key(&item_prompt(plan, item)), driver.max_tokens);
-    serde_json::from_value::<WholeAnswer>(response.body.clone())
-        .is_ok_and(|answer| answer.is(&expected))
+    serde_json::from_value::<CompleteAnswer>(response.body.clone())
+        .is_ok_and(|answer| answer.matches(&expected))
 }
 
 async fn read_lines(driver: &Driver, file: &str) -> Result<Vec<OutputLine>, Failed> {
--- a/crates/lab/src/load/client.rs
+++ b/crates/lab/src/load/client.rs
@@ -1,4 +1,4 @@
-//! Talking to gateways as any caller would.
+//! HTTP client of the gateways' interface for callers.
 
 use std::{
     net::SocketAddr,
@@ -20,10 +20,10 @@
 
 const DEFAULT_GATEWAY: SocketAddr =
     SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 8080);
-/// Longest wait for the head of an answer.
+/// Timeout of the head of an answer.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(150);
 
-/// Takes turns among gateways.
+/// Sends requests to the gateways in turn.
 pub(super) struct GatewayClient {
     client: Client<HttpConnector, Full<Bytes>>,
     gateways: Vec<SocketAddr>,
@@ -70,12 +70,12 @@
     }
 }
 
-/// A call that brought no answer of the kind that was asked for.
+/// A call without the expected answer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Failed {
-    /// The error's code, or what happened to the connection.
+    /// The error's code, or a code for the failure of the connection.
     pub(super) code: String,
-    /// What the gateway said whether it ran; empty when it said nothing.
+    /// Whether the request was executed, as the gateway reported; empty if it did not.
     pub(super) executed: String,
 }
 
@@ -140,7 +140,7 @@
         self.gateways[turn % self.gateways.len()]
     }
 
-    /// The answer to a call, its body unread; any status but 200 is a failure.
+    /// Sends a call and returns the answer with its body unread; any status but 200 is a failure.
     pub(super) async fn send(&self, call: Call) -> Result<Response<Incoming>, Failed> {
         let request = self.request(call)?;
         let sending = self.client.request(request);
@@ -168,7 +168,7 @@
             .map_err(|_| Failed::connection("bad_request_of_this_tool"))
     }
 
-    /// The whole body of the answer to a call.
+    /// Sends a call and returns the complete body of the answer.
     pub(super) async fn fetch(&self, call: Call) -> Result<Bytes, Failed> {
         let response = self.send(call).await?;
         let collected = response.into_body().collect().await;
@@ -177,7 +177,7 @@
             .map_err(|_| Failed::connection("answer_cut_off"))
     }
 
-    /// The JSON body of the answer to a call.
+    /// Sends a call and returns the JSON body of the answer.
     pub(super) async fn fetch_json<T: for<'a> Deserialize<'a>>(
         &self,
         call: Call,
@@ -192,7 +192,7 @@
             .fetch_json(Call::get("/v1/models"))
             .await
             .change_context(ErrorKind::NotReady)
-            .attach("the gateway does not tell its models")?;
+            .attach("the gateway did not list its models")?;
         let first = list.data.into_iter().next();
         first
             .map(|model| model.id)
--- a/crates/lab/src/load/folder.rs
+++ b/crates/lab/src/load/folder.rs
@@ -1,4 +1,4 @@
-//! The folder of a report: the result as JSON and table, and each distribution.
+//! Writes the report folder: the result as JSON and as a table, and each distribution.
 
 use std::{
     fmt::Write,
@@ -19,7 +19,7 @@
 /// Writes `report.json`, `report.txt` and a `.hgrm` file for each distribution.
 ///
 /// # Errors
-/// `Io` with the file that can not be written.
+/// `Io` with the file that cannot be written.
 pub(super) fn write(
     folder: &Path,
     report: &LoadReport,
@@ -27,7 +27,7 @@
 ) -> Result<(), Report<ErrorKind>> {
     fs::create_dir_all(folder)
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not make the folder {}", folder.display()))?;
+        .attach_with(|| format!("cannot create the folder {}", folder.display()))?;
     let json = serde_json::to_string_pretty(report).change_context(ErrorKind::Internal)?;
     write_file(folder.join("report.json"), &json)?;
     write_file(folder.join("report.txt"), &report.table())?;
@@ -50,7 +50,7 @@
 fn write_file(file: PathBuf, text: &str) -> Result<(), Report<ErrorKind>> {
     fs::write(&file, text)
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not write {}", file.display()))
+        .attach_with(|| format!("cannot write {}", file.display()))
 }
 
 /// The percentile distribution in milliseconds, in the text form of HdrHistogram.
@@ -60,7 +60,7 @@
         let quantile = step.quantile_iterated_to();
         let value = step.value_iterated_to() as f64 / MICROS_PER_MILLI;
         let count = histogram.count_between(0, step.value_iterated_to());
-        // Writing to a string can not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             text,
             "{value:12.3} {quantile:2.12} {count:10} {:14.2}",
--- a/crates/lab/src/load/limits.rs
+++ b/crates/lab/src/load/limits.rs
@@ -1,4 +1,4 @@
-//! What a run must keep to, beside right answers.
+//! Limits that a run must keep, in addition to correct answers.
 
 use bpaf::Bpaf;
 
@@ -17,45 +17,45 @@
     pub(super) limit_between_tokens_ms: Option<f64>,
 }
 
-/// The figures that limits are put on.
+/// The figures that limits apply to.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub(super) struct Reached {
+pub(super) struct LimitedFigures {
     pub(super) failed_percent: f64,
-    /// `None` when no short stream brought a token.
+    /// `None` when no short stream received a token.
     pub(super) first_token_p95_ms: Option<f64>,
-    /// `None` when no short stream brought two.
+    /// `None` when no short stream received two tokens.
     pub(super) between_tokens_p95_ms: Option<f64>,
 }
 
 impl Limits {
-    /// A sentence for each limit that is passed. A figure that is missing passes its limit.
-    pub(super) fn passed(&self, reached: &Reached) -> Vec<String> {
+    /// A sentence for each limit that is exceeded. A missing figure counts as exceeding its limit.
+    pub(super) fn exceeded(&self, measured: &LimitedFigures) -> Vec<String> {
         let checks = [
             (
                 "failed requests in percent",
                 self.limit_failed_percent,
-                Some(reached.failed_percent),
+                Some(measured.failed_percent),
             ),
             (
                 "95th percentile to the first token in ms",
                 self.limit_first_token_ms,
-                reached.first_token_p95_ms,
+                measured.first_token_p95_ms,
             ),
             (
                 "95th percentile between tokens in ms",
                 self.limit_between_tokens_ms,
-                reached.between_tokens_p95_ms,
+                measured.between_tokens_p95_ms,
             ),
         ];
         checks
             .into_iter()
-            .filter_map(|(name, limit, reached)| passed(name, limit?, reached))
+            .filter_map(|(name, limit, measured)| exceeded(name, limit?, measured))
             .collect()
     }
 }
 
-fn passed(name: &str, limit: f64, reached: Option<f64>) -> Option<String> {
-    match reached {
+fn exceeded(name: &str, limit: f64, measured: Option<f64>) -> Option<String> {
+    match measured {
         Some(value) if value <= limit => None,
         Some(value) => Some(format!("{name}: {value:.1}, limit {limit}")),
         None => Some(format!("{name}: nothing measured, limit {limit}")),
--- a/crates/lab/src/load/mod.rs
+++ b/crates/lab/src/load/mod.rs
@@ -1,8 +1,8 @@
-//! `linnethitch-lab load`: open-loop load on running gateways, every answer checked.
+//! `linnethitch-lab load`: open-loop load on running gateways; every answer is checked.
 //!
 //! Requests start at times that do not depend on earlier answers, and each
 //! latency counts from the time at which its request was due. So a stall shows
-//! in all the requests that it held up (no coordinated omission).
+//! in all the requests that it delayed (no coordinated omission).
 
 mod arrivals;
 mod batch;
@@ -34,7 +34,7 @@
 };
 use crate::process::{Outcome, Verdict, runtime};
 
-/// Observations that may wait for the tally.
+/// Capacity of the queue of observations.
 const OBSERVATION_QUEUE: usize = 65_536;
 
 /// What is asked, of whom, how often:
@@ -106,7 +106,8 @@
     quiet: bool,
 }
 
-/// Runs the load; the verdict is bad when an answer was not whole and right, or a limit passed.
+/// Runs the load; the verdict is bad when an answer was missing, incomplete or wrong, or a
+/// limit was exceeded.
 pub(crate) fn run(arguments: Arguments) -> Outcome {
     runtime()?.block_on(drive(arguments))
 }
@@ -142,7 +143,7 @@
     while running.join_next().await.is_some() {}
     let tally: Tally = tally.await.change_context(ErrorKind::Internal)?;
     let report = LoadReport::new(&tally, started.elapsed(), &arguments.limits);
-    publish(&arguments, &report)?;
+    write_report(&arguments, &report)?;
     if let Some(folder) = &arguments.report {
         folder::write(folder, &report, &tally)?;
     }
@@ -153,13 +154,13 @@
     })
 }
 
-fn publish(arguments: &Arguments, report: &LoadReport) -> Result<(), Report<ErrorKind>> {
+fn write_report(arguments: &Arguments, report: &LoadReport) -> Result<(), Report<ErrorKind>> {
     let json = serde_json::to_string_pretty(report).change_context(ErrorKind::Internal)?;
     if let Some(file) = &arguments.output {
         std::fs::write(file, &json)
             .change_context(ErrorKind::Io)
-            .attach_with(|| format!("can not write {}", file.display()))?;
+            .attach_with(|| format!("cannot write {}", file.display()))?;
     }
-    crate::output::say(&if arguments.json { json } else { report.table() });
+    crate::output::print_line(&if arguments.json { json } else { report.table() });
     Ok(())
 }
--- a/crates/lab/src/load/online.rs
+++ b/crates/lab/src/load/online.rs
@@ -53,19 +53,19 @@
     content: Option<String>,
 }
 
-/// A whole chat answer.
+/// A chat answer that is not streamed.
 #[derive(Deserialize)]
-pub(super) struct WholeAnswer {
-    choices: Vec<WholeChoice>,
+pub(super) struct CompleteAnswer {
+    choices: Vec<CompleteChoice>,
 }
 
 #[derive(Deserialize)]
-struct WholeChoice {
+struct CompleteChoice {
     message: Delta,
     finish_reason: Option<String>,
 }
 
-/// What was received against what the engine's answer must be.
+/// The answer that an emulated engine must give.
 pub(super) struct Expected {
     text: String,
     tokens: u32,
@@ -84,15 +84,15 @@
         self.tokens
     }
 
-    /// Whether the answer is whole and its own.
+    /// Whether a text is the complete expected answer.
     pub(super) fn matches(&self, text: &str) -> bool {
         text == self.text
     }
 }
 
-impl WholeAnswer {
-    /// Whether it is the expected one.
-    pub(super) fn is(&self, expected: &Expected) -> bool {
+impl CompleteAnswer {
+    /// Whether the answer is the expected one.
+    pub(super) fn matches(&self, expected: &Expected) -> bool {
         let Some(choice) = self.choices.first() else {
             return false;
         };
@@ -102,11 +102,7 @@
 }
 
 /// Sends a request that was due at `due` and reads its answer.
-pub(super) async fn served(
-    driver: &Driver,
-    prompt: &Prompt,
-    due: Instant,
-) -> Result<Served, Failed> {
+pub(super) async fn send(driver: &Driver, prompt: &Prompt, due: Instant) -> Result<Served, Failed> {
     let body = ChatBody {
         model: &driver.model,
         messages: [ChatMessage {
@@ -123,9 +119,9 @@
         let response = driver.client.send(call).await?;
         return read_stream(response.into_body(), &expected, due).await;
     }
-    let answer: WholeAnswer = driver.client.fetch_json(call).await?;
+    let answer: CompleteAnswer = driver.client.fetch_json(call).await?;
     let mut served = Served::new(due);
-    served.right = answer.is(&expected);
+    served.correct = answer.matches(&expected);
     served.tokens = expected.tokens();
     Ok(served)
 }
@@ -160,14 +156,14 @@
             }
             for choice in chunk.choices {
                 if let Some(content) = choice.delta.content.filter(|content| !content.is_empty()) {
-                    served.token(Instant::now());
+                    served.record_token(Instant::now());
                     text.push_str(&content);
                 }
                 finished |= choice.finish_reason.is_some();
             }
         }
     }
-    served.end(Instant::now());
-    served.right = done && finished && expected.matches(&text);
+    served.record_end(Instant::now());
+    served.correct = done && finished && expected.matches(&text);
     Ok(served)
 }
--- a/crates/lab/src/load/progress.rs
+++ b/crates/lab/src/load/progress.rs
@@ -1,4 +1,4 @@
-//! Collecting observations and showing how far the run is.
+//! Collects observations and prints the progress of the run.
 
 use std::time::{Duration, Instant};
 
@@ -10,7 +10,7 @@
 const INTERVAL: Duration = Duration::from_secs(1);
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Adds up until all senders are gone.
+/// Adds up observations until all senders are dropped.
 pub(super) async fn collect(
     mut observations: mpsc::Receiver<Observation>,
     started: Instant,
@@ -26,12 +26,12 @@
                 Some(observation) => tally.add(observation),
                 None => return tally,
             },
-            _ = ticks.tick(), if !quiet => show(&tally, started),
+            _ = ticks.tick(), if !quiet => print_progress(&tally, started),
         }
     }
 }
 
-fn show(tally: &Tally, started: Instant) {
+fn print_progress(tally: &Tally, started: Instant) {
     let counts = tally.counts();
     let elapsed = started.elapsed().as_secs();
     let first = tally.kinds.get(&Kind::Short).map_or(0.0, |short| {
--- a/crates/lab/src/load/prompts.rs
+++ b/crates/lab/src/load/prompts.rs
@@ -1,4 +1,4 @@
-//! What is asked.
+//! Prompts of the online requests.
 
 use linnethitch_emulator::answer::{PromptKey, chat_prompt};
 use rand::{Rng, SeedableRng};
@@ -22,14 +22,14 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Prompt {
     pub(super) text: String,
-    /// Long documents are counted apart.
+    /// Whether the prompt begins with a long document; such prompts are counted separately.
     pub(super) long: bool,
-    /// Asks for a stream.
+    /// Whether a stream is requested.
     pub(super) stream: bool,
 }
 
 impl Prompt {
-    /// What it is counted as.
+    /// The kind under which the request is counted.
     pub(super) fn kind(&self) -> Kind {
         match (self.stream, self.long) {
             (false, _) => Kind::Whole,
@@ -49,7 +49,7 @@
     PromptKey::of(&chat_prompt([("user", text)]))
 }
 
-/// An endless sequence of prompts, each different; the same for the same seed.
+/// An endless sequence of distinct prompts, determined by the seed.
 pub(super) struct Prompts {
     mix: PromptMix,
     seed: u64,
@@ -67,14 +67,14 @@
         }
     }
 
-    fn one_in_hundred(&mut self, percent: u32) -> bool {
+    fn chance_percent(&mut self, percent: u32) -> bool {
         self.generator.random_range(0..100) < percent
     }
 
     pub(super) fn next(&mut self) -> Prompt {
         self.count += 1;
-        let long = self.one_in_hundred(self.mix.long_percent);
-        let stream = !self.one_in_hundred(self.mix.whole_percent);
+        let long = self.chance_percent(self.mix.long_percent);
+        let stream = !self.chance_percent(self.mix.whole_percent);
         let question = format!(
             "Question {} of series {}: what does it cost?",
             self.count, self.seed
--- a/crates/lab/src/load/report.rs
+++ b/crates/lab/src/load/report.rs
@@ -1,4 +1,4 @@
-//! The result of a run, as table and as JSON.
+//! The result of a run, as a table and as JSON.
 
 use std::{collections::BTreeMap, fmt::Write, time::Duration};
 
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::{
-    limits::{Limits, Reached},
+    limits::{LimitedFigures, Limits},
     sources::UNANSWERED,
     tally::{JobResult, Kind, KindTally, Tally},
 };
@@ -72,14 +72,14 @@
     online_tokens: u64,
     kinds: Vec<KindReport>,
     jobs: Vec<JobResult>,
-    /// A sentence for each limit of the command line that was passed.
+    /// A sentence for each limit of the command line that was exceeded.
     limits_passed: Vec<String>,
 }
 
 impl LoadReport {
     pub(super) fn new(tally: &Tally, elapsed: Duration, limits: &Limits) -> LoadReport {
         LoadReport {
-            limits_passed: limits.passed(&reached(tally)),
+            limits_passed: limits.exceeded(&limited_figures(tally)),
             seconds: elapsed.as_secs_f64(),
             online_tokens: tally.tokens,
             kinds: tally
@@ -91,22 +91,23 @@
         }
     }
 
-    /// Whether all is right and no limit was passed.
+    /// Whether all answers are correct and no limit was exceeded.
     pub(super) fn is_good(&self) -> bool {
-        self.all_right() && self.limits_passed.is_empty()
+        self.all_correct() && self.limits_passed.is_empty()
     }
 
-    /// Whether every request was answered, every answer that was given was right and every job whole.
-    /// Refused requests are no fault of the answers.
-    fn all_right(&self) -> bool {
-        let right = |kind: &KindReport| kind.wrong == 0 && !kind.failures.contains_key(UNANSWERED);
-        self.kinds.iter().all(right) && self.jobs.iter().all(JobResult::all_right)
+    /// Whether every request was answered, every answer was correct and every job complete.
+    /// Refused requests do not count as wrong answers.
+    fn all_correct(&self) -> bool {
+        let correct =
+            |kind: &KindReport| kind.wrong == 0 && !kind.failures.contains_key(UNANSWERED);
+        self.kinds.iter().all(correct) && self.jobs.iter().all(JobResult::all_correct)
     }
 
-    /// The result for people.
+    /// The result as text.
     pub(super) fn table(&self) -> String {
         let mut table = String::new();
-        // Writing to a string can not fail.
+        // Writing to a string cannot fail.
         let _ = writeln!(
             table,
             "{:.1} s, {} tokens of online answers",
@@ -132,23 +133,23 @@
         for limit in &self.limits_passed {
             let _ = writeln!(table, "LIMIT PASSED: {limit}");
         }
-        let verdict = if self.all_right() {
-            "every answer was whole and its own"
+        let verdict = if self.all_correct() {
+            "every answer was complete and correct"
         } else {
-            "NOT every answer was whole and its own"
+            "NOT every answer was complete and correct"
         };
         table.push_str(verdict);
         table
     }
 }
 
-/// The figures that limits are put on.
-fn reached(tally: &Tally) -> Reached {
+/// The figures that limits apply to.
+fn limited_figures(tally: &Tally) -> LimitedFigures {
     let counts = tally.counts();
     let ended = counts.served + counts.failed;
     let short = tally.kinds.get(&Kind::Short);
     let p95 = |histogram| Latency::new(histogram).map(|latency| latency.p95_ms);
-    Reached {
+    LimitedFigures {
         failed_percent: 100.0 * counts.failed as f64 / ended.max(1) as f64,
         first_token_p95_ms: short.and_then(|short| p95(&short.first)),
         between_tokens_p95_ms: short.and_then(|short| p95(&short.between)),
@@ -200,7 +201,7 @@
         job.run_seconds,
     );
     if job.created_twice {
-        let _ = writeln!(table, "    the resent creation gave another job");
+        let _ = writeln!(table, "    the resent creation created a second job");
     }
     if !job.failure.is_empty() {
         let _ = writeln!(table, "    failure: {}", job.failure);
--- a/crates/lab/src/load/service.rs
+++ b/crates/lab/src/load/service.rs
@@ -10,15 +10,15 @@
     tally::Served,
 };
 
-/// What an emulated replica echoes.
+/// The echo of an emulated replica.
 #[derive(Deserialize)]
 struct Echo {
     path: String,
     body: String,
 }
 
-/// Calls a service and checks that the echo is of this very call.
-pub(super) async fn served(
+/// Calls a service and checks that the echo matches this call.
+pub(super) async fn send(
     driver: &Driver,
     service: &str,
     number: u64,
@@ -31,6 +31,6 @@
     );
     let echo: Echo = driver.client.fetch_json(call).await?;
     let mut served = Served::new(due);
-    served.right = echo.body == body && echo.path.ends_with(&format!("/lookups/{number}"));
+    served.correct = echo.body == body && echo.path.ends_with(&format!("/lookups/{number}"));
     Ok(served)
 }
--- a/crates/lab/src/load/sources.rs
+++ b/crates/lab/src/load/sources.rs
@@ -1,4 +1,4 @@
-//! What starts requests, calls and jobs when they are due.
+//! Starts requests, service calls and batch jobs when they are due.
 
 use std::{
     future::Future,
@@ -19,7 +19,7 @@
     tally::{Kind, Observation, Served},
 };
 
-/// Code of a request that was still running after that.
+/// Failure code of a request that was still running at the end of the drain time.
 pub(super) const UNANSWERED: &str = "unanswered";
 
 /// Starts online requests when they are due and waits for all of them.
@@ -37,7 +37,9 @@
             let kind = prompt.kind();
             let driver = driver.clone();
             async move {
-                let served = window.bounded(online::served(&driver, &prompt, due)).await;
+                let served = window
+                    .with_timeout(online::send(&driver, &prompt, due))
+                    .await;
                 driver.observe(kind, served).await;
             }
         })
@@ -60,15 +62,15 @@
             let driver = driver.clone();
             let service = Arc::clone(&service);
             async move {
-                let call = service::served(&driver, &service, number, due);
-                let served = window.bounded(call).await;
+                let call = service::send(&driver, &service, number, due);
+                let served = window.with_timeout(call).await;
                 driver.observe(Kind::Service, served).await;
             }
         })
         .await;
 }
 
-/// Starts batch jobs in heaps and waits for all of them.
+/// Starts batch jobs at fixed intervals and waits for all of them.
 pub(super) async fn batch(driver: Driver, arguments: Arguments, started: Instant) {
     if arguments.batch_items == 0 {
         return;
@@ -89,12 +91,12 @@
     while jobs.join_next().await.is_some() {}
 }
 
-/// The time in which requests start, and when the last must have ended.
+/// The time in which requests start, and the time in which the last ones may still end.
 #[derive(Clone, Copy)]
 struct Window {
     started: Instant,
     length: Duration,
-    /// How long requests may go on after it.
+    /// How long requests may still run after the window.
     drain: Duration,
 }
 
@@ -107,7 +109,7 @@
         }
     }
 
-    /// Starts a request at each arrival and waits for all.
+    /// Starts a request at each arrival and waits for all of them.
     async fn run<F>(self, arrivals: Arrivals, mut request: impl FnMut(Instant) -> F)
     where
         F: Future<Output = ()> + Send + 'static,
@@ -122,8 +124,9 @@
         while requests.join_next().await.is_some() {}
     }
 
-    /// Ends a request that goes on for too long; it counts as unanswered.
-    async fn bounded(
+    /// Cancels a request that is still running at the end of the drain time; it counts as
+    /// unanswered.
+    async fn with_timeout(
         self,
         request: impl Future<Output = Result<Served, Failed>>,
     ) -> Result<Served, Failed> {
@@ -135,13 +138,13 @@
 }
 
 impl Driver {
-    /// Reports what came of a request.
+    /// Reports the result of a request.
     async fn observe(&self, kind: Kind, served: Result<Served, Failed>) {
         let observation = match served {
             Ok(served) => Observation::Served(kind, served),
             Err(failed) => Observation::Failed(kind, failed),
         };
-        // The tally ends only after all senders.
+        // The receiver is dropped only after all senders.
         let _ = self.observations.send(observation).await;
     }
 }
--- a/crates/lab/src/load/sse.rs
+++ b/crates/lab/src/load/sse.rs
@@ -1,8 +1,8 @@
-//! Reading a stream of server-sent events.
+//! Reads a stream of server-sent events.
 
 use bytes::Bytes;
 
-/// Longest event that is taken, in bytes.
+/// Maximum size of an event, in bytes.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
 /// Splits a body into the `data` of its events.
@@ -11,12 +11,12 @@
     buffer: Vec<u8>,
 }
 
-/// An event beyond the size limit.
+/// An event over the size limit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) struct EventTooLong;
 
 impl EventReader {
-    /// Takes the next bytes and gives the events that are whole.
+    /// Adds received bytes and returns the data of the events that are complete.
     pub(super) fn push(&mut self, bytes: &Bytes) -> Result<Vec<String>, EventTooLong> {
         self.buffer.extend_from_slice(bytes);
         let mut events = Vec::new();
--- a/crates/lab/src/load/tally.rs
+++ b/crates/lab/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Adding up what was observed.
+//! Counts and latencies of the observations.
 
 use std::{
     collections::BTreeMap,
@@ -10,12 +10,12 @@
 
 use super::client::Failed;
 
-/// Longest duration that is told apart, in microseconds: ten minutes.
-const MOST_MICROS: u64 = 600_000_000;
+/// Maximum duration that the histograms record, in microseconds: ten minutes.
+const MAX_MICROS: u64 = 600_000_000;
 /// Significant digits of the histograms.
 const DIGITS: u8 = 3;
 
-/// What was asked for.
+/// The kind of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub(super) enum Kind {
@@ -23,9 +23,9 @@
     Short,
     /// A stream after a long document.
     Long,
-    /// A whole answer.
+    /// A complete answer in one piece.
     Whole,
-    /// An application service.
+    /// A call of an application service.
     Service,
 }
 
@@ -40,7 +40,7 @@
     }
 }
 
-/// An answer that came to its end.
+/// An answer that ended without an error.
 #[derive(Clone, Debug)]
 pub(super) struct Served {
     due: Instant,
@@ -50,8 +50,8 @@
     pub(super) between: Vec<Duration>,
     /// From the due time to the end.
     pub(super) total: Duration,
-    /// Whole, its own, nothing lost or repeated.
-    pub(super) right: bool,
+    /// Whether the answer is complete and correct, with nothing lost or repeated.
+    pub(super) correct: bool,
     pub(super) tokens: u32,
     last: Option<Instant>,
 }
@@ -64,14 +64,14 @@
             first: None,
             between: Vec::new(),
             total: due.elapsed(),
-            right: false,
+            correct: false,
             tokens: 0,
             last: None,
         }
     }
 
-    /// A token came.
-    pub(super) fn token(&mut self, at: Instant) {
+    /// Records a received token.
+    pub(super) fn record_token(&mut self, at: Instant) {
         self.tokens += 1;
         match self.last {
             None => self.first = Some(at.saturating_duration_since(self.due)),
@@ -80,46 +80,46 @@
         self.last = Some(at);
     }
 
-    /// The answer ended.
-    pub(super) fn end(&mut self, at: Instant) {
+    /// Records the end of the answer.
+    pub(super) fn record_end(&mut self, at: Instant) {
         self.total = at.saturating_duration_since(self.due);
     }
 }
 
-/// A batch job that came to its end, or did not.
+/// The result of a batch job.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct JobResult {
     /// The job's id; empty when it was not accepted.
     pub(super) job: String,
     pub(super) items: u32,
-    /// Items with their own whole result.
+    /// Items with a complete and correct result.
     pub(super) right: u32,
     /// Items with an error as result.
     pub(super) failed: u32,
     /// Items without a result.
     pub(super) missing: u32,
-    /// Results beyond one per item.
+    /// Results in excess of one per item.
     pub(super) repeated: u32,
     /// Results that are not the item's answer.
     pub(super) wrong: u32,
-    /// A resent creation gave another job.
+    /// Whether the resent creation created a second job.
     pub(super) created_twice: bool,
     /// Seconds from the upload to the acceptance of the job.
     pub(super) accept_seconds: f64,
     /// Seconds from the acceptance to the end.
     pub(super) run_seconds: f64,
-    /// Why the job could not be followed to its end; empty otherwise.
+    /// Why the job could not be run to its end; empty otherwise.
     pub(super) failure: String,
 }
 
 impl JobResult {
-    /// Whether each item has exactly its own result.
-    pub(super) fn all_right(&self) -> bool {
+    /// Whether each item has exactly one result, which is correct.
+    pub(super) fn all_correct(&self) -> bool {
         self.right == self.items && self.repeated == 0 && !self.created_twice
     }
 }
 
-/// What a request reports.
+/// The result of a request or job, as reported to the tally.
 pub(super) enum Observation {
     Served(Kind, Served),
     Failed(Kind, Failed),
@@ -150,11 +150,11 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, MOST_MICROS, DIGITS).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_MICROS, DIGITS).expect("the bounds are valid")
 }
 
 fn record(histogram: &mut Histogram<u64>, duration: Duration) {
-    histogram.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MOST_MICROS));
+    histogram.saturating_record(u64::try_from(duration.as_micros()).unwrap_or(MAX_MICROS));
 }
 
 /// Everything observed so far.
@@ -185,7 +185,7 @@
     fn add_served(&mut self, kind: Kind, served: &Served) {
         let tally = self.kinds.entry(kind).or_default();
         tally.served += 1;
-        tally.wrong += u64::from(!served.right);
+        tally.wrong += u64::from(!served.correct);
         if let Some(first) = served.first {
             record(&mut tally.first, first);
         }
@@ -208,7 +208,7 @@
     }
 }
 
-/// How many requests ended how.
+/// Numbers of requests by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(super) struct Counts {
     pub(super) served: u64,
--- a/crates/lab/src/main.rs
+++ b/crates/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! `linnethitch-lab`: a whole fleet on one machine, stand-ins for its back
-//! ends, load, experiments and measurements.
+//! `linnethitch-lab`: a complete fleet on one machine, emulated back ends, load,
+//! experiments and measurements.
 
 mod application;
 mod capacity;
--- a/crates/lab/src/measure/consensus/disk.rs
+++ b/crates/lab/src/measure/consensus/disk.rs
@@ -1,4 +1,4 @@
-//! What the disk itself can do: small appends, each synced.
+//! Measures the disk's own rate of small synced appends.
 
 use std::{
     fs::File,
@@ -14,7 +14,7 @@
 /// Size of one append, in bytes.
 const APPEND_BYTES: usize = 512;
 
-/// Synced appends a second, of several files at once, each written by a thread.
+/// Synced appends per second over several files, each written by its own thread.
 ///
 /// # Errors
 /// `Io` when a file cannot be written.
--- a/crates/lab/src/measure/consensus/group.rs
+++ b/crates/lab/src/measure/consensus/group.rs
@@ -25,7 +25,7 @@
 
 /// Name of the cluster that is measured.
 const CLUSTER: &str = "measured";
-/// Inputs that share one sync at most, as in a control process.
+/// Maximum number of inputs that share one sync, as in a control process.
 const MAX_INPUTS_PER_SYNC: usize = 512;
 
 enum Input {
@@ -39,14 +39,14 @@
     },
 }
 
-/// An answer and when it was given.
+/// An answer and the time at which it was given.
 pub(super) struct Answered {
     pub(super) call: CallId,
     pub(super) body: ControlAnswer,
     pub(super) at: Instant,
 }
 
-/// Where inputs of each machine go; a dead machine's go nowhere.
+/// Input channels of the running members; messages to a stopped member are not delivered.
 type Network = BTreeMap<MachineId, Sender<Input>>;
 
 struct RunningMember {
@@ -134,10 +134,10 @@
         Ok(())
     }
 
-    /// Ends a member's thread without a word to the others.
+    /// Ends a member's thread without notifying the other members.
     ///
     /// # Errors
-    /// What had ended the member before.
+    /// The error with which the member's thread had already ended.
     pub(super) fn kill(&mut self, machine: MachineId) -> Result<(), Report<ErrorKind>> {
         self.network.lock().remove(&machine);
         let Some(member) = self.running.remove(&machine) else {
@@ -154,7 +154,7 @@
     /// Ends all members.
     ///
     /// # Errors
-    /// What had ended a member before.
+    /// The error with which a member's thread had already ended.
     pub(super) fn stop(mut self) -> Result<(), Report<ErrorKind>> {
         for machine in self.machines.clone() {
             self.kill(machine)?;
@@ -162,32 +162,34 @@
         Ok(())
     }
 
-    /// The member that leads, once there is one and all disks vote.
+    /// Waits until there is a leader, all disks are voters and all members have applied the same
+    /// entries; returns the leader.
     ///
     /// # Errors
-    /// `Internal` when that is not so within a minute.
-    pub(super) fn wait_until_whole(&self) -> Result<MachineId, Report<ErrorKind>> {
+    /// `Internal` when this takes longer than a minute.
+    pub(super) fn wait_until_complete(&self) -> Result<MachineId, Report<ErrorKind>> {
         let deadline = Instant::now() + Duration::from_secs(60);
         while Instant::now() < deadline {
-            if let Some(leader) = self.whole_leader() {
+            if let Some(leader) = self.leader_of_complete_group() {
                 return Ok(leader);
             }
             thread::sleep(Duration::from_millis(10));
         }
-        Err(Report::new(ErrorKind::Internal).attach("the group did not become whole in a minute"))
+        Err(Report::new(ErrorKind::Internal)
+            .attach("no leader with all members up to date within a minute"))
     }
 
-    fn whole_leader(&self) -> Option<MachineId> {
+    fn leader_of_complete_group(&self) -> Option<MachineId> {
         let views = self.running.iter();
         let views: Vec<_> = views
             .map(|(machine, member)| (*machine, member.view.lock().clone()))
             .collect();
         let highest = views.iter().map(|(_, view)| view.applied).max()?;
-        let all_there = views.len() == self.machines.len();
+        let all_running = views.len() == self.machines.len();
         let caught_up = views.iter().all(|(_, view)| view.applied == highest);
         let (leader, view) = views.iter().find(|(_, view)| view.leads)?;
-        let whole = all_there && caught_up && view.voters == self.machines.len();
-        whole.then_some(*leader)
+        let complete = all_running && caught_up && view.voters == self.machines.len();
+        complete.then_some(*leader)
     }
 
     /// Some running member other than the given one.
@@ -199,12 +201,12 @@
             .unwrap_or(machine)
     }
 
-    /// Hands a call to a member.
+    /// Sends a call to a member.
     pub(super) fn call(&mut self, machine: MachineId, body: ControlCall) -> CallId {
         self.last_call += 1;
         let call = CallId(self.last_call);
         if let Some(member) = self.running.get(&machine) {
-            // A member that has ended answers nothing.
+            // A member whose thread has ended does not answer.
             let _ = member.inputs.send(Input::Call { call, body });
         }
         call
@@ -213,7 +215,7 @@
     /// The next answer of any member.
     ///
     /// # Errors
-    /// `Internal` when none comes within ten seconds.
+    /// `Internal` when none arrives within ten seconds.
     pub(super) fn next_answer(&self) -> Result<Answered, Report<ErrorKind>> {
         self.answers
             .recv_timeout(Duration::from_secs(10))
@@ -253,46 +255,46 @@
         let tick = Duration::from_millis(TICK_MILLISECONDS);
         let mut next_tick = Instant::now();
         while !self.killed.load(Ordering::Relaxed) {
-            self.take_inputs(next_tick);
+            self.receive_inputs(next_tick);
             if Instant::now() >= next_tick {
                 next_tick = Instant::now() + tick;
                 self.member.tick(self.clock.now());
                 *self.view.lock() = self.member.view();
             }
             self.member.flush()?;
-            self.pass_outputs_on();
+            self.handle_outputs();
         }
         Ok(())
     }
 
-    fn take_inputs(&mut self, until: Instant) {
+    fn receive_inputs(&mut self, until: Instant) {
         let wait = until.saturating_duration_since(Instant::now());
         match self.inputs.recv_timeout(wait) {
-            Ok(input) => self.take(input),
+            Ok(input) => self.handle_input(input),
             Err(RecvTimeoutError::Timeout | RecvTimeoutError::Disconnected) => return,
         }
         for _ in 1..MAX_INPUTS_PER_SYNC {
             match self.inputs.try_recv() {
-                Ok(input) => self.take(input),
+                Ok(input) => self.handle_input(input),
                 Err(_) => return,
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Peer { from, message } => self.member.receive(from, message),
             Input::Call { call, body } => self.member.call(call, body),
         }
     }
 
-    fn pass_outputs_on(&mut self) {
+    fn handle_outputs(&mut self) {
         for output in self.member.take_outputs() {
             match output {
                 MemberOutput::Send { to, message } => self.send(to, message),
                 MemberOutput::Answer { call, body } => {
                     let at = Instant::now();
-                    // The measurement may be over.
+                    // Nothing receives answers once the measurement is over.
                     let _ = self.answered.send(Answered { call, body, at });
                 }
                 MemberOutput::Notice(_) => {}
--- a/crates/lab/src/measure/consensus/mod.rs
+++ b/crates/lab/src/measure/consensus/mod.rs
@@ -1,7 +1,7 @@
 //! `linnethitch-lab measure consensus`: one group of control members in this
 //! process, with real folders and real syncs on one disk.
 //!
-//! All members share the disk and the processor, and channels stand for the
+//! All members share the disk and the processor, and channels replace the
 //! network, so the figures are ratios: against the disk's own rate of synced
 //! appends, and between sizes of the group, measured in the same run.
 
@@ -25,17 +25,17 @@
     runs::Kind,
 };
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
 /// Sizes of the groups that are measured.
 const GROUP_SIZES: [u32; 3] = [1, 3, 5];
-/// Calls under way at once.
+/// Numbers of concurrent calls.
 const OUTSTANDING: [usize; 4] = [1, 16, 256, 4_096];
 
-/// The disk is measured for this part of each measurement's duration.
-const DISK_SHARE: u32 = 5;
+/// The disk is measured for the duration of a measurement divided by this number.
+const DISK_DURATION_DIVISOR: u32 = 5;
 
 /// What is measured:
 #[derive(Clone, Debug, Bpaf)]
@@ -64,7 +64,7 @@
     clear(&data)?;
     let report = report?;
     report.write(&arguments.output)?;
-    say(&report.markdown());
+    print_line(&report.markdown());
     Ok(Verdict::Good)
 }
 
@@ -78,7 +78,7 @@
         let folder = data.join(format!("group-{members}"));
         let mut group = Group::start(&folder, members)?;
         for outstanding in OUTSTANDING {
-            let disk = disk::syncs_per_second(data, members, duration / DISK_SHARE)?;
+            let disk = disk::syncs_per_second(data, members, duration / DISK_DURATION_DIVISOR)?;
             let commits =
                 runs::throughput(&mut group, members, Kind::Commit, outstanding, duration)?;
             report.commits.push(CommitRate {
@@ -95,7 +95,7 @@
             report.recoveries.push(recovery);
         }
         group.stop()?;
-        say(&format!("measured a group of {members}"));
+        print_line(&format!("measured a group of {members}"));
     }
     Ok(report)
 }
--- a/crates/lab/src/measure/consensus/report.rs
+++ b/crates/lab/src/measure/consensus/report.rs
@@ -1,4 +1,4 @@
-//! The figures of a run, as JSON and as tables.
+//! The results of a run, as JSON and as tables.
 
 use std::{fmt::Write, path::Path};
 
@@ -8,16 +8,16 @@
 
 use super::runs::{Recovery, Throughput};
 
-/// Commits, beside what the disk did just before.
+/// Commit rate, with the disk's rate of synced appends measured just before.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct CommitRate {
-    /// Synced appends a second of one of as many files as there are members.
+    /// Synced appends per second and file, with as many files as members written concurrently.
     pub(super) disk_per_second: f64,
     #[serde(flatten)]
     pub(super) commits: Throughput,
 }
 
-/// Everything that was measured.
+/// All results.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct ConsensusReport {
     pub(super) commits: Vec<CommitRate>,
--- a/crates/lab/src/measure/consensus/runs.rs
+++ b/crates/lab/src/measure/consensus/runs.rs
@@ -1,4 +1,4 @@
-//! The single measurements on a group.
+//! The individual measurements on a group.
 
 use std::{
     collections::HashMap,
@@ -18,7 +18,7 @@
 
 use super::group::Group;
 
-/// Longest latency that is told apart, in microseconds.
+/// Maximum latency that the histogram records, in microseconds.
 const MAX_LATENCY_MICROS: u64 = 60_000_000;
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
@@ -27,9 +27,9 @@
 pub(super) struct Throughput {
     /// Members of the group.
     pub(super) members: u32,
-    /// Calls under way at once.
+    /// Concurrent calls.
     pub(super) outstanding: usize,
-    /// Calls answered a second.
+    /// Calls answered per second.
     pub(super) per_second: f64,
     /// Median latency, in milliseconds.
     pub(super) median_ms: f64,
@@ -52,7 +52,7 @@
     pub(super) most_ms: f64,
 }
 
-/// Which calls are made.
+/// The kind of calls that are made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Kind {
     /// Small commands that all change the state.
@@ -90,7 +90,7 @@
     Histogram::new_with_max(MAX_LATENCY_MICROS, 3).change_context(ErrorKind::Internal)
 }
 
-/// Keeps a number of calls under way at the leader for a while.
+/// Keeps a fixed number of calls outstanding at the leader for `duration`.
 ///
 /// # Errors
 /// `Internal` when a call is refused or not answered.
@@ -101,7 +101,7 @@
     outstanding: usize,
     duration: Duration,
 ) -> Result<Throughput, Report<ErrorKind>> {
-    let leader = group.wait_until_whole()?;
+    let leader = group.wait_until_complete()?;
     let mut sent = HashMap::new();
     let mut latencies = histogram()?;
     let started = Instant::now();
@@ -135,10 +135,10 @@
     })
 }
 
-/// Kills the leader again and again; the killed member comes back each time.
+/// Kills the leader `losses` times and restarts the killed member each time.
 ///
 /// # Errors
-/// `Internal` when the group does not come back.
+/// `Internal` when the group does not recover.
 pub(super) fn recovery(
     group: &mut Group,
     members: u32,
@@ -146,11 +146,11 @@
 ) -> Result<Recovery, Report<ErrorKind>> {
     let mut times_ms = Vec::new();
     for _ in 0..losses {
-        let leader = group.wait_until_whole()?;
+        let leader = group.wait_until_complete()?;
         let successor = group.other_than(leader);
         let killed_at = Instant::now();
         group.kill(leader)?;
-        let committed_at = commit_somehow(group, successor)?;
+        let committed_at = commit_any(group, successor)?;
         let time = committed_at.saturating_duration_since(killed_at);
         times_ms.push(time.as_micros() as f64 / MICROS_PER_MILLI);
         group.start_member(leader)?;
@@ -166,8 +166,8 @@
     })
 }
 
-/// Sends commands until one is committed; when it was.
-fn commit_somehow(group: &mut Group, machine: MachineId) -> Result<Instant, Report<ErrorKind>> {
+/// Sends commands until one is committed; returns the time of its answer.
+fn commit_any(group: &mut Group, machine: MachineId) -> Result<Instant, Report<ErrorKind>> {
     for nonce in 0..1_000 {
         let call = group.call(machine, open_session(nonce));
         let answered = group.next_answer()?;
--- a/crates/lab/src/measure/gateway/callers.rs
+++ b/crates/lab/src/measure/gateway/callers.rs
@@ -1,4 +1,4 @@
-//! Callers that time the first token and count the rest.
+//! Callers that measure the time to the first token and count all tokens.
 
 use std::{
     net::SocketAddr,
@@ -18,11 +18,11 @@
 
 const SIGNIFICANT_DIGITS: u8 = 3;
 const NANOSECONDS_PER_MS: f64 = 1e6;
-/// Between the starts of two callers, so that they do not ask in step.
+/// Time between the starts of two callers, so that they do not send requests in step.
 const START_STEP: Duration = Duration::from_millis(3);
 const BODY: &str = r#"{"model":"m","stream":true,"max_tokens":1000,"messages":[{"role":"user","content":"a spot quote from Worcester to Hartford"}]}"#;
 
-/// What every caller does.
+/// The requests of every caller.
 #[derive(Clone, Copy)]
 pub(super) struct Round {
     pub(super) api_key: &'static str,
@@ -30,13 +30,13 @@
     pub(super) answers: usize,
 }
 
-/// What the callers of one round saw.
+/// What the callers of one round measured.
 pub(super) struct Latencies {
     first_token: Histogram<u64>,
     pub(super) tokens: u64,
     pub(super) answers: u64,
-    /// Answers that were not whole.
-    pub(super) broken: u64,
+    /// Answers that were missing or incomplete.
+    pub(super) incomplete: u64,
 }
 
 impl Latencies {
@@ -45,7 +45,7 @@
             first_token: Histogram::new(SIGNIFICANT_DIGITS).change_context(ErrorKind::Internal)?,
             tokens: 0,
             answers: 0,
-            broken: 0,
+            incomplete: 0,
         })
     }
 
@@ -57,7 +57,7 @@
     fn add(&mut self, other: &Latencies) -> Result<(), Report<ErrorKind>> {
         self.tokens += other.tokens;
         self.answers += other.answers;
-        self.broken += other.broken;
+        self.incomplete += other.incomplete;
         self.first_token
             .add(&other.first_token)
             .change_context(ErrorKind::Internal)
@@ -65,7 +65,7 @@
 }
 
 impl Round {
-    /// Runs callers side by side until each has had its answers.
+    /// Runs callers concurrently until each has made all its requests.
     pub(super) async fn run(
         self,
         callers: usize,
@@ -94,47 +94,48 @@
         client: &Client<HttpConnector, Full<Bytes>>,
         address: SocketAddr,
     ) -> Result<Latencies, Report<ErrorKind>> {
-        let mut seen = Latencies::new()?;
+        let mut latencies = Latencies::new()?;
         for _ in 0..self.answers {
-            let whole = self.answer(client, address, &mut seen).await;
-            seen.answers += 1;
-            seen.broken += u64::from(whole != Some(true));
+            let complete = self.answer(client, address, &mut latencies).await;
+            latencies.answers += 1;
+            latencies.incomplete += u64::from(complete != Some(true));
         }
-        Ok(seen)
+        Ok(latencies)
     }
 
-    /// Asks once; whether the answer was whole, if there was one.
+    /// Sends one request and returns whether its answer was complete; `None` if the request
+    /// failed.
     async fn answer(
         self,
         client: &Client<HttpConnector, Full<Bytes>>,
         address: SocketAddr,
-        seen: &mut Latencies,
+        latencies: &mut Latencies,
     ) -> Option<bool> {
         let request = Request::post(format!("http://{address}/v1/chat/completions"))
             .header("authorization", format!("Bearer {}", self.api_key))
             .header("content-type", "application/json")
             .body(Full::new(Bytes::from_static(BODY.as_bytes())))
             .ok()?;
-        let asked = Instant::now();
+        let sent = Instant::now();
         let mut body = client.request(request).await.ok()?.into_body();
         let mut tokens = 0;
         let mut done = false;
         while let Some(frame) = body.frame().await {
             let data = frame.ok()?.into_data().ok()?;
             if tokens == 0 {
-                let nanoseconds = u64::try_from(asked.elapsed().as_nanos()).unwrap_or(u64::MAX);
-                seen.first_token.record(nanoseconds).ok()?;
+                let nanoseconds = u64::try_from(sent.elapsed().as_nanos()).unwrap_or(u64::MAX);
+                latencies.first_token.record(nanoseconds).ok()?;
             }
             tokens += count(&data, b"\"token_index\"");
             done |= count(&data, b"[DONE]") > 0;
         }
-        seen.tokens += tokens;
+        latencies.tokens += tokens;
         Some(done && tokens == u64::from(self.tokens))
     }
 }
 
-fn count(data: &[u8], mark: &[u8]) -> u64 {
-    data.windows(mark.len())
-        .filter(|window| *window == mark)
+fn count(data: &[u8], pattern: &[u8]) -> u64 {
+    data.windows(pattern.len())
+        .filter(|window| *window == pattern)
         .count() as u64
 }
--- a/crates/lab/src/measure/gateway/engine.rs
+++ b/crates/lab/src/measure/gateway/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that costs next to nothing: every answer is the same tokens at a fixed pace.
+//! An engine with negligible processor time: every answer has the same tokens at a fixed rate.
 
 use std::{convert::Infallible, io, net::SocketAddr, time::Duration};
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// How answers look.
+/// Length and rate of answers.
 #[derive(Clone, Copy)]
 struct Script {
     tokens: u32,
@@ -33,7 +33,7 @@
 }
 
 impl ScriptedEngine {
-    /// Starts an engine; the first token of an answer comes at once.
+    /// Starts an engine; the first token of an answer is sent immediately.
     pub(super) async fn start(tokens: u32, interval: Duration) -> io::Result<Self> {
         let listener = TcpListener::bind(SocketAddr::from(([127, 0, 0, 1], 0))).await?;
         let address = listener.local_addr()?;
--- a/crates/lab/src/measure/gateway/mod.rs
+++ b/crates/lab/src/measure/gateway/mod.rs
@@ -3,7 +3,7 @@
 //! One engine that answers by script, one gateway and the callers run in this
 //! process, each on threads of their own, over loopback. Half of the callers ask
 //! the engine directly and half through the gateway, in the same run, so both
-//! meet the same machine. Processor time is that of the gateway's threads alone.
+//! run under the same conditions. Processor time is that of the gateway's threads only.
 
 mod callers;
 mod engine;
@@ -32,12 +32,12 @@
     engine::ScriptedEngine,
 };
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
 const API_KEY: &str = "measured";
-/// Names of threads; processor time is told apart by them.
+/// Names of threads, by which processor time is attributed.
 const GATEWAY_THREADS: &str = "gateway-worker";
 const ENGINE_THREADS: &str = "engine-worker";
 const CALLER_THREADS: &str = "caller-worker";
@@ -69,7 +69,7 @@
     output: std::path::PathBuf,
 }
 
-/// Measures and prints; the verdict is bad when an answer was not whole.
+/// Measures and prints; the verdict is bad when an answer was incomplete.
 pub(crate) fn run(arguments: &Arguments) -> Outcome {
     let engine_runtime = named_runtime(ENGINE_THREADS, OTHER_WORKERS)?;
     let gateway_runtime = named_runtime(GATEWAY_THREADS, 1)?;
@@ -97,9 +97,9 @@
     let after = cpu_of_threads(GATEWAY_THREADS).change_context(ErrorKind::Io)?;
     report_cost(&all, after.saturating_sub(before));
     gateway_runtime.block_on(gateway.stop());
-    let broken = direct.broken + through.broken + all.broken;
-    say(&format!("answers that were not whole: {broken}"));
-    Ok(if broken == 0 {
+    let incomplete = direct.incomplete + through.incomplete + all.incomplete;
+    print_line(&format!("incomplete answers: {incomplete}"));
+    Ok(if incomplete == 0 {
         Verdict::Good
     } else {
         Verdict::Bad
@@ -176,13 +176,13 @@
 }
 
 fn report_latencies(direct: &Latencies, through: &Latencies) {
-    say("first token, ms          direct    gateway    added");
+    print_line("first token, ms          direct    gateway    added");
     for percentile in [50.0, 95.0, 99.0] {
-        let one = direct.first_token_ms(percentile);
-        let other = through.first_token_ms(percentile);
-        let added = other - one;
-        say(&format!(
-            "p{percentile:<22} {one:>8.3} {other:>10.3} {added:>8.3}"
+        let direct_ms = direct.first_token_ms(percentile);
+        let gateway_ms = through.first_token_ms(percentile);
+        let added_ms = gateway_ms - direct_ms;
+        print_line(&format!(
+            "p{percentile:<22} {direct_ms:>8.3} {gateway_ms:>10.3} {added_ms:>8.3}"
         ));
     }
 }
@@ -191,11 +191,11 @@
     let seconds = cpu.as_secs_f64();
     let per_token = seconds * 1e6 / all.tokens as f64;
     let per_core = all.tokens as f64 / seconds;
-    say(&format!(
+    print_line(&format!(
         "gateway processor time: {seconds:.3} s for {} tokens of {} answers",
         all.tokens, all.answers
     ));
-    say(&format!(
+    print_line(&format!(
         "{per_token:.2} us a token, {per_core:.0} tokens/s a core"
     ));
 }
--- a/crates/lab/src/measure/jobs/caller.rs
+++ b/crates/lab/src/measure/jobs/caller.rs
@@ -23,14 +23,14 @@
 };
 use tokio::{sync::oneshot, task::JoinHandle};
 
-/// Wait before a call that was refused for the moment is sent again.
+/// Delay before a command that failed with a retryable error is sent again.
 const RESEND_DELAY: Duration = Duration::from_millis(50);
-/// Longest time for a change.
-const RESEND_LIMIT: Duration = Duration::from_secs(60);
+/// Time for which a command is resent before its error is returned.
+const RESEND_TIMEOUT: Duration = Duration::from_secs(60);
 
 type Pending = Arc<Mutex<HashMap<CallId, oneshot::Sender<ControlAnswer>>>>;
 
-/// One attached caller.
+/// A caller that is attached to a control member.
 pub(super) struct Caller {
     pub(super) gateway: GatewayId,
     sender: MessageSender<GatewayMessage>,
@@ -49,7 +49,7 @@
     /// Attaches to a member.
     ///
     /// # Errors
-    /// `Io` when it cannot be reached.
+    /// `Io` when the member cannot be reached.
     pub(super) async fn attach(
         address: SocketAddr,
         identity: &ClusterIdentity,
@@ -69,7 +69,7 @@
         };
         send(&sender, &attach).await?;
         let pending = Pending::default();
-        let reader = tokio::spawn(read(receiver, Arc::clone(&pending)));
+        let reader = tokio::spawn(read_answers(receiver, Arc::clone(&pending)));
         Ok(Caller {
             gateway,
             sender,
@@ -93,7 +93,7 @@
             .map_err(|_| Report::new(ErrorKind::ControlUnavailable))
     }
 
-    /// Commits a command; sends it again where that can help, as gateways do.
+    /// Commits a command and resends it after retryable errors, as gateways do.
     ///
     /// # Errors
     /// The kind of the refusal.
@@ -101,7 +101,7 @@
         let started = Instant::now();
         loop {
             match self.propose_once(command.clone()).await {
-                Err(report) if is_passing(&report) && started.elapsed() < RESEND_LIMIT => {
+                Err(report) if is_retryable(&report) && started.elapsed() < RESEND_TIMEOUT => {
                     tokio::time::sleep(RESEND_DELAY).await;
                 }
                 outcome => return outcome,
@@ -109,7 +109,7 @@
         }
     }
 
-    /// Commits a command, sent once.
+    /// Commits a command that is sent only once.
     ///
     /// # Errors
     /// The kind of the refusal.
@@ -142,7 +142,7 @@
     }
 }
 
-fn is_passing(report: &Report<ErrorKind>) -> bool {
+fn is_retryable(report: &Report<ErrorKind>) -> bool {
     matches!(
         report.current_context(),
         ErrorKind::ControlUnavailable | ErrorKind::ControlOutcomeUnknown | ErrorKind::Overloaded
@@ -158,13 +158,13 @@
     })
 }
 
-/// Hands answers to their calls; what waits when the connection ends is given up.
-async fn read(mut receiver: MessageReceiver<ControlMessage>, pending: Pending) {
+/// Passes answers to their calls; calls that are still pending when the connection ends fail.
+async fn read_answers(mut receiver: MessageReceiver<ControlMessage>, pending: Pending) {
     while let Ok(Some(message)) = receiver.receive().await {
         if let ControlMessage::Answer { call, body } = message
             && let Some(reply) = lock(&pending).remove(&call)
         {
-            // The caller may have given up.
+            // The call may have been abandoned.
             let _ = reply.send(body);
         }
     }
--- a/crates/lab/src/measure/jobs/cluster.rs
+++ b/crates/lab/src/measure/jobs/cluster.rs
@@ -27,10 +27,10 @@
 
 const CLUSTER: &str = "measured";
 const CLUSTER_KEY: &str = "a key of the measured cluster";
-/// Pause between two looks at the group.
-const LOOK: Duration = Duration::from_millis(5);
-/// Longest time for all members to be whole.
-const WHOLE_LIMIT: Duration = Duration::from_secs(600);
+/// Interval at which the group is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Timeout of waiting until all members are up-to-date voters.
+const COMPLETE_TIMEOUT: Duration = Duration::from_secs(600);
 
 struct Machine {
     addresses: ControlAddresses,
@@ -45,7 +45,7 @@
 }
 
 impl Cluster {
-    /// Starts members on blank disks and waits until all of them vote.
+    /// Starts members on blank disks and waits until all of them are voters.
     pub(super) async fn start(size: u32, folder: &Path) -> Result<Self, Report<ErrorKind>> {
         fs::create_dir_all(folder).change_context(ErrorKind::Io)?;
         fs::write(folder.join("cluster.key"), CLUSTER_KEY).change_context(ErrorKind::Io)?;
@@ -71,37 +71,37 @@
         for (number, sockets) in bound {
             cluster.start_on(number, sockets).await?;
         }
-        cluster.wait_until_whole(1).await?;
+        cluster.wait_until_complete(1).await?;
         Ok(cluster)
     }
 
-    /// Starts an ended member again.
+    /// Restarts a stopped member.
     pub(super) async fn restart(&mut self, number: u32) -> Result<(), Report<ErrorKind>> {
         let at = self.machines[&number].addresses;
         let sockets = ControlSockets::bind(at.peer, at.attach, at.operator).await?;
         self.start_on(number, sockets).await
     }
 
-    /// Ends a member as a crash would.
+    /// Ends a member abruptly, as a crash does.
     pub(super) async fn crash(&mut self, number: u32) {
-        if let Some(handle) = self.handle(number) {
+        if let Some(handle) = self.take_handle(number) {
             handle.abort().await;
         }
     }
 
     /// Planned stop of a member.
     pub(super) async fn stop(&mut self, number: u32) {
-        if let Some(handle) = self.handle(number) {
+        if let Some(handle) = self.take_handle(number) {
             handle.stop().await;
         }
     }
 
-    /// Empties the disk of an ended member.
+    /// Deletes the data of a stopped member.
     pub(super) fn wipe(&self, number: u32) -> Result<(), Report<ErrorKind>> {
         fs::remove_dir_all(self.data_dir(number)).change_context(ErrorKind::Io)
     }
 
-    /// The member that leads.
+    /// Waits for a leader and returns its number.
     pub(super) async fn leader(&self) -> u32 {
         loop {
             let leads = |machine: &Machine| {
@@ -112,7 +112,7 @@
             if let Some((number, _)) = leader {
                 return *number;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -126,28 +126,32 @@
         Caller::attach(address, &self.identity, name).await
     }
 
-    /// Waits until the disks of all machines vote and one of them has what the others have.
+    /// Waits until the disks of all machines are voters and the given machine has replicated as
+    /// much as any other.
     ///
     /// # Errors
-    /// `Internal` when that is not so within ten minutes.
-    pub(super) async fn wait_until_whole(&self, number: u32) -> Result<(), Report<ErrorKind>> {
+    /// `Internal` when this takes longer than ten minutes.
+    pub(super) async fn wait_until_complete(&self, number: u32) -> Result<(), Report<ErrorKind>> {
         let started = Instant::now();
-        while started.elapsed() < WHOLE_LIMIT {
-            let through = self.leader().await;
-            // A member that has just lost the lead refuses; the next one answers.
-            if let Ok(caller) = self.attach(through, "observer").await
+        while started.elapsed() < COMPLETE_TIMEOUT {
+            let leader = self.leader().await;
+            // A member that has just lost leadership refuses the query; the next iteration asks the
+            // new leader.
+            if let Ok(caller) = self.attach(leader, "observer").await
                 && let Ok(ControlAnswer::Answer(QueryAnswer::Status(status))) =
                     caller.call(ControlCall::Query(Query::Status)).await
-                && self.is_whole(&status, number)
+                && self.is_complete(&status, number)
             {
                 return Ok(());
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(Report::new(ErrorKind::Internal).attach(format!("machine {number} was never whole")))
+        Err(Report::new(ErrorKind::Internal).attach(format!(
+            "machine {number} did not become an up-to-date voter in time"
+        )))
     }
 
-    fn is_whole(&self, status: &FleetStatus, number: u32) -> bool {
+    fn is_complete(&self, status: &FleetStatus, number: u32) -> bool {
         let members = &status.members;
         let newest = members.iter().map(|member| member.matched).max();
         let own = members
@@ -171,7 +175,7 @@
         bytes_below(&self.data_dir(number))
     }
 
-    fn handle(&mut self, number: u32) -> Option<ControlHandle> {
+    fn take_handle(&mut self, number: u32) -> Option<ControlHandle> {
         self.machines.get_mut(&number)?.handle.take()
     }
 
@@ -211,7 +215,7 @@
             cluster: CLUSTER.to_owned(),
             cluster_key_file: self.folder.join("cluster.key"),
             operator_key_sha256: "0".repeat(64),
-            // Nothing listens there: there are no back ends in this measurement.
+            // Nothing listens on this address: the measurement has no back ends.
             platform_address: SocketAddr::from(([127, 0, 0, 1], 1)),
             data_dir: self.data_dir(number),
             snapshot_log_bytes: DEFAULT_SNAPSHOT_LOG_BYTES,
@@ -220,7 +224,7 @@
     }
 }
 
-/// Bytes of all files below a folder; what disappears meanwhile does not count.
+/// Bytes of all files below a folder; files that are deleted meanwhile are not counted.
 fn bytes_below(folder: &Path) -> u64 {
     let entries = fs::read_dir(folder).into_iter().flatten().flatten();
     let bytes = entries.map(|entry| match entry.metadata() {
--- a/crates/lab/src/measure/jobs/mod.rs
+++ b/crates/lab/src/measure/jobs/mod.rs
@@ -1,6 +1,6 @@
 //! `linnethitch-lab measure jobs`: control processes with a large job.
 //!
-//! The control processes run in this one, with their own threads, sockets on
+//! The control processes run inside this process, with their own threads, sockets on
 //! loopback and files with real syncs; all share one disk.
 
 mod caller;
@@ -28,7 +28,7 @@
     work::{Job, JobSize, Latencies, Worker},
 };
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict, runtime},
 };
 
@@ -71,7 +71,7 @@
     clear(&data)?;
     let report = report?;
     report.write(&arguments.output)?;
-    say(&report.text());
+    print_line(&report.text());
     Ok(Verdict::Good)
 }
 
@@ -83,11 +83,11 @@
     let mut cluster = Cluster::start(arguments.members, data).await?;
     let workers = workers(&cluster, arguments.members).await?;
     work::configure(&cluster.attach(1, "operator").await?).await?;
-    say("claims, and a job");
-    let idle = claims_for(&workers[0], 0, time).await?;
-    let (job, heap) = job_beside_claims(arguments, &workers).await?;
+    print_line("claims, and a job");
+    let idle = claims_without_job(&workers[0], 0, time).await?;
+    let (job, heap) = job_during_claims(arguments, &workers).await?;
     drop(workers);
-    say("restarts and repairs");
+    print_line("restarts and repairs");
     let repairs = repairs::measure(&mut cluster, arguments.repairs).await?;
     cluster.end().await;
     Ok(JobsReport {
@@ -108,23 +108,23 @@
     Ok(workers)
 }
 
-async fn claims_for(
+async fn claims_without_job(
     worker: &Arc<Worker>,
     first: u64,
     time: Duration,
 ) -> Result<Latencies, Report<ErrorKind>> {
     let end = Arc::new(AtomicBool::new(false));
     let claiming = work::claim_until(Arc::clone(worker), first, Arc::clone(&end));
-    let ending = async {
+    let stop_after_time = async {
         tokio::time::sleep(time).await;
         end.store(true, Ordering::Relaxed);
     };
-    let (latencies, ()) = tokio::join!(claiming, ending);
+    let (latencies, ()) = tokio::join!(claiming, stop_after_time);
     latencies
 }
 
-/// Uploads, accepts and executes a job while keys are claimed.
-async fn job_beside_claims(
+/// Uploads, accepts and executes a job while idempotency keys are claimed.
+async fn job_during_claims(
     arguments: &Arguments,
     workers: &[Arc<Worker>],
 ) -> Result<(Job, Latencies), Report<ErrorKind>> {
--- a/crates/lab/src/measure/jobs/repairs.rs
+++ b/crates/lab/src/measure/jobs/repairs.rs
@@ -1,4 +1,5 @@
-//! How long a crashed member and one with a blank disk take to be whole again.
+//! Measures how long a crashed member and a member with a blank disk take to become
+//! up-to-date voters again.
 
 use std::time::Instant;
 
@@ -8,18 +9,18 @@
 
 use super::cluster::Cluster;
 
-/// Times in milliseconds, one a loss.
+/// Times in milliseconds, one for each loss.
 #[derive(Clone, Debug, Default, Serialize)]
 pub(super) struct Repairs {
-    /// From the start of a crashed member until it votes and has everything.
+    /// From the start of a crashed member until it is a voter and up to date.
     pub(super) restart_ms: Vec<f64>,
-    /// From the start on a blank disk until that disk votes and has everything.
+    /// From the start on a blank disk until this disk is a voter and up to date.
     pub(super) repair_ms: Vec<f64>,
     /// Bytes of a repaired member's files.
     pub(super) disk_bytes: u64,
 }
 
-/// Lets so many leaders crash and so many disks be lost, one after the other.
+/// Crashes the leader and then wipes the leader's disk, `count` times.
 pub(super) async fn measure(
     cluster: &mut Cluster,
     count: u32,
@@ -38,10 +39,10 @@
     Ok(repairs)
 }
 
-/// Starts a member and waits until it and all others are whole.
+/// Starts a member and waits until it is up to date and all members are voters.
 async fn restart(cluster: &mut Cluster, number: u32) -> Result<f64, Report<ErrorKind>> {
     let started = Instant::now();
     cluster.restart(number).await?;
-    cluster.wait_until_whole(number).await?;
+    cluster.wait_until_complete(number).await?;
     Ok(started.elapsed().as_secs_f64() * 1_000.0)
 }
--- a/crates/lab/src/measure/jobs/report.rs
+++ b/crates/lab/src/measure/jobs/report.rs
@@ -1,4 +1,4 @@
-//! The figures as a table and as JSON.
+//! The results as text and as JSON.
 
 use std::{fmt::Write, fs, path::Path};
 
@@ -11,14 +11,14 @@
     work::{Job, Latencies},
 };
 
-/// Claims alone and beside a job.
+/// Latencies of claims without a job and while a job runs.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Claims {
     pub(super) idle: Latencies,
     pub(super) heap: Latencies,
 }
 
-/// All figures.
+/// All results.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct JobsReport {
     pub(super) members: u32,
@@ -35,7 +35,7 @@
         fs::write(folder.join("results.json"), json).change_context(ErrorKind::Io)
     }
 
-    /// The figures for a reader.
+    /// The results as text.
     pub(super) fn text(&self) -> String {
         let mut text = String::new();
         // Writing to a string does not fail.
--- a/crates/lab/src/measure/jobs/work.rs
+++ b/crates/lab/src/measure/jobs/work.rs
@@ -1,4 +1,4 @@
-//! Work for the members: a job and claims.
+//! The workload of the members: a job and claims.
 
 use std::{
     sync::{
@@ -30,13 +30,14 @@
 const TENANT: &str = "tenant-1";
 const MODEL: &str = "model-1";
 const ENDPOINT: &str = "/v1/chat/completions";
-/// Longest measurement, in milliseconds: nothing is renewed meanwhile.
+/// Length of leases and sessions, in milliseconds; longer than any measurement, because
+/// nothing is renewed.
 const LEASE_MS: u64 = 600_000;
-/// Items of one lease and of one command of results, as gateways take at most.
+/// Items in one lease and in one command of results; the maximum that gateways use.
 const ITEMS_PER_COMMAND: u32 = 256;
-/// Bytes of a file's piece, as gateways cut them.
+/// Bytes of one piece of a file, as in gateways.
 const PIECE_BYTES: usize = 256 * 1024;
-/// Items told by one command, as gateways do.
+/// Item heads in one command, as in gateways.
 const HEADS_PER_COMMAND: u32 = 2_048;
 /// Time between two claims.
 const CLAIM_INTERVAL: Duration = Duration::from_millis(10);
@@ -64,18 +65,18 @@
     Histogram::new(3).unwrap_or_else(|_| unreachable!("three digits are allowed"))
 }
 
-fn note(micros: &mut Histogram<u64>, elapsed: Duration) {
-    // The histogram grows as needed, so nothing is out of its range.
+fn record(micros: &mut Histogram<u64>, elapsed: Duration) {
+    // The histogram grows as needed, so no value is out of its range.
     let _ = micros.record(elapsed.as_micros() as u64);
 }
 
-fn until() -> Timestamp {
+fn lease_end() -> Timestamp {
     let now = SystemTime::now().duration_since(UNIX_EPOCH);
     Timestamp(now.unwrap_or_default().as_millis() as u64 + LEASE_MS)
 }
 
 fn unexpected(outcome: &Outcome) -> Report<ErrorKind> {
-    Report::new(ErrorKind::Internal).attach(format!("unexpected: {outcome:.60?}"))
+    Report::new(ErrorKind::Internal).attach(format!("unexpected outcome: {outcome:.60?}"))
 }
 
 /// A caller with a session.
@@ -96,7 +97,7 @@
         let renew = CommandBody::RenewSession {
             gateway: caller.gateway.clone(),
             session,
-            until: until(),
+            until: lease_end(),
         };
         caller.propose(renew).await?;
         Ok(Worker { caller, session })
@@ -131,7 +132,7 @@
     caller.propose(command).await.map(|_| ())
 }
 
-/// What became of one job.
+/// The results of one job.
 #[derive(Clone, Copy, Debug, Serialize)]
 pub(super) struct Job {
     pub(super) items: u32,
@@ -170,7 +171,7 @@
     }
 }
 
-/// Uploads a job's file and has it accepted; gives the seconds of both.
+/// Uploads a job's input file and creates the job; returns the seconds of both steps.
 pub(super) async fn submit(worker: &Worker, job: JobSize) -> Result<(f64, f64), Report<ErrorKind>> {
     let started = Instant::now();
     let caller = &worker.caller;
@@ -211,17 +212,17 @@
         *last = b'\n';
     }
     let lines_per_piece = (PIECE_BYTES / line.len().max(1)).max(1);
-    let mut left = job.items as usize;
+    let mut remaining = job.items as usize;
     let mut offset = 0;
-    while left > 0 {
-        let lines = lines_per_piece.min(left);
+    while remaining > 0 {
+        let lines = lines_per_piece.min(remaining);
         let data = line.repeat(lines);
         let bytes = data.len() as u64;
         let file = job.file();
         let append = CommandBody::AppendFile { file, offset, data };
         caller.propose(append).await?;
         offset += bytes;
-        left -= lines;
+        remaining -= lines;
     }
     Ok(offset)
 }
@@ -241,8 +242,8 @@
     Ok(())
 }
 
-/// Leases and completes all items that are pending; gives how many the job has
-/// as completed. What a resent command stores is not counted twice that way.
+/// Leases and completes all pending items. Returns the number of completed items in the
+/// job's record, which does not count the results of a resent command twice.
 pub(super) async fn execute(
     workers: &[Arc<Worker>],
     job: JobSize,
@@ -250,7 +251,7 @@
     let mut tasks = JoinSet::new();
     for worker in workers {
         let worker = Arc::clone(worker);
-        tasks.spawn(async move { execute_alone(&worker, job.line_bytes).await });
+        tasks.spawn(async move { execute_with_worker(&worker, job.line_bytes).await });
     }
     for ended in tasks.join_all().await {
         ended?;
@@ -262,7 +263,7 @@
     }
 }
 
-async fn execute_alone(worker: &Worker, result_bytes: u32) -> Result<(), Report<ErrorKind>> {
+async fn execute_with_worker(worker: &Worker, result_bytes: u32) -> Result<(), Report<ErrorKind>> {
     for sequence in 1.. {
         let lease = CommandBody::LeaseItems {
             gateway: worker.caller.gateway.clone(),
@@ -272,7 +273,7 @@
                 model: ModelId::from(MODEL),
                 count: ITEMS_PER_COMMAND,
             }],
-            until: until(),
+            until: lease_end(),
         };
         let items = match worker.caller.propose(lease).await? {
             Outcome::Leased(items) => items,
@@ -311,7 +312,7 @@
     }
 }
 
-/// Claims keys at a fixed rate, whatever the answers take, until told to end.
+/// Claims keys at a fixed rate, regardless of the latency of answers, until `end` is set.
 pub(super) async fn claim_until(
     worker: Arc<Worker>,
     first: u64,
@@ -327,7 +328,7 @@
     }
     let mut micros = histogram();
     for elapsed in tasks.join_all().await {
-        note(&mut micros, elapsed?);
+        record(&mut micros, elapsed?);
     }
     Ok(Latencies::new(&micros))
 }
--- a/crates/lab/src/measure/state/commands.rs
+++ b/crates/lab/src/measure/state/commands.rs
@@ -18,21 +18,21 @@
 
 use super::member::MeasuredMember;
 
-/// The models of the plan.
+/// The models of the capacity plan.
 pub(super) const MODELS: [&str; 4] = ["model-1", "model-2", "model-3", "model-4"];
 const ENDPOINT: &str = "/v1/chat/completions";
-/// Bytes of a file's piece, as gateways cut them.
+/// Bytes of one piece of a file, as in gateways.
 const PIECE_BYTES: usize = 256 * 1024;
-/// Items told by one command, as gateways do.
+/// Item heads in one command, as in gateways.
 const HEADS_PER_COMMAND: usize = 2_048;
-/// Results in one command, as gateways do at the most.
+/// Results in one command; the maximum that gateways use.
 pub(super) const RESULTS_PER_COMMAND: usize = 256;
 const WINDOW_MS: u64 = 24 * 60 * 60 * 1_000;
 const LEASE_MS: u64 = 30_000;
-const BYTES_OF_A_KEPT_ANSWER: usize = 1_000;
+const STORED_ANSWER_BYTES: usize = 1_000;
 
 fn unexpected(outcome: &Outcome) -> Report<ErrorKind> {
-    Report::new(ErrorKind::Internal).attach(format!("unexpected: {outcome:.60?}"))
+    Report::new(ErrorKind::Internal).attach(format!("unexpected outcome: {outcome:.60?}"))
 }
 
 /// The name of a gateway.
@@ -45,7 +45,7 @@
     TenantId(format!("tenant-{number:05}"))
 }
 
-/// A fleet file with the plan's models and so many tenants; `mark` makes a difference of one line.
+/// A fleet file with the plan's models and this number of tenants; another `mark` changes one line.
 pub(super) fn fleet_file(tenants: u64, mark: u64) -> String {
     let mut text =
         String::from("name = \"plan\"\n\n[[zone]]\nname = \"zone-1\"\nregion = \"one\"\n");
@@ -86,15 +86,15 @@
 
 /// A job to build.
 pub(super) struct JobPlan {
-    /// Its number, from which its names are made.
+    /// Number from which the ids of the job and its file are derived.
     pub(super) number: u64,
-    /// Whose.
+    /// The tenant that owns the job.
     pub(super) tenant: TenantId,
-    /// Its items.
+    /// Number of items.
     pub(super) items: u64,
     /// Bytes of each line.
     pub(super) line_bytes: usize,
-    /// The model of all its items.
+    /// The model of all items.
     pub(super) model: &'static str,
 }
 
@@ -190,7 +190,7 @@
     Ok(offset)
 }
 
-/// Accepts a job over its uploaded file.
+/// Creates a job from its uploaded file.
 pub(super) fn accept(member: &mut MeasuredMember, plan: &JobPlan) -> Result<(), Report<ErrorKind>> {
     member.run(CommandBody::CreateJob(NewJob {
         job: plan.job(),
@@ -217,7 +217,7 @@
     }
 }
 
-/// A gateway that leases and completes.
+/// A gateway that leases and completes items.
 pub(super) struct Executor {
     gateway: u64,
     session: SessionEpoch,
@@ -225,7 +225,7 @@
 }
 
 impl Executor {
-    /// Opens its session.
+    /// Opens the session of the gateway.
     pub(super) fn open(
         member: &mut MeasuredMember,
         gateway: u64,
@@ -263,7 +263,7 @@
         }
     }
 
-    /// Completes items with results of so many bytes; returns how many were stored.
+    /// Completes items with results of `result_bytes` bytes; returns the number of stored results.
     pub(super) fn complete(
         &self,
         member: &mut MeasuredMember,
@@ -281,7 +281,7 @@
         }
     }
 
-    /// Claims an idempotency key; an answer is kept at once if asked for.
+    /// Claims an idempotency key and, if `answered` is set, stores an answer for it.
     pub(super) fn claim(
         &self,
         member: &mut MeasuredMember,
@@ -309,7 +309,7 @@
                 answer: Some(KeptAnswer {
                     status: 200,
                     content_type: "application/json".to_owned(),
-                    body: json_text(BYTES_OF_A_KEPT_ANSWER),
+                    body: json_text(STORED_ANSWER_BYTES),
                 }),
             })?;
         }
@@ -338,7 +338,7 @@
     results
 }
 
-/// A JSON string of so many bytes.
+/// A JSON string of `bytes` bytes, including its quotes.
 fn json_text(bytes: usize) -> Vec<u8> {
     let mut text = vec![b'x'; bytes.max(2)];
     let last = text.len() - 1;
--- a/crates/lab/src/measure/state/day.rs
+++ b/crates/lab/src/measure/state/day.rs
@@ -17,27 +17,27 @@
 const SHORT_LINE_BYTES: usize = 64;
 /// Items of each model that a gateway asks for at once.
 const LEASE_ITEMS: u32 = 16;
-/// Each gateway leases and completes so many times.
+/// Number of rounds in which each gateway leases and completes.
 const ROUNDS: u64 = 8;
 /// Time between two rounds of leases.
-const ROUND: Duration = Duration::from_secs(1);
+const ROUND_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The figures of the plan's jobs at once.
+/// Results for all jobs of the plan at once.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Day {
     /// Open jobs.
     pub(super) jobs: u64,
-    /// Their items.
+    /// Items of all these jobs.
     pub(super) items: u64,
-    /// Uploading and accepting them.
+    /// Costs of uploading and accepting the jobs.
     pub(super) accepting: Costs,
-    /// Memory of all of it, in bytes.
+    /// Memory of the accepted jobs, in bytes.
     pub(super) accepted_bytes: u64,
     /// Memory once each gateway holds items and each job has results, in bytes.
     pub(super) running_bytes: u64,
     /// Items leased and completed for the rate.
     pub(super) completed: u64,
-    /// What that cost.
+    /// Costs of leasing and completing these items.
     pub(super) running: Costs,
 }
 
@@ -48,7 +48,8 @@
     }
 }
 
-/// Accepts all jobs and runs some of their items; the member goes on to the next measurement.
+/// Accepts all jobs and runs some of their items; returns the member for the next
+/// measurement.
 pub(super) fn measure(
     arguments: &Arguments,
     folder: &Path,
@@ -57,9 +58,9 @@
     let mut member = MeasuredMember::new(folder, true)?;
     configure(&mut member, fleet_file(arguments.tenants, 0))?;
     member.take_costs();
-    let share = (arguments.items / arguments.jobs.max(1)).max(1);
+    let items_per_job = (arguments.items / arguments.jobs.max(1)).max(1);
     for number in 0..arguments.jobs {
-        let plan = JobPlan::new(number, arguments.tenants, share, SHORT_LINE_BYTES);
+        let plan = JobPlan::new(number, arguments.tenants, items_per_job, SHORT_LINE_BYTES);
         upload(&mut member, &plan)?;
         accept(&mut member, &plan)?;
     }
@@ -71,7 +72,7 @@
     let running = member.take_costs();
     let day = Day {
         jobs: arguments.jobs,
-        items: share * arguments.jobs,
+        items: items_per_job * arguments.jobs,
         accepting,
         accepted_bytes,
         running_bytes: allocated_bytes().saturating_sub(before),
@@ -81,7 +82,7 @@
     Ok((day, member))
 }
 
-/// Every gateway leases, and completes what it had leased the round before.
+/// In each round, every gateway leases items and completes those of the previous round.
 fn run_rounds(
     arguments: &Arguments,
     member: &mut MeasuredMember,
@@ -92,14 +93,14 @@
     }
     let mut completed = 0;
     for _ in 0..ROUNDS {
-        for (executor, held) in &mut executors {
+        for (executor, current) in &mut executors {
             let leased = executor.lease(member, &MODELS, LEASE_ITEMS)?;
-            let done = std::mem::replace(held, leased);
+            let done = std::mem::replace(current, leased);
             if !done.is_empty() {
                 completed += executor.complete(member, &done, arguments.line_bytes)?;
             }
         }
-        member.advance(ROUND);
+        member.advance(ROUND_INTERVAL);
     }
     Ok(completed)
 }
--- a/crates/lab/src/measure/state/full.rs
+++ b/crates/lab/src/measure/state/full.rs
@@ -17,10 +17,10 @@
 
 /// Changes of one line on top of the first revision.
 const CHANGES: u64 = 20;
-/// Gateways beside the others, which hold the keys.
+/// Additional gateways, whose sessions claim the idempotency keys.
 const CLAIM_GATEWAYS: u64 = 16;
 
-/// The figures of the full state.
+/// Results for the full state.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Full {
     /// Tenants.
@@ -29,11 +29,11 @@
     pub(super) fleet_file_bytes: u64,
     /// Seconds to parse and apply a change of one line, on average.
     pub(super) change_seconds: f64,
-    /// The longest of them.
+    /// Seconds of the longest of these changes.
     pub(super) longest_change_seconds: f64,
     /// Idempotency keys, half of them answered.
     pub(super) claims: u64,
-    /// Memory of the whole state, in bytes.
+    /// Memory of the complete state, in bytes.
     pub(super) memory_bytes: u64,
     /// Bytes of payloads that are live.
     pub(super) payload_bytes: u64,
@@ -43,15 +43,15 @@
     pub(super) snapshot_seconds: f64,
     /// Bytes of the snapshot, without payloads.
     pub(super) snapshot_bytes: u64,
-    /// Memory that writing it took on top, at most, in bytes.
+    /// Peak additional memory while the snapshot was written, in bytes.
     pub(super) snapshot_peak_bytes: u64,
-    /// Seconds to restore the state from it.
+    /// Seconds to restore the state from the snapshot.
     pub(super) restore_seconds: f64,
-    /// Memory that restoring took on top of the state, at most, in bytes.
+    /// Peak memory above that of the state while it was restored, in bytes.
     pub(super) restore_peak_bytes: u64,
 }
 
-/// Fills the state up, writes a snapshot and restores it.
+/// Fills the state, writes a snapshot and restores it.
 pub(super) fn measure(
     arguments: &Arguments,
     mut member: MeasuredMember,
@@ -105,14 +105,14 @@
     })
 }
 
-struct Written {
+struct SnapshotCosts {
     freeze_seconds: f64,
     seconds: f64,
     bytes: u64,
     peak_bytes: u64,
 }
 
-fn write_snapshot(ledger: &mut Ledger, path: &Path) -> Result<Written, Report<ErrorKind>> {
+fn write_snapshot(ledger: &mut Ledger, path: &Path) -> Result<SnapshotCosts, Report<ErrorKind>> {
     let before = allocated_bytes();
     reset_peak();
     let started = Instant::now();
@@ -125,7 +125,7 @@
         bytes += chunk.len() as u64;
     }
     file.sync_all().change_context(ErrorKind::Io)?;
-    Ok(Written {
+    Ok(SnapshotCosts {
         freeze_seconds,
         seconds: started.elapsed().as_secs_f64(),
         bytes,
--- a/crates/lab/src/measure/state/heap.rs
+++ b/crates/lab/src/measure/state/largest_job.rs
@@ -1,4 +1,4 @@
-//! The largest job: accepted as a whole, leased, completed, listed and read.
+//! The largest job: accepted in one command, leased, completed, listed and read.
 
 use std::{path::Path, time::Instant};
 
@@ -23,29 +23,29 @@
 const LEASE_ITEMS: u32 = 64;
 const PAGE_BYTES: u32 = 256 * 1024;
 
-/// What one step of the job's life has cost.
+/// Costs of one step of the job's life cycle.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct Step {
-    /// Which step.
+    /// Name of the step.
     pub(super) name: &'static str,
-    /// Its commands.
+    /// Costs of the step's commands.
     pub(super) costs: Costs,
-    /// The most memory allocated above what was there before the job, in bytes.
+    /// Peak memory above the level before the job, in bytes.
     pub(super) peak_bytes: u64,
 }
 
-/// The figures of the largest job.
+/// Results for the largest job.
 #[derive(Clone, Debug, Serialize)]
-pub(super) struct Heap {
-    /// Its items.
+pub(super) struct LargestJob {
+    /// Number of items.
     pub(super) items: u64,
     /// Bytes of each line and result.
     pub(super) line_bytes: usize,
-    /// Its life, step by step.
+    /// Steps of the job's life cycle.
     pub(super) steps: Vec<Step>,
-    /// Memory held by the accepted job, in bytes.
+    /// Memory used by the accepted job, in bytes.
     pub(super) accepted_bytes: u64,
-    /// Memory held by the finished job, in bytes.
+    /// Memory used by the finished job, in bytes.
     pub(super) finished_bytes: u64,
     /// Payload bytes of the finished job, input and results.
     pub(super) payload_bytes: u64,
@@ -57,16 +57,19 @@
     pub(super) result_bytes: u64,
 }
 
-impl Heap {
-    /// Seconds of a step; 0 for one that there is not.
+impl LargestJob {
+    /// Seconds of a step; 0 if there is no step of this name.
     pub(super) fn step_seconds(&self, name: &str) -> f64 {
         let step = self.steps.iter().find(|step| step.name == name);
         step.map_or(0.0, |step| step.costs.seconds())
     }
 }
 
-/// Takes one job of the largest size through its life.
-pub(super) fn measure(arguments: &Arguments, folder: &Path) -> Result<Heap, Report<ErrorKind>> {
+/// Runs one job of the largest size through its complete life cycle.
+pub(super) fn measure(
+    arguments: &Arguments,
+    folder: &Path,
+) -> Result<LargestJob, Report<ErrorKind>> {
     let mut member = MeasuredMember::new(folder, true)?;
     configure(&mut member, fleet_file(TENANTS, 0))?;
     member.take_costs();
@@ -97,7 +100,7 @@
     let payload_bytes = member.ledger.payloads().live_bytes();
     let (record, list_seconds) = list(&member, &plan)?;
     let (result_bytes, read_seconds) = read(&member, &plan, &record)?;
-    Ok(Heap {
+    Ok(LargestJob {
         items: arguments.largest_job,
         line_bytes: arguments.line_bytes,
         steps,
@@ -110,22 +113,22 @@
     })
 }
 
-/// Leases and completes until nothing is pending.
+/// Leases and completes items until none is pending.
 fn run_job(
     member: &mut MeasuredMember,
     executor: &mut Executor,
     result_bytes: usize,
 ) -> Result<(), Report<ErrorKind>> {
-    let mut held = Vec::new();
+    let mut uncompleted = Vec::new();
     loop {
         let leased = executor.lease(member, &MODELS, LEASE_ITEMS)?;
-        let none_left = leased.is_empty();
-        held.extend(leased);
-        if held.len() >= RESULTS_PER_COMMAND || none_left {
-            executor.complete(member, &held, result_bytes)?;
-            held.clear();
+        let none_remaining = leased.is_empty();
+        uncompleted.extend(leased);
+        if uncompleted.len() >= RESULTS_PER_COMMAND || none_remaining {
+            executor.complete(member, &uncompleted, result_bytes)?;
+            uncompleted.clear();
         }
-        if none_left {
+        if none_remaining {
             return Ok(());
         }
     }
--- a/crates/lab/src/measure/state/measurements.rs
+++ b/crates/lab/src/measure/state/measurements.rs
@@ -1,4 +1,4 @@
-//! The figures in the form of the capacity page.
+//! The results in the form of the capacity page.
 
 use std::process::Command;
 
@@ -9,14 +9,15 @@
     Arguments,
     day::Day,
     full::Full,
-    heap::Heap,
+    largest_job::LargestJob,
     slopes::{Entry, Slope},
 };
 
 const COMMAND: &str = "linnethitch-lab measure state";
 const ROLES: [Role; 2] = [Role::ControlLeader, Role::ControlFollower];
 
-/// What of the page grows with an entry, and the words for it.
+/// The dimension of the capacity page that an entry belongs to, the name in the id of its
+/// measurement, and its description.
 fn dimension(entry: Entry) -> Option<(Dimension, &'static str, &'static str)> {
     match entry {
         Entry::Tenant => Some((Dimension::Tenants, "tenants", "fleet file and tenants")),
@@ -28,11 +29,11 @@
     }
 }
 
-/// All figures that the capacity page has a place for.
+/// All measurements that the capacity page uses.
 pub(super) fn measurements(
     arguments: &Arguments,
     slopes: &[Slope],
-    heap: &Heap,
+    job: &LargestJob,
     day: &Day,
     full: &Full,
 ) -> Vec<Measurement> {
@@ -61,7 +62,7 @@
             Kind::Time,
             "accepting an uploaded job",
             Dimension::ItemsOfOneJob,
-            point(heap.items, heap.step_seconds("accepted")),
+            point(job.items, job.step_seconds("accepted")),
         ));
         measurements.push(Measurement {
             each: Some(Frequency::Item),
--- a/crates/lab/src/measure/state/member.rs
+++ b/crates/lab/src/measure/state/member.rs
@@ -21,12 +21,12 @@
 };
 use serde::Serialize;
 
-/// Bytes of the log that are synced together, about what a busy leader groups.
+/// Bytes of the log that are synced together, about as much as a busy leader groups.
 const SYNC_BYTES: u64 = 1024 * 1024;
 /// The time of the first command, in milliseconds.
 const START_MS: u64 = 1_000_000;
 
-/// What commands have cost.
+/// Costs of commands.
 #[derive(Clone, Copy, Debug, Default, Serialize)]
 pub(super) struct Costs {
     /// Commands applied.
@@ -63,7 +63,7 @@
 }
 
 impl MeasuredMember {
-    /// A member that keeps its payloads in this folder, with a log or without.
+    /// Creates a member that stores its payloads in this folder, with or without a log.
     pub(super) fn new(folder: &Path, with_log: bool) -> Result<Self, Report<ErrorKind>> {
         let file_system: Arc<dyn FileSystem> = Arc::new(RealFileSystem::new(folder)?);
         let log = match with_log {
@@ -93,12 +93,12 @@
         self.now_ms
     }
 
-    /// Lets time pass.
+    /// Advances the time of the next command.
     pub(super) fn advance(&mut self, by: Duration) {
         self.now_ms += by.as_millis() as u64;
     }
 
-    /// Carries a command out, as a leader does that answers it.
+    /// Runs a command with all the work of a leader that answers it.
     ///
     /// # Errors
     /// Those of log and payload store; `Internal` with the refusal when it is refused.
@@ -152,7 +152,7 @@
         Ok(())
     }
 
-    /// Syncs what waits in the log, as before an acknowledgement.
+    /// Syncs the entries appended to the log, as before an acknowledgement.
     pub(super) fn sync(&mut self) -> Result<(), Report<ErrorKind>> {
         let Some(log) = &mut self.log else {
             return Ok(());
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    /// Reads as a caller does; returns the seconds it took, too.
+    /// Answers a query as for a caller; also returns the seconds that it took.
     pub(super) fn query(&self, query: &Query) -> Result<(QueryAnswer, f64), Report<ErrorKind>> {
         let started = Instant::now();
         let answer = self
--- a/crates/lab/src/measure/state/mod.rs
+++ b/crates/lab/src/measure/state/mod.rs
@@ -1,4 +1,5 @@
-//! `linnethitch-lab measure state`: the ledger at size, alone in this process.
+//! `linnethitch-lab measure state`: the ledger at the plan's size, as the only
+//! component in this process.
 //!
 //! Memory is what the allocator counts before and after a state is built, at
 //! several sizes of each kind of entry. Times are those of one member's real
@@ -8,7 +9,7 @@
 mod commands;
 mod day;
 mod full;
-mod heap;
+mod largest_job;
 mod measurements;
 mod member;
 mod report;
@@ -23,7 +24,7 @@
 
 use self::report::StateReport;
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
@@ -67,7 +68,7 @@
     measured: Option<PathBuf>,
 }
 
-/// Measures everything; the verdict is bad when a budget is broken.
+/// Measures everything; the verdict is bad when a budget is exceeded.
 pub(crate) fn run(arguments: &Arguments) -> Outcome {
     let data = arguments.output.join("data");
     clear(&data)?;
@@ -78,8 +79,8 @@
     if let Some(path) = &arguments.measured {
         merge(path, &report)?;
     }
-    say(&report.markdown());
-    say(&report.verdict_line());
+    print_line(&report.markdown());
+    print_line(&report.verdict_line());
     Ok(if report.is_within_budgets() {
         Verdict::Good
     } else {
@@ -88,15 +89,15 @@
 }
 
 fn measure(arguments: &Arguments, data: &Path) -> Result<StateReport, Report<ErrorKind>> {
-    say("memory of each kind of entry");
+    print_line("memory of each kind of entry");
     let slopes = slopes::measure(arguments, data)?;
-    say("the largest job");
-    let heap = heap::measure(arguments, &data.join("heap"))?;
-    say("all jobs at once");
+    print_line("the largest job");
+    let job = largest_job::measure(arguments, &data.join("heap"))?;
+    print_line("all jobs at once");
     let (day, member) = day::measure(arguments, &data.join("day"))?;
-    say("the full state: snapshot and restart");
+    print_line("the full state: snapshot and restart");
     let full = full::measure(arguments, member, &data.join("day"))?;
-    Ok(StateReport::new(arguments, slopes, heap, day, full))
+    Ok(StateReport::new(arguments, slopes, job, day, full))
 }
 
 fn merge(path: &Path, report: &StateReport) -> Result<(), Report<ErrorKind>> {
--- a/crates/lab/src/measure/state/report.rs
+++ b/crates/lab/src/measure/state/report.rs
@@ -1,4 +1,4 @@
-//! The report: tables, `results.json`, and whether the budgets hold.
+//! The report: tables, `results.json`, and whether the budgets are kept.
 
 use std::{fmt::Write, fs, path::Path};
 
@@ -8,7 +8,8 @@
 use serde::Serialize;
 
 use super::{
-    Arguments, day::Day, full::Full, heap::Heap, measurements::measurements, slopes::Slope,
+    Arguments, day::Day, full::Full, largest_job::LargestJob, measurements::measurements,
+    slopes::Slope,
 };
 
 const MIB: f64 = 1024.0 * 1024.0;
@@ -16,28 +17,28 @@
 const MEMORY_BUDGET_BYTES: u64 = 256 * 1024 * 1024;
 /// Items a second of the plan, on average over a day.
 const PLAN_ITEMS_PER_SECOND: f64 = 20_000_000.0 / 86_400.0;
-/// How many times the plan's average rate one group must manage.
+/// Factor over the plan's average rate that one group must sustain.
 const HEADROOM: f64 = 10.0;
 
 /// Memory of one kind of entry.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct EntryMemory {
     entry: &'static str,
-    /// Bytes for each one more.
+    /// Bytes for each additional entry.
     bytes_each: f64,
     held: Vec<Point>,
     peak: Vec<Point>,
 }
 
-/// Everything that was measured.
+/// All results.
 #[derive(Clone, Debug, Serialize)]
 pub(super) struct StateReport {
     memory: Vec<EntryMemory>,
-    largest_job: Heap,
+    largest_job: LargestJob,
     all_jobs: Day,
     full_state: Full,
     items_per_second: f64,
-    /// The figures in the form of the capacity page.
+    /// The results in the form of the capacity page.
     pub(super) measurements: Vec<Measurement>,
 }
 
@@ -45,11 +46,11 @@
     pub(super) fn new(
         arguments: &Arguments,
         slopes: Vec<Slope>,
-        heap: Heap,
+        job: LargestJob,
         day: Day,
         full: Full,
     ) -> Self {
-        let measurements = measurements(arguments, &slopes, &heap, &day, &full);
+        let measurements = measurements(arguments, &slopes, &job, &day, &full);
         let memory = slopes.into_iter().map(|slope| EntryMemory {
             entry: slope.entry.name(),
             bytes_each: fit_line(&slope.held).slope,
@@ -58,7 +59,7 @@
         });
         StateReport {
             memory: memory.collect(),
-            largest_job: heap,
+            largest_job: job,
             items_per_second: day.items_per_second(),
             all_jobs: day,
             full_state: full,
@@ -104,14 +105,14 @@
     }
 
     fn write_largest_job(&self, text: &mut String) {
-        let heap = &self.largest_job;
+        let job = &self.largest_job;
         let _ = writeln!(
             text,
             "\n| Job of {} items of {} bytes | Seconds | of it applying | Longest command | Log | Peak memory |",
-            heap.items, heap.line_bytes
+            job.items, job.line_bytes
         );
         let _ = writeln!(text, "|---|---|---|---|---|---|");
-        for step in &heap.steps {
+        for step in &job.steps {
             let costs = &step.costs;
             let _ = writeln!(
                 text,
@@ -127,21 +128,21 @@
         let rows = [
             (
                 "memory once accepted",
-                heap.accepted_bytes as f64 / MIB,
+                job.accepted_bytes as f64 / MIB,
                 "MiB",
             ),
             (
                 "memory once finished",
-                heap.finished_bytes as f64 / MIB,
+                job.finished_bytes as f64 / MIB,
                 "MiB",
             ),
             (
                 "payloads, input and results",
-                heap.payload_bytes as f64 / MIB,
+                job.payload_bytes as f64 / MIB,
                 "MiB",
             ),
-            ("listed in", heap.list_seconds * 1_000.0, "ms"),
-            ("results read in", heap.read_seconds * 1_000.0, "ms"),
+            ("listed in", job.list_seconds * 1_000.0, "ms"),
+            ("results read in", job.read_seconds * 1_000.0, "ms"),
         ];
         write_rows(text, "Largest job", &rows);
     }
@@ -210,32 +211,34 @@
         write_rows(text, "Full state", &rows);
     }
 
-    fn faults(&self) -> Vec<String> {
-        let mut faults = Vec::new();
+    fn exceeded_budgets(&self) -> Vec<String> {
+        let mut exceeded_budgets = Vec::new();
         if self.full_state.memory_bytes > MEMORY_BUDGET_BYTES {
             let mib = self.full_state.memory_bytes as f64 / MIB;
-            faults.push(format!("the full state takes {mib:.0} MiB of 256 MiB"));
+            exceeded_budgets.push(format!("the full state takes {mib:.0} MiB of 256 MiB"));
         }
-        let wanted = HEADROOM * PLAN_ITEMS_PER_SECOND;
-        if self.items_per_second < wanted {
+        let required = HEADROOM * PLAN_ITEMS_PER_SECOND;
+        if self.items_per_second < required {
             let rate = self.items_per_second;
-            faults.push(format!("{rate:.0} items a second, fewer than {wanted:.0}"));
+            exceeded_budgets.push(format!(
+                "{rate:.0} items a second, fewer than {required:.0}"
+            ));
         }
-        faults
+        exceeded_budgets
     }
 
-    /// Whether memory and rate hold.
+    /// Whether memory and rate are within the budgets.
     pub(super) fn is_within_budgets(&self) -> bool {
-        self.faults().is_empty()
+        self.exceeded_budgets().is_empty()
     }
 
     /// The last line of the command's output.
     pub(super) fn verdict_line(&self) -> String {
-        let faults = self.faults();
-        if faults.is_empty() {
+        let exceeded_budgets = self.exceeded_budgets();
+        if exceeded_budgets.is_empty() {
             return "verdict: within the budgets".to_owned();
         }
-        format!("verdict: {}", faults.join("; "))
+        format!("verdict: {}", exceeded_budgets.join("; "))
     }
 }
 
--- a/crates/lab/src/measure/state/slopes.rs
+++ b/crates/lab/src/measure/state/slopes.rs
@@ -20,20 +20,20 @@
 };
 use crate::{
     memory::{allocated_bytes, peak_bytes, reset_peak},
-    output::say,
+    output::print_line,
 };
 
-/// Items of each job where the jobs are counted.
+/// Items of each job in the states in which jobs are counted.
 const ITEMS_PER_SMALL_JOB: u64 = 8;
 /// Jobs over which counted items are spread.
 const JOBS_OF_ITEMS: u64 = 4;
-/// Bytes of a line and of a result where only jobs or leases are counted.
+/// Bytes of a line and of a result in the states in which only jobs or leases are counted.
 const SHORT_BYTES: usize = 64;
 /// Items that one session may hold.
 const ITEMS_PER_SESSION: u64 = 16_384;
-/// Keys that one session may hold while they run.
+/// Idempotency keys of running requests that one session may hold.
 const CLAIMS_PER_SESSION: u64 = 32_768;
-/// Tenants where something else is counted.
+/// Tenants in the states in which another kind of entry is counted.
 const FEW_TENANTS: u64 = 100;
 /// Replicas of the plan, each with at most one open order.
 const REPLICAS: u64 = 600;
@@ -51,11 +51,11 @@
     OpenJob,
     /// A finished job of a few items, with its input file.
     FinishedJob,
-    /// An item that waits, in a large job.
+    /// A pending item of a large job.
     PendingItem,
     /// An item under lease.
     LeasedItem,
-    /// An item with its result, in a finished job.
+    /// An item with its result, of a finished job.
     DoneItem,
     /// An idempotency key of a running request.
     RunningClaim,
@@ -80,7 +80,7 @@
         Entry::Order,
     ];
 
-    /// The words of the report.
+    /// The name in the report.
     pub(super) fn name(self) -> &'static str {
         match self {
             Entry::Tenant => "tenant",
@@ -98,8 +98,8 @@
     }
 
     /// The largest size that is built.
-    fn most(self, sizes: &Arguments) -> u64 {
-        let most = match self {
+    fn max_size(self, sizes: &Arguments) -> u64 {
+        let max_size = match self {
             Entry::Tenant => sizes.tenants,
             Entry::Revision => sizes.changes,
             Entry::Session => sizes.gateways,
@@ -109,7 +109,7 @@
             Entry::RunningClaim | Entry::AnsweredClaim => sizes.claims,
             Entry::Order => REPLICAS,
         };
-        most.max(4)
+        max_size.max(4)
     }
 
     fn build(
@@ -147,15 +147,15 @@
 /// Memory of one kind of entry.
 #[derive(Clone, Debug)]
 pub(super) struct Slope {
-    /// Which kind.
+    /// The kind of entry.
     pub(super) entry: Entry,
     /// Bytes allocated once the state is built, by size.
     pub(super) held: Vec<Point>,
-    /// Bytes allocated at most while it was built, by size.
+    /// Peak of the bytes allocated while the state was built, by size.
     pub(super) peak: Vec<Point>,
 }
 
-/// Builds every state at a quarter, a half and the whole of its size.
+/// Builds every state at a quarter, a half and all of its maximum size.
 pub(super) fn measure(arguments: &Arguments, data: &Path) -> Result<Vec<Slope>, Report<ErrorKind>> {
     Entry::ALL
         .into_iter()
@@ -168,13 +168,13 @@
     arguments: &Arguments,
     data: &Path,
 ) -> Result<Slope, Report<ErrorKind>> {
-    let most = entry.most(arguments);
+    let max_size = entry.max_size(arguments);
     let mut slope = Slope {
         entry,
         held: Vec::new(),
         peak: Vec::new(),
     };
-    for size in [most / 4, most / 2, most] {
+    for size in [max_size / 4, max_size / 2, max_size] {
         let folder = data.join("slope");
         super::clear(&folder)?;
         let before = allocated_bytes();
@@ -184,7 +184,7 @@
             configure(&mut member, fleet_file(FEW_TENANTS, 0))?;
         }
         entry.build(&mut member, size, arguments.line_bytes)?;
-        // What waits to be written to disk is not part of the state.
+        // Data that is not yet written to disk is not part of the state.
         member.ledger.payloads().sync()?;
         let point = |bytes: u64| Point {
             size,
@@ -196,7 +196,7 @@
         super::clear(&folder)?;
     }
     let line = fit_line(&slope.held);
-    say(&format!("  {:.1} bytes a {}", line.slope, entry.name()));
+    print_line(&format!("  {:.1} bytes a {}", line.slope, entry.name()));
     Ok(slope)
 }
 
@@ -214,7 +214,7 @@
     Ok(())
 }
 
-/// Jobs that share so many items.
+/// A number of jobs and their total number of items.
 struct Jobs {
     jobs: u64,
     items: u64,
@@ -223,9 +223,9 @@
 
 impl Jobs {
     fn accept(&self, member: &mut MeasuredMember) -> Result<(), Report<ErrorKind>> {
-        let share = (self.items / self.jobs).max(1);
+        let items_per_job = (self.items / self.jobs).max(1);
         for number in 0..self.jobs {
-            let plan = JobPlan::new(number, FEW_TENANTS, share, self.line_bytes);
+            let plan = JobPlan::new(number, FEW_TENANTS, items_per_job, self.line_bytes);
             upload(member, &plan)?;
             accept(member, &plan)?;
         }
--- a/crates/lab/src/memory.rs
+++ b/crates/lab/src/memory.rs
@@ -1,4 +1,4 @@
-//! Memory that is allocated, counted by the allocator itself.
+//! Allocated memory, as counted by the allocator.
 
 use peak_alloc::PeakAlloc;
 
@@ -10,12 +10,12 @@
     ALLOCATOR.current_usage() as u64
 }
 
-/// Begins a new search for the peak; see [`peak_bytes`].
+/// Resets the peak that [`peak_bytes`] returns.
 pub(crate) fn reset_peak() {
     ALLOCATOR.reset_peak_usage();
 }
 
-/// The most bytes allocated at once since [`reset_peak`].
+/// Maximum number of bytes allocated at one time since [`reset_peak`].
 pub(crate) fn peak_bytes() -> u64 {
     ALLOCATOR.peak_usage() as u64
 }
--- a/crates/lab/src/output.rs
+++ b/crates/lab/src/output.rs
@@ -1,11 +1,11 @@
-//! Printing on standard output.
+//! Prints to standard output.
 
 use std::io::Write;
 
-/// Prints a line at once, also into a pipe.
-pub(crate) fn say(line: &str) {
+/// Prints a line and flushes it, also into a pipe.
+pub(crate) fn print_line(line: &str) {
     let mut output = std::io::stdout().lock();
-    // A reader that is gone is no reason to stop.
+    // A closed pipe does not stop the program.
     let _ = writeln!(output, "{line}");
     let _ = output.flush();
 }
--- a/crates/lab/src/platform.rs
+++ b/crates/lab/src/platform.rs
@@ -11,7 +11,7 @@
 use linnethitch_protocol::fleet::Machine;
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict, runtime, stop_signal},
 };
 
@@ -44,7 +44,7 @@
     };
     let text = std::fs::read_to_string(file)
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not read {}", file.display()))?;
+        .attach_with(|| format!("cannot read {}", file.display()))?;
     machines_from_json(&text)
         .change_context(ErrorKind::InvalidValue)
         .attach_with(|| format!("{} is not a list of machines", file.display()))
@@ -63,7 +63,7 @@
     let platform = PlatformServer::start(settings)
         .await
         .change_context(ErrorKind::Io)
-        .attach_with(|| format!("can not listen on {}", arguments.listen))?;
-    say(&format!("platform listens on {}", platform.address()));
+        .attach_with(|| format!("cannot listen on {}", arguments.listen))?;
+    print_line(&format!("platform listens on {}", platform.address()));
     stop_signal().await.map(|()| Verdict::Good)
 }
--- a/crates/lab/src/process.rs
+++ b/crates/lab/src/process.rs
@@ -1,4 +1,4 @@
-//! Running a subcommand: its runtime, its signals, its exit code.
+//! Runtime, signals and exit code of a subcommand.
 
 use std::process::ExitCode;
 
@@ -12,16 +12,16 @@
 /// How a subcommand ended when it did not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Verdict {
-    /// All is well.
+    /// No problem was found.
     Good,
-    /// It ran to its end and found something wrong, which it has printed.
+    /// The subcommand ran to its end and printed a problem that it found.
     Bad,
 }
 
 /// The outcome of a subcommand.
 pub(crate) type Outcome = Result<Verdict, Report<ErrorKind>>;
 
-/// The exit code: 0 when all is well, 1 when something was found wrong, 2 on failure.
+/// The exit code: 0 when no problem was found, 1 when one was found, 2 on failure.
 pub(crate) fn exit_code(outcome: Outcome) -> ExitCode {
     match outcome {
         Ok(Verdict::Good) => ExitCode::SUCCESS,
@@ -36,7 +36,7 @@
 /// A runtime with a thread per core.
 ///
 /// # Errors
-/// `Io` when the system gives no threads.
+/// `Io` when the threads cannot be created.
 pub(crate) fn runtime() -> Result<Runtime, Report<ErrorKind>> {
     Builder::new_multi_thread()
         .enable_all()
@@ -47,7 +47,7 @@
 /// Waits for SIGINT or SIGTERM.
 ///
 /// # Errors
-/// `Io` when signals can not be watched.
+/// `Io` when the signal handlers cannot be installed.
 pub(crate) async fn stop_signal() -> Result<(), Report<ErrorKind>> {
     let mut interrupt = signal(SignalKind::interrupt()).change_context(ErrorKind::Io)?;
     let mut terminate = signal(SignalKind::terminate()).change_context(ErrorKind::Io)?;
--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -17,11 +17,11 @@
 };
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
-/// Numbers of gateways that are measured on the way to the full one.
+/// Numbers of gateways that are measured before the full number.
 const STEPS: [usize; 3] = [50, 100, 200];
 
 /// The fleet and how long it is measured:
@@ -58,7 +58,7 @@
     output: PathBuf,
 }
 
-/// Runs the fleet; the verdict is bad when a budget is broken.
+/// Runs the fleet; the verdict is bad when a budget is exceeded.
 pub(crate) fn run(arguments: &Arguments) -> Outcome {
     let settings = ScaleSettings {
         steps: steps(arguments.gateways),
@@ -81,11 +81,11 @@
         ..LogSettings::default()
     });
     let results = run_scale(&settings, &logging.logger(), &progress)?;
-    say(&format!(
+    print_line(&format!(
         "report: {}",
         settings.output.join("report.md").display()
     ));
-    say(&results.verdict());
+    print_line(&results.verdict());
     Ok(if results.is_good() {
         Verdict::Good
     } else {
--- a/crates/lab/src/simulate.rs
+++ b/crates/lab/src/simulate.rs
@@ -11,7 +11,7 @@
 };
 
 use crate::{
-    output::say,
+    output::print_line,
     process::{Outcome, Verdict},
 };
 
@@ -60,7 +60,7 @@
     })
 }
 
-/// Runs all seeds; the last line sums them up.
+/// Runs all seeds; the last printed line is a summary.
 pub(crate) fn run(arguments: &Arguments) -> Outcome {
     let next = AtomicU64::new(arguments.first_seed);
     let end = arguments.first_seed.saturating_add(arguments.seeds);
@@ -83,7 +83,7 @@
         }
     });
     let total = total.into_inner().unwrap_or_else(PoisonError::into_inner);
-    say(&total.summary());
+    print_line(&total.summary());
     if total.violations.is_empty() {
         Ok(Verdict::Good)
     } else {
@@ -107,14 +107,14 @@
     }
     options.trace = false;
     if let Some(violation) = report.violations.first() {
-        say(&format!("seed {seed}: {violation}"));
-        say(&format!("  run it again: {}", rerun_line(&options)));
+        print_line(&format!("seed {seed}: {violation}"));
+        print_line(&format!("  run it again: {}", rerun_line(&options)));
         if !arguments.no_shrink {
             let (smaller, report) = shrink(&options, report.clone());
             for violation in &report.violations {
-                say(&format!("  shrunk: {violation}"));
+                print_line(&format!("  shrunk: {violation}"));
             }
-            say(&format!("  run it again: {}", rerun_line(&smaller)));
+            print_line(&format!("  run it again: {}", rerun_line(&smaller)));
         }
     }
     report
--- a/crates/lab/tests/all/dev.rs
+++ b/crates/lab/tests/all/dev.rs
@@ -1,4 +1,5 @@
-//! `dev` as a process: it serves, answers errors by the table, stops cleanly.
+//! `dev` as a process: it serves requests, answers errors according to the error table and stops
+//! cleanly.
 
 use std::{path::Path, process::Command};
 
@@ -20,7 +21,7 @@
     caller: Caller,
     operator: Caller,
     model: &'static str,
-    /// The command lines that it prints to try.
+    /// The example commands that `dev` prints.
     hints: String,
 }
 
@@ -58,7 +59,7 @@
     fn stop(&mut self) {
         self.process.terminate();
         assert_eq!(self.process.wait().code(), Some(0));
-        assert!(self.process.rest_of_output().ends_with("stopped"));
+        assert!(self.process.remaining_output().ends_with("stopped"));
     }
 
     async fn revision(&self) -> Value {
@@ -66,7 +67,7 @@
     }
 }
 
-/// Runs command lines in a shell that stops at the first failure; what they print.
+/// Runs command lines in a shell that stops at the first failure; returns their output.
 fn run_in_shell(script: &str, folder: &TempDir) -> String {
     let programs = Path::new(env!("CARGO_BIN_EXE_linnethitch-lab")).parent();
     let path = std::env::var("PATH").unwrap();
@@ -84,7 +85,9 @@
 #[case::granite_lane("granite-lane")]
 #[case::hanbit("hanbit")]
 #[tokio::test]
-async fn it_serves_what_it_prints_and_keeps_it_over_a_restart(#[case] deployment: &'static str) {
+async fn the_printed_commands_work_and_their_results_survive_a_restart(
+    #[case] deployment: &'static str,
+) {
     let (data, work) = (TempDir::new().unwrap(), TempDir::new().unwrap());
     let mut first = dev(deployment, &data);
     assert_eq!(first.caller.get("/readyz").await.status, StatusCode::OK);
@@ -115,11 +118,11 @@
 
     let mut second = dev(deployment, &data);
     assert_eq!(second.revision().await, revision);
-    let again = second
+    let reread = second
         .caller
         .get(&format!("/v1/files/{output}/content"))
         .await;
-    assert_eq!(again.text(), results.text());
+    assert_eq!(reread.text(), results.text());
     let body = json!({"model": second.model, "messages": [{"role": "user", "content": "hello"}]});
     let answer = second.caller.post(CHAT, &body).await;
     assert_eq!(answer.status, StatusCode::OK, "{}", answer.text());
@@ -129,7 +132,7 @@
     second.stop();
 }
 
-/// A request that must be refused, and how.
+/// A request that must be refused, and the expected error.
 struct Refused {
     name: &'static str,
     method: &'static str,
@@ -273,17 +276,17 @@
 }
 
 #[tokio::test]
-async fn errors_are_answered_by_the_table() {
+async fn errors_are_answered_according_to_the_error_table() {
     let folder = TempDir::new().unwrap();
     let dev = dev("granite-lane", &folder);
-    let mut wrong = Vec::new();
+    let mut mismatches = Vec::new();
     for refused in refused_requests(dev.model) {
         let caller = Caller::new(dev.caller.address(), refused.key);
         let body = refused.body.clone();
         let answer = caller
             .ask(refused.method, refused.path, refused.headers, body)
             .await;
-        wrong.extend(differences(&refused, &answer));
+        mismatches.extend(differences(&refused, &answer));
     }
-    assert!(wrong.is_empty(), "{}", wrong.join("\n"));
+    assert!(mismatches.is_empty(), "{}", mismatches.join("\n"));
 }
--- a/crates/lab/tests/all/load.rs
+++ b/crates/lab/tests/all/load.rs
@@ -1,5 +1,5 @@
-//! `load` must see every fault of an answer. It is run against an engine
-//! directly, which answers chat completions as a gateway does.
+//! `load` must detect every fault of an answer. It is run against an emulated engine directly,
+//! which answers chat completions as a gateway does.
 
 use rstest::rstest;
 use serde_json::{Value, json};
@@ -34,7 +34,7 @@
     ];
     let mut load = ChildProcess::lab(&[&arguments, more].concat());
     let code = load.wait().code();
-    let report = serde_json::from_str(&load.rest_of_output()).unwrap();
+    let report = serde_json::from_str(&load.remaining_output()).unwrap();
     (code, report)
 }
 
@@ -94,7 +94,7 @@
 #[case::late_tokens(json!({"fault": "slow", "percent": 800}), &["--limit-between-tokens-ms", "1"])]
 #[case::never_an_answer(json!({"fault": "hang"}), &["--drain", "0.5"])]
 #[tokio::test]
-async fn a_passed_limit_is_a_bad_verdict(#[case] fault: Value, #[case] limit: &[&str]) {
+async fn an_exceeded_limit_is_a_bad_verdict(#[case] fault: Value, #[case] limit: &[&str]) {
     let (code, report) = run_load(&[fault], limit).await;
     assert_eq!(code, Some(1), "{report}");
     assert_eq!(sum(&report, "wrong"), 0, "{report}");
--- a/crates/lab/tests/all/measure.rs
+++ b/crates/lab/tests/all/measure.rs
@@ -1,4 +1,4 @@
-//! `linnethitch-lab measure` writes figures that the capacity page takes.
+//! `linnethitch-lab measure` writes measurements that `capacity` renders into its page.
 
 use std::{fs, path::Path, process::Command};
 
@@ -25,7 +25,7 @@
 ];
 
 #[test]
-fn the_state_is_measured_and_the_capacity_page_takes_the_figures() {
+fn the_state_is_measured_and_the_capacity_page_shows_the_measurements() {
     let folder = tempfile::tempdir().unwrap();
     let measured = folder.path().join("measured.json");
     let page = folder.path().join("page.md");
--- a/crates/lab/tests/all/scale.rs
+++ b/crates/lab/tests/all/scale.rs
@@ -1,4 +1,4 @@
-//! `scale` with a small fleet: it runs to its end and says what it found.
+//! `scale` with a small fleet: it runs to its end and reports its verdict.
 
 use std::process::Command;
 
@@ -18,11 +18,11 @@
         .unwrap();
     let printed = String::from_utf8(output.stdout).unwrap();
     let verdict = printed.lines().last().unwrap_or_default();
-    let told = String::from_utf8_lossy(&output.stderr);
+    let progress = String::from_utf8_lossy(&output.stderr);
     match output.status.code() {
         Some(0) => assert!(verdict.starts_with("PASS: "), "{printed}"),
         Some(1) => assert!(verdict.starts_with("FAIL: over budget: "), "{printed}"),
-        code => panic!("exit status {code:?}\n{told}"),
+        code => panic!("exit status {code:?}\n{progress}"),
     }
     let report = std::fs::read_to_string(folder.path().join("report.md")).unwrap();
     assert!(report.contains(verdict), "{report}");
--- a/crates/lab/tests/all/support/caller.rs
+++ b/crates/lab/tests/all/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller of HTTP interfaces.
+//! An HTTP client for the interfaces under test.
 
 use std::net::SocketAddr;
 
@@ -22,7 +22,7 @@
     key: String,
 }
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Debug)]
 pub(crate) struct Answer {
     pub(crate) status: StatusCode,
@@ -31,7 +31,7 @@
 }
 
 impl Answer {
-    /// The body as JSON; null when it is not.
+    /// The body as JSON; null if it is not JSON.
     pub(crate) fn json(&self) -> Value {
         serde_json::from_slice(&self.bytes).unwrap_or(Value::Null)
     }
@@ -55,7 +55,7 @@
         self.address
     }
 
-    /// Sends a request; the body of its answer is unread.
+    /// Sends a request and returns the answer with its body unread.
     pub(crate) async fn send(
         &self,
         method: &str,
@@ -74,7 +74,7 @@
         self.client.request(request).await
     }
 
-    /// Sends a request and reads its whole answer.
+    /// Sends a request and reads its complete answer.
     pub(crate) async fn ask(
         &self,
         method: &str,
@@ -86,7 +86,7 @@
         answer.unwrap_or_else(|| panic!("{method} {path} is not answered"))
     }
 
-    /// Sends a request and reads its whole answer; `None` when the connection breaks.
+    /// Sends a request and reads its complete answer; `None` when the connection breaks.
     pub(crate) async fn try_ask(
         &self,
         method: &str,
--- a/crates/lab/tests/all/support/job.rs
+++ b/crates/lab/tests/all/support/job.rs
@@ -1,4 +1,4 @@
-//! A batch job of a caller that insists until it is answered.
+//! A batch job whose caller repeats its requests until they succeed.
 
 use std::collections::BTreeMap;
 
@@ -17,12 +17,12 @@
     AtMostOnce,
 }
 
-/// What became of an item.
+/// The result of an item.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum ItemResult {
-    /// The text of its answer.
+    /// The text of the item's answer.
     Answered(String),
-    /// The code of its error.
+    /// The code of the item's error.
     Failed(String),
 }
 
@@ -41,7 +41,7 @@
         let lines: Vec<String> = lines.collect();
         let path = "/v1/files?purpose=batch";
         let headers = [("content-type", "application/jsonl")];
-        let uploaded = insist(gateway, "POST", path, &headers, lines.join("\n")).await;
+        let uploaded = call_with_retries(gateway, "POST", path, &headers, lines.join("\n")).await;
         let file = uploaded.json()["id"].as_str().unwrap().to_owned();
         let mut job = Job {
             id: String::new(),
@@ -53,7 +53,7 @@
         job
     }
 
-    /// Sends the creation, first or again; the id in its answer.
+    /// Sends the creation, for the first time or again; returns the job id of the answer.
     pub(crate) async fn create(&self, gateway: &Caller) -> String {
         let body = json!({
             "input_file_id": self.file,
@@ -64,17 +64,20 @@
             ("content-type", "application/json"),
             ("idempotency-key", self.key.as_str()),
         ];
-        let answer = insist(gateway, "POST", "/v1/batches", &headers, body.to_string()).await;
+        let answer =
+            call_with_retries(gateway, "POST", "/v1/batches", &headers, body.to_string()).await;
         answer.json()["id"].as_str().unwrap().to_owned()
     }
 
     async fn get(&self, gateway: &Caller) -> Value {
         let path = format!("/v1/batches/{}", self.id);
-        insist(gateway, "GET", &path, &[], "").await.json()
+        call_with_retries(gateway, "GET", &path, &[], "")
+            .await
+            .json()
     }
 
-    /// Waits until some items are completed; the job must not be at its end then.
-    pub(crate) async fn wait_until_under_way(&self, gateway: &Caller) {
+    /// Waits until some items are completed; fails if all of them are.
+    pub(crate) async fn wait_until_in_progress(&self, gateway: &Caller) {
         wait_until("some items of the job are completed", async || {
             let completed = self.get(gateway).await["request_counts"]["completed"].as_u64();
             assert!(completed < Some(self.items.into()), "the job was too short");
@@ -83,31 +86,34 @@
         .await;
     }
 
-    /// Cancels it; what is answered then is the last word.
+    /// Cancels the job; once this is answered, the results are final.
     pub(crate) async fn cancel(&self, gateway: &Caller) {
         let path = format!("/v1/batches/{}/cancel", self.id);
-        insist(gateway, "POST", &path, &[], "").await;
+        call_with_retries(gateway, "POST", &path, &[], "").await;
     }
 
-    /// Waits until it is at an end of this kind; its results by item, each there once.
+    /// Waits until the job has the status `end` and returns its results by item; fails if an item
+    /// has more than one.
     pub(crate) async fn results(
         &self,
         gateway: &Caller,
         end: &str,
     ) -> BTreeMap<String, ItemResult> {
-        let mut ended = Value::Null;
+        let mut final_state = Value::Null;
         wait_until(end, async || {
-            ended = self.get(gateway).await;
-            ended["status"] == end
+            final_state = self.get(gateway).await;
+            final_state["status"] == end
         })
         .await;
         let mut results = BTreeMap::new();
         for member in ["output_file_id", "error_file_id"] {
-            let Some(file) = ended[member].as_str() else {
+            let Some(file) = final_state[member].as_str() else {
                 continue;
             };
             let path = format!("/v1/files/{file}/content");
-            let content = insist(gateway, "GET", &path, &[], "").await.text();
+            let content = call_with_retries(gateway, "GET", &path, &[], "")
+                .await
+                .text();
             for line in content.lines() {
                 let line: Value = serde_json::from_str(line).unwrap();
                 let id = line["custom_id"].as_str().unwrap().to_owned();
@@ -115,27 +121,27 @@
                 assert!(earlier.is_none(), "a second result: {line}");
             }
         }
-        let counts = &ended["request_counts"];
+        let counts = &final_state["request_counts"];
         let counted = counts["completed"].as_u64().unwrap() + counts["failed"].as_u64().unwrap();
-        assert_eq!(counted, results.len() as u64, "{ended}");
+        assert_eq!(counted, results.len() as u64, "{final_state}");
         results
     }
 
-    /// Waits for the end; every item must have its own answer.
+    /// Waits for the completion of the job; every item must have its own answer.
     pub(crate) async fn assert_completes(&self, gateway: &Caller) {
         let expected = (0..self.items).map(|item| (custom_id(item), expected(item)));
         let results = self.results(gateway, "completed").await;
         assert_eq!(results, expected.collect());
     }
 
-    /// Waits for the end; every item must have been started once at the most, and
+    /// Waits for the completion of the job; every item must have been started at most once, and
     /// have its own answer or an unknown outcome.
     pub(crate) async fn assert_ran_at_most_once(&self, gateway: &Caller, engines: &[Caller]) {
         let results = self.results(gateway, "completed").await;
         assert_eq!(results.len(), self.items as usize);
         let unknown = ItemResult::Failed("outcome_unknown".to_owned());
         let in_flight = results.values().any(|result| *result == unknown);
-        assert!(in_flight, "the loss found nothing in flight");
+        assert!(in_flight, "no item was in flight at the loss");
         for item in 0..self.items {
             let result = &results[&custom_id(item)];
             assert!(
@@ -171,7 +177,7 @@
     format!("Price lane {item} of the bundle.")
 }
 
-/// The answer that the engines must give.
+/// The expected answer of the engines.
 fn expected(item: u32) -> ItemResult {
     let key = key_of(&prompt(item));
     ItemResult::Answered(key.text(key.natural_length().min(MAX_TOKENS)))
@@ -191,8 +197,8 @@
     line.to_string()
 }
 
-/// Repeats a call that may be repeated until it succeeds.
-async fn insist(
+/// Repeats a call until it succeeds; panics if it is refused with a client error.
+async fn call_with_retries(
     gateway: &Caller,
     method: &str,
     path: &str,
--- a/crates/lab/tests/all/support/mod.rs
+++ b/crates/lab/tests/all/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: child processes, an HTTP client, the example of one host.
+//! Shared test support: child processes, an HTTP client and the one-host example.
 
 mod caller;
 mod job;
@@ -17,15 +17,15 @@
     stream::{Stream, key_of},
 };
 
-/// Longest wait for anything that a process should do.
-const PATIENCE: Duration = Duration::from_secs(60);
-const POLL: Duration = Duration::from_millis(20);
+/// Timeout of waiting for a process to reach an expected state.
+const TIMEOUT: Duration = Duration::from_secs(60);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Waits until a condition holds.
 pub(crate) async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+    let end = Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < end, "waited in vain: {what}");
-        tokio::time::sleep(POLL).await;
+        assert!(Instant::now() < end, "timed out waiting until: {what}");
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/lab/tests/all/support/one_host.rs
+++ b/crates/lab/tests/all/support/one_host.rs
@@ -1,4 +1,4 @@
-//! The example of one host: every process of a fleet on its own, on free ports.
+//! The one-host example: a fleet with one operating system process per member, on free ports.
 
 use std::{
     collections::BTreeMap,
@@ -12,7 +12,7 @@
 use tempfile::TempDir;
 use tokio::task::JoinHandle;
 
-use super::{Answer, Caller, ChildProcess, PATIENCE, POLL, ports::Ports, wait_until};
+use super::{Answer, Caller, ChildProcess, POLL_INTERVAL, TIMEOUT, ports::Ports, wait_until};
 
 /// The tenant's key in the example's fleet file.
 const TENANT_KEY: &str = "lh-dev-key";
@@ -29,7 +29,7 @@
 const FIRST_OPERATOR_PORT: u16 = 8090;
 const FIRST_ENGINE_PORT: u16 = 7501;
 
-/// The fleet; its processes are killed and its files deleted with it.
+/// The fleet; dropping it kills its processes and deletes its files.
 pub(crate) struct OneHost {
     running: BTreeMap<String, ChildProcess>,
     /// Names of the processes and their commands, as the Procfile has them.
@@ -39,11 +39,11 @@
 }
 
 impl OneHost {
-    /// Starts every process but those named, applies the fleet file and waits until it serves.
-    pub(crate) async fn start_without(left_out: &[&str]) -> OneHost {
+    /// Starts every process except the excluded ones, applies the fleet file and waits until it serves.
+    pub(crate) async fn start_without(excluded: &[&str]) -> OneHost {
         let mut host = OneHost::prepare();
         for (name, _) in host.commands.clone() {
-            if !left_out.contains(&name.as_str()) {
+            if !excluded.contains(&name.as_str()) {
                 host.start(&name);
             }
         }
@@ -68,7 +68,7 @@
             fs::write(copy.join(entry.file_name()), ports.replace_in(&text)).unwrap();
         }
         let procfile = fs::read_to_string(copy.join("Procfile")).unwrap();
-        let commands = procfile.lines().map(command_of).collect();
+        let commands = procfile.lines().map(parse_command).collect();
         OneHost {
             running: BTreeMap::new(),
             commands,
@@ -77,7 +77,7 @@
         }
     }
 
-    /// Applies the fleet file as the example says.
+    /// Applies the fleet file with the command of the example.
     fn apply_by_command_line(&mut self) {
         let mut command = Command::new(program("linnethitch"));
         command
@@ -92,7 +92,7 @@
         assert!(output.status.success(), "{output:?}");
     }
 
-    /// Starts a process that does not run.
+    /// Starts a process that is not running.
     pub(crate) fn start(&mut self, name: &str) {
         let (_, words) = self
             .commands
@@ -115,7 +115,7 @@
         self.running[name].terminate();
     }
 
-    /// Waits for the end of a process that was asked to stop.
+    /// Waits until a process has exited that was asked to stop.
     pub(crate) fn wait(&mut self, name: &str) -> ExitStatus {
         self.running.remove(name).unwrap().wait()
     }
@@ -169,7 +169,7 @@
         self.running.contains_key(name)
     }
 
-    /// Sends a change to one member in the background; its answer, if there is one.
+    /// Sends a change to one member in the background; the task returns the answer, if any.
     pub(crate) fn send_change(
         &mut self,
         member: u16,
@@ -191,25 +191,25 @@
         })
     }
 
-    /// Sends a change to one member after the other until one answers for good.
+    /// Sends a change to the members in turn until one gives a final answer.
     pub(crate) async fn apply(&mut self, change: &str, expected: u64, content: &str) -> Answer {
-        let mut settled = None;
-        wait_until("a change is answered for good", async || {
+        let mut final_answer = None;
+        wait_until("a change has a final answer", async || {
             for member in 1..=MEMBERS {
                 let sent = self.send_change(member, change, expected, content);
                 let answer = sent.await.unwrap();
-                settled = answer.filter(|answer| !answer.status.is_server_error());
-                if settled.is_some() {
+                final_answer = answer.filter(|answer| !answer.status.is_server_error());
+                if final_answer.is_some() {
                     return true;
                 }
             }
             false
         })
         .await;
-        settled.unwrap()
+        final_answer.unwrap()
     }
 
-    /// What the first member that answers knows of the fleet; null when none does.
+    /// The fleet status from the first member that answers; null when none does.
     pub(crate) async fn status(&mut self) -> Value {
         for number in 1..=MEMBERS {
             if !self.is_running(&format!("control-{number}")) {
@@ -223,20 +223,27 @@
         Value::Null
     }
 
-    /// Waits until the status is as it should be.
-    pub(crate) async fn wait_for_status(&mut self, what: &str, is_right: impl Fn(&Value) -> bool) {
-        let end = Instant::now() + PATIENCE;
+    /// Waits until the status fulfils a condition.
+    pub(crate) async fn wait_for_status(
+        &mut self,
+        what: &str,
+        is_expected: impl Fn(&Value) -> bool,
+    ) {
+        let end = Instant::now() + TIMEOUT;
         loop {
             let status = self.status().await;
-            if is_right(&status) {
+            if is_expected(&status) {
                 return;
             }
-            assert!(Instant::now() < end, "waited in vain: {what}: {status}");
-            tokio::time::sleep(POLL).await;
+            assert!(
+                Instant::now() < end,
+                "timed out waiting until: {what}: {status}"
+            );
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Name of the process of the control member that leads.
+    /// Waits for a leader and returns the name of its process.
     pub(crate) async fn leader(&mut self) -> String {
         let mut leader = None;
         wait_until("a control member leads", async || {
@@ -251,7 +258,7 @@
         leader.unwrap()
     }
 
-    /// Waits until all members vote, all replicas are known and all running gateways serve.
+    /// Waits until all members vote, all replicas are listed and all running gateways are ready.
     pub(crate) async fn wait_until_ready(&mut self) {
         self.wait_for_status("five voters and all replicas", |status| {
             let voters = members(status)
@@ -275,13 +282,13 @@
     status["members"].as_array().map_or(&[], Vec::as_slice)
 }
 
-fn command_of(line: &str) -> (String, Vec<String>) {
+fn parse_command(line: &str) -> (String, Vec<String>) {
     let (name, command) = line.split_once(": ").unwrap();
     let words = command.split_whitespace().map(str::to_owned);
     (name.to_owned(), words.collect())
 }
 
-/// The program beside the one under test.
+/// Path of a program in the same folder as the program under test.
 fn program(name: &str) -> PathBuf {
     let lab = Path::new(env!("CARGO_BIN_EXE_linnethitch-lab"));
     let program = lab.with_file_name(name);
--- a/crates/lab/tests/all/support/ports.rs
+++ b/crates/lab/tests/all/support/ports.rs
@@ -7,14 +7,14 @@
 
 const LOOPBACK: &str = "127.0.0.1:";
 
-/// A free port for each port that an example names.
+/// Maps each port of an example to a free port.
 #[derive(Default)]
 pub(crate) struct Ports {
     chosen: BTreeMap<u16, SocketAddr>,
 }
 
 impl Ports {
-    /// Where the process that the example puts on `port` listens.
+    /// The address that replaces `port` of the example.
     pub(crate) fn of(&mut self, port: u16) -> SocketAddr {
         *self.chosen.entry(port).or_insert_with(reserve)
     }
@@ -33,15 +33,14 @@
     }
 }
 
-/// A port that the system gives to nobody else for a minute: a connection to it
-/// is left in TIME_WAIT, beside which a listener may be bound but which keeps the
-/// port from being chosen again.
+/// Reserves a port for about a minute: a connection to the port is left in TIME_WAIT. A listener
+/// can still be bound, but the system does not choose the port for another process.
 fn reserve() -> SocketAddr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = listener.local_addr().unwrap();
     let client = TcpStream::connect(address).unwrap();
     let (server, _) = listener.accept().unwrap();
-    // The side that closes first keeps the port in TIME_WAIT.
+    // The side that closes first is left in TIME_WAIT; it must be the side that owns the port.
     drop(server);
     drop(client);
     address
--- a/crates/lab/tests/all/support/process.rs
+++ b/crates/lab/tests/all/support/process.rs
@@ -1,4 +1,4 @@
-//! Child processes, ended by their own ids.
+//! Child processes, which are signalled by their own process ids.
 
 use std::{
     io::{BufRead, BufReader},
@@ -8,7 +8,7 @@
     time::Instant,
 };
 
-use super::{PATIENCE, POLL};
+use super::{POLL_INTERVAL, TIMEOUT};
 
 /// A running program; killed when dropped.
 pub(crate) struct ChildProcess {
@@ -48,12 +48,12 @@
         ChildProcess::spawn(command)
     }
 
-    /// The next line of its output that holds `text`.
+    /// The next line of output that contains `text`.
     pub(crate) fn line_with(&mut self, text: &str) -> String {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + TIMEOUT;
         loop {
-            let left = end.saturating_duration_since(Instant::now());
-            match self.lines.recv_timeout(left) {
+            let remaining = end.saturating_duration_since(Instant::now());
+            match self.lines.recv_timeout(remaining) {
                 Ok(line) => {
                     self.seen.push(line.clone());
                     if line.contains(text) {
@@ -65,14 +65,14 @@
         }
     }
 
-    /// Its output up to a line that is `text`.
+    /// The output up to a line that equals `text`.
     pub(crate) fn lines_until(&mut self, text: &str) -> String {
         let from = self.seen.len();
         while self.line_with(text) != text {}
         self.seen[from..self.seen.len() - 1].join("\n")
     }
 
-    /// The address at the end of the next line that holds `text`.
+    /// The address at the end of the next line that contains `text`.
     pub(crate) fn address_after(&mut self, text: &str) -> SocketAddr {
         let line = self.line_with(text);
         let word = line.rsplit(' ').next().unwrap();
@@ -80,41 +80,41 @@
             .unwrap_or_else(|_| panic!("no address in `{line}`"))
     }
 
-    /// Ends it by SIGKILL.
+    /// Kills the process with SIGKILL.
     pub(crate) fn kill(mut self) {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
     }
 
-    /// Asks it to stop by SIGTERM.
+    /// Asks the process to stop with SIGTERM.
     pub(crate) fn terminate(&self) {
         let process = self.child.id().to_string();
         let status = Command::new("kill").args(["-TERM", &process]).status();
         assert!(status.unwrap().success());
     }
 
-    /// Waits for its end.
+    /// Waits until the process exits.
     pub(crate) fn wait(&mut self) -> ExitStatus {
-        let end = Instant::now() + 4 * PATIENCE;
+        let end = Instant::now() + 4 * TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().unwrap() {
                 return status;
             }
             assert!(Instant::now() < end, "the process does not end");
-            std::thread::sleep(POLL);
+            std::thread::sleep(POLL_INTERVAL);
         }
     }
 
-    /// Everything it still prints until its end.
-    pub(crate) fn rest_of_output(&mut self) -> String {
-        let rest: Vec<String> = self.lines.iter().collect();
-        rest.join("\n")
+    /// All output that has not been read, up to the end of the process.
+    pub(crate) fn remaining_output(&mut self) -> String {
+        let lines: Vec<String> = self.lines.iter().collect();
+        lines.join("\n")
     }
 }
 
 impl Drop for ChildProcess {
     fn drop(&mut self) {
-        // It may have ended by itself.
+        // The process may already have exited.
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
--- a/crates/lab/tests/all/support/stream.rs
+++ b/crates/lab/tests/all/support/stream.rs
@@ -1,4 +1,4 @@
-//! A streamed answer read in the background.
+//! A streamed answer that is read in the background.
 
 use std::sync::{
     Arc,
@@ -15,7 +15,7 @@
 
 /// A stream in progress.
 pub(crate) struct Stream {
-    /// The answer's key.
+    /// Key from which the emulated engine generates the answer.
     pub(crate) key: PromptKey,
     tokens: Arc<AtomicUsize>,
     reading: JoinHandle<Result<String, String>>,
@@ -27,7 +27,7 @@
 }
 
 impl Stream {
-    /// Asks for a streamed answer.
+    /// Sends a request for a streamed answer.
     pub(crate) async fn open(caller: &Caller, prompt: &str) -> Stream {
         let body = json!({
             "model": "quote-writer", "stream": true,
@@ -49,19 +49,19 @@
         self.tokens.load(Ordering::Relaxed)
     }
 
-    /// Whether it is at its end.
+    /// Whether the stream has ended.
     pub(crate) fn has_ended(&self) -> bool {
         self.reading.is_finished()
     }
 
-    /// Reads to the end: the answer must be whole, each token once and in its place.
-    pub(crate) async fn assert_whole(self) {
+    /// Reads to the end; the answer must be complete, with each token once and in order.
+    pub(crate) async fn assert_complete(self) {
         let text = self.reading.await.unwrap();
         assert_eq!(text, Ok(self.key.text(self.key.natural_length())));
     }
 }
 
-/// The text of a stream that ends as it should; otherwise what was wrong.
+/// The text of a correctly ended stream; otherwise a description of the fault.
 async fn read(mut body: Incoming, tokens: Arc<AtomicUsize>) -> Result<String, String> {
     let mut unread = String::new();
     let mut text = String::new();
