--- a/crates/cli/src/explain.rs
+++ b/crates/cli/src/explain.rs
@@ -49,7 +49,7 @@
             eprintln!("{}", clock_note(file, *offset));
         }
     }
-    // The lines of one process keep their order.
+    // The sort is stable: lines of one process with the same time stay in order.
     found.sort_by_key(|(time_ms, ..)| *time_ms);
     for (time_ms, file, line) in &found {
         println!("{}", render_line(options.json, file, line, *time_ms));
@@ -139,7 +139,7 @@
     Ok(found.collect())
 }
 
-/// Percent-encodes everything but unreserved characters; the `/` in an item id is kept.
+/// Percent-encodes all characters except unreserved ones and the `/` in an item id.
 fn encode_path(id: &str) -> String {
     id.bytes()
         .map(|byte| match byte {
