--- a/crates/observability/src/journal.rs
+++ b/crates/observability/src/journal.rs
@@ -1,9 +1,10 @@
-//! The decision journal: what a process decided, why, and among which choices.
+//! The decision journal: the decisions of a process, their reasons, and the alternatives that
+//! were considered.
 //!
-//! Records are JSON lines in segment files of the data folder. A thread writes
-//! them; the caller only puts a record into a bounded queue and never waits.
-//! When the queue is full the record is dropped and counted. Records are not
-//! synced one by one: the journal explains, no promise rests on it.
+//! Records are JSON lines in segment files of the data folder. A thread writes the records;
+//! callers only put a record into a bounded queue and never wait. When the queue is full, the
+//! record is dropped and counted. Records are not synced: the journal serves explanations, and
+//! no guarantee depends on it.
 
 mod record;
 mod segments;
@@ -26,14 +27,14 @@
 use segments::SegmentWriter;
 pub use segments::{MAX_FOUND_RECORDS, lookup_in};
 
-/// Records that may wait for the writer.
+/// Maximum number of records that wait for the writer.
 const QUEUE_RECORDS: usize = 8_192;
-/// Longest time that a record stays in the writer's buffer.
+/// Maximum time that a record stays in the writer's buffer.
 const FLUSH_INTERVAL: Duration = Duration::from_millis(200);
-/// Folder of the journal in the data folder.
+/// Name of the journal folder in the data folder.
 const FOLDER: &str = "journal";
 
-/// Records that did not reach the journal.
+/// Numbers of records that did not reach the journal.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JournalLosses {
     /// Dropped because the queue was full.
@@ -53,14 +54,15 @@
     Flush(SyncSender<()>),
 }
 
-/// The journal of one process. Clones share it; the last one writes out what is queued.
+/// The journal of one process. Clones share it; dropping the last clone writes the queued
+/// records.
 #[derive(Clone)]
 pub struct Journal {
     shared: Arc<Shared>,
 }
 
 struct Shared {
-    /// `None` for a journal that keeps nothing.
+    /// `None` for a disabled journal.
     folder: Option<PathBuf>,
     queue: Mutex<Option<SyncSender<Message>>>,
     writer: Mutex<Option<JoinHandle<()>>>,
@@ -68,11 +70,11 @@
 }
 
 impl Journal {
-    /// Opens the journal in a data folder and starts its writer. Older
-    /// segments are kept up to `max_bytes` in all.
+    /// Opens the journal in a data folder and starts its writer. The oldest segments are removed
+    /// to keep the total size within `max_bytes`.
     ///
     /// # Errors
-    /// When the folder cannot be made or read.
+    /// When the folder cannot be created or read.
     pub fn open(data_dir: &Path, max_bytes: u64) -> io::Result<Self> {
         let folder = data_dir.join(FOLDER);
         let segments = SegmentWriter::open(&folder, max_bytes)?;
@@ -92,7 +94,7 @@
         })
     }
 
-    /// A journal that keeps nothing, for processes without a data folder.
+    /// A journal that discards all records, for processes without a data folder.
     #[must_use]
     pub fn disabled() -> Self {
         Journal {
@@ -116,20 +118,20 @@
         }
     }
 
-    /// Waits until everything queued so far is written to the files (not synced).
+    /// Waits until all records queued so far are written to the files, without syncing them.
     pub fn flush(&self) {
-        let (done, written) = sync_channel(1);
+        let (done, flushed) = sync_channel(1);
         let queue = self.shared.queue.lock().clone();
         let sent = queue.is_some_and(|queue| queue.send(Message::Flush(done)).is_ok());
         if sent {
-            // The writer drops the sender when it ends; either way there is no more to wait for.
-            let _ = written.recv();
+            // The writer drops the sender when it ends, so an error also means that the flush is over.
+            let _ = flushed.recv();
         }
     }
 
     /// Records about a request, job, replica or tenant, oldest first; the
-    /// newest [`MAX_FOUND_RECORDS`] where there are more. Reads the files, so
-    /// call it off the request path.
+    /// newest [`MAX_FOUND_RECORDS`] if there are more. Reads the files, so it must
+    /// not be called on the request path.
     ///
     /// # Errors
     /// When a segment cannot be read.
@@ -141,7 +143,7 @@
         lookup_in(folder, id)
     }
 
-    /// How many records were lost since the start.
+    /// The numbers of records lost since the start of the process.
     #[must_use]
     pub fn losses(&self) -> JournalLosses {
         JournalLosses {
@@ -155,7 +157,7 @@
     fn drop(&mut self) {
         self.queue.lock().take();
         if let Some(writer) = self.writer.lock().take() {
-            // A writer that panicked has nothing left to write.
+            // A writer that panicked cannot write any more records.
             let _ = writer.join();
         }
     }
@@ -169,12 +171,12 @@
     };
     let mut flush_at = Instant::now() + FLUSH_INTERVAL;
     loop {
-        let left = flush_at.saturating_duration_since(Instant::now());
-        match records.recv_timeout(left) {
+        let until_flush = flush_at.saturating_duration_since(Instant::now());
+        match records.recv_timeout(until_flush) {
             Ok(Message::Record(record)) => count_failure(segments.append(&record)),
             Ok(Message::Flush(done)) => {
                 count_failure(segments.flush());
-                // Whoever asked may have gone.
+                // The caller of `flush` may have ended.
                 let _ = done.send(());
             }
             Err(RecvTimeoutError::Timeout) => {}
--- a/crates/observability/src/journal/record.rs
+++ b/crates/observability/src/journal/record.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 
-/// What kind of decision a record tells of.
+/// The kind of decision that a record describes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DecisionKind {
@@ -12,11 +12,11 @@
     Admission,
     /// A replica was chosen for a request or an item.
     Choice,
-    /// A request or item was tried again.
+    /// A request or item was retried.
     Retry,
-    /// A broken stream went on elsewhere.
+    /// An interrupted stream was resumed on another replica.
     Resume,
-    /// Batch work was stopped to make room for online work.
+    /// Batch work was preempted to free capacity for online work.
     Yield,
     /// A request, item or job was cancelled.
     Cancel,
@@ -24,21 +24,21 @@
     Lease,
     /// Capacity was granted to batch work.
     Grant,
-    /// A replica was ejected, drained or taken back.
+    /// A replica was ejected, drained or readmitted.
     Health,
-    /// An order was issued to an engine or settled.
+    /// An order to an engine was issued or completed.
     Order,
-    /// A model was placed on a replica or taken from it.
+    /// A model was placed on a replica or removed from it.
     Placement,
-    /// A control member joined, was promoted, was removed or took the lead.
+    /// A control member joined, was promoted, was removed or became the leader.
     Membership,
-    /// A configuration came in force.
+    /// A configuration took effect.
     Configuration,
     /// An idempotency key was claimed, answered or refused.
     Claim,
 }
 
-/// What a record is about; `explain` finds it by any of these.
+/// The subject of a record; `explain` finds records by any of these ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Subject {
@@ -104,14 +104,14 @@
         }
     }
 
-    /// The same subject, on a replica.
+    /// Adds a replica to the subject.
     #[must_use]
     pub fn on_replica(mut self, id: impl Into<String>) -> Self {
         self.replica = Some(id.into());
         self
     }
 
-    /// The same subject, of a tenant.
+    /// Adds a tenant to the subject.
     #[must_use]
     pub fn of_tenant(mut self, id: impl Into<String>) -> Self {
         self.tenant = Some(id.into());
@@ -119,16 +119,16 @@
     }
 }
 
-/// A replica that was weighed for a decision.
+/// A replica that was considered for a decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Considered {
-    /// Which.
+    /// The id of the replica.
     pub replica: String,
-    /// Its expected wait or other score; lower is better. `None` when it was
+    /// The expected wait or other score; lower is better. `None` when the replica was
     /// excluded before scoring.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub score: Option<f64>,
-    /// Reason code of its exclusion, or empty.
+    /// Reason code of the exclusion, or empty.
     #[serde(default, skip_serializing_if = "str::is_empty")]
     pub excluded: Cow<'static, str>,
 }
@@ -136,19 +136,19 @@
 /// One decision.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct JournalRecord {
-    /// When, in milliseconds since the Unix epoch.
+    /// Time of the decision, in milliseconds since the Unix epoch.
     pub time_ms: u64,
-    /// What kind of decision.
+    /// The kind of decision.
     pub kind: DecisionKind,
-    /// What it is about.
+    /// The subject of the decision.
     #[serde(flatten)]
     pub subject: Subject,
     /// A code of the closed list of reasons, or of the error table.
     pub reason: Cow<'static, str>,
-    /// What came out, such as the chosen replica.
+    /// The outcome, such as the chosen replica.
     #[serde(default, skip_serializing_if = "String::is_empty")]
     pub outcome: String,
-    /// The replicas that were weighed.
+    /// The replicas that were considered.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub considered: Vec<Considered>,
 }
@@ -167,14 +167,14 @@
         }
     }
 
-    /// Says what came out.
+    /// Sets the outcome.
     #[must_use]
     pub fn with_outcome(mut self, outcome: impl Into<String>) -> Self {
         self.outcome = outcome.into();
         self
     }
 
-    /// Names the replicas that were weighed.
+    /// Sets the considered replicas.
     #[must_use]
     pub fn with_considered(mut self, considered: Vec<Considered>) -> Self {
         self.considered = considered;
--- a/crates/observability/src/journal/segments.rs
+++ b/crates/observability/src/journal/segments.rs
@@ -9,16 +9,16 @@
 
 use super::JournalRecord;
 
-/// Most records that a lookup returns.
+/// Maximum number of records that a lookup returns.
 pub const MAX_FOUND_RECORDS: usize = 1_000;
 
-/// The journal is split into this many segments, so that rotation frees an
-/// eighth of it at a time.
+/// Number of segments of the journal; rotation removes one segment, an eighth of the journal,
+/// at a time.
 const SEGMENTS: u64 = 8;
 const PREFIX: &str = "decisions-";
 const SUFFIX: &str = ".jsonl";
 
-/// Appends records and removes the oldest segments beyond the size limit.
+/// Appends records, and removes the oldest segments to stay within the size limit.
 pub(super) struct SegmentWriter {
     folder: PathBuf,
     segment_bytes: u64,
@@ -32,8 +32,8 @@
 }
 
 impl SegmentWriter {
-    /// Makes the folder if need be. A new segment is begun, so that a torn
-    /// last line of an earlier run is never continued.
+    /// Creates the folder if it does not exist. The writer always starts a new segment, so that
+    /// it never appends to a torn last line of an earlier process.
     pub(super) fn open(folder: &Path, max_bytes: u64) -> io::Result<Self> {
         fs::create_dir_all(folder)?;
         let next_number = segment_numbers(folder)?.last().map_or(1, |last| last + 1);
@@ -59,7 +59,7 @@
         }
         let segment = match self.current.take() {
             Some(segment) => segment,
-            None => self.begin_segment()?,
+            None => self.create_segment()?,
         };
         let segment = self.current.insert(segment);
         segment.bytes += length;
@@ -72,7 +72,7 @@
             .map_or(Ok(()), |segment| segment.file.flush())
     }
 
-    fn begin_segment(&mut self) -> io::Result<OpenSegment> {
+    fn create_segment(&mut self) -> io::Result<OpenSegment> {
         let path = segment_path(&self.folder, self.next_number);
         let file = OpenOptions::new()
             .create_new(true)
@@ -97,8 +97,7 @@
 }
 
 /// Records about an id in a journal folder, oldest first; the newest
-/// [`MAX_FOUND_RECORDS`] where there are more. Lines that are torn or foreign
-/// are passed over.
+/// [`MAX_FOUND_RECORDS`] if there are more. Torn and unrecognized lines are skipped.
 ///
 /// # Errors
 /// When a segment cannot be read.
@@ -107,7 +106,7 @@
     for number in segment_numbers(folder)? {
         let file = match File::open(segment_path(folder, number)) {
             Ok(file) => file,
-            // Rotation removed it in the meantime.
+            // The segment was removed by rotation since the folder was listed.
             Err(error) if error.kind() == io::ErrorKind::NotFound => continue,
             Err(error) => return Err(error),
         };
@@ -125,7 +124,7 @@
 
 fn matching_record(line: &[u8], id: &str) -> Option<JournalRecord> {
     let text = std::str::from_utf8(line).ok()?;
-    // An item is asked for as `JOB/NUMBER`; its line holds the job's id.
+    // The id of an item has the form `JOB/NUMBER`; the line of the item contains the job's id.
     let needle = id.split('/').next().unwrap_or(id);
     if !text.contains(needle) {
         return None;
--- a/crates/observability/src/lib.rs
+++ b/crates/observability/src/lib.rs
@@ -1,4 +1,4 @@
-//! What a process shows of itself: JSON logs, the decision journal, metrics.
+//! Observability of a process: JSON logs, the decision journal, metrics.
 
 pub mod journal;
 pub mod log;
--- a/crates/observability/src/log.rs
+++ b/crates/observability/src/log.rs
@@ -1,8 +1,7 @@
-//! JSON lines logging with levels by module and a bounded queue.
+//! Logging as JSON lines, with levels by module and a bounded queue.
 //!
-//! Records are written by a thread of their own. When its queue is full,
-//! records are dropped and their number is logged, so that logging never
-//! holds a request up.
+//! A separate thread writes the records. When its queue is full, records are dropped and their
+//! number is logged, so that logging never blocks a request.
 
 use std::io;
 
@@ -10,10 +9,10 @@
 use linnethitch_config::settings::{LogLevel, LogSettings};
 use slog::{Drain, FnValue, Level, Logger, OwnedKVList, PushFnValue, Record, o};
 
-/// Records that may wait for the writer.
+/// Maximum number of records that wait for the writer.
 const QUEUE_RECORDS: usize = 4_096;
 
-/// Names of the fields that logs and the journal share.
+/// Field names that logs and the journal share.
 pub mod field {
     /// A caller's request id.
     pub const REQUEST: &str = "request";
@@ -23,11 +22,11 @@
     pub const ITEM: &str = "item";
     /// A configuration revision.
     pub const REVISION: &str = "revision";
-    /// A closed reason or error code.
+    /// A reason code of the closed list, or an error code.
     pub const REASON: &str = "reason";
 }
 
-/// A running logger. Dropping it writes out what is queued.
+/// A running logger. Dropping it writes the queued records.
 pub struct Logging {
     logger: Logger,
     _guard: slog_async::AsyncGuard,
@@ -39,7 +38,7 @@
     where
         W: io::Write + Send + 'static,
     {
-        // Reports become fields of lines, where a terminal's colours are noise.
+        // Error reports are logged as fields, which must not contain terminal colour codes.
         Report::set_color_mode(ColorMode::None);
         let json = slog_json::Json::new(writer)
             .set_flush(true)
@@ -82,32 +81,32 @@
     Logger::root(slog::Discard, o!())
 }
 
-/// Passes on what the level of the record's module lets through.
+/// Filters records by the level of their module.
 struct ModuleLevels<D> {
-    general: Level,
+    default: Level,
     /// Longest prefixes first.
     modules: Vec<(String, Level)>,
-    most: Level,
+    most_verbose: Level,
     inner: D,
 }
 
 impl<D> ModuleLevels<D> {
     fn new(settings: &LogSettings, inner: D) -> Self {
-        let general = to_slog(settings.level);
+        let default = to_slog(settings.level);
         let mut modules: Vec<(String, Level)> = settings
             .modules
             .iter()
             .map(|(prefix, level)| (prefix.clone(), to_slog(*level)))
             .collect();
         modules.sort_by_key(|(prefix, _)| std::cmp::Reverse(prefix.len()));
-        let most = modules
+        let most_verbose = modules
             .iter()
             .map(|(_, level)| *level)
-            .fold(general, Level::max);
+            .fold(default, Level::max);
         ModuleLevels {
-            general,
+            default,
             modules,
-            most,
+            most_verbose,
             inner,
         }
     }
@@ -116,7 +115,7 @@
         self.modules
             .iter()
             .find(|(prefix, _)| is_module_prefix(prefix, module))
-            .map_or(self.general, |(_, level)| *level)
+            .map_or(self.default, |(_, level)| *level)
     }
 }
 
@@ -132,7 +131,7 @@
     }
 
     fn is_enabled(&self, level: Level) -> bool {
-        level.is_at_least(self.most)
+        level.is_at_least(self.most_verbose)
     }
 }
 
--- a/crates/observability/src/metrics.rs
+++ b/crates/observability/src/metrics.rs
@@ -1,7 +1,7 @@
 //! Metrics of a process in the OpenMetrics text format, over `prometheus-client`.
 //!
-//! Every metric is declared with name, kind, labels and help in one place, so
-//! that the reference page can be checked against what a process registers.
+//! Every metric is registered with name, kind, labels and help, so that the reference page can
+//! be checked against the metrics that a process registers.
 
 use std::{fmt, sync::Arc};
 
@@ -20,19 +20,19 @@
 /// Value of the `Content-Type` header of `/metrics`.
 pub const CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Common first part of all names.
+/// Common prefix of all names.
 const PREFIX: &str = "linnethitch";
-/// Smallest bucket of a latency histogram, in seconds.
+/// Upper bound of the smallest bucket of a latency histogram, in seconds.
 const SMALLEST_LATENCY_SECONDS: f64 = 0.000_25;
-/// Buckets of a latency histogram; each is twice the one before, up to 131 s.
+/// Number of buckets of a latency histogram. Each bound is twice the previous one, up to 131 s.
 const LATENCY_BUCKETS: u16 = 20;
 
-/// What a metric is.
+/// The kind of a metric.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MetricKind {
-    /// Only grows.
+    /// A value that only increases.
     Counter,
-    /// Goes up and down.
+    /// A value that increases and decreases.
     Gauge,
     /// A distribution of seconds.
     Histogram,
@@ -48,14 +48,14 @@
     }
 }
 
-/// A metric as it was registered.
+/// A registered metric.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MetricDescription {
-    /// Its name in the text format without the suffixes of samples.
+    /// The name in the text format, without the suffixes of samples.
     pub name: String,
-    /// What it is.
+    /// The kind.
     pub kind: MetricKind,
-    /// One sentence.
+    /// The help text, one sentence.
     pub help: String,
 }
 
@@ -77,7 +77,7 @@
 }
 
 impl Metrics {
-    /// No metrics yet.
+    /// Creates an empty registry.
     #[must_use]
     pub fn new() -> Self {
         Metrics {
@@ -143,7 +143,7 @@
         text
     }
 
-    /// What was registered, in order.
+    /// The registered metrics, in order of registration.
     #[must_use]
     pub fn descriptions(&self) -> Vec<MetricDescription> {
         self.inner.lock().descriptions.clone()
@@ -164,7 +164,7 @@
     }
 }
 
-/// What `prometheus-client` needs of the labels of a family.
+/// The bounds that `prometheus-client` requires of the labels of a family.
 pub trait LabelSet: Clone + std::hash::Hash + Eq + fmt::Debug + Send + Sync + 'static {}
 
 impl<T> LabelSet for T where T: Clone + std::hash::Hash + Eq + fmt::Debug + Send + Sync + 'static {}
--- a/crates/observability/src/time.rs
+++ b/crates/observability/src/time.rs
@@ -1,4 +1,4 @@
-//! Wall-clock time in the text form of logs.
+//! Wall-clock time, and its text form in logs.
 
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -34,8 +34,8 @@
         .map_or(0, |elapsed| elapsed.as_millis() as u64)
 }
 
-/// Milliseconds since the Unix epoch in the form of RFC 3339, in UTC; the
-/// plain number where no such date exists.
+/// Formats milliseconds since the Unix epoch by RFC 3339 in UTC; returns the plain number if it
+/// is out of the range of dates.
 #[must_use]
 pub fn rfc3339(milliseconds: u64) -> String {
     let nanoseconds = i128::from(milliseconds) * NANOSECONDS_PER_MILLISECOND;
--- a/crates/observability/tests/all/journal.rs
+++ b/crates/observability/tests/all/journal.rs
@@ -1,4 +1,4 @@
-//! The journal keeps what was decided, within its size, and finds it by id.
+//! The journal stores decisions within its size limit and finds them by id.
 
 use std::{fs, path::Path, thread, time::Duration};
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_record_is_found_again_by_its_ids_also_after_a_restart() {
+fn a_record_is_found_by_its_ids_also_after_a_restart() {
     let folder = tempfile::tempdir().unwrap();
     let journal = Journal::open(folder.path(), MAX_BYTES).unwrap();
     let record = choice(7, "req_1", "engine-1");
@@ -62,15 +62,15 @@
     assert_eq!(times, [7, 9]);
 }
 
-/// A record is written out after a while also where others go on coming: before
-/// they fill the writer's buffer, which would write it out as well.
+/// A record must be written after the flush interval even while other records keep arriving.
+/// The test sends too few records to fill the writer's buffer, which would also write them.
 #[test]
-fn a_record_is_written_out_while_others_come() {
-    const FEWER_THAN_FILL_THE_BUFFER: u64 = 40;
+fn a_record_is_written_while_others_arrive() {
+    const RECORDS: u64 = 40;
     let folder = tempfile::tempdir().unwrap();
     let journal = Journal::open(folder.path(), MAX_BYTES).unwrap();
     let files = folder.path().join("journal");
-    let is_written = (0..FEWER_THAN_FILL_THE_BUFFER).any(|number| {
+    let is_written = (0..RECORDS).any(|number| {
         let subject = Subject::request(format!("req_{number}"));
         let record = JournalRecord::new(number, DecisionKind::Choice, subject, "lowest_wait");
         journal.record(record);
@@ -102,10 +102,10 @@
 }
 
 #[test]
-fn the_journal_stays_within_its_size_and_drops_the_oldest() {
-    const SMALL: u64 = 64 * 1024;
+fn the_journal_stays_within_its_size_and_removes_the_oldest_records() {
+    const SMALL_MAX_BYTES: u64 = 64 * 1024;
     let folder = tempfile::tempdir().unwrap();
-    let journal = Journal::open(folder.path(), SMALL).unwrap();
+    let journal = Journal::open(folder.path(), SMALL_MAX_BYTES).unwrap();
     for number in 0..2_000 {
         journal.record(choice(number, &format!("req_{number}"), "engine-1"));
         if number % 500 == 0 {
@@ -113,7 +113,7 @@
         }
     }
     journal.flush();
-    assert!(folder_bytes(&folder.path().join("journal")) <= SMALL);
+    assert!(folder_bytes(&folder.path().join("journal")) <= SMALL_MAX_BYTES);
     assert_eq!(journal.lookup("req_0").unwrap(), []);
     assert_eq!(journal.lookup("req_1999").unwrap().len(), 1);
     assert_eq!(journal.losses().failed, 0);
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn torn_and_foreign_lines_are_passed_over() {
+fn torn_and_unrecognized_lines_are_skipped() {
     let folder = tempfile::tempdir().unwrap();
     let journal = Journal::open(folder.path(), MAX_BYTES).unwrap();
     journal.record(choice(7, "req_1", "engine-1"));
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn a_disabled_journal_keeps_nothing() {
+fn a_disabled_journal_stores_nothing() {
     let journal = Journal::disabled();
     journal.record(choice(7, "req_1", "engine-1"));
     journal.flush();
--- a/crates/observability/tests/all/log.rs
+++ b/crates/observability/tests/all/log.rs
@@ -26,10 +26,10 @@
     }
 }
 
-fn lines_of(settings: &LogSettings, write: impl FnOnce(&slog::Logger)) -> Vec<serde_json::Value> {
+fn lines_of(settings: &LogSettings, log: impl FnOnce(&slog::Logger)) -> Vec<serde_json::Value> {
     let captured = Captured::default();
     let logging = Logging::start(settings, captured.clone());
-    write(&logging.logger());
+    log(&logging.logger());
     drop(logging);
     let bytes = captured.0.lock().unwrap().clone();
     String::from_utf8(bytes)
--- a/crates/observability/tests/all/metrics.rs
+++ b/crates/observability/tests/all/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics come out as text and describe themselves.
+//! Metrics are encoded as text and have descriptions.
 
 use linnethitch_observability::metrics::{MetricKind, Metrics};
 
