--- a/crates/http-server/src/answer.rs
+++ b/crates/http-server/src/answer.rs
@@ -1,4 +1,4 @@
-//! Responses: JSON, event streams, and failures as the error table says.
+//! Responses: JSON, event streams, and failures according to the error table.
 
 use std::io;
 
@@ -11,12 +11,12 @@
 
 /// Header that says whether a refused request ran.
 pub const EXECUTED_HEADER: &str = "linnethitch-executed";
-/// Header that carries the request's id.
+/// Header with the request's id.
 pub const REQUEST_ID_HEADER: &str = "x-request-id";
 
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
-/// A body that is known as a whole.
+/// A body whose complete content is known.
 pub fn whole_body(bytes: impl Into<Bytes>) -> Body {
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
@@ -43,7 +43,7 @@
     }
 }
 
-/// The answer to a failure, as the error table says.
+/// The response to a failure according to the error table.
 pub fn failure_response(failure: &Failure) -> Response<Body> {
     let answer = failure.kind.answer();
     let status = StatusCode::from_u16(answer.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -56,19 +56,20 @@
     if let Some(seconds) = failure.retry_after_seconds() {
         headers.insert(header::RETRY_AFTER, HeaderValue::from(seconds));
     }
-    // Ordinary client libraries retry by status alone; this header stops them where it cannot help.
+    // Common client libraries decide on retries by status alone; this header prevents retries
+    // that cannot succeed.
     if !answer.retryable {
         headers.insert("x-should-retry", HeaderValue::from_static("false"));
     }
     response
 }
 
-/// An event stream from a stream of byte pieces.
+/// An event stream from a stream of byte chunks.
 pub fn event_stream_response(
-    pieces: impl futures_util::Stream<Item = Result<Bytes, io::Error>> + Send + 'static,
+    chunks: impl futures_util::Stream<Item = Result<Bytes, io::Error>> + Send + 'static,
 ) -> Response<Body> {
     use futures_util::TryStreamExt;
-    let frames = pieces.map_ok(http_body::Frame::data);
+    let frames = chunks.map_ok(http_body::Frame::data);
     let mut response = Response::new(Body::new(http_body_util::StreamBody::new(frames)));
     let headers = response.headers_mut();
     headers.insert(
--- a/crates/http-server/src/body.rs
+++ b/crates/http-server/src/body.rs
@@ -1,4 +1,4 @@
-//! Reads request bodies within bounds of size and time.
+//! Reads request bodies within limits of size and time.
 
 use std::time::Duration;
 
@@ -9,21 +9,21 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use linnethitch_errors::{ErrorKind, Failure};
 
-/// Bytes of a refused body that are read and thrown away. A caller that is
-/// still sending would otherwise see a broken connection in place of the
-/// refusal, since most clients read the answer only after their whole body.
+/// Maximum bytes of a refused body that are read and discarded. Most clients read the
+/// response only after they have sent the complete body, so without this a client would see
+/// a broken connection instead of the refusal.
 const MAX_DISCARDED_BYTES: usize = 32 * 1024 * 1024;
 
-/// Bounds of a request body.
+/// Limits of a request body.
 #[derive(Clone, Copy, Debug)]
 pub struct BodyLimits {
-    /// Largest size in bytes.
+    /// Maximum size in bytes.
     pub bytes: u64,
-    /// Longest time to send it.
+    /// Maximum time to receive the body.
     pub time: Duration,
 }
 
-/// Reads a whole body.
+/// Reads a complete body.
 ///
 /// # Errors
 /// `BodyTooLarge`, `RequestTimeout`, `TruncatedUpload`.
@@ -47,8 +47,8 @@
     if body.is_end_stream() {
         return Ok(Bytes::new());
     }
-    let most = usize::try_from(limit).unwrap_or(usize::MAX);
-    match Limited::new(&mut body, most).collect().await {
+    let max_bytes = usize::try_from(limit).unwrap_or(usize::MAX);
+    match Limited::new(&mut body, max_bytes).collect().await {
         Ok(collected) => Ok(collected.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             discard(&mut body).await;
@@ -61,13 +61,13 @@
     }
 }
 
-/// Reads the rest of a refused body, up to a bound, and keeps nothing of it.
+/// Reads and discards the remaining bytes of a refused body, up to a maximum.
 async fn discard(body: &mut Body) {
-    let mut left = MAX_DISCARDED_BYTES;
+    let mut remaining = MAX_DISCARDED_BYTES;
     while let Some(Ok(frame)) = body.frame().await {
         let length = frame.data_ref().map_or(0, Bytes::len);
-        match left.checked_sub(length) {
-            Some(rest) => left = rest,
+        match remaining.checked_sub(length) {
+            Some(after_frame) => remaining = after_frame,
             None => return,
         }
     }
@@ -88,7 +88,7 @@
     }
 }
 
-/// The refusal of a body over the limit, in bytes.
+/// The failure for a body over the limit in bytes.
 #[must_use]
 pub fn body_too_large(limit: u64) -> Failure {
     Failure::new(
@@ -97,7 +97,7 @@
     )
 }
 
-/// The refusal of a body that took too long.
+/// The failure for a body that did not arrive within the time limit.
 #[must_use]
 pub fn body_timeout(limit: Duration) -> Failure {
     Failure::new(
--- a/crates/http-server/src/endpoint.rs
+++ b/crates/http-server/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! Handlers of gotham's router that answer one endpoint of an interface each.
+//! Handlers for gotham's router, each of which answers one endpoint of an interface.
 
 use std::{future::Future, panic::AssertUnwindSafe, pin::Pin, sync::Arc};
 
@@ -12,14 +12,14 @@
 
 use crate::request::TakenFromState;
 
-/// An interface: it answers requests by the endpoint that the router found.
+/// An interface that answers requests to the endpoints that the router matches.
 pub trait Endpoints: Send + Sync + 'static {
-    /// What a path and a method stand for.
+    /// Identifies the operation of a path and method.
     type Endpoint: Copy + Send + Sync + std::panic::UnwindSafe + 'static;
-    /// What it needs of a request.
+    /// The parts of a request that the interface needs.
     type Request: TakenFromState + Send;
 
-    /// Answers one request; a failure is an answer too.
+    /// Answers one request; failures are also returned as responses.
     fn answer(
         self: Arc<Self>,
         endpoint: Self::Endpoint,
@@ -34,7 +34,7 @@
 }
 
 impl<Interface: Endpoints> Route<Interface> {
-    /// Answers an endpoint by an interface.
+    /// Creates the handler of an endpoint of an interface.
     #[must_use]
     pub fn new(interface: &Arc<Interface>, endpoint: Interface::Endpoint) -> Self {
         Route {
--- a/crates/http-server/src/lib.rs
+++ b/crates/http-server/src/lib.rs
@@ -1,6 +1,6 @@
-//! The HTTP server that the callers' and the operators' interface share:
-//! connections within bounds, a planned stop, bodies within bounds, answers by
-//! the error table. What the paths mean is each interface's own.
+//! The HTTP server that the callers' and the operators' interfaces share: limits of
+//! connections and bodies, planned stops, and responses according to the error table. Each
+//! interface defines its own paths.
 
 pub mod answer;
 pub mod body;
--- a/crates/http-server/src/listener.rs
+++ b/crates/http-server/src/listener.rs
@@ -18,11 +18,11 @@
 
 use crate::answer::{REQUEST_ID_HEADER, failure_response};
 
-/// Smallest read buffer that hyper takes, in bytes.
+/// Minimum read buffer that hyper accepts, in bytes.
 const MIN_READ_BUFFER_BYTES: usize = 8 * 1024;
-/// Random bytes of a request id.
+/// Number of random bytes in a request id.
 const REQUEST_ID_BYTES: usize = 12;
-/// Wait after a failed accept, so that exhausted descriptors do not spin.
+/// Delay after a failed accept, which avoids a busy loop when descriptors are exhausted.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The accept loop and its connections.
@@ -30,22 +30,22 @@
     socket: TcpListener,
     router: Router,
     logger: Logger,
-    /// Open connections; dropping them cuts them off.
+    /// Open connections; dropping the set closes them.
     connections: JoinSet<()>,
     limits: ConnectionLimits,
     stopping: CancellationToken,
 }
 
-/// Bounds of the connections of an interface.
+/// Limits of the connections of an interface.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Connections at once; more wait in the listen queue.
+    /// Maximum number of concurrent connections; others wait in the listen queue.
     pub connections: usize,
-    /// Bytes of a request's head; raised to what hyper needs.
+    /// Maximum bytes of a request's head; raised to the minimum of hyper if lower.
     pub header_bytes: usize,
-    /// Longest time to send it.
+    /// Maximum time to receive the head.
     pub header_time: Duration,
-    /// Longest time that the peer may take nothing of an answer.
+    /// Maximum time without progress in writing a response to the peer.
     pub write_stall: Duration,
 }
 
@@ -69,7 +69,8 @@
         }
     }
 
-    /// Accepts until told to stop, then waits until every open connection is served.
+    /// Accepts connections until the stop is requested, then waits until every open connection
+    /// has ended.
     pub async fn run(mut self) {
         loop {
             tokio::select! {
@@ -119,7 +120,7 @@
         .max_buf_size(limits.header_bytes.max(MIN_READ_BUFFER_BYTES))
         .serve_connection(TokioIo::new(Box::pin(stream)), service);
     tokio::pin!(connection);
-    let mut told = false;
+    let mut is_shutting_down = false;
     loop {
         tokio::select! {
             ended = connection.as_mut() => {
@@ -128,8 +129,8 @@
                 }
                 return;
             }
-            () = stopping.cancelled(), if !told => {
-                told = true;
+            () = stopping.cancelled(), if !is_shutting_down => {
+                is_shutting_down = true;
                 connection.as_mut().graceful_shutdown();
             }
         }
@@ -149,7 +150,8 @@
     mut request: Request<Incoming>,
     peer: SocketAddr,
 ) -> Result<Response<Body>, Infallible> {
-    // The peer's own value is not trusted: ids name requests at engines and in journals.
+    // A value from the peer is not trusted, because ids identify requests at engines and in
+    // journals.
     let id_value = new_request_id();
     request
         .headers_mut()
@@ -163,7 +165,7 @@
     Ok(response)
 }
 
-/// Gives the router's own empty refusals a body from the error table.
+/// Adds a body from the error table to the empty refusals of the router.
 fn explain_router_refusal(response: Response<Body>) -> Response<Body> {
     if response.body().size_hint().exact() != Some(0) {
         return response;
--- a/crates/http-server/src/request.rs
+++ b/crates/http-server/src/request.rs
@@ -1,4 +1,4 @@
-//! A request as the handlers see it.
+//! The request types that handlers receive.
 
 use gotham::{
     helpers::http::Body,
@@ -7,29 +7,29 @@
 use http::{HeaderMap, Method, Uri};
 use linnethitch_protocol::ids::RequestId;
 
-/// What a handler takes out of gotham's state.
+/// The parts of a request that a handler takes from gotham's state.
 pub trait TakenFromState {
-    /// Takes the parts; the state keeps none of them.
+    /// Takes the parts out of the state.
     fn take_from(state: &mut State) -> Self;
 }
 
 /// A request taken out of gotham's state.
 pub struct IncomingRequest {
-    /// Everything but the body.
+    /// The request without its body.
     pub head: RequestHead,
-    /// Its body, not yet read.
+    /// The unread body.
     pub body: Body,
 }
 
 /// A request without its body.
 pub struct RequestHead {
-    /// The id that the listener gave to it.
+    /// The id that the listener assigned.
     pub id: RequestId,
-    /// Its method.
+    /// The method.
     pub method: Method,
-    /// Its path and query.
+    /// The path and query.
     pub uri: Uri,
-    /// Its headers.
+    /// The headers.
     pub headers: HeaderMap,
 }
 
@@ -49,7 +49,7 @@
 }
 
 impl RequestHead {
-    /// The path's segment at a position, from 0, as it stands there.
+    /// The path segment at a position from 0, without decoding.
     #[must_use]
     pub fn segment(&self, position: usize) -> &str {
         self.uri
@@ -66,7 +66,7 @@
         self.headers.get(name)?.to_str().ok()
     }
 
-    /// A parameter of the query string, as it stands there.
+    /// The value of a parameter in the query string, without decoding.
     #[must_use]
     pub fn query(&self, name: &str) -> Option<&str> {
         self.uri
