--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -1,9 +1,9 @@
-//! Loopback proxies for tests: TCP connections and datagrams that are delayed,
-//! held back, reset or fall silent.
+//! Loopback proxies for tests that delay, hold, reset or silently drop the data of TCP
+//! connections, and datagrams.
 //!
-//! A proxy listens where one process expects another and passes everything on to
-//! where that other one really listens. What it does with it is a [`Mode`], which
-//! a test changes while processes run. The crate is a dev-dependency only.
+//! A proxy listens at the address to which one process connects, and forwards data to the
+//! address at which the other process listens. Its [`Mode`] determines how it treats the data;
+//! a test changes the mode while the processes run. The crate is only a dev-dependency.
 
 mod datagrams;
 mod mode;
--- a/crates/fault-proxy/src/mode.rs
+++ b/crates/fault-proxy/src/mode.rs
@@ -1,42 +1,43 @@
-//! What a proxy does, and which connections it has silenced.
+//! The mode of a proxy, and the record of which connections it has silenced.
 
 use std::time::Duration;
 
-/// The direction in which nothing arrives.
+/// A direction of traffic through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Way {
-    /// Neither.
+    /// Both directions.
     Both,
     /// From the side that connects to the side that listens.
     ToTarget,
-    /// The other one.
+    /// From the side that listens to the side that connects.
     FromTarget,
 }
 
 impl Way {
-    /// Whether this covers one direction; [`Way::Both`] covers each.
-    pub(crate) fn covers(self, direction: Way) -> bool {
+    /// Whether this includes a single direction.
+    pub(crate) fn includes(self, direction: Way) -> bool {
         self == Way::Both || self == direction
     }
 }
 
-/// What a proxy does with bytes.
+/// How a proxy treats data.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mode {
-    /// Passes them on.
+    /// Forwards data.
     Pass,
-    /// Passes each piece on later.
+    /// Forwards each chunk after a delay.
     Delay(Duration),
-    /// Keeps them and passes them on afterwards, as TCP does over a cut.
+    /// Holds data and forwards it after the mode ends, as TCP does over an interrupted link.
     Hold,
-    /// Resets what is open, and what is opened meanwhile.
+    /// Resets open connections, and connections that are opened in this mode.
     Reset,
-    /// Loses them without a word. A connection that was open or is opened meanwhile
-    /// stays silent that way for good; one that is opened afterwards works.
+    /// Drops data silently. A connection that is open when this mode begins, or is opened in
+    /// this mode, remains silent in this direction permanently. Connections that are opened
+    /// after the mode ends work.
     Silent(Way),
 }
 
-/// The mode, and how often each direction was silenced.
+/// The mode, and the number of times that each direction was silenced.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct State {
     pub(crate) mode: Mode,
@@ -59,13 +60,13 @@
         }
     }
 
-    /// Silences what is open now.
+    /// Silences the open connections.
     pub(crate) fn silence(&mut self, way: Way) {
-        self.silenced_to_target += u64::from(way.covers(Way::ToTarget));
-        self.silenced_from_target += u64::from(way.covers(Way::FromTarget));
+        self.silenced_to_target += u64::from(way.includes(Way::ToTarget));
+        self.silenced_from_target += u64::from(way.includes(Way::FromTarget));
     }
 
-    /// Whether a connection that was accepted at an earlier state is silent in a direction.
+    /// Whether a connection that was accepted in an earlier state is silent in a direction.
     pub(crate) fn is_silent(&self, at_accept: &State, direction: Way) -> bool {
         let silenced_since = match direction {
             Way::ToTarget => self.silenced_to_target > at_accept.silenced_to_target,
@@ -75,8 +76,8 @@
         silenced_since || self.silences(direction)
     }
 
-    /// Whether nothing passes in a direction now.
+    /// Whether the current mode drops all data in a direction.
     pub(crate) fn silences(&self, direction: Way) -> bool {
-        matches!(self.mode, Mode::Silent(way) if way.covers(direction))
+        matches!(self.mode, Mode::Silent(way) if way.includes(direction))
     }
 }
--- a/crates/fault-proxy/src/network.rs
+++ b/crates/fault-proxy/src/network.rs
@@ -17,21 +17,21 @@
     streams,
 };
 
-/// Threads that run all proxies of a test.
+/// Number of threads that run the proxies of a test.
 const THREADS: usize = 2;
 
-/// Runs proxies until it is dropped.
+/// Runs proxies until the network is dropped.
 #[derive(Debug)]
 pub struct Network {
-    /// Always there until the drop.
+    /// `None` only during the drop.
     runtime: Option<Runtime>,
 }
 
 impl Network {
-    /// Starts without proxies.
+    /// Starts the threads, without proxies.
     ///
     /// # Errors
-    /// Those of starting threads.
+    /// When the threads cannot be started.
     pub fn start() -> io::Result<Self> {
         let runtime = Builder::new_multi_thread()
             .worker_threads(THREADS)
@@ -42,10 +42,10 @@
         })
     }
 
-    /// A proxy of TCP connections; port 0 lets the system choose one.
+    /// Starts a proxy for TCP connections; with port 0 the system chooses the port.
     ///
     /// # Errors
-    /// Those of listening at the address.
+    /// When the proxy cannot listen at the address.
     pub fn streams(&self, listen: SocketAddr, target: SocketAddr) -> io::Result<Proxy> {
         let listener = std::net::TcpListener::bind(listen)?;
         listener.set_nonblocking(true)?;
@@ -54,16 +54,20 @@
         if let Some(runtime) = &self.runtime {
             let _context = runtime.enter();
             let listener = TcpListener::from_std(listener)?;
-            runtime.spawn(streams::pass_all(listener, target, proxy.state.subscribe()));
+            runtime.spawn(streams::forward_all(
+                listener,
+                target,
+                proxy.state.subscribe(),
+            ));
         }
         Ok(proxy)
     }
 
-    /// A proxy of datagrams. The target sees each as sent by its sender's address,
-    /// from another port.
+    /// Starts a proxy for datagrams. The target sees each datagram with the sender's IP address
+    /// but another port.
     ///
     /// # Errors
-    /// Those of binding the address.
+    /// When the address cannot be bound.
     pub fn datagrams(&self, listen: SocketAddrV4, target: SocketAddrV4) -> io::Result<Proxy> {
         let socket = std::net::UdpSocket::bind(listen)?;
         socket.set_nonblocking(true)?;
@@ -72,7 +76,11 @@
         if let Some(runtime) = &self.runtime {
             let _context = runtime.enter();
             let socket = UdpSocket::from_std(socket)?;
-            runtime.spawn(datagrams::pass_all(socket, target, proxy.state.subscribe()));
+            runtime.spawn(datagrams::forward_all(
+                socket,
+                target,
+                proxy.state.subscribe(),
+            ));
         }
         Ok(proxy)
     }
@@ -86,11 +94,11 @@
     }
 }
 
-/// One proxy; it passes everything on until it is told otherwise, and stays as it
-/// is once this is dropped.
+/// A proxy. It forwards all data until its mode is changed, and keeps its last mode after this
+/// value is dropped.
 #[derive(Debug)]
 pub struct Proxy {
-    /// Where it listens.
+    /// The address at which the proxy listens.
     pub address: SocketAddr,
     state: watch::Sender<State>,
 }
@@ -103,12 +111,12 @@
         }
     }
 
-    /// Changes what it does.
+    /// Changes the mode.
     pub fn set(&self, mode: Mode) {
         self.state.send_modify(|state| state.set(mode));
     }
 
-    /// Silences the connections that are open, for good; new ones work.
+    /// Silences the open connections permanently; new connections work.
     pub fn silence_open(&self, way: Way) {
         self.state.send_modify(|state| state.silence(way));
     }
--- a/crates/fault-proxy/src/streams.rs
+++ b/crates/fault-proxy/src/streams.rs
@@ -1,4 +1,4 @@
-//! A proxy of TCP connections.
+//! A proxy for TCP connections.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -15,35 +15,36 @@
 
 use crate::mode::{Mode, State, Way};
 
-/// Bytes that are passed on at once.
-const PIECE_BYTES: usize = 16 * 1024;
+/// Maximum size in bytes of a chunk that is forwarded.
+const CHUNK_BYTES: usize = 16 * 1024;
 
-/// Passes connections on, for ever.
-pub(crate) async fn pass_all(
+/// Forwards connections until the runtime stops.
+pub(crate) async fn forward_all(
     listener: TcpListener,
     target: SocketAddr,
     states: watch::Receiver<State>,
 ) {
     while let Ok((caller, _)) = listener.accept().await {
-        tokio::spawn(pass_one(caller, target, states.clone()));
+        tokio::spawn(forward_one(caller, target, states.clone()));
     }
 }
 
-async fn pass_one(caller: TcpStream, target: SocketAddr, states: watch::Receiver<State>) {
+async fn forward_one(caller: TcpStream, target: SocketAddr, states: watch::Receiver<State>) {
     let at_accept = *states.borrow();
-    let swallows_all = at_accept.silences(Way::ToTarget) && at_accept.silences(Way::FromTarget);
-    if swallows_all {
-        return swallow(caller).await;
+    let is_silent = at_accept.silences(Way::ToTarget) && at_accept.silences(Way::FromTarget);
+    if is_silent {
+        return discard(caller).await;
     }
-    // Without the target the caller's connection ends, as at a port where nobody listens.
+    // If the target is unreachable, the caller's connection is closed, as at a port without a
+    // listener.
     if let Ok(target) = TcpStream::connect(target).await {
         join(caller, target, at_accept, states).await;
     }
 }
 
-/// Holds a connection open that never reached its target.
-async fn swallow(mut caller: TcpStream) {
-    let mut buffer = vec![0; PIECE_BYTES];
+/// Keeps a connection open without connecting to the target, and discards its data.
+async fn discard(mut caller: TcpStream) {
+    let mut buffer = vec![0; CHUNK_BYTES];
     while matches!(caller.read(&mut buffer).await, Ok(1..)) {}
 }
 
@@ -53,50 +54,50 @@
     at_accept: State,
     states: watch::Receiver<State>,
 ) {
-    // A socket that takes no option passes bytes all the same.
+    // Forwarding also works without this option.
     let _ = caller.set_nodelay(true);
     let _ = target.set_nodelay(true);
     let resets = states.clone();
     let is_reset = {
         let (from_caller, to_caller) = caller.split();
         let (from_target, to_target) = target.split();
-        let forth = Copy {
+        let to_target_copy = Copy {
             direction: Way::ToTarget,
             at_accept,
             states: states.clone(),
         };
-        let back = Copy {
+        let to_caller_copy = Copy {
             direction: Way::FromTarget,
             at_accept,
             states,
         };
         let both = async {
             tokio::join!(
-                forth.run(from_caller, to_target),
-                back.run(from_target, to_caller)
+                to_target_copy.run(from_caller, to_target),
+                to_caller_copy.run(from_target, to_caller)
             )
         };
         tokio::select! {
             _ = both => false,
-            () = reset_mode(resets) => true,
+            () = wait_for_reset(resets) => true,
         }
     };
     if is_reset {
         for stream in [&caller, &target] {
-            // Else it ends by a close in place of a reset.
+            // Without this the connection is closed rather than reset.
             let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
         }
     }
 }
 
-/// Waits until connections are to be reset.
-async fn reset_mode(mut states: watch::Receiver<State>) {
+/// Waits until the mode is [`Mode::Reset`].
+async fn wait_for_reset(mut states: watch::Receiver<State>) {
     let is_reset = states
         .wait_for(|state| state.mode == Mode::Reset)
         .await
         .is_ok();
     if !is_reset {
-        // Nobody holds the proxy any more: it stays as it is.
+        // The proxy was dropped, so its mode does not change any more.
         std::future::pending::<()>().await;
     }
 }
@@ -110,20 +111,20 @@
 
 impl Copy {
     async fn run(mut self, mut from: ReadHalf<'_>, mut to: WriteHalf<'_>) {
-        let mut buffer = vec![0; PIECE_BYTES];
+        let mut buffer = vec![0; CHUNK_BYTES];
         while let Ok(read @ 1..) = from.read(&mut buffer).await {
-            if self.may_pass().await && to.write_all(&buffer[..read]).await.is_err() {
+            if self.may_forward().await && to.write_all(&buffer[..read]).await.is_err() {
                 return;
             }
         }
-        if self.may_pass().await {
-            // The other side may be gone already.
+        if self.may_forward().await {
+            // The other side may already be closed.
             let _ = to.shutdown().await;
         }
     }
 
-    /// Waits until a piece may go on; false where it is lost.
-    async fn may_pass(&mut self) -> bool {
+    /// Waits until a chunk may be forwarded; false if the chunk must be dropped.
+    async fn may_forward(&mut self) -> bool {
         loop {
             let state = *self.states.borrow_and_update();
             if state.is_silent(&self.at_accept, self.direction) {
@@ -135,8 +136,8 @@
                         return false;
                     }
                 }
-                Mode::Delay(time) => {
-                    sleep(time).await;
+                Mode::Delay(delay) => {
+                    sleep(delay).await;
                     return true;
                 }
                 Mode::Pass | Mode::Reset | Mode::Silent(_) => return true,
--- a/crates/fault-proxy/tests/all/datagrams.rs
+++ b/crates/fault-proxy/tests/all/datagrams.rs
@@ -1,4 +1,4 @@
-//! What a proxy does to datagrams.
+//! How a proxy treats datagrams.
 
 use std::{
     net::{Ipv4Addr, SocketAddr, SocketAddrV4, UdpSocket},
@@ -7,14 +7,14 @@
 
 use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
 
-/// Longest wait for a datagram that is to come.
-const LIMIT: Duration = Duration::from_secs(20);
-/// A wait in which a datagram that is lost does not come.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Timeout for an expected datagram.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Wait after which a datagram counts as lost.
+const LOSS_TIMEOUT: Duration = Duration::from_millis(150);
 
 fn bound(address: Ipv4Addr) -> UdpSocket {
     let socket = UdpSocket::bind((address, 0)).expect("a port");
-    socket.set_read_timeout(Some(LIMIT)).expect("an option");
+    socket.set_read_timeout(Some(TIMEOUT)).expect("an option");
     socket
 }
 
@@ -31,26 +31,28 @@
 }
 
 #[test]
-fn a_datagram_comes_from_its_senders_address() {
+fn a_datagram_arrives_from_the_address_of_its_sender() {
     let network = Network::start().expect("threads");
     let target = bound(Ipv4Addr::LOCALHOST);
     let sender = bound(Ipv4Addr::new(127, 0, 0, 2));
     let proxy = start(&network, &target);
     sender.send_to(b"kept", proxy.address).expect("sent");
     let mut buffer = [0; 16];
-    let (read, from) = target.recv_from(&mut buffer).expect("it comes");
+    let (read, from) = target.recv_from(&mut buffer).expect("the datagram arrives");
     assert_eq!(&buffer[..read], b"kept");
     assert_eq!(from.ip(), sender.local_addr().expect("an address").ip());
 }
 
 #[test]
-fn a_datagram_is_lost_in_silence() {
+fn a_datagram_is_dropped_in_silent_mode() {
     let network = Network::start().expect("threads");
     let target = bound(Ipv4Addr::LOCALHOST);
     let sender = bound(Ipv4Addr::LOCALHOST);
     let proxy = start(&network, &target);
     proxy.set(Mode::Silent(Way::Both));
     sender.send_to(b"lost", proxy.address).expect("sent");
-    target.set_read_timeout(Some(SILENCE)).expect("an option");
+    target
+        .set_read_timeout(Some(LOSS_TIMEOUT))
+        .expect("an option");
     assert!(target.recv_from(&mut [0; 16]).is_err());
 }
--- a/crates/fault-proxy/tests/all/main.rs
+++ b/crates/fault-proxy/tests/all/main.rs
@@ -1,4 +1,4 @@
-//! Contract of the proxies.
+//! Tests of the proxies.
 
 mod datagrams;
 mod streams;
--- a/crates/fault-proxy/tests/all/streams.rs
+++ b/crates/fault-proxy/tests/all/streams.rs
@@ -1,4 +1,4 @@
-//! What each mode does to a TCP connection.
+//! How each mode treats a TCP connection.
 
 use std::{
     io::{Read, Write},
@@ -10,13 +10,13 @@
 use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
 use rstest::rstest;
 
-/// Longest wait for bytes that are to come.
-const LIMIT: Duration = Duration::from_secs(20);
-/// A wait in which bytes that are lost do not come.
-const SILENCE: Duration = Duration::from_millis(150);
+/// Timeout for expected bytes.
+const TIMEOUT: Duration = Duration::from_secs(20);
+/// Wait after which bytes count as lost.
+const LOSS_TIMEOUT: Duration = Duration::from_millis(150);
 
-/// A target that sends everything back, before a proxy.
-fn echo() -> (Network, Proxy) {
+/// Starts a target that echoes all data, behind a proxy.
+fn start_echo() -> (Network, Proxy) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let target = listener.local_addr().expect("an address");
     thread::spawn(move || {
@@ -44,9 +44,9 @@
     TcpStream::connect(proxy.address).expect("the proxy listens")
 }
 
-/// Sends a byte; whether it comes back within a time.
-fn comes_back(mut stream: &TcpStream, limit: Duration) -> bool {
-    stream.set_read_timeout(Some(limit)).expect("an option");
+/// Sends a byte; returns whether it is echoed within the timeout.
+fn is_echoed(mut stream: &TcpStream, timeout: Duration) -> bool {
+    stream.set_read_timeout(Some(timeout)).expect("an option");
     let sent = stream.write_all(b"x").is_ok();
     sent && matches!(stream.read(&mut [0; 1]), Ok(1))
 }
@@ -55,54 +55,57 @@
 #[case::neither_way(Way::Both)]
 #[case::no_requests(Way::ToTarget)]
 #[case::no_answers(Way::FromTarget)]
-fn a_silenced_connection_stays_silent_and_a_new_one_works(#[case] way: Way) {
-    let (_network, proxy) = echo();
+fn a_silenced_connection_remains_silent_and_a_new_one_works(#[case] way: Way) {
+    let (_network, proxy) = start_echo();
     let old = open(&proxy);
-    assert!(comes_back(&old, LIMIT));
+    assert!(is_echoed(&old, TIMEOUT));
     proxy.set(Mode::Silent(way));
-    assert!(!comes_back(&old, SILENCE));
+    assert!(!is_echoed(&old, LOSS_TIMEOUT));
     proxy.set(Mode::Pass);
-    assert!(!comes_back(&old, SILENCE), "it is silent for good");
-    assert!(comes_back(&open(&proxy), LIMIT));
+    assert!(
+        !is_echoed(&old, LOSS_TIMEOUT),
+        "the old connection is permanently silent"
+    );
+    assert!(is_echoed(&open(&proxy), TIMEOUT));
 }
 
 #[test]
-fn silence_of_what_is_open_spares_new_connections() {
-    let (_network, proxy) = echo();
+fn silencing_open_connections_does_not_affect_new_ones() {
+    let (_network, proxy) = start_echo();
     let old = open(&proxy);
-    assert!(comes_back(&old, LIMIT));
+    assert!(is_echoed(&old, TIMEOUT));
     proxy.silence_open(Way::Both);
-    assert!(!comes_back(&old, SILENCE));
-    assert!(comes_back(&open(&proxy), LIMIT));
+    assert!(!is_echoed(&old, LOSS_TIMEOUT));
+    assert!(is_echoed(&open(&proxy), TIMEOUT));
 }
 
 #[test]
-fn what_is_held_back_comes_afterwards() {
-    let (_network, proxy) = echo();
+fn held_bytes_arrive_after_the_mode_ends() {
+    let (_network, proxy) = start_echo();
     let stream = open(&proxy);
-    assert!(comes_back(&stream, LIMIT));
+    assert!(is_echoed(&stream, TIMEOUT));
     proxy.set(Mode::Hold);
-    assert!(!comes_back(&stream, SILENCE));
+    assert!(!is_echoed(&stream, LOSS_TIMEOUT));
     proxy.set(Mode::Pass);
-    stream.set_read_timeout(Some(LIMIT)).expect("an option");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("an option");
     let mut stream = &stream;
-    assert_eq!(stream.read(&mut [0; 1]).expect("it comes"), 1);
+    assert_eq!(stream.read(&mut [0; 1]).expect("the byte arrives"), 1);
 }
 
 #[test]
-fn a_reset_ends_what_is_open() {
-    let (_network, proxy) = echo();
+fn a_reset_ends_open_connections() {
+    let (_network, proxy) = start_echo();
     let stream = open(&proxy);
-    assert!(comes_back(&stream, LIMIT));
+    assert!(is_echoed(&stream, TIMEOUT));
     proxy.set(Mode::Reset);
-    stream.set_read_timeout(Some(LIMIT)).expect("an option");
+    stream.set_read_timeout(Some(TIMEOUT)).expect("an option");
     let mut stream = &stream;
     assert!(stream.read(&mut [0; 1]).is_err(), "a reset, not a close");
 }
 
 #[test]
-fn a_delayed_byte_comes() {
-    let (_network, proxy) = echo();
+fn a_delayed_byte_arrives() {
+    let (_network, proxy) = start_echo();
     proxy.set(Mode::Delay(Duration::from_millis(20)));
-    assert!(comes_back(&open(&proxy), LIMIT));
+    assert!(is_echoed(&open(&proxy), TIMEOUT));
 }
