--- a/crates/cluster/tests/all/known_gateways.rs
+++ b/crates/cluster/tests/all/known_gateways.rs
@@ -9,7 +9,7 @@
 };
 
 use linnethitch_cluster::{ControlNode, ControlSettings, GatewayNode, NodeSettings, machine_of};
-use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
+use linnethitch_fault_proxy::{Direction, Mode, Network, Proxy};
 use linnethitch_protocol::{
     ids::MachineId,
     slots::GatewayDatagram,
@@ -137,7 +137,7 @@
 
     /// Blocks all traffic to and from the second gateway, on open and new links.
     fn partition_second(&self) {
-        self.proxy.set(Mode::Silent(Way::Both));
+        self.proxy.set(Mode::Silent(Direction::Both));
     }
 
     /// Partitions the second gateway and restarts control on its folder.
--- a/crates/cluster/tests/all/silence.rs
+++ b/crates/cluster/tests/all/silence.rs
@@ -11,7 +11,7 @@
 
 use linnethitch_clock::testing::suspend_for;
 use linnethitch_cluster::{ControlNode, GatewayNode, NodeSettings, Unavailable, ZoneOrderOutcome};
-use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
+use linnethitch_fault_proxy::{Direction, Mode, Network, Proxy};
 use rstest::rstest;
 use tempfile::TempDir;
 use tokio::time::sleep;
@@ -78,12 +78,12 @@
 /// Control lists a gateway that it can reach. A gateway whose messages are lost is listed again
 /// once it has opened a new link.
 #[rstest]
-#[case::neither_way(Way::Both, 20)]
-#[case::nothing_reaches_control(Way::ToTarget, 22)]
-#[case::nothing_reaches_the_gateway(Way::FromTarget, 24)]
+#[case::neither_way(Direction::Both, 20)]
+#[case::nothing_reaches_control(Direction::ToTarget, 22)]
+#[case::nothing_reaches_the_gateway(Direction::FromTarget, 24)]
 #[tokio::test]
 async fn a_gateway_and_control_find_each_other_after_their_link_fell_silent(
-    #[case] way: Way,
+    #[case] way: Direction,
     #[case] first_host: u8,
 ) {
     let pair = Pair::start(first_host).await;
@@ -91,7 +91,7 @@
     until("the first version", || version(&pair.gateway) == 1).await;
     until("it is listed", || pair.is_listed()).await;
     pair.proxy.silence_open(way);
-    if way != Way::FromTarget {
+    if way != Direction::FromTarget {
         until("it is not listed", || !pair.is_listed()).await;
     }
     put(&pair.control, 2).await;
@@ -106,7 +106,7 @@
     let pair = Pair::start(90).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
-    pair.proxy.silence_open(Way::Both);
+    pair.proxy.silence_open(Direction::Both);
     put(&pair.control, 2).await;
     suspend_for(Duration::from_secs(60));
     assert!(pair.gateway.control_silent_ms() >= 60_000);
@@ -120,7 +120,7 @@
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
     pair.gateway.wait_for_update_after_pause().await;
-    pair.proxy.silence_open(Way::Both);
+    pair.proxy.silence_open(Direction::Both);
     let evacuated = pair.control.evacuate_zone(ZONE, LIMIT).await;
     assert!(
         matches!(evacuated, Ok(ZoneOrderOutcome::Held(_))),
@@ -138,7 +138,7 @@
     let pair = Pair::start(98).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
-    pair.proxy.set(Mode::Silent(Way::Both));
+    pair.proxy.set(Mode::Silent(Direction::Both));
     suspend_for(Duration::from_secs(60));
     let gateway = pair.gateway.clone();
     let waiting = tokio::spawn(async move {
@@ -165,7 +165,7 @@
     let pair = Pair::start(96).await;
     put(&pair.control, 1).await;
     until("the first version", || version(&pair.gateway) == 1).await;
-    pair.proxy.set(Mode::Silent(Way::Both));
+    pair.proxy.set(Mode::Silent(Direction::Both));
     suspend_for(Duration::from_secs(60));
     let waited = tokio::time::timeout(LIMIT, pair.gateway.wait_for_update_after_pause());
     waited.await.expect("in time");
@@ -231,7 +231,7 @@
     /// Partitions the last member from the others: open connections become silent.
     fn partition_last(&self) {
         for proxy in &self.around_last {
-            proxy.set(Mode::Silent(Way::Both));
+            proxy.set(Mode::Silent(Direction::Both));
         }
     }
 
@@ -369,7 +369,7 @@
     let settings = node(host(62), &[old], own_port);
     let gateway = GatewayNode::start(&settings, format!("{}:80", host(62)));
     until("the first version", || version(&gateway) == 1).await;
-    proxy.set(Mode::Silent(Way::Both));
+    proxy.set(Mode::Silent(Direction::Both));
     let (second, _other_folder) = start_control(node(new, &[new], own_port)).await;
     // The log of the new group is longer than that of the group it replaces.
     for version in 2..=NEWEST {
--- a/crates/control/src/operator/request.rs
+++ b/crates/control/src/operator/request.rs
@@ -8,7 +8,7 @@
 use linnethitch_errors::{ErrorKind, Failure};
 use linnethitch_http_server::{
     IncomingRequest, RequestHead, TakenFromState,
-    body::{BodyLimits, read_whole},
+    body::{BodyLimits, read_complete},
 };
 use sha2::{Digest, Sha256};
 use subtle::ConstantTimeEq;
@@ -38,7 +38,7 @@
 
 /// Reads the complete body as text.
 pub(super) async fn read_text(request: IncomingRequest) -> Result<String, Failure> {
-    let bytes = read_whole(&request.head.headers, request.body, BODY_LIMITS).await?;
+    let bytes = read_complete(&request.head.headers, request.body, BODY_LIMITS).await?;
     String::from_utf8(bytes.into())
         .map_err(|_| Failure::new(ErrorKind::MalformedRequest, "the body is not UTF-8"))
 }
--- a/crates/fault-proxy/src/datagrams.rs
+++ b/crates/fault-proxy/src/datagrams.rs
@@ -8,7 +8,7 @@
 
 use tokio::{net::UdpSocket, sync::watch, time::sleep};
 
-use crate::mode::{Mode, State, Way};
+use crate::mode::{Direction, Mode, State};
 
 /// Buffer size, larger than any datagram.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
@@ -25,7 +25,7 @@
         let state = *states.borrow();
         // Held or reset datagrams are lost, since there is no retransmission of datagrams.
         let is_lost = matches!(state.mode, Mode::Hold | Mode::Reset);
-        if is_lost || state.silences(Way::ToTarget) {
+        if is_lost || state.silences(Direction::ToTarget) {
             continue;
         }
         let Some(socket) = socket_for(&mut sockets, from.ip()).await else {
--- a/crates/fault-proxy/src/lib.rs
+++ b/crates/fault-proxy/src/lib.rs
@@ -10,5 +10,5 @@
 mod network;
 mod streams;
 
-pub use mode::{Mode, Way};
+pub use mode::{Direction, Mode};
 pub use network::{Network, Proxy};
--- a/crates/fault-proxy/src/mode.rs
+++ b/crates/fault-proxy/src/mode.rs
@@ -4,7 +4,7 @@
 
 /// A direction of traffic through a proxy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
+pub enum Direction {
     /// Both directions.
     Both,
     /// From the side that connects to the side that listens.
@@ -13,10 +13,10 @@
     FromTarget,
 }
 
-impl Way {
+impl Direction {
     /// Whether this includes a single direction.
-    pub(crate) fn includes(self, direction: Way) -> bool {
-        self == Way::Both || self == direction
+    pub(crate) fn includes(self, direction: Direction) -> bool {
+        self == Direction::Both || self == direction
     }
 }
 
@@ -34,7 +34,7 @@
     /// Drops data silently. A connection that is open when this mode begins, or is opened in
     /// this mode, remains silent in this direction permanently. Connections that are opened
     /// after the mode ends work.
-    Silent(Way),
+    Silent(Direction),
 }
 
 /// The mode, and the number of times that each direction was silenced.
@@ -55,29 +55,29 @@
     /// Changes the mode.
     pub(crate) fn set(&mut self, mode: Mode) {
         self.mode = mode;
-        if let Mode::Silent(way) = mode {
-            self.silence(way);
+        if let Mode::Silent(direction) = mode {
+            self.silence(direction);
         }
     }
 
     /// Silences the open connections.
-    pub(crate) fn silence(&mut self, way: Way) {
-        self.silenced_to_target += u64::from(way.includes(Way::ToTarget));
-        self.silenced_from_target += u64::from(way.includes(Way::FromTarget));
+    pub(crate) fn silence(&mut self, direction: Direction) {
+        self.silenced_to_target += u64::from(direction.includes(Direction::ToTarget));
+        self.silenced_from_target += u64::from(direction.includes(Direction::FromTarget));
     }
 
     /// Whether a connection that was accepted in an earlier state is silent in a direction.
-    pub(crate) fn is_silent(&self, at_accept: &State, direction: Way) -> bool {
+    pub(crate) fn is_silent(&self, at_accept: &State, direction: Direction) -> bool {
         let silenced_since = match direction {
-            Way::ToTarget => self.silenced_to_target > at_accept.silenced_to_target,
-            Way::FromTarget => self.silenced_from_target > at_accept.silenced_from_target,
-            Way::Both => false,
+            Direction::ToTarget => self.silenced_to_target > at_accept.silenced_to_target,
+            Direction::FromTarget => self.silenced_from_target > at_accept.silenced_from_target,
+            Direction::Both => false,
         };
         silenced_since || self.silences(direction)
     }
 
     /// Whether the current mode drops all data in a direction.
-    pub(crate) fn silences(&self, direction: Way) -> bool {
-        matches!(self.mode, Mode::Silent(way) if way.includes(direction))
+    pub(crate) fn silences(&self, direction: Direction) -> bool {
+        matches!(self.mode, Mode::Silent(silenced) if silenced.includes(direction))
     }
 }
--- a/crates/fault-proxy/src/network.rs
+++ b/crates/fault-proxy/src/network.rs
@@ -13,7 +13,7 @@
 
 use crate::{
     datagrams,
-    mode::{Mode, State, Way},
+    mode::{Direction, Mode, State},
     streams,
 };
 
@@ -117,7 +117,7 @@
     }
 
     /// Silences the open connections permanently; new connections work.
-    pub fn silence_open(&self, way: Way) {
-        self.state.send_modify(|state| state.silence(way));
+    pub fn silence_open(&self, direction: Direction) {
+        self.state.send_modify(|state| state.silence(direction));
     }
 }
--- a/crates/fault-proxy/src/streams.rs
+++ b/crates/fault-proxy/src/streams.rs
@@ -13,7 +13,7 @@
     time::sleep,
 };
 
-use crate::mode::{Mode, State, Way};
+use crate::mode::{Direction, Mode, State};
 
 /// Maximum size in bytes of a chunk that is forwarded.
 const CHUNK_BYTES: usize = 16 * 1024;
@@ -31,7 +31,8 @@
 
 async fn forward_one(caller: TcpStream, target: SocketAddr, states: watch::Receiver<State>) {
     let at_accept = *states.borrow();
-    let is_silent = at_accept.silences(Way::ToTarget) && at_accept.silences(Way::FromTarget);
+    let is_silent =
+        at_accept.silences(Direction::ToTarget) && at_accept.silences(Direction::FromTarget);
     if is_silent {
         return discard(caller).await;
     }
@@ -62,12 +63,12 @@
         let (from_caller, to_caller) = caller.split();
         let (from_target, to_target) = target.split();
         let to_target_copy = Copy {
-            direction: Way::ToTarget,
+            direction: Direction::ToTarget,
             at_accept,
             states: states.clone(),
         };
         let to_caller_copy = Copy {
-            direction: Way::FromTarget,
+            direction: Direction::FromTarget,
             at_accept,
             states,
         };
@@ -104,7 +105,7 @@
 
 /// One direction of a connection.
 struct Copy {
-    direction: Way,
+    direction: Direction,
     at_accept: State,
     states: watch::Receiver<State>,
 }
--- a/crates/fault-proxy/tests/all/datagrams.rs
+++ b/crates/fault-proxy/tests/all/datagrams.rs
@@ -5,7 +5,7 @@
     time::Duration,
 };
 
-use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
+use linnethitch_fault_proxy::{Direction, Mode, Network, Proxy};
 
 /// Timeout for an expected datagram.
 const TIMEOUT: Duration = Duration::from_secs(20);
@@ -49,7 +49,7 @@
     let target = bound(Ipv4Addr::LOCALHOST);
     let sender = bound(Ipv4Addr::LOCALHOST);
     let proxy = start(&network, &target);
-    proxy.set(Mode::Silent(Way::Both));
+    proxy.set(Mode::Silent(Direction::Both));
     sender.send_to(b"lost", proxy.address).expect("sent");
     target
         .set_read_timeout(Some(LOSS_TIMEOUT))
--- a/crates/fault-proxy/tests/all/streams.rs
+++ b/crates/fault-proxy/tests/all/streams.rs
@@ -7,7 +7,7 @@
     time::Duration,
 };
 
-use linnethitch_fault_proxy::{Mode, Network, Proxy, Way};
+use linnethitch_fault_proxy::{Direction, Mode, Network, Proxy};
 use rstest::rstest;
 
 /// Timeout for expected bytes.
@@ -52,14 +52,14 @@
 }
 
 #[rstest]
-#[case::neither_way(Way::Both)]
-#[case::no_requests(Way::ToTarget)]
-#[case::no_answers(Way::FromTarget)]
-fn a_silenced_connection_remains_silent_and_a_new_one_works(#[case] way: Way) {
+#[case::neither_way(Direction::Both)]
+#[case::no_requests(Direction::ToTarget)]
+#[case::no_answers(Direction::FromTarget)]
+fn a_silenced_connection_remains_silent_and_a_new_one_works(#[case] direction: Direction) {
     let (_network, proxy) = start_echo();
     let old = open(&proxy);
     assert!(is_echoed(&old, TIMEOUT));
-    proxy.set(Mode::Silent(way));
+    proxy.set(Mode::Silent(direction));
     assert!(!is_echoed(&old, LOSS_TIMEOUT));
     proxy.set(Mode::Pass);
     assert!(
@@ -74,7 +74,7 @@
     let (_network, proxy) = start_echo();
     let old = open(&proxy);
     assert!(is_echoed(&old, TIMEOUT));
-    proxy.silence_open(Way::Both);
+    proxy.silence_open(Direction::Both);
     assert!(!is_echoed(&old, LOSS_TIMEOUT));
     assert!(is_echoed(&open(&proxy), TIMEOUT));
 }
--- a/crates/gateway/src/batches/create.rs
+++ b/crates/gateway/src/batches/create.rs
@@ -17,7 +17,7 @@
     batches::object::batch_response,
     claims::idempotency_key,
     control::client::unexpected,
-    http::{IncomingRequest, body::read_whole},
+    http::{IncomingRequest, body::read_complete},
     identifiers::new_job_id,
     online::{checks::invalid, request::CompletionKind},
     state::Gateway,
@@ -46,7 +46,7 @@
 ) -> Result<Response<Body>, Failure> {
     let (active, tenant) = gateway.authenticate(&incoming.head)?;
     let key = idempotency_key(&incoming.head.headers)?;
-    let bytes = read_whole(&incoming.head.headers, incoming.body, active.body_limits()).await?;
+    let bytes = read_complete(&incoming.head.headers, incoming.body, active.body_limits()).await?;
     let requested: CreateBatch = serde_json::from_slice(&bytes)
         .map_err(|error| Failure::new(ErrorKind::MalformedRequest, error.to_string()))?;
     requested.check()?;
--- a/crates/gateway/src/online/mod.rs
+++ b/crates/gateway/src/online/mod.rs
@@ -17,7 +17,7 @@
 
 use crate::{
     claims::{Claimed, claim, replay, run_rules},
-    http::{IncomingRequest, body::read_whole, routes::Endpoint},
+    http::{IncomingRequest, body::read_complete, routes::Endpoint},
     online::{generation::Generation, request::CompletionRequest},
     state::Gateway,
 };
@@ -32,7 +32,7 @@
     let rules = run_rules(&incoming.head.headers)?;
     let (active, tenant) = gateway.authenticate(&incoming.head)?;
     let IncomingRequest { head, body } = incoming;
-    let bytes = read_whole(&head.headers, body, active.body_limits()).await?;
+    let bytes = read_complete(&head.headers, body, active.body_limits()).await?;
     let mut request = CompletionRequest::parse(
         endpoint,
         head.id,
--- a/crates/gateway/src/services/mod.rs
+++ b/crates/gateway/src/services/mod.rs
@@ -18,7 +18,7 @@
 use crate::{
     claims::{Claimed, claim, replay, run_rules},
     decisions::{RequestTarget, RoutingRequest},
-    http::{IncomingRequest, RequestHead, body::read_whole},
+    http::{IncomingRequest, RequestHead, body::read_complete},
     online::request::caller_deadline,
     services::{
         attempt::{ServiceCall, ServiceRequest},
@@ -41,7 +41,7 @@
     let service = service_of(&incoming.head, &active.fleet)?;
     let IncomingRequest { head, body } = incoming;
     let deadline = deadline(&head, service, arrived)?;
-    let bytes = read_whole(&head.headers, body, active.body_limits()).await?;
+    let bytes = read_complete(&head.headers, body, active.body_limits()).await?;
     let digest = content_digest(&head, rules.at_most_once, &bytes);
     let request = ServiceRequest {
         path: replica_path(&head),
--- a/crates/gateway/src/services/relay.rs
+++ b/crates/gateway/src/services/relay.rs
@@ -19,7 +19,7 @@
     claims::{Answered, Claim, MAX_STORED_BYTES},
     decisions::{Placement, TenantPermit},
     engine::fault::AttemptFault,
-    http::answer::whole_body,
+    http::answer::complete_body,
     services::{
         attempt::{ServiceAnswer, ServiceCall},
         headers::response_headers,
@@ -122,7 +122,7 @@
         Some(Err(failure)) => claim.fail(failure, caller).await,
         Some(Ok((headers, stored))) => {
             claim.store_answer(stored.clone()).await;
-            let mut answer = Response::new(whole_body(stored.body));
+            let mut answer = Response::new(complete_body(stored.body));
             *answer.status_mut() =
                 StatusCode::from_u16(stored.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
             *answer.headers_mut() = headers;
--- a/crates/http-server/src/answer.rs
+++ b/crates/http-server/src/answer.rs
@@ -17,7 +17,7 @@
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 
 /// A body whose complete content is known.
-pub fn whole_body(bytes: impl Into<Bytes>) -> Body {
+pub fn complete_body(bytes: impl Into<Bytes>) -> Body {
     Body::new(Full::new(bytes.into()).map_err(|never| match never {}))
 }
 
@@ -27,7 +27,7 @@
     content_type: HeaderValue,
     bytes: impl Into<Bytes>,
 ) -> Response<Body> {
-    let mut response = Response::new(whole_body(bytes));
+    let mut response = Response::new(complete_body(bytes));
     *response.status_mut() = status;
     response
         .headers_mut()
--- a/crates/http-server/src/body.rs
+++ b/crates/http-server/src/body.rs
@@ -27,7 +27,7 @@
 ///
 /// # Errors
 /// `BodyTooLarge`, `RequestTimeout`, `TruncatedUpload`.
-pub async fn read_whole(
+pub async fn read_complete(
     headers: &HeaderMap,
     body: Body,
     limits: BodyLimits,
--- a/crates/relay/tests/all/silent_connections.rs
+++ b/crates/relay/tests/all/silent_connections.rs
@@ -1,6 +1,6 @@
 //! Connections to replicas that fail without a reset, while new ones work.
 
-use linnethitch_fault_proxy::{Network, Way};
+use linnethitch_fault_proxy::{Direction, Network};
 use linnethitch_registry::{ReplicaState, RouteKind};
 
 use crate::support::{Act, Fleet, OK, Replica, route};
@@ -26,7 +26,7 @@
     let ids: Vec<String> = (0..RESTING).map(|n| format!("first-{n}")).collect();
     let first = futures_util::future::join_all(ids.iter().map(|id| fleet.ask(id))).await;
     assert!(first.iter().all(|answer| answer.status == 200));
-    proxy.silence_open(Way::Both);
+    proxy.silence_open(Direction::Both);
     // A request can be resent only to a second replica.
     fleet
         .register(1, replica.address, ReplicaState::Ready, 1)
--- a/crates/transport/tests/all/connection.rs
+++ b/crates/transport/tests/all/connection.rs
@@ -4,7 +4,7 @@
 
 use linnethitch_clock::testing::suspend_for;
 use linnethitch_errors::ErrorKind;
-use linnethitch_fault_proxy::{Mode, Network, Way};
+use linnethitch_fault_proxy::{Direction, Mode, Network};
 use linnethitch_protocol::{
     attach::{ControlMessage, GatewayMessage},
     format::Format,
@@ -90,7 +90,7 @@
     );
     let _server: crate::support::ServerSide = server.expect("accepted");
     let mut client = client.expect("connected");
-    proxy.set(Mode::Silent(Way::FromTarget));
+    proxy.set(Mode::Silent(Direction::FromTarget));
     let wakes_after = wakes_after_ms.map_or(LIMIT, Duration::from_millis);
     let waiting = async {
         loop {
@@ -125,7 +125,7 @@
     );
     let _server: crate::support::ServerSide = server.expect("accepted");
     let mut client = client.expect("connected");
-    proxy.set(Mode::Silent(Way::FromTarget));
+    proxy.set(Mode::Silent(Direction::FromTarget));
     let waiting = tokio::spawn(async move { client.receiver.receive().await });
     tokio::task::yield_now().await;
     suspend_for(Duration::from_secs(601));
