--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,7 +3,7 @@
 //!
 //! [`simulate`] runs one seed. Phases with random faults of every kind alternate
 //! with recovery phases without faults, in which the system must converge. The
-//! first violated invariant ends the run. [`shrink`] then looks for a run with fewer
+//! first violated invariant ends the run. [`shrink()`] then looks for a run with fewer
 //! kinds of faults and a shorter duration that violates the same invariant.
 
 mod actors;
