--- a/crates/control/src/soft_state/grants.rs
+++ b/crates/control/src/soft_state/grants.rs
@@ -103,8 +103,8 @@
             .collect()
     }
 
-    /// All grant requests as capacity requests. A gateway that has just moved may be in the digests of two
-    /// members; its grant requests are taken from one of them.
+    /// All grant requests as capacity requests. A gateway that has just moved may be in the
+    /// digests of two members; its grant requests are taken from one of them.
     fn requests(&self) -> Vec<CapacityRequest> {
         let mut by_gateway: BTreeMap<&GatewayId, &GatewayGrantRequests> = BTreeMap::new();
         for grant_requests in self
--- a/crates/routing/src/dispatch/coordinator/mod.rs
+++ b/crates/routing/src/dispatch/coordinator/mod.rs
@@ -46,9 +46,9 @@
 
 impl SlotCoordinator {
     /// Replaces the list of replicas. Items stop at replicas that are no longer coordinated here,
-    /// and may continue at others; requests that wait there are answered with `NotCoordinator`. Requests
-    /// that wait for a replica in an evacuated zone are rejected so that they go elsewhere; what
-    /// already runs there continues.
+    /// and may continue at others; requests that wait there are answered with `NotCoordinator`.
+    /// Requests that wait for a replica in an evacuated zone are rejected so that they go
+    /// elsewhere; what already runs there continues.
     pub fn set_replicas(&mut self, list: Vec<CoordinatedReplica>, now_ms: u64) -> Vec<SlotAction> {
         let mut actions = Vec::new();
         let mut before = std::mem::take(&mut self.replicas);
