--- a/crates/experiments/src/deployment.rs
+++ b/crates/experiments/src/deployment.rs
@@ -9,69 +9,73 @@
 
 use crate::trace::Workload;
 
-/// Gateways beside the callers of each zone in the modelled deployments.
+/// Gateways in each zone of the modelled deployments.
 const GATEWAYS_PER_ZONE: usize = 4;
 
 /// One-way latency to another zone in New England, in microseconds.
-const NEW_ENGLAND_ZONE_MICROS: u64 = 1_000;
+const NEW_ENGLAND_ZONE_LATENCY_MICROS: u64 = 1_000;
 
 /// One-way latency to another zone in Yeongnam, in microseconds.
-const YEONGNAM_ZONE_MICROS: u64 = 500;
+const YEONGNAM_ZONE_LATENCY_MICROS: u64 = 500;
 
-/// Zones of the size to design for.
+/// Zones at the design size.
 const DESIGN_ZONES: usize = 7;
 
-/// Replicas of the size to design for.
+/// Replicas at the design size.
 const DESIGN_ENGINES: usize = 600;
 
-/// Gateways of the size to design for.
+/// Gateways at the design size.
 const DESIGN_GATEWAYS: usize = 410;
 
-/// Online requests per second and replica at the peak of the size to design for.
+/// Online requests per second and replica at the design size, at peak.
 const DESIGN_REQUESTS_PER_ENGINE: f64 = 2.0;
 
-/// A fleet of engines, the gateways before it and what its callers do.
+/// A fleet of engines with its gateways and its workload.
 #[derive(Clone, Debug)]
 pub struct Deployment {
-    /// Its name.
+    /// Name of the fleet.
     pub name: String,
-    /// Its zones.
+    /// Zones of the fleet.
     pub zones: Vec<ZoneId>,
-    /// Its model, the first of the fleet file.
+    /// The model that all engines serve: the first of the fleet file.
     pub model: ModelId,
-    /// The zone of each engine, as a position in `zones`.
+    /// The zone of each engine, as an index into `zones`.
     pub engine_zones: Vec<usize>,
-    /// The zone of each gateway, as a position in `zones`.
+    /// The zone of each gateway, as an index into `zones`.
     pub gateway_zones: Vec<usize>,
     /// One-way latency to another zone, in microseconds.
-    pub zone_micros: u64,
-    /// The rules of routing.
+    pub zone_latency_micros: u64,
+    /// Routing policy of the fleet.
     pub routing: RoutingPolicy,
-    /// What callers send.
+    /// Online requests and batch jobs that callers send.
     pub(crate) workload: Workload,
 }
 
 impl Deployment {
-    /// Granite Lane as its example file describes it.
+    /// Granite Lane, from its example fleet file.
     ///
     /// # Errors
     /// [`ErrorKind::InvalidConfiguration`] when the example file is not valid.
     pub fn granite_lane() -> Result<Deployment, ErrorKind> {
         let text = include_str!("../../../examples/granite-lane.toml");
-        Deployment::from_fleet_file(text, NEW_ENGLAND_ZONE_MICROS, Workload::granite_lane())
+        Deployment::from_fleet_file(
+            text,
+            NEW_ENGLAND_ZONE_LATENCY_MICROS,
+            Workload::granite_lane(),
+        )
     }
 
-    /// Hanbit Gate Systems as its example file describes it.
+    /// Hanbit Gate Systems, from its example fleet file.
     ///
     /// # Errors
     /// [`ErrorKind::InvalidConfiguration`] when the example file is not valid.
     pub fn hanbit() -> Result<Deployment, ErrorKind> {
         let text = include_str!("../../../examples/hanbit.toml");
-        Deployment::from_fleet_file(text, YEONGNAM_ZONE_MICROS, Workload::hanbit())
+        Deployment::from_fleet_file(text, YEONGNAM_ZONE_LATENCY_MICROS, Workload::hanbit())
     }
 
-    /// 600 replicas before 410 gateways in seven zones, each replica and caller like
-    /// those of Granite Lane at the peak of 1,200 requests a second.
+    /// The design size: 600 replicas and 410 gateways in seven zones at a peak of
+    /// 1,200 requests per second. Replicas and workload are modelled on Granite Lane.
     ///
     /// # Errors
     /// [`ErrorKind::InvalidConfiguration`] when the example file is not valid.
@@ -81,15 +85,19 @@
         design.zones = (1..=DESIGN_ZONES)
             .map(|zone| ZoneId(format!("zone-{zone}")))
             .collect();
-        design.engine_zones = (0..DESIGN_ENGINES).map(|one| one % DESIGN_ZONES).collect();
-        design.gateway_zones = (0..DESIGN_GATEWAYS).map(|one| one % DESIGN_ZONES).collect();
-        design.workload.online_per_engine = DESIGN_REQUESTS_PER_ENGINE;
+        design.engine_zones = (0..DESIGN_ENGINES)
+            .map(|engine| engine % DESIGN_ZONES)
+            .collect();
+        design.gateway_zones = (0..DESIGN_GATEWAYS)
+            .map(|gateway| gateway % DESIGN_ZONES)
+            .collect();
+        design.workload.online_rate_per_engine = DESIGN_REQUESTS_PER_ENGINE;
         Ok(design)
     }
 
     fn from_fleet_file(
         text: &str,
-        zone_micros: u64,
+        zone_latency_micros: u64,
         workload: Workload,
     ) -> Result<Deployment, ErrorKind> {
         let fleet = Fleet::parse(text).map_err(|_| ErrorKind::InvalidConfiguration)?;
@@ -116,13 +124,13 @@
             model: ModelId(pool.name.clone()),
             engine_zones,
             gateway_zones,
-            zone_micros,
+            zone_latency_micros,
             routing: fleet.routing,
             workload,
         })
     }
 
-    /// What an engine of this deployment has loaded from the start.
+    /// Initial state of an engine of this deployment.
     pub(crate) fn engine_state(&self) -> EngineState {
         EngineState {
             model: Some(self.model.clone()),
@@ -132,7 +140,7 @@
         }
     }
 
-    /// An engine as the list of replicas shows it.
+    /// The entry of an engine in the list of replicas.
     pub(crate) fn replica(&self, engine: usize) -> ReplicaInfo {
         ReplicaInfo {
             machine: Machine {
--- a/crates/experiments/src/experiment.rs
+++ b/crates/experiments/src/experiment.rs
@@ -14,11 +14,11 @@
 /// Parameters of an experiment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Settings {
-    /// Everything random is drawn from it.
+    /// Seed of all random choices.
     pub seed: u64,
     /// Length of a run in virtual time, in seconds.
     pub seconds: u64,
-    /// Time before measuring begins, in seconds.
+    /// Virtual time at the start of a run that is not measured, in seconds.
     pub warm_up_seconds: u64,
 }
 
@@ -44,21 +44,21 @@
     }
 }
 
-/// What an experiment found.
+/// The results of an experiment.
 #[derive(Clone, Debug, Default)]
 pub struct Finding {
-    /// Its tables.
+    /// Tables of the measured figures.
     pub tables: Vec<Table>,
-    /// Its plots.
+    /// Plots of the measured figures.
     pub plots: Vec<Plot>,
 }
 
 /// A named experiment.
 #[derive(Clone, Copy, Debug)]
 pub struct Experiment {
-    /// Its name on the command line.
+    /// Name on the command line.
     pub name: &'static str,
-    /// What it asks.
+    /// The question that the experiment answers.
     pub question: &'static str,
     run: fn(&Settings) -> Result<Finding, ErrorKind>,
 }
@@ -102,7 +102,8 @@
     },
 ];
 
-/// Measured on the clock of this machine, so not part of `all`.
+/// Measures real time on this machine, so its figures are not reproducible and
+/// it is not part of `all`.
 pub const DECISION_COST: Experiment = Experiment {
     name: "decision-cost",
     question: "What do one choice and one admission cost?",
@@ -110,25 +111,25 @@
 };
 
 impl Experiment {
-    /// The experiment with a name.
+    /// Finds an experiment by name.
     #[must_use]
     pub fn find(name: &str) -> Option<Experiment> {
         EXPERIMENTS
             .into_iter()
             .chain([DECISION_COST])
-            .find(|one| one.name == name)
+            .find(|experiment| experiment.name == name)
     }
 
-    /// Runs it.
+    /// Runs the experiment.
     ///
     /// # Errors
-    /// The kind of what went wrong.
+    /// [`ErrorKind::InvalidConfiguration`] when an example fleet file is not valid.
     pub fn run(&self, settings: &Settings) -> Result<Finding, ErrorKind> {
         (self.run)(settings)
     }
 }
 
-/// The deployments that experiments run on.
+/// The deployments that most experiments run on.
 fn deployments() -> Result<[Deployment; 2], ErrorKind> {
     Ok([Deployment::granite_lane()?, Deployment::hanbit()?])
 }
--- a/crates/experiments/src/experiment/batch_fill.rs
+++ b/crates/experiments/src/experiment/batch_fill.rs
@@ -1,8 +1,9 @@
-//! Batch throughput against oracles that know all idle capacity.
+//! Batch throughput relative to oracles that know all idle capacity.
 //!
-//! An oracle sees each engine as it is and acts without delay. How far it may
-//! fill an engine is swept; the best one that keeps both harms in bounds is
-//! the measure of linnethitch, which works with stale loads and grants.
+//! An oracle knows the current state of every engine and acts without delay.
+//! The experiment runs oracles with different limits. linnethitch, which works
+//! with stale load reports and grants, is compared with the oracle of the
+//! highest throughput among those whose harms are both in bounds.
 
 use linnethitch_errors::ErrorKind;
 
@@ -15,17 +16,17 @@
     trace::generate,
 };
 
-/// Harm of either kind up to which an oracle counts.
+/// Maximum harm of either kind for a run to be in bounds.
 const HARM_BOUND: f64 = 1.05;
 
-/// Batch sequences under pressure that are swept.
-const PRESSED: [u32; 5] = [8, 12, 14, 16, 18];
+/// Maximum batch sequences under pressure of the compared oracles.
+const PRESSURE_SEQUENCES: [u32; 5] = [8, 12, 14, 16, 18];
 
-/// Batch sequences without pressure that are swept.
-const FULL: [u32; 3] = [24, 40, 64];
+/// Maximum sequences, online and batch together, of the compared oracles.
+const MAX_SEQUENCES: [u32; 3] = [24, 40, 64];
 
-/// Online prompt tokens from which on an engine counts as pressed.
-const PRESSED_PREFILL_TOKENS: u32 = 1_024;
+/// Online prompt tokens to prefill from which on an engine is under pressure.
+const PRESSURE_PREFILL_TOKENS: u32 = 1_024;
 
 const COLUMNS: [&str; 6] = [
     "scheduler",
@@ -44,11 +45,11 @@
 }
 
 impl Row {
-    fn new(name: String, outcome: &Outcome, alone: &Outcome) -> Row {
+    fn new(name: String, outcome: &Outcome, online_only: &Outcome) -> Row {
         Row {
             name,
-            first_harm: outcome.first_token_harm(alone),
-            between_harm: outcome.between_tokens_harm(alone),
+            first_harm: outcome.first_token_harm(online_only),
+            between_harm: outcome.between_tokens_harm(online_only),
             rate: outcome.batch_rate(),
         }
     }
@@ -70,21 +71,25 @@
 
 fn sweep(deployment: &Deployment, settings: &Settings) -> Vec<Row> {
     let trace = generate(deployment, settings.seconds as f64, settings.seed);
-    let alone = run_one(deployment, &trace, Strategy::without_batch(), settings);
+    let online_only = run_one(deployment, &trace, Strategy::without_batch(), settings);
     let linnethitch = run_one(deployment, &trace, Strategy::linnethitch(), settings);
-    let mut rows = vec![Row::new("linnethitch".to_owned(), &linnethitch, &alone)];
+    let mut rows = vec![Row::new(
+        "linnethitch".to_owned(),
+        &linnethitch,
+        &online_only,
+    )];
     for limits in oracles() {
         let outcome = run_one(deployment, &trace, Strategy::oracle(limits), settings);
         let name = format!(
             "oracle, {} full, {} pressed",
-            limits.full_sequences, limits.pressed_sequences
+            limits.max_sequences, limits.pressure_sequences
         );
-        rows.push(Row::new(name, &outcome, &alone));
+        rows.push(Row::new(name, &outcome, &online_only));
     }
     rows
 }
 
-/// Throughput over harm.
+/// Plots throughput over harm.
 fn frontier(deployment: &str, rows: &[Row]) -> Plot {
     let point = |row: &Row| (row.between_harm.max(row.first_harm), row.rate);
     let series = |name: &str, rows: &[Row]| Series {
@@ -106,17 +111,19 @@
 
 fn oracles() -> Vec<OracleLimits> {
     let mut oracles = vec![limits(64, 64)];
-    for full in FULL {
-        oracles.extend(PRESSED.map(|pressed| limits(full, pressed)));
+    for max_sequences in MAX_SEQUENCES {
+        oracles.extend(
+            PRESSURE_SEQUENCES.map(|pressure_sequences| limits(max_sequences, pressure_sequences)),
+        );
     }
     oracles
 }
 
-fn limits(full_sequences: u32, pressed_sequences: u32) -> OracleLimits {
+fn limits(max_sequences: u32, pressure_sequences: u32) -> OracleLimits {
     OracleLimits {
-        full_sequences,
-        pressed_sequences,
-        pressed_prefill_tokens: PRESSED_PREFILL_TOKENS,
+        max_sequences,
+        pressure_sequences,
+        pressure_prefill_tokens: PRESSURE_PREFILL_TOKENS,
     }
 }
 
@@ -125,7 +132,7 @@
     let best = oracles.map(|row| row.rate).fold(0.0, f64::max);
     let mut table = Table::new(format!("batch-fill: {deployment}"), &COLUMNS);
     for row in rows {
-        let of_best = if best > 0.0 {
+        let share_of_best = if best > 0.0 {
             format!("{:.3}", row.rate / best)
         } else {
             "-".to_owned()
@@ -136,7 +143,7 @@
             format!("{:.3}", row.between_harm),
             if row.in_bounds() { "yes" } else { "no" }.to_owned(),
             format!("{:.0}", row.rate),
-            of_best,
+            share_of_best,
         ]);
     }
     table
--- a/crates/experiments/src/experiment/decision_cost.rs
+++ b/crates/experiments/src/experiment/decision_cost.rs
@@ -1,4 +1,4 @@
-//! What one decision costs, on this machine's clock.
+//! Time per routing and admission decision, in real time on this machine.
 
 use std::{hint::black_box, time::Instant};
 
@@ -16,14 +16,14 @@
 use super::{Finding, Settings};
 use crate::{Deployment, Table};
 
-/// Replicas that are chosen among.
+/// Numbers of candidate replicas that are compared.
 const REPLICAS: [usize; 5] = [50, 100, 200, 400, 600];
 
-/// Decisions that one figure is the mean of.
+/// Number of decisions over which the mean time is taken.
 const DECISIONS: u32 = 100_000;
 
-/// Requests already at each replica.
-const IN_FLIGHT: usize = 4;
+/// Requests already in flight on each replica.
+const IN_FLIGHT_PER_REPLICA: usize = 4;
 
 const NOW: Timestamp = Timestamp(1_000_000);
 const PREFIXES: [u64; 4] = [11, 12, 13, 14];
@@ -51,7 +51,7 @@
     })
 }
 
-/// A router that knows so many replicas of one zone, each with requests.
+/// Creates a router with `replicas` replicas in one zone, each with requests in flight.
 fn loaded_router(design: &Deployment, replicas: usize) -> Router {
     let mut router = Router::new(design.zones[0].clone(), design.routing.clone());
     let view = router.view_mut();
@@ -65,15 +65,15 @@
         prefill_tokens: 500,
         output_tokens: 100,
     };
-    for request in 0..replicas * IN_FLIGHT {
+    for request in 0..replicas * IN_FLIGHT_PER_REPLICA {
         let replica = ReplicaIndex((request % replicas) as u32);
-        // The requests never end in this measurement.
+        // The ticket is not used: the requests never finish in this measurement.
         let _ticket = view.on_sent(NOW, replica, work, &PREFIXES);
     }
     router
 }
 
-/// The request that is placed.
+/// Profile of the request that is routed.
 fn request(design: &Deployment) -> RequestProfile<'_> {
     RequestProfile {
         target: Target::Model {
@@ -102,7 +102,7 @@
     started.elapsed().as_secs_f64() * MICROS_PER_SECOND / f64::from(DECISIONS)
 }
 
-/// Mean of queueing a request and letting it start, with others waiting.
+/// Mean time to queue a request and admit it while others wait, in microseconds.
 fn admission_micros(design: &Deployment) -> f64 {
     let mut admission = Admission::new(&design.routing);
     let started = Instant::now();
--- a/crates/experiments/src/experiment/failures.rs
+++ b/crates/experiments/src/experiment/failures.rs
@@ -1,4 +1,4 @@
-//! Engines that die, slow down or leave under load, with batch work.
+//! Engines that die, slow down or leave under online and batch load.
 
 use linnethitch_emulator::Time;
 use linnethitch_errors::ErrorKind;
@@ -48,15 +48,15 @@
 
 fn cases(deployment: &Deployment, settings: &Settings) -> [(&'static str, Vec<Incident>); 5] {
     let at = Time(settings.seconds * MICROS_PER_SECOND / 3);
-    let one = |kind| {
+    let on_first_engine = |kind| {
         vec![Incident {
             at,
             engine: 0,
             kind,
         }]
     };
-    let first_zone = deployment.engine_zones.iter().enumerate();
-    let zone_loss = first_zone
+    let engine_zones = deployment.engine_zones.iter().enumerate();
+    let zone_loss = engine_zones
         .filter(|(_, zone)| **zone == 0)
         .map(|(engine, _)| Incident {
             at,
@@ -65,9 +65,12 @@
         });
     [
         ("calm", Vec::new()),
-        ("one engine dies", one(IncidentKind::Dies)),
-        ("one engine slows", one(IncidentKind::Slows(SLOW_PERCENT))),
-        ("one engine leaves", one(IncidentKind::Leaves)),
+        ("one engine dies", on_first_engine(IncidentKind::Dies)),
+        (
+            "one engine slows",
+            on_first_engine(IncidentKind::Slows(SLOW_PERCENT)),
+        ),
+        ("one engine leaves", on_first_engine(IncidentKind::Leaves)),
         ("a zone dies", zone_loss.collect()),
     ]
 }
--- a/crates/experiments/src/experiment/isolation.rs
+++ b/crates/experiments/src/experiment/isolation.rs
@@ -1,4 +1,4 @@
-//! Harm of batch work to online requests, and batch throughput.
+//! Harm of batch work to online requests, and batch throughput, by strategy.
 
 use linnethitch_errors::ErrorKind;
 
@@ -27,21 +27,21 @@
     "yields",
 ];
 
-/// linnethitch beside the baselines.
+/// Compares linnethitch with the baselines.
 pub(super) fn run(settings: &Settings) -> Result<Finding, ErrorKind> {
     let mut strategies = vec![Strategy::linnethitch(), Strategy::without_yielding()];
     strategies.extend(Strategy::baselines());
-    compare_everywhere("isolation", &strategies, settings)
+    compare_on_all_deployments("isolation", &strategies, settings)
 }
 
-/// linnethitch with one mechanism off at a time.
+/// Compares linnethitch with variants that have one mechanism switched off.
 pub(super) fn run_ablation(settings: &Settings) -> Result<Finding, ErrorKind> {
     let mut strategies = vec![Strategy::linnethitch()];
     strategies.extend(Strategy::ablations());
-    compare_everywhere("ablation", &strategies, settings)
+    compare_on_all_deployments("ablation", &strategies, settings)
 }
 
-fn compare_everywhere(
+fn compare_on_all_deployments(
     name: &str,
     strategies: &[Strategy],
     settings: &Settings,
@@ -51,8 +51,8 @@
         let title = format!("{name}: {}", deployment.name);
         let mut table = Table::new(title, &COLUMNS);
         let measured = measure(&deployment, strategies, settings);
-        for (strategy, outcome, alone) in &measured {
-            table.push(row(strategy.name, outcome, alone));
+        for (strategy, outcome, online_only) in &measured {
+            table.push(row(strategy.name, outcome, online_only));
         }
         finding.tables.push(table);
         finding
@@ -96,14 +96,18 @@
     ]
 }
 
-/// Runs online alone and then each strategy, on one trace.
+/// Runs online requests only and then each strategy, all on the same trace.
 fn measure(deployment: &Deployment, strategies: &[Strategy], settings: &Settings) -> Vec<Measured> {
     let trace = generate(deployment, settings.seconds as f64, settings.seed);
-    let alone = run_one(deployment, &trace, Strategy::without_batch(), settings);
-    let mut measured = vec![(Strategy::without_batch(), alone.clone(), alone.clone())];
+    let online_only = run_one(deployment, &trace, Strategy::without_batch(), settings);
+    let mut measured = vec![(
+        Strategy::without_batch(),
+        online_only.clone(),
+        online_only.clone(),
+    )];
     for strategy in strategies {
         let outcome = run_one(deployment, &trace, *strategy, settings);
-        measured.push((*strategy, outcome, alone.clone()));
+        measured.push((*strategy, outcome, online_only.clone()));
     }
     measured
 }
@@ -117,18 +121,18 @@
     Simulation::new(deployment, strategy, trace, settings.run()).run()
 }
 
-fn row(name: &str, outcome: &Outcome, alone: &Outcome) -> Vec<String> {
+fn row(name: &str, outcome: &Outcome, online_only: &Outcome) -> Vec<String> {
     let first = outcome.first_token.percentile_ms(99.0);
     let between = outcome.between_tokens.percentile_ms(99.0);
     vec![
         name.to_owned(),
         format!("{:.1}", outcome.first_token.percentile_ms(50.0)),
         format!("{first:.1}"),
-        format!("{:.3}", outcome.first_token_harm(alone)),
+        format!("{:.3}", outcome.first_token_harm(online_only)),
         format!("{:.1}", outcome.short_first_token.percentile_ms(99.0)),
         format!("{:.1}", outcome.between_tokens.percentile_ms(50.0)),
         format!("{between:.1}"),
-        format!("{:.3}", outcome.between_tokens_harm(alone)),
+        format!("{:.3}", outcome.between_tokens_harm(online_only)),
         format!("{}", outcome.online_refused + outcome.online_failed),
         format!("{:.0}", outcome.batch_rate()),
         format!("{:.1}", outcome.batch_items as f64 / outcome.seconds),
--- a/crates/experiments/src/experiment/routing.rs
+++ b/crates/experiments/src/experiment/routing.rs
@@ -1,4 +1,4 @@
-//! How online requests find their engine: stale loads, herding, lengths, prefixes.
+//! Routing of online requests: stale load reports, herding, prompt lengths and prefixes.
 
 use linnethitch_errors::ErrorKind;
 
@@ -11,12 +11,12 @@
     trace::generate,
 };
 
-/// Ages of load reports that are compared, in milliseconds.
-const LAGS_MS: [u64; 5] = [100, 500, 1_000, 2_000, 5_000];
+/// Compared ages of load reports, in milliseconds.
+const REPORT_LAGS_MS: [u64; 5] = [100, 500, 1_000, 2_000, 5_000];
 
 const MICROS_PER_MILLI: u64 = 1_000;
 
-/// Longest run at the design size, in seconds of virtual time.
+/// Maximum length of a run at the design size, in seconds of virtual time.
 const DESIGN_SECONDS: u64 = 20;
 
 const ONLINE_COLUMNS: [&str; 5] = [
@@ -27,7 +27,7 @@
     "between p99 ms",
 ];
 
-/// Harm and throughput with ever older load reports.
+/// Compares harm and throughput by age of load reports.
 pub(super) fn run_stale_load(settings: &Settings) -> Result<Finding, ErrorKind> {
     const COLUMNS: [&str; 5] = [
         "report lag ms",
@@ -39,10 +39,10 @@
     let mut finding = Finding::default();
     for deployment in deployments()? {
         let trace = generate(&deployment, settings.seconds as f64, settings.seed);
-        let alone = run_one(&deployment, &trace, Strategy::without_batch(), settings);
+        let online_only = run_one(&deployment, &trace, Strategy::without_batch(), settings);
         let title = format!("stale-load: {}", deployment.name);
         let mut table = Table::new(title, &COLUMNS);
-        for lag_ms in LAGS_MS {
+        for lag_ms in REPORT_LAGS_MS {
             let mut run = settings.run();
             run.engine.report_lag_micros = lag_ms * MICROS_PER_MILLI;
             let strategy = Strategy::linnethitch();
@@ -50,8 +50,8 @@
             table.push(vec![
                 format!("{lag_ms}"),
                 format!("{:.1}", outcome.first_token.percentile_ms(99.0)),
-                format!("{:.3}", outcome.first_token_harm(&alone)),
-                format!("{:.3}", outcome.between_tokens_harm(&alone)),
+                format!("{:.3}", outcome.first_token_harm(&online_only)),
+                format!("{:.3}", outcome.between_tokens_harm(&online_only)),
                 format!("{:.0}", outcome.batch_rate()),
             ]);
         }
@@ -60,7 +60,7 @@
     Ok(finding)
 }
 
-/// Many gateways with the same stale view, at the design size.
+/// Compares strategies when many gateways have the same stale view, at the design size.
 pub(super) fn run_herding(settings: &Settings) -> Result<Finding, ErrorKind> {
     let design = Deployment::design_size()?;
     let settings = Settings {
@@ -75,7 +75,7 @@
     })
 }
 
-/// Short requests beside long ones, without batch.
+/// Compares strategies on mixed short and long requests, without batch work.
 pub(super) fn run_mixed_lengths(settings: &Settings) -> Result<Finding, ErrorKind> {
     let mut finding = Finding::default();
     for deployment in deployments()? {
@@ -98,26 +98,26 @@
 }
 
 fn online_strategies() -> [Strategy; 4] {
-    let alone = Strategy::without_batch();
+    let online_only = Strategy::without_batch();
     [
         Strategy {
             name: "linnethitch",
-            ..alone
+            ..online_only
         },
         Strategy {
             name: "without prefix affinity",
             prefix_affinity: false,
-            ..alone
+            ..online_only
         },
         Strategy {
             name: "round robin",
             online: OnlineDispatch::RoundRobin,
-            ..alone
+            ..online_only
         },
         Strategy {
             name: "least in flight",
             online: OnlineDispatch::LeastInFlight,
-            ..alone
+            ..online_only
         },
     ]
 }
--- a/crates/experiments/src/lib.rs
+++ b/crates/experiments/src/lib.rs
@@ -1,6 +1,6 @@
-//! Experiments in virtual time: the real decisions of `linnethitch-routing`
-//! against the emulated engines, with the same figures on every machine for
-//! the same seed.
+//! Experiments in virtual time: the decisions of `linnethitch-routing` run
+//! against emulated engines. The same seed gives the same figures on every
+//! machine.
 
 pub mod deployment;
 pub mod experiment;
--- a/crates/experiments/src/outcome.rs
+++ b/crates/experiments/src/outcome.rs
@@ -1,17 +1,17 @@
-//! What a run is measured by.
+//! Measured results of a run.
 
 use hdrhistogram::Histogram;
 use linnethitch_emulator::Time;
 
-/// Longest duration that is told apart, in microseconds.
-const MOST_MICROS: u64 = 600_000_000;
+/// Longest recorded duration, in microseconds; longer ones are recorded as this value.
+const MAX_MICROS: u64 = 600_000_000;
 
-/// Significant digits of recorded durations.
-const DIGITS: u8 = 3;
+/// Significant decimal digits of recorded durations.
+const SIGNIFICANT_DIGITS: u8 = 3;
 
 const MICROS_PER_MILLI: f64 = 1_000.0;
 
-/// Durations of one kind.
+/// Histogram of durations of one kind.
 #[derive(Clone, Debug)]
 pub(crate) struct Durations {
     histogram: Histogram<u64>,
@@ -19,7 +19,7 @@
 
 impl Default for Durations {
     fn default() -> Self {
-        let histogram = Histogram::new_with_bounds(1, MOST_MICROS, DIGITS);
+        let histogram = Histogram::new_with_bounds(1, MAX_MICROS, SIGNIFICANT_DIGITS);
         Durations {
             histogram: histogram.expect("constant bounds are valid"),
         }
@@ -31,7 +31,8 @@
         self.histogram.saturating_record(micros.max(1));
     }
 
-    /// The cumulative distribution as pairs of milliseconds and share.
+    /// The cumulative distribution as pairs of a duration in milliseconds and the share
+    /// of durations up to it.
     pub(crate) fn distribution(&self) -> Vec<(f64, f64)> {
         const STEPS: u32 = 500;
         (1..STEPS)
@@ -46,34 +47,34 @@
     }
 }
 
-/// What was measured in one run, after its warm-up.
+/// Results of one run, measured after its warm-up.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Outcome {
-    /// First-token times of online requests.
+    /// Times from arrival to first token of online requests.
     pub(crate) first_token: Durations,
-    /// Of these, of requests without a long prompt.
+    /// The same for requests without a long prompt only.
     pub(crate) short_first_token: Durations,
     /// Times between the tokens of online requests.
     pub(crate) between_tokens: Durations,
-    /// Online requests that ended with their whole answer.
+    /// Online requests with a complete answer.
     pub(crate) online_finished: u64,
-    /// Online requests that were refused before they ran.
+    /// Online requests that were refused before they were sent to an engine.
     pub(crate) online_refused: u64,
     /// Online requests that failed after they were sent.
     pub(crate) online_failed: u64,
-    /// Batch tokens delivered, each once.
+    /// Batch tokens delivered, each counted once.
     pub(crate) batch_tokens: u64,
-    /// Batch items that ended.
+    /// Batch items that finished.
     pub(crate) batch_items: u64,
-    /// Batch runs cancelled to step aside.
+    /// Batch attempts cancelled to yield to online requests.
     pub(crate) yields: u64,
-    /// Batch runs preempted by an engine.
+    /// Batch attempts preempted by an engine.
     pub(crate) preemptions: u64,
-    /// Online requests sent again after a failure, or gone on elsewhere.
+    /// Online requests retried or resumed on another engine after a failure.
     pub(crate) retries: u64,
-    /// Batch tokens delivered in each second of the run.
+    /// Batch tokens delivered in each second of the run, including the warm-up.
     pub(crate) batch_timeline: Vec<u64>,
-    /// Measured time, in seconds.
+    /// Length of the measured part of the run, in seconds.
     pub(crate) seconds: f64,
 }
 
@@ -83,18 +84,20 @@
         self.batch_tokens as f64 / self.seconds
     }
 
-    /// The 99th percentile of first-token times relative to a run without batch.
-    pub(crate) fn first_token_harm(&self, alone: &Outcome) -> f64 {
-        self.first_token.percentile_ms(99.0) / alone.first_token.percentile_ms(99.0)
+    /// Harm to first tokens: the 99th percentile of first-token times relative to a run
+    /// without batch work.
+    pub(crate) fn first_token_harm(&self, online_only: &Outcome) -> f64 {
+        self.first_token.percentile_ms(99.0) / online_only.first_token.percentile_ms(99.0)
     }
 
-    /// The 99th percentile of times between tokens relative to a run without batch.
-    pub(crate) fn between_tokens_harm(&self, alone: &Outcome) -> f64 {
-        self.between_tokens.percentile_ms(99.0) / alone.between_tokens.percentile_ms(99.0)
+    /// Harm between tokens: the 99th percentile of times between tokens relative to a run
+    /// without batch work.
+    pub(crate) fn between_tokens_harm(&self, online_only: &Outcome) -> f64 {
+        self.between_tokens.percentile_ms(99.0) / online_only.between_tokens.percentile_ms(99.0)
     }
 
-    /// Records an online request's wait for its first token.
-    pub(crate) fn on_first_token(&mut self, micros: u64, long: bool) {
+    /// Records the time from arrival to first token of an online request.
+    pub(crate) fn record_first_token(&mut self, micros: u64, long: bool) {
         self.first_token.record(micros);
         if !long {
             self.short_first_token.record(micros);
@@ -102,7 +105,7 @@
     }
 
     /// Counts a batch token in the timeline.
-    pub(crate) fn on_batch_second(&mut self, at: Time) {
+    pub(crate) fn record_batch_token(&mut self, at: Time) {
         const MICROS_PER_SECOND: u64 = 1_000_000;
         let second = (at.0 / MICROS_PER_SECOND) as usize;
         if self.batch_timeline.len() <= second {
--- a/crates/experiments/src/plot.rs
+++ b/crates/experiments/src/plot.rs
@@ -1,4 +1,4 @@
-//! Plots as data and as SVG.
+//! Plots, drawn as SVG.
 
 use linnethitch_errors::ErrorKind;
 use plotters::prelude::*;
@@ -9,27 +9,27 @@
 /// How the points of a series are drawn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mark {
-    /// Joined by a line.
+    /// Points joined by a line.
     Line,
-    /// Each by itself.
+    /// A circle for each point.
     Point,
 }
 
-/// Points of one kind.
+/// A named series of points.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Series {
-    /// Its name in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// Its points.
+    /// Points as (x, y).
     pub points: Vec<(f64, f64)>,
 }
 
 /// A plot with its data.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Plot {
-    /// Its file name without extension.
+    /// File name without extension.
     pub name: String,
-    /// What it shows.
+    /// Title of the plot.
     pub title: String,
     /// Name and unit of the horizontal axis.
     pub x_label: &'static str,
@@ -37,15 +37,15 @@
     pub y_label: &'static str,
     /// How points are drawn.
     pub mark: Mark,
-    /// What is compared.
+    /// The series, in the order of the legend.
     pub series: Vec<Series>,
 }
 
 impl Plot {
-    /// The plot as an SVG document.
+    /// Draws the plot as an SVG document.
     ///
     /// # Errors
-    /// [`ErrorKind::Internal`] when it can not be drawn.
+    /// [`ErrorKind::Internal`] when the plot cannot be drawn.
     pub fn to_svg(&self) -> Result<String, ErrorKind> {
         let mut svg = String::new();
         self.draw(&mut svg).map_err(|_| ErrorKind::Internal)?;
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    /// From zero or the lowest value to a little above the highest.
+    /// Range of an axis: from the lowest value, at most zero, to 5 % above the highest.
     fn range(&self, value: impl Fn(&(f64, f64)) -> f64) -> std::ops::Range<f64> {
         let values = || {
             self.series
--- a/crates/experiments/src/report.rs
+++ b/crates/experiments/src/report.rs
@@ -1,4 +1,4 @@
-//! The report of experiments: Markdown, HTML with plots, and `results.json`.
+//! Report of experiments: Markdown, HTML with plots, and `results.json`.
 
 use std::{fs, path::Path};
 
@@ -7,12 +7,12 @@
 
 use crate::{Experiment, Finding, Settings, Table};
 
-/// What one experiment found, for the report.
+/// The part of the report on one experiment.
 #[derive(Clone, Debug)]
 pub struct Section {
     /// The experiment.
     pub experiment: Experiment,
-    /// What it found.
+    /// The results of the experiment.
     pub finding: Finding,
 }
 
@@ -34,7 +34,8 @@
 /// Writes `report.md`, `report.html`, `results.json` and a file for each plot.
 ///
 /// # Errors
-/// [`ErrorKind::Io`] when a file can not be written.
+/// [`ErrorKind::Io`] when the folder or a file cannot be written;
+/// [`ErrorKind::Internal`] when a plot cannot be drawn or the results cannot be serialized.
 pub fn write(folder: &Path, settings: &Settings, sections: &[Section]) -> Result<(), ErrorKind> {
     fs::create_dir_all(folder).map_err(|_| ErrorKind::Io)?;
     let save =
--- a/crates/experiments/src/simulation/attempt.rs
+++ b/crates/experiments/src/simulation/attempt.rs
@@ -1,9 +1,9 @@
-//! Requests on their way at engines.
+//! Attempts to run a request or item on an engine.
 
 use linnethitch_emulator::engine::SequenceId;
 use linnethitch_routing::Ticket;
 
-/// The number of an attempt; also its sequence id at the engine.
+/// Index of an attempt; also its sequence id at the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct AttemptId(pub(super) usize);
 
@@ -17,27 +17,29 @@
     }
 }
 
-/// What an attempt runs.
+/// The online request or batch item of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Owner {
-    /// The online request with this position in the trace.
+    /// Index of an online request in the trace.
     Online(usize),
-    /// The batch item with this number.
+    /// Index of a batch item.
     Item(usize),
 }
 
-/// One run of a request or item at one engine.
+/// One attempt to run a request or item on one engine.
 #[derive(Debug)]
 pub(super) struct Attempt {
     pub(super) owner: Owner,
     pub(super) engine: usize,
     pub(super) gateway: usize,
-    /// Counted in the gateway's view, unless a central scheduler sent it.
+    /// Ticket from the gateway's view; `None` when a central scheduler sent the attempt or
+    /// the ticket has been returned to the view.
     pub(super) ticket: Option<Ticket>,
     /// Tokens delivered by earlier attempts.
     pub(super) resume_tokens: u32,
-    /// Whether a token came.
+    /// Whether the engine has sent a token.
     pub(super) started: bool,
-    /// Ended, failed or given up: what still comes of it is dropped.
-    pub(super) over: bool,
+    /// Whether the attempt has finished, failed or been cancelled; its later engine events
+    /// are ignored.
+    pub(super) ended: bool,
 }
--- a/crates/experiments/src/simulation/central.rs
+++ b/crates/experiments/src/simulation/central.rs
@@ -1,4 +1,5 @@
-//! Schedulers that see everything: the oracle, the shared queue and the static split.
+//! Central schedulers with complete knowledge: the oracle, the shared queue and the static
+//! split.
 
 use super::{
     Simulation,
@@ -7,13 +8,13 @@
 use crate::strategy::{BatchDispatch, OnlineDispatch, OracleLimits};
 
 impl Simulation<'_> {
-    /// Lets a central scheduler act on what an engine's step changed.
+    /// Runs the central scheduler, if the strategy has one, after a step of an engine.
     pub(super) fn after_step(&mut self, engine: usize) {
         match self.strategy.batch {
             BatchDispatch::Oracle(limits) => self.oracle_step(engine, &limits),
-            BatchDispatch::Split(_) if engine >= self.online_engines() => {
-                let full = self.engines[engine].core.model().max_running;
-                self.fill(engine, full);
+            BatchDispatch::Split(_) if engine >= self.online_engine_count() => {
+                let max_running = self.engines[engine].core.model().max_running;
+                self.start_backlog_items(engine, max_running);
             }
             BatchDispatch::SharedQueue => self.serve_shared_queue(),
             _ => {}
@@ -21,29 +22,29 @@
     }
 
     fn oracle_step(&mut self, engine: usize, limits: &OracleLimits) {
-        let slot = &self.engines[engine];
-        let pressed = slot.online_prefill_tokens >= limits.pressed_prefill_tokens;
-        let free = limits.full_sequences.saturating_sub(slot.online);
-        let most = if pressed {
-            free.min(limits.pressed_sequences)
+        let simulated = &self.engines[engine];
+        let under_pressure = simulated.online_prefill_tokens >= limits.pressure_prefill_tokens;
+        let free_sequences = limits.max_sequences.saturating_sub(simulated.online);
+        let max_batch = if under_pressure {
+            free_sequences.min(limits.pressure_sequences)
         } else {
-            free
+            free_sequences
         };
-        let runs = slot.batch.len();
-        if runs > most as usize {
-            let mut victims = slot.batch.clone();
+        let running = simulated.batch.len();
+        if running > max_batch as usize {
+            let mut victims = simulated.batch.clone();
             victims.reverse();
-            for id in victims.into_iter().take(runs - most as usize) {
+            for id in victims.into_iter().take(running - max_batch as usize) {
                 self.outcome.yields += 1;
                 self.cancel_item(id);
             }
         }
         let online = self.engines[engine].online;
-        self.fill(engine, most + online);
+        self.start_backlog_items(engine, max_batch + online);
     }
 
-    /// Starts items on an engine until it has this many sequences.
-    fn fill(&mut self, engine: usize, sequences: u32) {
+    /// Starts items of the backlog on an engine until the engine has `sequences` sequences.
+    fn start_backlog_items(&mut self, engine: usize, sequences: u32) {
         while self.engines[engine].sequences() < sequences {
             let Some(item) = self.backlog.pop_front() else {
                 return;
@@ -69,22 +70,25 @@
             ticket: None,
             resume_tokens,
             started: false,
-            over: false,
+            ended: false,
         };
         self.send(attempt, latency);
     }
 
-    /// Hands the queue's head to the engine with the most free slots, while there is one.
+    /// Sends the head of the queue to the engine with the fewest sequences, until the queue
+    /// is empty or no engine has a free slot.
     pub(super) fn serve_shared_queue(&mut self) {
         if self.strategy.online != OnlineDispatch::SharedQueue {
             return;
         }
         while !self.shared_queue.is_empty() {
             let engines = self.engines.iter().enumerate();
-            let Some((engine, slot)) = engines.min_by_key(|(_, slot)| slot.sequences()) else {
+            let Some((engine, simulated)) =
+                engines.min_by_key(|(_, simulated)| simulated.sequences())
+            else {
                 return;
             };
-            if slot.sequences() >= slot.core.model().max_running {
+            if simulated.sequences() >= simulated.core.model().max_running {
                 return;
             }
             if let Some(owner) = self.shared_queue.pop_front() {
--- a/crates/experiments/src/simulation/control.rs
+++ b/crates/experiments/src/simulation/control.rs
@@ -1,4 +1,4 @@
-//! Control's part: reading loads and allocating grants.
+//! Control: reads the loads of engines and allocates capacity grants.
 
 use std::rc::Rc;
 
@@ -8,22 +8,22 @@
     grants::{BatchReplica, CapacityRequest, GrantTable},
 };
 
-use super::{Simulation, agenda::Event};
+use super::{Simulation, event_queue::Event};
 use crate::strategy::BatchDispatch;
 
-/// How often control reads the loads of engines, in microseconds.
-const POLL_MICROS: u64 = 250_000;
+/// Interval at which control reads the loads of engines, in microseconds.
+const POLL_INTERVAL_MICROS: u64 = 250_000;
 
-/// How often control allocates grants, in microseconds.
-const ALLOCATE_MICROS: u64 = 500_000;
+/// Interval at which control allocates grants, in microseconds.
+const ALLOCATION_INTERVAL_MICROS: u64 = 500_000;
 
-/// Time from control to a gateway, in microseconds.
-const CONTROL_MICROS: u64 = 3_000;
+/// One-way latency from control to a gateway, in microseconds.
+const CONTROL_LATENCY_MICROS: u64 = 3_000;
 
-/// Most sequences that one gateway wishes for.
-const MOST_WISHED: u32 = 512;
+/// Maximum sequences that one gateway requests.
+const MAX_REQUESTED_SEQUENCES: u32 = 512;
 
-/// A grant on its way to its gateway.
+/// A grant that control sends to a gateway.
 #[derive(Clone, Debug)]
 pub(super) struct GrantedBatch {
     pub(super) gateway: usize,
@@ -32,18 +32,19 @@
     pub(super) valid_ms: u32,
 }
 
-/// What control knows.
+/// State of control.
 #[derive(Debug)]
 pub(super) struct Control {
-    pub(super) book: GrantTable,
+    pub(super) grant_table: GrantTable,
     pub(super) loads: Vec<LoadReport>,
 }
 
 impl Simulation<'_> {
     pub(super) fn start_control(&mut self) {
-        self.agenda.add(self.now, Event::Poll);
+        self.event_queue.add(self.now, Event::Poll);
         if self.strategy.batch == BatchDispatch::Granted {
-            self.agenda.add(self.now + CONTROL_MICROS, Event::Allocate);
+            self.event_queue
+                .add(self.now + CONTROL_LATENCY_MICROS, Event::Allocate);
         }
     }
 
@@ -52,22 +53,24 @@
             .engines
             .iter()
             .enumerate()
-            .map(|(engine, slot)| match self.control.loads.get(engine) {
-                // A dead engine answers nothing; its last report grows old.
-                Some(last) if slot.dead => *last,
-                _ => slot.core.load_report(self.now),
+            .map(|(engine, simulated)| match self.control.loads.get(engine) {
+                // A dead engine does not answer: control keeps sending its last report.
+                Some(last) if simulated.dead => *last,
+                _ => simulated.core.load_report(self.now),
             })
             .collect();
         self.control.loads.clone_from(&loads);
-        let arrives = self.now + CONTROL_MICROS;
-        self.agenda.add(arrives, Event::Digest(Rc::new(loads)));
-        self.agenda.add(self.now + POLL_MICROS, Event::Poll);
+        let arrives_at = self.now + CONTROL_LATENCY_MICROS;
+        self.event_queue
+            .add(arrives_at, Event::LoadReports(Rc::new(loads)));
+        self.event_queue
+            .add(self.now + POLL_INTERVAL_MICROS, Event::Poll);
     }
 
-    pub(super) fn on_digest(&mut self, loads: &[LoadReport]) {
-        let listed = self.online_engines();
+    pub(super) fn on_load_reports(&mut self, loads: &[LoadReport]) {
+        let online_engine_count = self.online_engine_count();
         for gateway in &mut self.gateways {
-            for (engine, load) in loads.iter().take(listed).enumerate() {
+            for (engine, load) in loads.iter().take(online_engine_count).enumerate() {
                 let view = gateway.router.view_mut();
                 view.on_load_report(ReplicaIndex(engine as u32), *load);
             }
@@ -75,8 +78,9 @@
     }
 
     pub(super) fn on_allocate(&mut self) {
-        let wishes: Vec<CapacityRequest> =
-            (0..self.gateways.len()).map(|one| self.wish(one)).collect();
+        let requests: Vec<CapacityRequest> = (0..self.gateways.len())
+            .map(|gateway| self.capacity_request(gateway))
+            .collect();
         let replicas: Vec<BatchReplica> = self
             .control
             .loads
@@ -86,8 +90,8 @@
             .collect();
         let allocations = self
             .control
-            .book
-            .allocate(self.timestamp(), &wishes, &replicas);
+            .grant_table
+            .allocate(self.timestamp(), &requests, &replicas);
         let grants = allocations
             .iter()
             .filter_map(|allocation| {
@@ -96,29 +100,31 @@
                 Some(GrantedBatch {
                     gateway: gateways
                         .into_iter()
-                        .position(|one| one.id == allocation.gateway)?,
+                        .position(|gateway| gateway.id == allocation.gateway)?,
                     engine: engines
                         .into_iter()
-                        .position(|one| one.replica == allocation.grant.replica)?,
+                        .position(|replica| replica.replica == allocation.grant.replica)?,
                     sequences: allocation.grant.sequences,
                     valid_ms: allocation.grant.valid_ms,
                 })
             })
             .collect();
-        let arrives = self.now + CONTROL_MICROS;
-        self.agenda.add(arrives, Event::Grants(Rc::new(grants)));
-        self.agenda.add(self.now + ALLOCATE_MICROS, Event::Allocate);
+        let arrives_at = self.now + CONTROL_LATENCY_MICROS;
+        self.event_queue
+            .add(arrives_at, Event::Grants(Rc::new(grants)));
+        self.event_queue
+            .add(self.now + ALLOCATION_INTERVAL_MICROS, Event::Allocate);
     }
 
-    fn wish(&self, gateway: usize) -> CapacityRequest {
-        let one = &self.gateways[gateway];
+    fn capacity_request(&self, gateway: usize) -> CapacityRequest {
+        let gateway_state = &self.gateways[gateway];
         let share = self.backlog.len().div_ceil(self.gateways.len()) as u32;
-        let wished = one.batch_running() + one.leased.len() as u32 + share;
+        let requested = gateway_state.batch_running() + gateway_state.leased.len() as u32 + share;
         CapacityRequest {
-            gateway: one.id.clone(),
-            zone: one.zone.clone(),
+            gateway: gateway_state.id.clone(),
+            zone: gateway_state.zone.clone(),
             model: self.deployment.model.clone(),
-            sequences: wished.min(MOST_WISHED),
+            sequences: requested.min(MAX_REQUESTED_SEQUENCES),
         }
     }
 
@@ -143,6 +149,6 @@
                 u64::from(grant.valid_ms),
             );
         }
-        self.pump_all();
+        self.schedule_batch_on_all();
     }
 }
--- a/crates/experiments/src/simulation/engines.rs
+++ b/crates/experiments/src/simulation/engines.rs
@@ -1,4 +1,4 @@
-//! Driving the emulated engines.
+//! Drives the emulated engines.
 
 use linnethitch_emulator::{
     Time,
@@ -7,29 +7,29 @@
 
 use super::{
     Simulation,
-    agenda::Event,
     attempt::{Attempt, AttemptId, Owner},
+    event_queue::Event,
 };
 
-/// An engine and what truly runs on it.
+/// An emulated engine and the attempts that are currently on it.
 #[derive(Debug)]
-pub(super) struct EngineSlot {
+pub(super) struct SimulatedEngine {
     pub(super) core: EngineCore,
-    /// The wake-up that counts; others on the agenda are outdated.
+    /// Time of the valid wake-up; other wake-ups in the event queue are outdated.
     wake_at: Option<Time>,
-    /// Whether it has died.
+    /// Whether the engine has died.
     pub(super) dead: bool,
-    /// Online attempts sent and not over.
+    /// Online attempts sent and not ended.
     pub(super) online: u32,
     /// Prompt tokens of online attempts without a first token.
     pub(super) online_prefill_tokens: u32,
-    /// Batch attempts sent and not over.
+    /// Batch attempts sent and not ended.
     pub(super) batch: Vec<AttemptId>,
 }
 
-impl EngineSlot {
-    pub(super) fn new(core: EngineCore) -> EngineSlot {
-        EngineSlot {
+impl SimulatedEngine {
+    pub(super) fn new(core: EngineCore) -> SimulatedEngine {
+        SimulatedEngine {
             core,
             wake_at: None,
             dead: false,
@@ -45,45 +45,45 @@
 }
 
 impl Simulation<'_> {
-    /// Sends a request towards its engine.
+    /// Sends an attempt to its engine.
     pub(super) fn send(&mut self, attempt: Attempt, latency_micros: u64) -> AttemptId {
         let id = AttemptId(self.attempts.len());
         let prompt_tokens = self.prompt(attempt.owner).prompt_tokens;
-        let slot = &mut self.engines[attempt.engine];
+        let simulated = &mut self.engines[attempt.engine];
         match attempt.owner {
             Owner::Online(_) => {
-                slot.online += 1;
-                slot.online_prefill_tokens += prompt_tokens;
+                simulated.online += 1;
+                simulated.online_prefill_tokens += prompt_tokens;
             }
-            Owner::Item(_) => slot.batch.push(id),
+            Owner::Item(_) => simulated.batch.push(id),
         }
         self.attempts.push(attempt);
-        self.agenda
+        self.event_queue
             .add(self.now + latency_micros, Event::Submit(id));
         id
     }
 
-    /// Marks an attempt as over and takes it out of the true counts.
-    pub(super) fn close(&mut self, id: AttemptId) {
+    /// Marks an attempt as ended and removes it from the counts of its engine.
+    pub(super) fn end_attempt(&mut self, id: AttemptId) {
         let attempt = &mut self.attempts[id.0];
-        attempt.over = true;
+        attempt.ended = true;
         let (owner, engine, started) = (attempt.owner, attempt.engine, attempt.started);
         let prompt_tokens = self.prompt(owner).prompt_tokens;
-        let slot = &mut self.engines[engine];
+        let simulated = &mut self.engines[engine];
         match owner {
             Owner::Online(_) => {
-                slot.online -= 1;
+                simulated.online -= 1;
                 if !started {
-                    slot.online_prefill_tokens -= prompt_tokens;
+                    simulated.online_prefill_tokens -= prompt_tokens;
                 }
             }
-            Owner::Item(_) => slot.batch.retain(|other| *other != id),
+            Owner::Item(_) => simulated.batch.retain(|other| *other != id),
         }
     }
 
     pub(super) fn on_submit(&mut self, id: AttemptId) {
         let attempt = &self.attempts[id.0];
-        if attempt.over {
+        if attempt.ended {
             return;
         }
         let engine = attempt.engine;
@@ -92,7 +92,7 @@
         let submitted = self.engines[engine].core.submit(self.now, request);
         self.schedule_wake(engine);
         if let Err(refusal) = submitted {
-            self.on_refused(id, refusal);
+            self.on_attempt_failed(id, refusal);
         }
     }
 
@@ -137,12 +137,12 @@
     }
 
     fn schedule_wake(&mut self, engine: usize) {
-        let slot = &mut self.engines[engine];
-        let next = slot.core.next_event_at().map(|at| at.max(self.now));
-        if next != slot.wake_at {
-            slot.wake_at = next;
+        let simulated = &mut self.engines[engine];
+        let next = simulated.core.next_event_at().map(|at| at.max(self.now));
+        if next != simulated.wake_at {
+            simulated.wake_at = next;
             if let Some(at) = next {
-                self.agenda.add(at, Event::Wake(engine));
+                self.event_queue.add(at, Event::Wake(engine));
             }
         }
     }
@@ -163,7 +163,7 @@
         | EngineEvent::Broken { id, .. }) = event;
         let id = AttemptId::of(id);
         let attempt = &self.attempts[id.0];
-        if attempt.over {
+        if attempt.ended {
             return;
         }
         match (event, attempt.owner) {
@@ -179,7 +179,7 @@
             (EngineEvent::Finished { .. }, Owner::Item(_)) => self.on_item_finished(id),
             (EngineEvent::Preempted { .. }, Owner::Item(_)) => self.outcome.preemptions += 1,
             (EngineEvent::Preempted { .. }, Owner::Online(_)) => {}
-            (EngineEvent::Broken { .. }, _) => self.on_refused(id, Refusal::Fault),
+            (EngineEvent::Broken { .. }, _) => self.on_attempt_failed(id, Refusal::Fault),
         }
     }
 }
--- a/crates/experiments/src/simulation/agenda.rs
+++ b/crates/experiments/src/simulation/event_queue.rs
@@ -1,4 +1,4 @@
-//! What happens when.
+//! Queue of simulation events, ordered by virtual time.
 
 use std::{
     cmp::{Ordering, Reverse},
@@ -11,41 +11,41 @@
 
 use super::{attempt::AttemptId, control::GrantedBatch, incidents::Incident};
 
-/// Something that happens at a time.
+/// An event of the simulation.
 #[derive(Clone, Debug)]
 pub(super) enum Event {
     /// An online request of the trace reaches its gateway.
-    Online(usize),
-    /// A batch heap of the trace is accepted.
-    Heap(usize),
+    OnlineArrival(usize),
+    /// A batch job of the trace is accepted.
+    BatchJob(usize),
     /// A request reaches its engine.
     Submit(AttemptId),
     /// A cancellation reaches its engine.
     Cancel(AttemptId),
-    /// A gateway sees the connection of a request break.
-    Broken(AttemptId),
-    /// Something happens to an engine.
+    /// A gateway detects that the connection of a request is broken.
+    ConnectionBroken(AttemptId),
+    /// An incident on an engine.
     Incident(Incident),
-    /// An engine has something to do.
+    /// The next event of an engine is due.
     Wake(usize),
     /// Control reads the loads of all engines.
     Poll,
-    /// Loads read by control reach the gateways.
-    Digest(Rc<Vec<LoadReport>>),
-    /// Control allocates grants.
+    /// Load reports from control reach the gateways.
+    LoadReports(Rc<Vec<LoadReport>>),
+    /// Control allocates capacity grants.
     Allocate,
     /// Grants reach their gateways.
     Grants(Rc<Vec<GrantedBatch>>),
     /// Leased items reach a gateway.
     Lease(usize),
-    /// Every gateway looks after its batch work.
-    Pump,
+    /// Every gateway schedules its batch items.
+    BatchTick,
 }
 
 #[derive(Clone, Debug)]
 struct Scheduled {
     at: Time,
-    order: u64,
+    insertion: u64,
     event: Event,
 }
 
@@ -65,28 +65,28 @@
 
 impl Ord for Scheduled {
     fn cmp(&self, other: &Self) -> Ordering {
-        (self.at, self.order).cmp(&(other.at, other.order))
+        (self.at, self.insertion).cmp(&(other.at, other.insertion))
     }
 }
 
-/// Events by time; those of one time in the order in which they were added.
+/// Events in order of time; events of the same time in the order in which they were added.
 #[derive(Debug, Default)]
-pub(super) struct Agenda {
+pub(super) struct EventQueue {
     events: BinaryHeap<Reverse<Scheduled>>,
-    added: u64,
+    insertions: u64,
 }
 
-impl Agenda {
+impl EventQueue {
     pub(super) fn add(&mut self, at: Time, event: Event) {
-        self.added += 1;
+        self.insertions += 1;
         self.events.push(Reverse(Scheduled {
             at,
-            order: self.added,
+            insertion: self.insertions,
             event,
         }));
     }
 
-    pub(super) fn next(&mut self) -> Option<(Time, Event)> {
+    pub(super) fn pop(&mut self) -> Option<(Time, Event)> {
         let Reverse(scheduled) = self.events.pop()?;
         Some((scheduled.at, scheduled.event))
     }
--- a/crates/experiments/src/simulation/gateway.rs
+++ b/crates/experiments/src/simulation/gateway.rs
@@ -1,4 +1,4 @@
-//! A gateway: its decisions and its batch work.
+//! State of a gateway: its router and its batch items.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
 use super::attempt::AttemptId;
 use crate::strategy::Strategy;
 
-/// One gateway's state.
+/// State of one gateway.
 #[derive(Debug)]
 pub(super) struct Gateway {
     pub(super) id: GatewayId,
@@ -21,16 +21,17 @@
     pub(super) capacity: BatchCapacity,
     /// Batch attempts on each engine.
     pub(super) batch: Vec<Vec<AttemptId>>,
-    /// Items leased and not started, those with tokens first.
+    /// Leased items that are not running; items returned by a cancelled or failed attempt
+    /// come first.
     pub(super) leased: VecDeque<usize>,
-    /// Whether leased items are on their way.
-    pub(super) lease_asked: bool,
-    /// Requests of this gateway on each engine.
+    /// Whether a lease call is outstanding.
+    pub(super) lease_pending: bool,
+    /// Requests and items of this gateway in flight on each engine.
     pub(super) in_flight: Vec<u32>,
-    /// Bounds what it sends again.
-    pub(super) budget: RetryBudget,
-    /// Position of round robin.
-    pub(super) turn: usize,
+    /// Limits retries of online requests.
+    pub(super) retry_budget: RetryBudget,
+    /// Round-robin position.
+    pub(super) round_robin_position: usize,
 }
 
 impl Gateway {
@@ -45,20 +46,23 @@
         Gateway {
             id: GatewayId(format!("gateway-{number:03}")),
             zone: zone.clone(),
-            budget: RetryBudget::new(Timestamp(0), &policy),
+            retry_budget: RetryBudget::new(Timestamp(0), &policy),
             router: Router::new(zone, policy),
             random: Pcg64Mcg::seed_from_u64(seed ^ number as u64),
             capacity: BatchCapacity::new(strategy.yielding),
             batch: vec![Vec::new(); engines],
             leased: VecDeque::new(),
-            lease_asked: false,
+            lease_pending: false,
             in_flight: vec![0; engines],
-            turn: number,
+            round_robin_position: number,
         }
     }
 
-    /// Batch attempts under way.
+    /// Number of running batch attempts.
     pub(super) fn batch_running(&self) -> u32 {
-        self.batch.iter().map(|runs| runs.len() as u32).sum()
+        self.batch
+            .iter()
+            .map(|attempts| attempts.len() as u32)
+            .sum()
     }
 }
--- a/crates/experiments/src/simulation/incidents.rs
+++ b/crates/experiments/src/simulation/incidents.rs
@@ -1,4 +1,4 @@
-//! Faults of engines, and what gateways make of them.
+//! Engine faults and how gateways handle them.
 
 use linnethitch_emulator::{
     Time,
@@ -13,64 +13,67 @@
 
 use super::{
     Simulation,
-    agenda::Event,
     attempt::{AttemptId, Owner},
+    event_queue::Event,
 };
 
-/// What happens to an engine.
+/// Kind of an incident on an engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum IncidentKind {
-    /// It stops; its connections break.
+    /// The engine stops and its connections break.
     Dies,
-    /// Its steps take this many percent of the normal time.
+    /// The steps of the engine take this many percent of the normal time.
     Slows(u32),
-    /// It takes no new work and finishes what it has.
+    /// The engine accepts no new requests and finishes those it has.
     Leaves,
 }
 
-/// Something that happens to an engine.
+/// An incident on an engine at a given time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Incident {
-    /// When.
+    /// Time of the incident.
     pub(crate) at: Time,
-    /// To which.
+    /// Index of the engine.
     pub(crate) engine: usize,
-    /// What.
+    /// Kind of the incident.
     pub(crate) kind: IncidentKind,
 }
 
 impl Simulation<'_> {
     pub(super) fn on_incident(&mut self, incident: Incident) {
-        let slot = &mut self.engines[incident.engine];
+        let simulated = &mut self.engines[incident.engine];
         match incident.kind {
             IncidentKind::Dies => {
-                slot.core.inject(self.now, Fault::Die);
-                slot.dead = true;
+                simulated.core.inject(self.now, Fault::Die);
+                simulated.dead = true;
                 self.break_connections(incident.engine);
             }
-            IncidentKind::Slows(percent) => slot.core.inject(self.now, Fault::Slow { percent }),
-            IncidentKind::Leaves => slot.core.set_leaving(true),
+            IncidentKind::Slows(percent) => {
+                simulated.core.inject(self.now, Fault::Slow { percent })
+            }
+            IncidentKind::Leaves => simulated.core.set_leaving(true),
         }
     }
 
     fn break_connections(&mut self, engine: usize) {
         for id in (0..self.attempts.len()).map(AttemptId) {
             let attempt = &self.attempts[id.0];
-            if attempt.engine == engine && !attempt.over {
+            if attempt.engine == engine && !attempt.ended {
                 let latency = self.latency(attempt.gateway, engine);
-                self.agenda.add(self.now + latency, Event::Broken(id));
+                self.event_queue
+                    .add(self.now + latency, Event::ConnectionBroken(id));
             }
         }
     }
 
-    /// A gateway sees a connection break.
-    pub(super) fn on_broken(&mut self, id: AttemptId) {
-        if !self.attempts[id.0].over {
-            self.on_refused(id, Refusal::Fault);
+    /// Handles a broken connection at the gateway.
+    pub(super) fn on_connection_broken(&mut self, id: AttemptId) {
+        if !self.attempts[id.0].ended {
+            self.on_attempt_failed(id, Refusal::Fault);
         }
     }
 
-    /// Sends an online request again, or goes on elsewhere, as far as the rules allow.
+    /// Retries or resumes an online request on another engine if the retry policy permits.
     pub(super) fn retry_online(&mut self, request: usize, engine: usize, refusal: Refusal) {
         let now = self.timestamp();
         let gateway = self.trace.online[request].gateway;
@@ -88,16 +91,23 @@
         let policy = &self.deployment.routing;
         let arrived_ms = self.trace.online[request].at.as_millis();
         let deadline = Timestamp(arrived_ms + policy.default_deadline_ms);
-        let budget = &mut self.gateways[gateway].budget;
-        let next = after_failure(now, &attempt, state.attempts, deadline, policy, budget);
+        let retry_budget = &mut self.gateways[gateway].retry_budget;
+        let decision = after_failure(
+            now,
+            &attempt,
+            state.attempts,
+            deadline,
+            policy,
+            retry_budget,
+        );
         let owner = Owner::Online(request);
-        let again = match next {
+        let alternative = match decision {
             RetryDecision::Retry(_) | RetryDecision::Resume(_) => {
                 self.choose_engine(gateway, owner, &[ReplicaIndex(engine as u32)])
             }
             RetryDecision::Answer { .. } => None,
         };
-        match again {
+        match alternative {
             Some(other) => {
                 self.outcome.retries += 1;
                 self.send_from_gateway(owner, gateway, other);
@@ -118,7 +128,7 @@
     }
 }
 
-/// What a refusal says about the health of its engine.
+/// The failure kind that a refusal counts as in the health of its engine.
 pub(super) fn failure_kind(refusal: Refusal) -> FailureKind {
     match refusal {
         Refusal::Dead => FailureKind::Unreachable,
--- a/crates/experiments/src/simulation/mod.rs
+++ b/crates/experiments/src/simulation/mod.rs
@@ -1,11 +1,11 @@
-//! One run: gateways, control and engines in virtual time.
+//! Discrete-event simulation of one run: gateways, control and engines in virtual time.
 
-mod agenda;
 mod attempt;
 mod batch;
 mod central;
 mod control;
 mod engines;
+mod event_queue;
 mod gateway;
 mod incidents;
 mod online;
@@ -21,11 +21,11 @@
 
 pub(crate) use self::incidents::{Incident, IncidentKind};
 use self::{
-    agenda::{Agenda, Event},
     attempt::{Attempt, Owner},
     batch::ItemState,
     control::Control,
-    engines::EngineSlot,
+    engines::SimulatedEngine,
+    event_queue::{Event, EventQueue},
     gateway::Gateway,
     online::OnlineState,
 };
@@ -37,22 +37,22 @@
 };
 
 /// One-way latency inside a zone, in microseconds.
-const SAME_ZONE_MICROS: u64 = 200;
+const SAME_ZONE_LATENCY_MICROS: u64 = 200;
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
 /// Parameters of a run.
 #[derive(Clone, Debug)]
 pub(crate) struct RunSettings {
-    /// Seed of gateways and engines.
+    /// Seed of the random choices of gateways and engines.
     pub(crate) seed: u64,
-    /// What comes before this time is not measured.
+    /// End of the warm-up; earlier events are not measured.
     pub(crate) warm_up: Time,
-    /// When the run ends.
+    /// End of the run.
     pub(crate) end: Time,
-    /// The engines.
+    /// Model of every engine.
     pub(crate) engine: EngineModel,
-    /// What happens to engines.
+    /// Incidents on engines.
     pub(crate) incidents: Vec<Incident>,
 }
 
@@ -63,23 +63,23 @@
     settings: RunSettings,
     trace: &'a Trace,
     now: Time,
-    agenda: Agenda,
-    engines: Vec<EngineSlot>,
+    event_queue: EventQueue,
+    engines: Vec<SimulatedEngine>,
     gateways: Vec<Gateway>,
     control: Control,
     attempts: Vec<Attempt>,
     online: Vec<OnlineState>,
     items: Vec<ItemState>,
-    /// Items that nobody has leased.
+    /// Items that no gateway has leased.
     backlog: VecDeque<usize>,
-    /// Work of the baseline with one queue.
+    /// Waiting online requests and batch items of the baseline with one central queue.
     shared_queue: VecDeque<Owner>,
     engine_events: Vec<EngineEvent>,
     outcome: Outcome,
 }
 
 impl<'a> Simulation<'a> {
-    /// A run that has not begun.
+    /// Creates a run; [`Simulation::run`] starts it.
     pub(crate) fn new(
         deployment: &'a Deployment,
         strategy: Strategy,
@@ -87,23 +87,23 @@
         settings: RunSettings,
     ) -> Simulation<'a> {
         let engines = deployment.engine_zones.len();
-        let slots = (0..engines).map(|engine| {
+        let simulated_engines = (0..engines).map(|engine| {
             let seed = settings.seed.wrapping_add(engine as u64);
             let core = EngineCore::new(settings.engine.clone(), seed);
-            EngineSlot::new(core.with_state(deployment.engine_state()))
+            SimulatedEngine::new(core.with_state(deployment.engine_state()))
         });
         let mut simulation = Simulation {
-            engines: slots.collect(),
+            engines: simulated_engines.collect(),
             gateways: Vec::new(),
             control: Control {
-                book: GrantTable::new(strategy.grants),
+                grant_table: GrantTable::new(strategy.grants),
                 loads: Vec::new(),
             },
             deployment,
             strategy,
             trace,
             now: Time::ZERO,
-            agenda: Agenda::default(),
+            event_queue: EventQueue::default(),
             attempts: Vec::new(),
             online: vec![OnlineState::default(); trace.online.len()],
             items: Vec::new(),
@@ -118,7 +118,7 @@
     }
 
     fn create_gateways(&mut self) {
-        let listed = self.online_engines();
+        let online_engine_count = self.online_engine_count();
         for (number, zone) in self.deployment.gateway_zones.iter().enumerate() {
             let mut gateway = Gateway::new(
                 number,
@@ -128,26 +128,28 @@
                 self.engines.len(),
                 self.settings.seed,
             );
-            let replicas = (0..listed).map(|engine| self.deployment.replica(engine));
+            let replicas = (0..online_engine_count).map(|engine| self.deployment.replica(engine));
             gateway.router.view_mut().set_replicas(replicas);
             self.gateways.push(gateway);
         }
     }
 
-    /// Runs to the end and tells what was measured.
+    /// Runs to the end and returns the results.
     pub(crate) fn run(mut self) -> Outcome {
         for (request, online) in self.trace.online.iter().enumerate() {
-            self.agenda.add(online.at, Event::Online(request));
+            self.event_queue
+                .add(online.at, Event::OnlineArrival(request));
         }
-        for (heap, arrival) in self.trace.heaps.iter().enumerate() {
-            self.agenda.add(arrival.at, Event::Heap(heap));
+        for (job, arrival) in self.trace.jobs.iter().enumerate() {
+            self.event_queue.add(arrival.at, Event::BatchJob(job));
         }
         for incident in &self.settings.incidents {
-            self.agenda.add(incident.at, Event::Incident(*incident));
+            self.event_queue
+                .add(incident.at, Event::Incident(*incident));
         }
         self.start_control();
-        self.agenda.add(self.now, Event::Pump);
-        while let Some((at, event)) = self.agenda.next() {
+        self.event_queue.add(self.now, Event::BatchTick);
+        while let Some((at, event)) = self.event_queue.pop() {
             if at >= self.settings.end {
                 break;
             }
@@ -160,38 +162,38 @@
         self.outcome
     }
 
-    /// Counts who still waits at the end with the wait so far.
+    /// Records the wait so far of requests without a first token at the end of the run.
     fn count_unanswered(&mut self) {
         for (arrival, state) in self.trace.online.iter().zip(&self.online) {
             let measured = (self.settings.warm_up..self.settings.end).contains(&arrival.at);
             if measured && state.last_token_at.is_none() && !state.refused {
                 let wait = self.settings.end.micros_since(arrival.at);
-                self.outcome.on_first_token(wait, arrival.long);
+                self.outcome.record_first_token(wait, arrival.long);
             }
         }
     }
 
     fn handle(&mut self, event: Event) {
         match event {
-            Event::Online(request) => {
+            Event::OnlineArrival(request) => {
                 self.on_online_arrival(request);
             }
-            Event::Heap(heap) => self.on_heap(heap),
+            Event::BatchJob(job) => self.on_batch_job(job),
             Event::Submit(attempt) => self.on_submit(attempt),
             Event::Cancel(attempt) => self.on_cancel(attempt),
-            Event::Broken(attempt) => self.on_broken(attempt),
+            Event::ConnectionBroken(attempt) => self.on_connection_broken(attempt),
             Event::Incident(incident) => self.on_incident(incident),
             Event::Wake(engine) => self.on_wake(engine),
             Event::Poll => self.on_poll(),
-            Event::Digest(loads) => self.on_digest(&loads),
+            Event::LoadReports(loads) => self.on_load_reports(&loads),
             Event::Allocate => self.on_allocate(),
             Event::Grants(grants) => self.on_grants(&grants),
             Event::Lease(gateway) => self.on_lease(gateway),
-            Event::Pump => self.on_pump(),
+            Event::BatchTick => self.on_batch_tick(),
         }
     }
 
-    /// The time as the decisions count it.
+    /// The current virtual time in the unit of the routing decisions.
     fn timestamp(&self) -> Timestamp {
         Timestamp(self.now.as_millis())
     }
@@ -200,9 +202,9 @@
     fn latency(&self, gateway: usize, engine: usize) -> u64 {
         let same = self.deployment.gateway_zones[gateway] == self.deployment.engine_zones[engine];
         if same {
-            SAME_ZONE_MICROS
+            SAME_ZONE_LATENCY_MICROS
         } else {
-            self.deployment.zone_micros
+            self.deployment.zone_latency_micros
         }
     }
 
@@ -211,13 +213,13 @@
         match owner {
             Owner::Online(request) => &trace.online[request].prompt,
             Owner::Item(item) => {
-                let (heap, position) = self.items[item].place;
-                &trace.heaps[heap].items[position]
+                let (job, position) = self.items[item].trace_position;
+                &trace.jobs[job].items[position]
             }
         }
     }
 
-    /// Tokens of an answer that earlier attempts delivered.
+    /// Answer tokens that earlier attempts delivered.
     fn delivered_tokens(&self, owner: Owner) -> u32 {
         match owner {
             Owner::Online(request) => self.online[request].tokens,
--- a/crates/experiments/src/simulation/online.rs
+++ b/crates/experiments/src/simulation/online.rs
@@ -1,4 +1,4 @@
-//! Online requests from their arrival to their last token.
+//! Online requests, from arrival to last token.
 
 use linnethitch_emulator::{Time, engine::Refusal};
 use linnethitch_protocol::ids::Timestamp;
@@ -11,7 +11,7 @@
 };
 use crate::strategy::{BatchDispatch, OnlineDispatch};
 
-/// What became of an online request.
+/// State of an online request.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct OnlineState {
     pub(super) tokens: u32,
@@ -28,7 +28,7 @@
             return;
         }
         let gateway = self.trace.online[request].gateway;
-        self.gateways[gateway].budget.on_request();
+        self.gateways[gateway].retry_budget.on_request();
         match self.choose_engine(gateway, Owner::Online(request), &[]) {
             Some(engine) => self.send_from_gateway(Owner::Online(request), gateway, engine),
             None => {
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The engine that a gateway's own rules name for a request.
+    /// Chooses the engine for a request or item by the gateway's strategy.
     pub(super) fn choose_engine(
         &mut self,
         gateway: usize,
@@ -48,18 +48,18 @@
         match self.strategy.online {
             OnlineDispatch::Router => self.choose_by_router(gateway, owner, exclude),
             OnlineDispatch::RoundRobin => {
-                let one = &mut self.gateways[gateway];
-                one.turn += 1;
-                Some(one.turn % self.engines.len())
+                let gateway_state = &mut self.gateways[gateway];
+                gateway_state.round_robin_position += 1;
+                Some(gateway_state.round_robin_position % self.engines.len())
             }
             OnlineDispatch::LeastInFlight => {
-                let one = &mut self.gateways[gateway];
-                one.turn += 1;
+                let gateway_state = &mut self.gateways[gateway];
+                gateway_state.round_robin_position += 1;
                 let engines = self.engines.len();
-                // Ties go to the next in turn.
+                // Among engines with equally few requests, the next in round-robin order is taken.
                 (0..engines)
-                    .map(|step| (one.turn + step) % engines)
-                    .min_by_key(|engine| one.in_flight[*engine])
+                    .map(|step| (gateway_state.round_robin_position + step) % engines)
+                    .min_by_key(|engine| gateway_state.in_flight[*engine])
             }
             OnlineDispatch::SharedQueue => None,
         }
@@ -91,12 +91,15 @@
             deadline: Timestamp(now.0 + self.deployment.routing.default_deadline_ms),
             exclude,
         };
-        let one = &mut self.gateways[gateway];
-        let choice = one.router.choose(now, &profile, &mut one.random).ok()?;
+        let gateway_state = &mut self.gateways[gateway];
+        let choice = gateway_state
+            .router
+            .choose(now, &profile, &mut gateway_state.random)
+            .ok()?;
         Some(choice.replica.0 as usize)
     }
 
-    /// Sends a request or item, counted in its gateway's view.
+    /// Sends a request or item from a gateway and counts it in the gateway's view.
     pub(super) fn send_from_gateway(&mut self, owner: Owner, gateway: usize, engine: usize) {
         let now = self.timestamp();
         let replica = ReplicaIndex(engine as u32);
@@ -104,9 +107,9 @@
         let prompt = self.prompt(owner);
         let (prompt_tokens, output_tokens) = (prompt.prompt_tokens, prompt.output_tokens);
         let hashes = prompt.prefix_hashes.clone();
-        let one = &mut self.gateways[gateway];
-        one.in_flight[engine] += 1;
-        let view = one.router.view_mut();
+        let gateway_state = &mut self.gateways[gateway];
+        gateway_state.in_flight[engine] += 1;
+        let view = gateway_state.router.view_mut();
         let cached = view.prefixes().cached_blocks(replica, &hashes) as u32
             * linnethitch_routing::profile::PREFIX_BLOCK_TOKENS;
         let work = Work {
@@ -123,13 +126,13 @@
             ticket: Some(ticket),
             resume_tokens,
             started: false,
-            over: false,
+            ended: false,
         };
         let id = self.send(attempt, latency);
         match owner {
             Owner::Online(request) => {
                 self.online[request].attempts += 1;
-                self.pump(gateway);
+                self.schedule_batch(gateway);
             }
             Owner::Item(_) => self.gateways[gateway].batch[engine].push(id),
         }
@@ -138,11 +141,11 @@
     pub(super) fn on_online_token(&mut self, id: AttemptId, request: usize, at: Time) {
         let gateway = self.attempts[id.0].gateway;
         let engine = self.attempts[id.0].engine;
-        let seen_at = at + self.latency(gateway, engine);
+        let received_at = at + self.latency(gateway, engine);
         self.on_any_token(id);
         let arrival = &self.trace.online[request];
         let state = &mut self.online[request];
-        let last = state.last_token_at.replace(seen_at);
+        let last = state.last_token_at.replace(received_at);
         state.tokens += 1;
         if arrival.at < self.settings.warm_up {
             return;
@@ -151,15 +154,15 @@
             Some(last) => self
                 .outcome
                 .between_tokens
-                .record(seen_at.micros_since(last)),
+                .record(received_at.micros_since(last)),
             None => {
-                let wait = seen_at.micros_since(arrival.at);
-                self.outcome.on_first_token(wait, arrival.long);
+                let wait = received_at.micros_since(arrival.at);
+                self.outcome.record_first_token(wait, arrival.long);
             }
         }
     }
 
-    /// Tells the gateway's view of a token; with the first one comes a load report.
+    /// Records a token in the gateway's view. The first token carries a load report.
     pub(super) fn on_any_token(&mut self, id: AttemptId) {
         let now = self.timestamp();
         let attempt = &mut self.attempts[id.0];
@@ -187,32 +190,32 @@
         if self.trace.online[request].at >= self.settings.warm_up {
             self.outcome.online_finished += 1;
         }
-        self.finish(id);
+        self.finish_attempt(id);
     }
 
-    /// Closes an attempt that ended well.
-    pub(super) fn finish(&mut self, id: AttemptId) {
-        self.close(id);
+    /// Ends an attempt that finished with its complete answer.
+    pub(super) fn finish_attempt(&mut self, id: AttemptId) {
+        self.end_attempt(id);
         let now = self.timestamp();
         let attempt = &mut self.attempts[id.0];
         if let Some(ticket) = attempt.ticket.take() {
-            let one = &mut self.gateways[attempt.gateway];
-            one.in_flight[attempt.engine] -= 1;
-            one.router.view_mut().on_finished(now, ticket);
+            let gateway_state = &mut self.gateways[attempt.gateway];
+            gateway_state.in_flight[attempt.engine] -= 1;
+            gateway_state.router.view_mut().on_finished(now, ticket);
         }
     }
 
-    /// An engine did not take a request, or broke its stream.
-    pub(super) fn on_refused(&mut self, id: AttemptId, refusal: Refusal) {
-        self.close(id);
+    /// Handles an attempt that the engine refused or whose stream broke.
+    pub(super) fn on_attempt_failed(&mut self, id: AttemptId, refusal: Refusal) {
+        self.end_attempt(id);
         let now = self.timestamp();
         let attempt = &mut self.attempts[id.0];
         let (owner, gateway, engine) = (attempt.owner, attempt.gateway, attempt.engine);
         if let Some(ticket) = attempt.ticket.take() {
-            let one = &mut self.gateways[gateway];
-            one.in_flight[engine] -= 1;
+            let gateway_state = &mut self.gateways[gateway];
+            gateway_state.in_flight[engine] -= 1;
             let kind = failure_kind(refusal);
-            let view = one.router.view_mut();
+            let view = gateway_state.router.view_mut();
             view.on_failure(now, ticket, kind);
             if refusal == Refusal::Leaving {
                 view.on_leaving(now, ReplicaIndex(engine as u32));
@@ -224,8 +227,9 @@
         }
     }
 
-    /// Online engines of a static split come first, those of batch last.
-    pub(super) fn online_engines(&self) -> usize {
+    /// Number of engines for online requests. In a static split, these come before the
+    /// engines for batch items.
+    pub(super) fn online_engine_count(&self) -> usize {
         let engines = self.engines.len();
         match self.strategy.batch {
             BatchDispatch::Split(percent) => engines - engines * percent as usize / 100,
--- a/crates/experiments/src/strategy.rs
+++ b/crates/experiments/src/strategy.rs
@@ -1,71 +1,72 @@
-//! The ways of sharing engines between online and batch work that are compared.
+//! The compared strategies of sharing engines between online and batch work.
 
 use linnethitch_routing::{batch::yielding::YieldSettings, grants::GrantSettings};
 
-/// How online requests find their engine.
+/// How an engine is chosen for an online request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum OnlineDispatch {
-    /// The router of linnethitch.
+    /// By the linnethitch router.
     Router,
-    /// One after the other.
+    /// Each engine in turn.
     RoundRobin,
-    /// The engine with the fewest own requests of the gateway.
+    /// The engine on which the gateway has the fewest requests in flight.
     LeastInFlight,
-    /// A central queue, first come, first served; engines take from it when they have a free slot.
+    /// By a central first-in, first-out queue; engines with a free slot take from the queue.
     SharedQueue,
 }
 
-/// How batch items find their engine.
+/// How an engine is chosen for a batch item.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum BatchDispatch {
-    /// They do not run.
+    /// Batch items do not run.
     None,
-    /// By grants of control, as in linnethitch.
+    /// By capacity grants from control, as in linnethitch.
     Granted,
-    /// Each gateway keeps an equal share of all slots full, chosen as online requests are.
+    /// Each gateway fills an equal share of all slots with batch items and chooses
+    /// their engines as for online requests.
     Fixed,
-    /// Through the central queue, behind and before online requests.
+    /// Through the central queue, in arrival order with online requests.
     SharedQueue,
-    /// On this share of the engines alone, in percent; online runs on the others.
+    /// On this share of the engines only, in percent; online requests run on the others.
     Split(u32),
-    /// By a scheduler that sees every engine as it is and acts without delay.
+    /// By a scheduler that knows the current state of every engine and acts without delay.
     Oracle(OracleLimits),
 }
 
-/// What the oracle allows batch on an engine.
+/// Limits that the oracle sets for batch work on an engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct OracleLimits {
-    /// Sequences, online and batch, that it fills an engine with.
-    pub(crate) full_sequences: u32,
-    /// Batch sequences while an online prompt is prefilled.
-    pub(crate) pressed_sequences: u32,
-    /// Online prompt tokens left to prefill from which on an engine is pressed.
-    pub(crate) pressed_prefill_tokens: u32,
+    /// Maximum sequences on an engine, online and batch together.
+    pub(crate) max_sequences: u32,
+    /// Maximum batch sequences on an engine under pressure.
+    pub(crate) pressure_sequences: u32,
+    /// Remaining online prompt tokens to prefill from which on an engine is under pressure.
+    pub(crate) pressure_prefill_tokens: u32,
 }
 
-/// One way with its parameters.
+/// One strategy with its parameters.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Strategy {
-    /// What reports call it.
+    /// Name in reports.
     pub(crate) name: &'static str,
-    /// How online requests find their engine.
+    /// How engines are chosen for online requests.
     pub(crate) online: OnlineDispatch,
-    /// How batch items find theirs.
+    /// How engines are chosen for batch items.
     pub(crate) batch: BatchDispatch,
-    /// Whether the router looks for engines that hold a prompt's prefix.
+    /// Whether the router prefers engines that have a prompt's prefix cached.
     pub(crate) prefix_affinity: bool,
-    /// Whether engines know that batch is less urgent.
+    /// Whether engines run batch items at a lower priority than online requests.
     pub(crate) engine_priority: bool,
-    /// Whether batch steps aside on the gateways' word.
+    /// Whether gateways cancel batch items to yield to online requests.
     pub(crate) yields: bool,
-    /// Rules of yielding.
+    /// Settings of yielding.
     pub(crate) yielding: YieldSettings,
-    /// Rules of granting.
+    /// Settings of capacity grants.
     pub(crate) grants: GrantSettings,
 }
 
 impl Strategy {
-    /// What linnethitch does.
+    /// The strategy of linnethitch, with all mechanisms on.
     pub(crate) fn linnethitch() -> Strategy {
         Strategy {
             name: "linnethitch",
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The same without batch work: what its harm is measured against.
+    /// Online requests only. The harm of batch work is measured relative to this run.
     pub(crate) fn without_batch() -> Strategy {
         Strategy {
             name: "online alone",
@@ -88,7 +89,7 @@
         }
     }
 
-    /// Grants, but batch stays where it is until the grant ends.
+    /// Grants without yielding: running batch items keep their slots when the allowance shrinks.
     pub(crate) fn without_yielding() -> Strategy {
         Strategy {
             name: "no yielding",
@@ -106,10 +107,10 @@
         }
     }
 
-    /// linnethitch with one mechanism switched off at a time.
+    /// The linnethitch strategy with one mechanism switched off at a time.
     pub(crate) fn ablations() -> Vec<Strategy> {
         let base = Strategy::linnethitch();
-        let no_watch = YieldSettings {
+        let no_step_times = YieldSettings {
             use_step_times: false,
             ..base.yielding
         };
@@ -121,7 +122,7 @@
         vec![
             Strategy {
                 name: "without watching steps",
-                yielding: no_watch,
+                yielding: no_step_times,
                 ..base
             },
             Strategy {
@@ -143,7 +144,7 @@
         ]
     }
 
-    /// The baselines without linnethitch's decisions.
+    /// Baselines that replace linnethitch's decisions by simpler rules.
     pub(crate) fn baselines() -> Vec<Strategy> {
         vec![
             Strategy {
--- a/crates/experiments/src/table.rs
+++ b/crates/experiments/src/table.rs
@@ -1,4 +1,4 @@
-//! Tables as text and Markdown.
+//! Tables as text, HTML and Markdown.
 
 use std::fmt::Write;
 
@@ -7,7 +7,7 @@
 /// A table with a title.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Table {
-    /// What it shows.
+    /// Title of the table.
     pub title: String,
     /// Names of the columns.
     pub columns: Vec<String>,
@@ -16,7 +16,7 @@
 }
 
 impl Table {
-    /// A table without rows.
+    /// Creates a table without rows.
     #[must_use]
     pub fn new(title: impl Into<String>, columns: &[&str]) -> Table {
         Table {
@@ -31,7 +31,7 @@
         self.rows.push(cells);
     }
 
-    /// The cell of a row, named by its first cell, in a column.
+    /// The cell in a column of the first row whose first cell is `row`.
     #[must_use]
     pub fn cell(&self, row: &str, column: &str) -> Option<&str> {
         let position = self.columns.iter().position(|name| name == column)?;
--- a/crates/experiments/src/trace/generate.rs
+++ b/crates/experiments/src/trace/generate.rs
@@ -1,4 +1,4 @@
-//! Drawing a trace from a workload.
+//! Generates random traces from a workload.
 
 use std::f64::consts::TAU;
 
@@ -10,22 +10,22 @@
 use rand_pcg::Pcg64Mcg;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-use super::{Heap, OnlineRequest, Prompt, Trace, WorkShape, Workload};
+use super::{BatchJob, OnlineRequest, Prompt, Trace, WorkShape, Workload};
 use crate::deployment::Deployment;
 
 const MICROS_PER_SECOND: f64 = 1_000_000.0;
 
-/// Separates the online from the batch stream of one seed.
+/// Combined with the seed, gives batch jobs a random stream of their own.
 const BATCH_STREAM: u64 = 0xba7c;
 
-/// Separates the prompts of templates from unique ones.
+/// Separates the hashes of template prefixes from other hashes.
 const TEMPLATE_SEED: u64 = 0x7e3b;
 
-/// The trace of a deployment over `seconds`, the same for the same seed.
+/// Generates the trace of a deployment over `seconds`. The same seed gives the same trace.
 pub(crate) fn generate(deployment: &Deployment, seconds: f64, seed: u64) -> Trace {
     Trace {
         online: generate_online(deployment, seconds, seed),
-        heaps: generate_heaps(deployment, seconds, seed ^ BATCH_STREAM),
+        jobs: generate_jobs(deployment, seconds, seed ^ BATCH_STREAM),
     }
 }
 
@@ -33,15 +33,16 @@
     let mut generator = Pcg64Mcg::seed_from_u64(seed);
     let workload = &deployment.workload;
     let zones = deployment.zones.len();
-    let mean_rate = workload.online_per_engine * deployment.engine_zones.len() as f64;
-    let most_rate = mean_rate / zones as f64 * peak_factor(workload);
+    let mean_rate = workload.online_rate_per_engine * deployment.engine_zones.len() as f64;
+    let peak_rate = mean_rate / zones as f64 * peak_factor(workload);
     let mut requests = Vec::new();
     for zone in 0..zones {
         let gateways = gateways_of_zone(deployment, zone);
         let mut at_s = 0.0;
         loop {
-            // Thinning: draw at the highest rate and keep each arrival by its share.
-            at_s -= (1.0 - generator.random::<f64>()).ln() / most_rate;
+            // Thinning of a Poisson process: arrivals are drawn at the peak rate, and each is
+            // kept with the probability of the current rate over the peak rate.
+            at_s -= (1.0 - generator.random::<f64>()).ln() / peak_rate;
             if at_s >= seconds {
                 break;
             }
@@ -49,7 +50,7 @@
             if generator.random::<f64>() >= share {
                 continue;
             }
-            let shape = pick(&workload.online, &mut generator);
+            let shape = pick_shape(&workload.online, &mut generator);
             requests.push(OnlineRequest {
                 at: Time((at_s * MICROS_PER_SECOND) as u64),
                 gateway: gateways[generator.random_range(0..gateways.len())],
@@ -65,51 +66,51 @@
 fn gateways_of_zone(deployment: &Deployment, zone: usize) -> Vec<usize> {
     let zones = deployment.gateway_zones.iter().enumerate();
     zones
-        .filter(|(_, of)| **of == zone)
+        .filter(|(_, gateway_zone)| **gateway_zone == zone)
         .map(|(gateway, _)| gateway)
         .collect()
 }
 
-/// The rate of a zone relative to its mean.
+/// Online request rate of a zone at a time, relative to the zone's mean rate.
 fn rate_factor(workload: &Workload, zone: usize, zones: usize, at_s: f64) -> f64 {
-    let turns = at_s / workload.sun_period_s - zone as f64 / zones as f64;
-    let sun = 1.0 + workload.sun_swing * (turns * TAU).sin();
-    let burst = if at_s % workload.burst_period_s < workload.burst_s {
+    let cycles = at_s / workload.diurnal_period_s - zone as f64 / zones as f64;
+    let diurnal = 1.0 + workload.diurnal_amplitude * (cycles * TAU).sin();
+    let burst = if at_s % workload.burst_period_s < workload.burst_duration_s {
         workload.burst_factor
     } else {
         1.0
     };
-    sun * burst / mean_burst(workload)
+    diurnal * burst / mean_burst(workload)
 }
 
 fn mean_burst(workload: &Workload) -> f64 {
-    let share = workload.burst_s / workload.burst_period_s;
+    let share = workload.burst_duration_s / workload.burst_period_s;
     1.0 + share * (workload.burst_factor - 1.0)
 }
 
 fn peak_factor(workload: &Workload) -> f64 {
-    (1.0 + workload.sun_swing) * workload.burst_factor / mean_burst(workload)
+    (1.0 + workload.diurnal_amplitude) * workload.burst_factor / mean_burst(workload)
 }
 
-fn generate_heaps(deployment: &Deployment, seconds: f64, seed: u64) -> Vec<Heap> {
+fn generate_jobs(deployment: &Deployment, seconds: f64, seed: u64) -> Vec<BatchJob> {
     let mut generator = Pcg64Mcg::seed_from_u64(seed);
     let workload = &deployment.workload;
     let engines = deployment.engine_zones.len() as f64;
-    let items = (workload.items_per_engine * engines * workload.heap_period_s) as usize;
-    let heaps = (seconds / workload.heap_period_s).ceil() as usize;
-    (0..heaps)
-        .map(|heap| Heap {
-            at: Time((heap as f64 * workload.heap_period_s * MICROS_PER_SECOND) as u64),
+    let items = (workload.item_rate_per_engine * engines * workload.job_period_s) as usize;
+    let jobs = (seconds / workload.job_period_s).ceil() as usize;
+    (0..jobs)
+        .map(|job| BatchJob {
+            at: Time((job as f64 * workload.job_period_s * MICROS_PER_SECOND) as u64),
             items: (0..items)
-                .map(|_| draw_prompt(pick(&workload.batch, &mut generator), &mut generator))
+                .map(|_| draw_prompt(pick_shape(&workload.batch, &mut generator), &mut generator))
                 .collect(),
         })
         .collect()
 }
 
-fn pick<'a>(shapes: &'a [WorkShape], generator: &mut impl Rng) -> &'a WorkShape {
-    let all: u32 = shapes.iter().map(|shape| shape.percent).sum();
-    let mut drawn = generator.random_range(0..all);
+fn pick_shape<'a>(shapes: &'a [WorkShape], generator: &mut impl Rng) -> &'a WorkShape {
+    let total_percent: u32 = shapes.iter().map(|shape| shape.percent).sum();
+    let mut drawn = generator.random_range(0..total_percent);
     for shape in shapes {
         if drawn < shape.percent {
             return shape;
@@ -131,7 +132,8 @@
     }
 }
 
-/// Hashes that agree over the shared blocks of a template and differ after them.
+/// Chained block hashes of a prompt: equal for prompts of one template over the shared
+/// blocks, different after them.
 fn chained_hashes(shape: &WorkShape, tokens: u32, template: u64, key: PromptKey) -> Vec<u64> {
     let kind = u64::from(shape.prompt_tokens.start) << 32 | u64::from(shape.shared_tokens);
     let mut previous = xxh3_64_with_seed(&template.to_le_bytes(), kind ^ TEMPLATE_SEED);
--- a/crates/experiments/src/trace/mod.rs
+++ b/crates/experiments/src/trace/mod.rs
@@ -1,4 +1,4 @@
-//! What callers and jobs send, modelled on the deployments.
+//! Traces: the online requests and batch jobs of a run, modelled on the deployments.
 
 mod generate;
 mod workload;
@@ -8,46 +8,46 @@
 pub(crate) use generate::generate;
 pub(crate) use workload::{WorkShape, Workload};
 
-/// What is asked of an engine.
+/// Prompt and answer length of an online request or a batch item.
 #[derive(Clone, Debug)]
 pub(crate) struct Prompt {
-    /// Its key; unique.
+    /// Unique key of the prompt.
     pub(crate) key: PromptKey,
     /// Length of the prompt, in tokens.
     pub(crate) prompt_tokens: u32,
     /// Length of the answer, in tokens.
     pub(crate) output_tokens: u32,
-    /// Chained hashes of the prompt's whole blocks.
+    /// Chained hashes of the prompt's complete blocks.
     pub(crate) prefix_hashes: Vec<u64>,
 }
 
-/// A request of a waiting caller.
+/// An online request.
 #[derive(Clone, Debug)]
 pub(crate) struct OnlineRequest {
-    /// When it reaches its gateway.
+    /// Time at which the request reaches its gateway.
     pub(crate) at: Time,
-    /// The gateway, as a position among the gateways.
+    /// Index of the gateway.
     pub(crate) gateway: usize,
-    /// Whether its prompt is a long document.
+    /// Whether the prompt is a long document.
     pub(crate) long: bool,
-    /// What it asks.
+    /// Prompt of the request.
     pub(crate) prompt: Prompt,
 }
 
-/// Batch items that arrive together.
+/// A batch job: items that arrive together.
 #[derive(Clone, Debug)]
-pub(crate) struct Heap {
-    /// When.
+pub(crate) struct BatchJob {
+    /// Time at which the job is accepted.
     pub(crate) at: Time,
-    /// The items.
+    /// Prompts of the items.
     pub(crate) items: Vec<Prompt>,
 }
 
-/// Everything that is asked in one run.
+/// All online requests and batch jobs of one run.
 #[derive(Clone, Debug)]
 pub(crate) struct Trace {
-    /// Online requests in the order of their arrival.
+    /// Online requests in order of arrival.
     pub(crate) online: Vec<OnlineRequest>,
-    /// Batch heaps in the order of their arrival.
-    pub(crate) heaps: Vec<Heap>,
+    /// Batch jobs in order of arrival.
+    pub(crate) jobs: Vec<BatchJob>,
 }
--- a/crates/experiments/src/trace/workload.rs
+++ b/crates/experiments/src/trace/workload.rs
@@ -1,65 +1,65 @@
-//! The shapes of work of the two deployments.
+//! Workloads of the two modelled deployments.
 
 use std::ops::Range;
 
-/// One kind of request or item.
+/// One kind of online request or batch item.
 #[derive(Clone, Debug)]
 pub(crate) struct WorkShape {
-    /// Its share among its like, in percent.
+    /// Share among the online requests or batch items of the workload, in percent.
     pub(crate) percent: u32,
-    /// Tokens of a prompt.
+    /// Range of the prompt length, in tokens.
     pub(crate) prompt_tokens: Range<u32>,
-    /// Tokens of an answer.
+    /// Range of the answer length, in tokens.
     pub(crate) output_tokens: Range<u32>,
-    /// Leading tokens of the prompt that it shares with others of its template.
+    /// Leading prompt tokens shared by all prompts of one template.
     pub(crate) shared_tokens: u32,
-    /// Different templates.
+    /// Number of different templates.
     pub(crate) templates: u64,
-    /// Whether its prompt is a long document.
+    /// Whether the prompt is a long document.
     pub(crate) long: bool,
 }
 
-/// How callers and jobs behave.
+/// Rates and kinds of online requests and batch items.
 #[derive(Clone, Debug)]
 pub(crate) struct Workload {
     /// Online requests per second and engine, on average.
-    pub(crate) online_per_engine: f64,
+    pub(crate) online_rate_per_engine: f64,
     /// Time from one burst to the next, in seconds.
     pub(crate) burst_period_s: f64,
-    /// Length of a burst, in seconds.
-    pub(crate) burst_s: f64,
-    /// Online rate in a burst relative to outside of it.
+    /// Duration of a burst, in seconds.
+    pub(crate) burst_duration_s: f64,
+    /// Online request rate during a burst relative to the rate outside bursts.
     pub(crate) burst_factor: f64,
-    /// Time in which the peak moves once through all zones, in seconds
-    /// (a day, compressed).
-    pub(crate) sun_period_s: f64,
-    /// Swing of a zone's rate around its mean, from 0 to 1.
-    pub(crate) sun_swing: f64,
-    /// Time from one batch heap to the next, in seconds.
-    pub(crate) heap_period_s: f64,
+    /// Period of the daily load cycle, in seconds (a day, compressed). The peak moves
+    /// through all zones once per period.
+    pub(crate) diurnal_period_s: f64,
+    /// Amplitude of the daily load cycle relative to a zone's mean rate, from 0 to 1.
+    pub(crate) diurnal_amplitude: f64,
+    /// Time from one batch job to the next, in seconds.
+    pub(crate) job_period_s: f64,
     /// Batch items per second and engine, on average.
-    pub(crate) items_per_engine: f64,
+    pub(crate) item_rate_per_engine: f64,
     /// Kinds of online requests.
     pub(crate) online: Vec<WorkShape>,
     /// Kinds of batch items.
     pub(crate) batch: Vec<WorkShape>,
 }
 
-const HEAP_PERIOD_S: f64 = 9.0;
+const JOB_PERIOD_S: f64 = 9.0;
 
 impl Workload {
-    /// Spot quotes, tariff lookups and contract summaries; lane pricing and
-    /// contract reviews in batch.
+    /// Granite Lane. Online: spot quotes, tariff lookups and contract summaries.
+    /// Batch: lane pricing and contract reviews.
     pub(crate) fn granite_lane() -> Workload {
         Workload {
-            online_per_engine: 3.0,
+            online_rate_per_engine: 3.0,
             burst_period_s: 7.0,
-            burst_s: 1.5,
+            burst_duration_s: 1.5,
             burst_factor: 3.0,
-            sun_period_s: 60.0,
-            sun_swing: 0.5,
-            heap_period_s: HEAP_PERIOD_S,
-            items_per_engine: 24.0,
+            diurnal_period_s: 60.0,
+            diurnal_amplitude: 0.5,
+            job_period_s: JOB_PERIOD_S,
+            item_rate_per_engine: 24.0,
             online: vec![
                 WorkShape {
                     percent: 60,
@@ -107,18 +107,18 @@
         }
     }
 
-    /// Fare rules, counter requests and boarding summaries before each
-    /// departure bank; passenger notices in batch.
+    /// Hanbit Gate Systems. Online: fare rules, counter requests and boarding summaries,
+    /// in bursts before each departure bank. Batch: passenger notices.
     pub(crate) fn hanbit() -> Workload {
         Workload {
-            online_per_engine: 3.0,
+            online_rate_per_engine: 3.0,
             burst_period_s: 12.0,
-            burst_s: 3.0,
+            burst_duration_s: 3.0,
             burst_factor: 3.0,
-            sun_period_s: 90.0,
-            sun_swing: 0.3,
-            heap_period_s: HEAP_PERIOD_S,
-            items_per_engine: 26.0,
+            diurnal_period_s: 90.0,
+            diurnal_amplitude: 0.3,
+            job_period_s: JOB_PERIOD_S,
+            item_rate_per_engine: 26.0,
             online: vec![
                 WorkShape {
                     percent: 50,
--- a/crates/experiments/tests/all/isolation.rs
+++ b/crates/experiments/tests/all/isolation.rs
@@ -1,8 +1,8 @@
-//! The isolation experiment on a short run.
+//! Tests of the isolation experiment on short runs.
 
 use linnethitch_experiments::{Experiment, Settings, Table};
 
-/// Row and column of the lower figure, then the row of the higher.
+/// Row and column of the lower figure, then row of the higher figure in the same column.
 const ORDERINGS: [(&str, &str, &str); 4] = [
     ("online alone", "between p99 ms", "no yielding"),
     ("linnethitch", "first p99 ms", "shared queue"),
@@ -17,7 +17,10 @@
         warm_up_seconds,
     };
     let experiment = Experiment::find("isolation").expect("the experiment exists");
-    experiment.run(&settings).expect("it runs").tables
+    experiment
+        .run(&settings)
+        .expect("the experiment runs")
+        .tables
 }
 
 fn figure(table: &Table, row: &str, column: &str) -> f64 {
--- a/crates/experiments/tests/all/main.rs
+++ b/crates/experiments/tests/all/main.rs
@@ -1,5 +1,5 @@
-//! Tests of the experiments: the same figures for the same seed, and the orderings that
-//! linnethitch is built for.
+//! Tests of the experiments: the same seed gives the same figures, and strategies rank as
+//! expected.
 
 mod isolation;
 mod report;
--- a/crates/experiments/tests/all/report.rs
+++ b/crates/experiments/tests/all/report.rs
@@ -1,4 +1,4 @@
-//! The report's files.
+//! Tests of the files of a report.
 
 use linnethitch_experiments::{
     Experiment, Settings,
@@ -13,15 +13,15 @@
         warm_up_seconds: 1,
     };
     let experiment = Experiment::find("isolation").expect("the experiment exists");
-    let finding = experiment.run(&settings).expect("it runs");
+    let finding = experiment.run(&settings).expect("the experiment runs");
     let plots: Vec<String> = finding.plots.iter().map(|plot| plot.name.clone()).collect();
     let title = finding.tables[0].title.clone();
-    let folder = tempfile::tempdir().expect("a folder");
+    let folder = tempfile::tempdir().expect("a temporary folder is created");
     let sections = [Section {
         experiment,
         finding,
     }];
-    report::write(folder.path(), &settings, &sections).expect("it is written");
+    report::write(folder.path(), &settings, &sections).expect("the report is written");
     let read = |name: &str| std::fs::read_to_string(folder.path().join(name)).expect(name);
     assert_eq!(plots.len(), 6);
     for plot in &plots {
