--- a/crates/lab/src/scale.rs
+++ b/crates/lab/src/scale.rs
@@ -67,7 +67,7 @@
         fleet: FleetPlan {
             replicas: arguments.replicas,
             tenants: arguments.tenants,
-            ..FleetPlan::LETTER
+            ..FleetPlan::TWO_YEAR_PLAN
         },
         steady_seconds: arguments.seconds,
         burst: arguments.burst,
@@ -86,7 +86,7 @@
         settings.output.join("report.md").display()
     ));
     print_line(&results.verdict());
-    Ok(if results.is_good() {
+    Ok(if results.is_within_budgets() {
         Verdict::Good
     } else {
         Verdict::Bad
--- a/crates/scale/src/capacity/budget.rs
+++ b/crates/scale/src/capacity/budget.rs
@@ -53,7 +53,7 @@
     /// How many times the size uses it up, all counts growing alike and the
     /// frequencies staying; `None` when it never does.
     #[must_use]
-    pub fn multiple_of(&self, size: &FleetSize, measured: &MeasuredFile) -> Option<f64> {
+    pub fn exhausting_multiple(&self, size: &FleetSize, measured: &MeasuredFile) -> Option<f64> {
         let mut fixed = 0.0;
         let mut growing = 0.0;
         for row in self.rows(measured) {
--- a/crates/scale/src/capacity/mod.rs
+++ b/crates/scale/src/capacity/mod.rs
@@ -17,4 +17,4 @@
 pub use fit::{Line, Point, fit_line};
 pub use measurement::{Frequency, Kind, Measurement, Role, Source};
 pub use page::{PageError, render_page};
-pub use size::{Dimension, FleetSize, GRANITE_LANE, HANBIT, LETTER};
+pub use size::{Dimension, FleetSize, GRANITE_LANE, HANBIT, TWO_YEAR_PLAN};
--- a/crates/scale/src/capacity/page.rs
+++ b/crates/scale/src/capacity/page.rs
@@ -11,7 +11,7 @@
     file::MeasuredFile,
     format::{figure, number},
     measurement::{Kind, Measurement, Role},
-    size::{FleetSize, GRANITE_LANE, HANBIT, LETTER},
+    size::{FleetSize, GRANITE_LANE, HANBIT, TWO_YEAR_PLAN},
 };
 
 const START: &str = "<!-- measured: ";
@@ -25,7 +25,7 @@
     ("memory.ledger.tenants", "memory.process"),
     ("cpu.ledger.changes", "cpu.changes"),
 ];
-const SIZES: [FleetSize; 3] = [GRANITE_LANE, HANBIT, LETTER];
+const SIZES: [FleetSize; 3] = [GRANITE_LANE, HANBIT, TWO_YEAR_PLAN];
 
 /// Why a page cannot be rendered.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -33,7 +33,7 @@
     /// A marker names no role.
     UnknownMarker(String),
     /// A part is not ended.
-    NotEnded(String),
+    UnterminatedPart(String),
     /// A role has no part on the page, so its figures would be missing.
     MissingRole(&'static str),
 }
@@ -42,7 +42,7 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownMarker(name) => write!(formatter, "no role is called `{name}`"),
-            Self::NotEnded(name) => write!(formatter, "the part `{name}` has no `{END}`"),
+            Self::UnterminatedPart(name) => write!(formatter, "the part `{name}` has no `{END}`"),
             Self::MissingRole(name) => write!(formatter, "the page has no part `{name}`"),
         }
     }
@@ -75,7 +75,7 @@
         }
         lines
             .find(|line| *line == END)
-            .ok_or_else(|| PageError::NotEnded(name.to_owned()))?;
+            .ok_or_else(|| PageError::UnterminatedPart(name.to_owned()))?;
         push_line(&mut rendered, END);
     }
     match Role::ALL.into_iter().find(|role| !roles.contains(role)) {
@@ -189,7 +189,7 @@
 
 /// The extrapolation to the plan, written out.
 fn work_of(measurement: &Measurement) -> String {
-    let size = &LETTER;
+    let size = &TWO_YEAR_PLAN;
     let (Some(count), Some(value)) = (size.of(measurement.per), measurement.at(size)) else {
         return "–".to_owned();
     };
@@ -242,16 +242,18 @@
 
 fn budget_row(budget: &Budget, measured: &MeasuredFile) -> String {
     let limit = figure(budget.kind, budget.limit, false);
-    let Some(used) = budget.used_at(&LETTER, measured) else {
+    let Some(used) = budget.used_at(&TWO_YEAR_PLAN, measured) else {
         return format!(
             "| {} | {limit} | {NOT_MEASURED} | – | – |",
             budget.kind.name()
         );
     };
-    let multiple = budget.multiple_of(&LETTER, measured).map_or_else(
-        || "never by what is measured".to_owned(),
-        |multiple| format!("{} × the plan", number(multiple)),
-    );
+    let multiple = budget
+        .exhausting_multiple(&TWO_YEAR_PLAN, measured)
+        .map_or_else(
+            || "never by what is measured".to_owned(),
+            |multiple| format!("{} × the plan", number(multiple)),
+        );
     format!(
         "| {} | {limit} | {} | {} % | {multiple} |",
         budget.kind.name(),
--- a/crates/scale/src/capacity/size.rs
+++ b/crates/scale/src/capacity/size.rs
@@ -92,7 +92,7 @@
 };
 
 /// The plan for the next two years.
-pub const LETTER: FleetSize = FleetSize {
+pub const TWO_YEAR_PLAN: FleetSize = FleetSize {
     name: "Plan",
     gateways: 410,
     replicas: 600,
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -35,7 +35,7 @@
 
 impl FleetPlan {
     /// The plan for the next two years.
-    pub const LETTER: FleetPlan = FleetPlan {
+    pub const TWO_YEAR_PLAN: FleetPlan = FleetPlan {
         tenants: 45_000,
         replicas: 600,
         models: 4,
--- a/crates/scale/src/run/report.rs
+++ b/crates/scale/src/run/report.rs
@@ -85,7 +85,11 @@
     )?;
     writeln!(text, "| Budget | Limit | Found | |\n|---|---|---|---|")?;
     for check in &results.checks {
-        let kept = if check.is_kept() { "kept" } else { "BROKEN" };
+        let kept = if check.is_within_limit() {
+            "kept"
+        } else {
+            "BROKEN"
+        };
         let (limit, found, unit) = (check.limit, check.found, &check.unit);
         writeln!(
             text,
--- a/crates/scale/src/run/results.rs
+++ b/crates/scale/src/run/results.rs
@@ -95,7 +95,7 @@
 impl Check {
     /// Whether the budget is kept.
     #[must_use]
-    pub fn is_kept(&self) -> bool {
+    pub fn is_within_limit(&self) -> bool {
         self.found <= self.limit
     }
 }
@@ -120,8 +120,8 @@
 impl ScaleResults {
     /// Whether every budget is kept.
     #[must_use]
-    pub fn is_good(&self) -> bool {
-        self.checks.iter().all(Check::is_kept)
+    pub fn is_within_budgets(&self) -> bool {
+        self.checks.iter().all(Check::is_within_limit)
     }
 
     /// The last line of a run.
@@ -130,7 +130,7 @@
         let broken: Vec<&str> = self
             .checks
             .iter()
-            .filter(|check| !check.is_kept())
+            .filter(|check| !check.is_within_limit())
             .map(|check| check.name.as_str())
             .collect();
         if broken.is_empty() {
--- a/crates/scale/tests/all/budget.rs
+++ b/crates/scale/tests/all/budget.rs
@@ -1,4 +1,4 @@
-use linnethitch_scale::capacity::{Budget, Kind, LETTER, MeasuredFile};
+use linnethitch_scale::capacity::{Budget, Kind, MeasuredFile, TWO_YEAR_PLAN};
 use rstest::rstest;
 
 use crate::support::{each_change, measurement};
@@ -30,8 +30,11 @@
         kind: Kind::Memory,
         limit: LIMIT,
     };
-    assert_close(budget.used_at(&LETTER, &measured), used);
-    assert_close(budget.multiple_of(&LETTER, &measured), multiple);
+    assert_close(budget.used_at(&TWO_YEAR_PLAN, &measured), used);
+    assert_close(
+        budget.exhausting_multiple(&TWO_YEAR_PLAN, &measured),
+        multiple,
+    );
 }
 
 fn assert_close(found: Option<f64>, expected: Option<f64>) {
@@ -51,6 +54,9 @@
         kind: Kind::Cpu,
         limit: LIMIT,
     };
-    assert_close(budget.used_at(&LETTER, &measured), Some(2_000.0));
-    assert_close(budget.multiple_of(&LETTER, &measured), Some(0.5));
+    assert_close(budget.used_at(&TWO_YEAR_PLAN, &measured), Some(2_000.0));
+    assert_close(
+        budget.exhausting_multiple(&TWO_YEAR_PLAN, &measured),
+        Some(0.5),
+    );
 }
--- a/crates/scale/tests/all/page.rs
+++ b/crates/scale/tests/all/page.rs
@@ -94,7 +94,7 @@
 )]
 #[case::not_ended(
     "<!-- measured: gateway -->\ntext\n",
-    PageError::NotEnded("gateway".to_owned())
+    PageError::UnterminatedPart("gateway".to_owned())
 )]
 #[case::missing("# Title\n", PageError::MissingRole("gateway"))]
 fn wrong_markers_are_refused(#[case] page: &str, #[case] expected: PageError) {
