--- a/crates/scale/src/capacity/budget.rs
+++ b/crates/scale/src/capacity/budget.rs
@@ -1,4 +1,4 @@
-//! What control may cost a node.
+//! Budgets for the cost of control on a node.
 
 use super::{
     file::MeasuredFile,
@@ -6,75 +6,78 @@
     size::FleetSize,
 };
 
-/// Largest share of a core that control may take on a node.
-const CORES: f64 = 0.011;
-/// Largest memory that control may take on a node, in bytes.
-const MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
-/// Most bytes a second of control on a node's network, both ways.
-const TRAFFIC_BYTES: f64 = 2.0 * 1024.0;
+/// Maximum share of a core that control may use on a node.
+const MAX_CORES: f64 = 0.011;
+/// Maximum memory that control may use on a node, in bytes.
+const MAX_MEMORY_BYTES: f64 = 256.0 * 1024.0 * 1024.0;
+/// Maximum control traffic of a node, sent and received, in bytes per second.
+const MAX_TRAFFIC_BYTES_PER_SECOND: f64 = 2.0 * 1024.0;
 
-/// A limit on the gateway's sum of one kind.
+/// A limit on the sum of all measured costs of one kind on the gateway.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Budget {
-    /// What is limited.
+    /// Kind of cost that is limited.
     pub kind: Kind,
     /// The limit, in base units of the kind.
     pub limit: f64,
 }
 
-/// The budgets of a node.
+/// Budgets of a node for control.
 pub const NODE_BUDGETS: [Budget; 3] = [
     Budget {
         kind: Kind::Cpu,
-        limit: CORES,
+        limit: MAX_CORES,
     },
     Budget {
         kind: Kind::Memory,
-        limit: MEMORY_BYTES,
+        limit: MAX_MEMORY_BYTES,
     },
     Budget {
         kind: Kind::Traffic,
-        limit: TRAFFIC_BYTES,
+        limit: MAX_TRAFFIC_BYTES_PER_SECOND,
     },
 ];
 
 impl Budget {
-    /// What of it is used at a size; `None` when nothing of the kind was measured.
+    /// Cost at a size, in base units of the kind; `None` when no cost of the kind was
+    /// measured.
     #[must_use]
     pub fn used_at(&self, size: &FleetSize, measured: &MeasuredFile) -> Option<f64> {
-        let mut uses = self
-            .rows(measured)
-            .filter_map(|row| row.sustained_at(size))
+        let mut costs = self
+            .gateway_measurements(measured)
+            .filter_map(|measurement| measurement.sustained_at(size))
             .peekable();
-        uses.peek()?;
-        Some(uses.sum())
+        costs.peek()?;
+        Some(costs.sum())
     }
 
-    /// How many times the size uses it up, all counts growing alike and the
-    /// frequencies staying; `None` when it never does.
+    /// Factor on `size` at which the budget is exhausted; `None` when no growth exhausts the
+    /// budget. All counts grow by the same factor and the frequencies stay constant.
     #[must_use]
     pub fn exhausting_multiple(&self, size: &FleetSize, measured: &MeasuredFile) -> Option<f64> {
         let mut fixed = 0.0;
         let mut growing = 0.0;
-        for row in self.rows(measured) {
-            let Some(count) = size.of(row.per) else {
+        for measurement in self.gateway_measurements(measured) {
+            let Some(count) = size.count_of(measurement.per) else {
                 continue;
             };
-            let times = match row.each {
+            let rate_factor = match measurement.each {
                 None => 1.0,
                 Some(each) => each.per_second(size).unwrap_or(0.0),
             };
-            fixed += row.line().fixed * times;
-            growing += row.line().slope * count as f64 * times;
+            fixed += measurement.line().fixed * rate_factor;
+            growing += measurement.line().slope * count as f64 * rate_factor;
         }
         (growing > 0.0).then(|| ((self.limit - fixed) / growing).max(0.0))
     }
 
-    fn rows<'a>(&self, measured: &'a MeasuredFile) -> impl Iterator<Item = &'a Measurement> {
+    fn gateway_measurements<'a>(
+        &self,
+        measured: &'a MeasuredFile,
+    ) -> impl Iterator<Item = &'a Measurement> {
         let kind = self.kind;
-        measured
-            .measurements
-            .iter()
-            .filter(move |row| row.role == Role::Gateway && row.kind == kind)
+        measured.measurements.iter().filter(move |measurement| {
+            measurement.role == Role::Gateway && measurement.kind == kind
+        })
     }
 }
--- a/crates/scale/src/capacity/file.rs
+++ b/crates/scale/src/capacity/file.rs
@@ -1,4 +1,4 @@
-//! The committed file of measurements.
+//! The committed measurements file.
 
 use std::{
     fmt, fs, io,
@@ -9,24 +9,24 @@
 
 use super::measurement::Measurement;
 
-/// All measurements, sorted by id.
+/// Contents of the measurements file.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct MeasuredFile {
-    /// The measurements.
+    /// Measurements, sorted by id.
     pub measurements: Vec<Measurement>,
 }
 
-/// Why a file of measurements cannot be used.
+/// Error of reading or writing a measurements file.
 #[derive(Debug)]
 pub enum MeasuredFileError {
-    /// It cannot be read or written.
+    /// The file cannot be read or written.
     Io(PathBuf, io::Error),
-    /// It is not a file of measurements.
+    /// The content is not a valid measurements file.
     Malformed(PathBuf, serde_json::Error),
     /// Two measurements have the same id.
     RepeatedId(String),
-    /// A measurement without points.
+    /// A measurement has no points.
     NoPoints(String),
 }
 
@@ -44,10 +44,10 @@
 impl std::error::Error for MeasuredFileError {}
 
 impl MeasuredFile {
-    /// Reads a file; one that does not exist holds no measurements.
+    /// Reads a file; a missing file counts as empty.
     ///
     /// # Errors
-    /// When it cannot be read or is wrong.
+    /// When the file cannot be read or is invalid.
     pub fn read(path: &Path) -> Result<Self, MeasuredFileError> {
         let text = match fs::read_to_string(path) {
             Ok(text) => text,
@@ -56,14 +56,14 @@
         };
         let file: MeasuredFile = serde_json::from_str(&text)
             .map_err(|error| MeasuredFileError::Malformed(path.to_owned(), error))?;
-        file.check()?;
+        file.validate()?;
         Ok(file)
     }
 
-    /// Writes the file, with one line feed at its end.
+    /// Writes the file, ending with a line feed.
     ///
     /// # Errors
-    /// When it cannot be written.
+    /// When the file cannot be written.
     pub fn write(&self, path: &Path) -> Result<(), MeasuredFileError> {
         let mut text = serde_json::to_string_pretty(self)
             .map_err(|error| MeasuredFileError::Malformed(path.to_owned(), error))?;
@@ -71,22 +71,22 @@
         fs::write(path, text).map_err(|error| MeasuredFileError::Io(path.to_owned(), error))
     }
 
-    /// Puts measurements in the place of those with the same ids.
+    /// Adds measurements, replacing existing ones with the same ids.
     pub fn merge(&mut self, newer: Vec<Measurement>) {
-        let replaced = |held: &Measurement| newer.iter().any(|new| new.id == held.id);
-        self.measurements.retain(|held| !replaced(held));
+        let replaced = |existing: &Measurement| newer.iter().any(|new| new.id == existing.id);
+        self.measurements.retain(|existing| !replaced(existing));
         self.measurements.extend(newer);
         self.measurements
             .sort_by(|left, right| left.id.cmp(&right.id));
     }
 
-    fn check(&self) -> Result<(), MeasuredFileError> {
+    fn validate(&self) -> Result<(), MeasuredFileError> {
         for (index, measurement) in self.measurements.iter().enumerate() {
             if measurement.points.is_empty() {
                 return Err(MeasuredFileError::NoPoints(measurement.id.clone()));
             }
-            let later = &self.measurements[index + 1..];
-            if later.iter().any(|other| other.id == measurement.id) {
+            let following = &self.measurements[index + 1..];
+            if following.iter().any(|other| other.id == measurement.id) {
                 return Err(MeasuredFileError::RepeatedId(measurement.id.clone()));
             }
         }
--- a/crates/scale/src/capacity/measurement.rs
+++ b/crates/scale/src/capacity/measurement.rs
@@ -1,4 +1,4 @@
-//! One measured figure and what it amounts to at a size.
+//! Measured costs and their values at a fleet size.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,29 +7,28 @@
     size::{Dimension, FleetSize},
 };
 
-/// Seconds of a day.
-const DAY_SECONDS: f64 = 86_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Whose cost a figure is.
+/// Part of the system that bears a cost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Role {
-    /// The process beside each caller.
+    /// The gateway process on each node.
     Gateway,
-    /// The control member that leads.
+    /// The control member that is the leader.
     ControlLeader,
     /// Any other control member.
     ControlFollower,
-    /// What reaches one engine or application replica.
+    /// Load on one engine or application replica.
     EngineSide,
-    /// What reaches the platform's list.
+    /// Load on the machine list of the platform.
     PlatformList,
     /// The fleet as a whole.
     Fleet,
 }
 
 impl Role {
-    /// All roles, in the page's order.
+    /// All roles, in the order of the page.
     pub const ALL: [Role; 6] = [
         Role::Gateway,
         Role::ControlLeader,
@@ -39,7 +38,7 @@
         Role::Fleet,
     ];
 
-    /// The heading of the page.
+    /// Heading of the role on the page.
     #[must_use]
     pub fn title(self) -> &'static str {
         match self {
@@ -52,7 +51,7 @@
         }
     }
 
-    /// The name in the page's markers.
+    /// Name of the role in the markers of the page.
     #[must_use]
     pub fn marker(self) -> &'static str {
         match self {
@@ -66,26 +65,26 @@
     }
 }
 
-/// What is counted, in base units.
+/// Kind of cost, with its base unit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Kind {
-    /// Memory held, in bytes.
+    /// Memory in use, in bytes.
     Memory,
-    /// Bytes on disk.
+    /// Disk space, in bytes.
     Disk,
-    /// Frames a second, sent and received.
+    /// Frames per second, sent and received.
     Messages,
-    /// Bytes a second on the wire, sent and received.
+    /// Bytes per second on the wire, sent and received.
     Traffic,
-    /// Processor time: cores, or core seconds for each occurrence.
+    /// Processor time: cores, or core seconds per occurrence.
     Cpu,
     /// A duration, in seconds.
     Time,
 }
 
 impl Kind {
-    /// All kinds, in the page's order.
+    /// All kinds, in the order of the page.
     pub const ALL: [Kind; 6] = [
         Kind::Memory,
         Kind::Disk,
@@ -95,7 +94,7 @@
         Kind::Time,
     ];
 
-    /// The word of the page.
+    /// Term used on the page.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -109,20 +108,20 @@
     }
 }
 
-/// How often something happens whose cost is measured once.
+/// Event whose cost is measured per occurrence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Frequency {
-    /// With each change of the configuration.
+    /// A change of the configuration.
     Change,
-    /// With each start of a gateway.
+    /// A start of a gateway.
     Restart,
-    /// With each batch item.
+    /// A batch item.
     Item,
 }
 
 impl Frequency {
-    /// The word of the page.
+    /// Term used on the page.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -132,7 +131,8 @@
         }
     }
 
-    /// How often it happens in a second, on average over a day.
+    /// Occurrences per second, averaged over a day; `None` when the size does not state the
+    /// frequency.
     #[must_use]
     pub fn per_second(self, size: &FleetSize) -> Option<f64> {
         let per_day = match self {
@@ -140,73 +140,77 @@
             Frequency::Restart => size.restarts_per_day,
             Frequency::Item => size.items_per_day,
         };
-        per_day.map(|times| times as f64 / DAY_SECONDS)
+        per_day.map(|occurrences| occurrences as f64 / SECONDS_PER_DAY)
     }
 }
 
-/// The run that gave a figure.
+/// Run that produced a measurement.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Source {
-    /// The command, as it can be repeated.
+    /// Command line that repeats the run.
     pub command: String,
-    /// The commit that was measured, abbreviated.
+    /// Abbreviated id of the measured commit.
     pub commit: String,
-    /// The day, as `2026-01-31`.
+    /// Date of the run, as `2026-01-31`.
     pub date: String,
 }
 
-/// A figure measured at several sizes.
+/// A cost measured at several sizes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Measurement {
     /// Unique name, such as `gateway.memory.tenants`.
     pub id: String,
-    /// Whose cost it is.
+    /// Part of the system that bears the cost.
     pub role: Role,
-    /// What is counted.
+    /// Kind of cost.
     pub kind: Kind,
-    /// What causes it, in a few words.
+    /// Short description of the cause.
     pub what: String,
-    /// What it grows with.
+    /// Dimension that the cost grows with.
     pub per: Dimension,
-    /// Set when the points are the cost of one occurrence, not of a second.
+    /// Event to which the points refer, when they are costs per occurrence instead of per
+    /// second.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub each: Option<Frequency>,
     /// The measured points, in base units of the kind.
     pub points: Vec<Point>,
-    /// Where they are from.
+    /// Run that produced the points.
     pub source: Source,
 }
 
 impl Measurement {
-    /// The line through the points.
+    /// Least-squares line through the points.
     #[must_use]
     pub fn line(&self) -> Line {
         fit_line(&self.points)
     }
 
-    /// The figure at a size, for one occurrence where it is measured so.
+    /// Cost at a size: per occurrence if `each` is set. `None` when the size does not state
+    /// the dimension.
     #[must_use]
-    pub fn at(&self, size: &FleetSize) -> Option<f64> {
-        let count = size.of(self.per)?;
-        Some(self.line().at(count as f64).max(0.0))
+    pub fn cost_at(&self, size: &FleetSize) -> Option<f64> {
+        let count = size.count_of(self.per)?;
+        Some(self.line().value_at(count as f64).max(0.0))
     }
 
-    /// The figure at a size over a second of an ordinary day.
+    /// Sustained cost at a size, averaged over a day: a cost per occurrence is multiplied by
+    /// the occurrences per second. `None` when the size does not state the dimension or the
+    /// frequency.
     #[must_use]
     pub fn sustained_at(&self, size: &FleetSize) -> Option<f64> {
-        let once = self.at(size)?;
+        let cost = self.cost_at(size)?;
         match self.each {
-            None => Some(once),
-            Some(frequency) => Some(once * frequency.per_second(size)?),
+            None => Some(cost),
+            Some(frequency) => Some(cost * frequency.per_second(size)?),
         }
     }
 
-    /// Whether the size lies beyond the largest measured point.
+    /// Whether the size exceeds the largest measured point.
     #[must_use]
     pub fn is_extrapolated(&self, size: &FleetSize) -> bool {
         let largest = self.points.iter().map(|point| point.size).max();
-        size.of(self.per) > largest
+        size.count_of(self.per) > largest
     }
 }
--- a/crates/scale/src/capacity/mod.rs
+++ b/crates/scale/src/capacity/mod.rs
@@ -1,8 +1,8 @@
-//! Measured slopes, the sizes they are extrapolated to, and the page made of both.
+//! Capacity model: extrapolates measured slopes to fleet sizes and renders the capacity page.
 //!
-//! A [`Measurement`] is one figure of one role measured at several sizes. The
-//! commands that measure merge theirs into a [`MeasuredFile`], which is
-//! committed; [`render_page`] writes its tables into the page.
+//! A [`Measurement`] is one cost of one role, measured at several sizes. The
+//! measuring commands merge their results into a [`MeasuredFile`], which is
+//! committed; [`render_page`] writes the tables of the file into the page.
 
 mod budget;
 mod file;
--- a/crates/scale/src/capacity/page.rs
+++ b/crates/scale/src/capacity/page.rs
@@ -1,40 +1,40 @@
-//! The measured tables of the page.
+//! Generated tables of the capacity page.
 //!
-//! The page is written by hand but for the parts between a line
+//! The page is written by hand except for the parts between a line
 //! `<!-- measured: NAME -->` and the line `<!-- end measured -->`. `NAME` is the
-//! marker of a [`Role`], or `budgets` for what is left of the budgets of a node.
+//! marker of a [`Role`], or `budgets` for the use of the budgets of a node.
 
 use std::{collections::BTreeSet, fmt};
 
 use super::{
     budget::{Budget, NODE_BUDGETS},
     file::MeasuredFile,
-    format::{figure, number},
+    format::{format_figure, format_number},
     measurement::{Kind, Measurement, Role},
     size::{FleetSize, GRANITE_LANE, HANBIT, TWO_YEAR_PLAN},
 };
 
-const START: &str = "<!-- measured: ";
-const START_END: &str = " -->";
-const END: &str = "<!-- end measured -->";
+const MARKER_PREFIX: &str = "<!-- measured: ";
+const MARKER_SUFFIX: &str = " -->";
+const END_MARKER: &str = "<!-- end measured -->";
 const BUDGETS_MARKER: &str = "budgets";
 const NOT_MEASURED: &str = "not yet measured";
-/// Costs that are contained in another one of the same role: end of the id, and
-/// that of the containing one. They are shown and not summed.
-const PARTS: [(&str, &str); 2] = [
+/// Pairs of id suffixes: a cost with the first suffix is contained in the cost of the same
+/// role with the second suffix. Contained costs are shown but not summed.
+const CONTAINED_COSTS: [(&str, &str); 2] = [
     ("memory.ledger.tenants", "memory.process"),
     ("cpu.ledger.changes", "cpu.changes"),
 ];
-const SIZES: [FleetSize; 3] = [GRANITE_LANE, HANBIT, TWO_YEAR_PLAN];
+const DEPLOYMENTS: [FleetSize; 3] = [GRANITE_LANE, HANBIT, TWO_YEAR_PLAN];
 
-/// Why a page cannot be rendered.
+/// Error of rendering the page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageError {
-    /// A marker names no role.
+    /// A marker does not name a role.
     UnknownMarker(String),
-    /// A part is not ended.
+    /// A generated part has no end marker.
     UnterminatedPart(String),
-    /// A role has no part on the page, so its figures would be missing.
+    /// The page has no part for a role, so the costs of the role would be missing.
     MissingRole(&'static str),
 }
 
@@ -42,7 +42,9 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::UnknownMarker(name) => write!(formatter, "no role is called `{name}`"),
-            Self::UnterminatedPart(name) => write!(formatter, "the part `{name}` has no `{END}`"),
+            Self::UnterminatedPart(name) => {
+                write!(formatter, "the part `{name}` has no `{END_MARKER}`")
+            }
             Self::MissingRole(name) => write!(formatter, "the page has no part `{name}`"),
         }
     }
@@ -50,17 +52,17 @@
 
 impl std::error::Error for PageError {}
 
-/// Renders the measured parts of a page anew; everything else stays.
+/// Replaces the generated parts of a page and copies all other text.
 ///
 /// # Errors
-/// When the markers are wrong or a role has none.
+/// When a marker is invalid or a role has no marker.
 pub fn render_page(page: &str, measured: &MeasuredFile) -> Result<String, PageError> {
     let mut rendered = String::with_capacity(page.len());
     let mut roles = BTreeSet::new();
     let mut lines = page.lines();
     while let Some(line) = lines.next() {
         push_line(&mut rendered, line);
-        let Some(name) = marker_of(line) else {
+        let Some(name) = parse_marker(line) else {
             continue;
         };
         if name == BUDGETS_MARKER {
@@ -70,13 +72,13 @@
                 .into_iter()
                 .find(|role| role.marker() == name)
                 .ok_or_else(|| PageError::UnknownMarker(name.to_owned()))?;
-            rendered.push_str(&tables_of(role, measured));
+            rendered.push_str(&role_table(role, measured));
             roles.insert(role);
         }
         lines
-            .find(|line| *line == END)
+            .find(|line| *line == END_MARKER)
             .ok_or_else(|| PageError::UnterminatedPart(name.to_owned()))?;
-        push_line(&mut rendered, END);
+        push_line(&mut rendered, END_MARKER);
     }
     match Role::ALL.into_iter().find(|role| !roles.contains(role)) {
         Some(missing) => Err(PageError::MissingRole(missing.marker())),
@@ -89,13 +91,14 @@
     text.push('\n');
 }
 
-fn marker_of(line: &str) -> Option<&str> {
-    line.strip_prefix(START)?.strip_suffix(START_END)
+fn parse_marker(line: &str) -> Option<&str> {
+    line.strip_prefix(MARKER_PREFIX)?
+        .strip_suffix(MARKER_SUFFIX)
 }
 
-fn tables_of(role: Role, measured: &MeasuredFile) -> String {
+fn role_table(role: Role, measured: &MeasuredFile) -> String {
     let mut text = String::from("\n");
-    push_line(&mut text, &header());
+    push_line(&mut text, &table_header());
     push_line(&mut text, "|---|---|---|---|---|---|");
     let mut missing = Vec::new();
     for kind in Kind::ALL {
@@ -108,15 +111,15 @@
             missing.push(kind.name());
         }
         for row in &rows {
-            push_line(&mut text, &row_of(row, is_part(row, &rows)));
+            push_line(&mut text, &measurement_row(row, is_contained(row, &rows)));
         }
         let summed: Vec<&Measurement> = rows
             .iter()
             .copied()
-            .filter(|row| !is_part(row, &rows))
+            .filter(|row| !is_contained(row, &rows))
             .collect();
         if rows.len() > 1 && kind != Kind::Time {
-            push_line(&mut text, &total_of(kind, &summed));
+            push_line(&mut text, &total_row(kind, &summed));
         }
     }
     if !missing.is_empty() {
@@ -129,24 +132,28 @@
     text
 }
 
-fn header() -> String {
-    let names: Vec<&str> = SIZES.iter().map(|size| size.name).collect();
+fn table_header() -> String {
+    let names: Vec<&str> = DEPLOYMENTS.iter().map(|size| size.name).collect();
     format!(
         "| What | Measured line | Worked out | {} |",
         names.join(" | ")
     )
 }
 
-/// Whether another row contains this cost.
-fn is_part(row: &Measurement, rows: &[&Measurement]) -> bool {
-    PARTS.iter().any(|(part, whole)| {
-        row.id.ends_with(part) && rows.iter().any(|other| other.id.ends_with(whole))
+/// Whether another row includes this cost.
+fn is_contained(row: &Measurement, rows: &[&Measurement]) -> bool {
+    CONTAINED_COSTS.iter().any(|(contained, container)| {
+        row.id.ends_with(contained) && rows.iter().any(|other| other.id.ends_with(container))
     })
 }
 
-fn row_of(measurement: &Measurement, is_part: bool) -> String {
-    let note = if is_part { ", part of another row" } else { "" };
-    let cells: Vec<String> = SIZES
+fn measurement_row(measurement: &Measurement, is_contained: bool) -> String {
+    let note = if is_contained {
+        ", part of another row"
+    } else {
+        ""
+    };
+    let cells: Vec<String> = DEPLOYMENTS
         .iter()
         .map(|size| cell(measurement.kind, measurement.sustained_at(size)))
         .collect();
@@ -155,19 +162,19 @@
         measurement.kind.name(),
         measurement.what,
         measurement.id,
-        line_of(measurement),
-        work_of(measurement),
+        format_line(measurement),
+        format_extrapolation(measurement),
         cells.join(" | ")
     )
 }
 
 fn cell(kind: Kind, value: Option<f64>) -> String {
-    value.map_or_else(|| "–".to_owned(), |value| figure(kind, value, false))
+    value.map_or_else(|| "–".to_owned(), |value| format_figure(kind, value, false))
 }
 
-/// Fixed part and slope, with the sizes that were measured.
-fn line_of(measurement: &Measurement) -> String {
-    let once = measurement.each.is_some();
+/// Fixed part and slope of the fitted line, with the measured sizes.
+fn format_line(measurement: &Measurement) -> String {
+    let per_occurrence = measurement.each.is_some();
     let line = measurement.line();
     let sizes: Vec<String> = measurement
         .points
@@ -180,42 +187,43 @@
         .unwrap_or_default();
     format!(
         "{} + {} × {}{each}, at {}",
-        figure(measurement.kind, line.fixed, once),
-        figure(measurement.kind, line.slope, once),
+        format_figure(measurement.kind, line.fixed, per_occurrence),
+        format_figure(measurement.kind, line.slope, per_occurrence),
         measurement.per.name(),
         sizes.join(", ")
     )
 }
 
-/// The extrapolation to the plan, written out.
-fn work_of(measurement: &Measurement) -> String {
+/// Calculation of the value at the planned size.
+fn format_extrapolation(measurement: &Measurement) -> String {
     let size = &TWO_YEAR_PLAN;
-    let (Some(count), Some(value)) = (size.of(measurement.per), measurement.at(size)) else {
+    let (Some(count), Some(value)) = (size.count_of(measurement.per), measurement.cost_at(size))
+    else {
         return "–".to_owned();
     };
-    let once = measurement.each.is_some();
+    let per_occurrence = measurement.each.is_some();
     let line = measurement.line();
-    let mut work = format!(
+    let mut extrapolation = format!(
         "{} + {} × {count} = {}",
-        figure(measurement.kind, line.fixed, once),
-        figure(measurement.kind, line.slope, once),
-        figure(measurement.kind, value, once)
+        format_figure(measurement.kind, line.fixed, per_occurrence),
+        format_figure(measurement.kind, line.slope, per_occurrence),
+        format_figure(measurement.kind, value, per_occurrence)
     );
     if let Some(rate) = measurement.each.and_then(|each| each.per_second(size)) {
-        work.push_str(&format!(", × {}/s", number(rate)));
+        extrapolation.push_str(&format!(", × {}/s", format_number(rate)));
     }
     if measurement.is_extrapolated(size) {
-        work.push_str(" (extrapolated)");
+        extrapolation.push_str(" (extrapolated)");
     }
-    work
+    extrapolation
 }
 
-fn total_of(kind: Kind, rows: &[&Measurement]) -> String {
-    let cells: Vec<String> = SIZES
+fn total_row(kind: Kind, rows: &[&Measurement]) -> String {
+    let cells: Vec<String> = DEPLOYMENTS
         .iter()
         .map(|size| {
             let total = rows.iter().filter_map(|row| row.sustained_at(size)).sum();
-            format!("**{}**", figure(kind, total, false))
+            format!("**{}**", format_figure(kind, total, false))
         })
         .collect();
     format!(
@@ -225,7 +233,8 @@
     )
 }
 
-/// What each budget of a node is used by, and the size at which it is used up.
+/// Table of the node budgets: use at the planned size, and the multiple of the planned size
+/// at which the budget is exhausted.
 fn budgets_table(measured: &MeasuredFile) -> String {
     let mut text = String::from("\n");
     push_line(
@@ -241,7 +250,7 @@
 }
 
 fn budget_row(budget: &Budget, measured: &MeasuredFile) -> String {
-    let limit = figure(budget.kind, budget.limit, false);
+    let limit = format_figure(budget.kind, budget.limit, false);
     let Some(used) = budget.used_at(&TWO_YEAR_PLAN, measured) else {
         return format!(
             "| {} | {limit} | {NOT_MEASURED} | – | – |",
@@ -252,13 +261,13 @@
         .exhausting_multiple(&TWO_YEAR_PLAN, measured)
         .map_or_else(
             || "never by what is measured".to_owned(),
-            |multiple| format!("{} × the plan", number(multiple)),
+            |multiple| format!("{} × the plan", format_number(multiple)),
         );
     format!(
         "| {} | {limit} | {} | {} % | {multiple} |",
         budget.kind.name(),
-        figure(budget.kind, used, false),
-        number(used / budget.limit * 100.0)
+        format_figure(budget.kind, used, false),
+        format_number(used / budget.limit * 100.0)
     )
 }
 
--- a/crates/scale/src/capacity/size.rs
+++ b/crates/scale/src/capacity/size.rs
@@ -1,8 +1,8 @@
-//! Sizes of fleets.
+//! Fleet sizes to which measurements are extrapolated.
 
 use serde::{Deserialize, Serialize};
 
-/// What a figure grows with.
+/// Dimension that a cost grows with.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Dimension {
@@ -10,20 +10,20 @@
     Gateways,
     /// Model engines and application replicas.
     Replicas,
-    /// Tenants of the fleet file.
+    /// Tenants in the fleet file.
     Tenants,
-    /// Batch jobs that are kept, finished ones included.
+    /// Stored batch jobs, including finished jobs.
     Jobs,
-    /// Batch items that are kept.
+    /// Stored batch items.
     Items,
     /// Items of the largest job.
     ItemsOfOneJob,
-    /// Applied changes of the configuration in one burst.
+    /// Configuration changes applied in one burst.
     ChangesInBurst,
 }
 
 impl Dimension {
-    /// The word of the page.
+    /// Term used on the page.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -38,32 +38,32 @@
     }
 }
 
-/// The size of a deployment. What a deployment has not told is `None`.
+/// Size of a deployment. A value that is not known for the deployment is `None`.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FleetSize {
-    /// Its name on the page.
+    /// Name of the deployment on the page.
     pub name: &'static str,
-    /// Nodes, each with a gateway.
+    /// Gateways, one on each node.
     pub gateways: u64,
     /// Model engines and application replicas.
     pub replicas: u64,
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u64,
-    /// Batch jobs started in a day.
+    /// Batch jobs started per day.
     pub jobs_per_day: Option<u64>,
-    /// Batch items in a day.
+    /// Batch items per day.
     pub items_per_day: Option<u64>,
     /// Items of the largest job.
     pub items_of_one_job: Option<u64>,
-    /// Changes of the configuration in a day.
+    /// Configuration changes per day.
     pub changes_per_day: Option<u64>,
-    /// Gateways that start anew in a day, after failures and planned restarts.
+    /// Restarts of gateways per day, after failures and planned ones.
     pub restarts_per_day: Option<u64>,
-    /// How long results are kept, in days.
+    /// Retention time of batch results, in days.
     pub retention_days: u64,
 }
 
-/// Granite Lane today. Two gateways in each zone, as `linnethitch-lab dev` starts them.
+/// Current size of Granite Lane. Two gateways in each zone, as `linnethitch-lab dev` starts them.
 pub const GRANITE_LANE: FleetSize = FleetSize {
     name: "Granite Lane",
     gateways: 6,
@@ -77,7 +77,7 @@
     retention_days: 7,
 };
 
-/// Hanbit today. Two gateways in each zone, as `linnethitch-lab dev` starts them.
+/// Current size of Hanbit. Two gateways in each zone, as `linnethitch-lab dev` starts them.
 pub const HANBIT: FleetSize = FleetSize {
     name: "Hanbit",
     gateways: 6,
@@ -91,7 +91,7 @@
     retention_days: 3,
 };
 
-/// The plan for the next two years.
+/// Planned size for the next two years.
 pub const TWO_YEAR_PLAN: FleetSize = FleetSize {
     name: "Plan",
     gateways: 410,
@@ -105,13 +105,13 @@
     retention_days: 3,
 };
 
-/// Changes of the burst that the budget names.
-const BURST: u64 = 100;
+/// Configuration changes in the burst of the budget for changes.
+const CHANGES_PER_BURST: u64 = 100;
 
 impl FleetSize {
-    /// How many there are of what a figure grows with.
+    /// Count of a dimension in the deployment; `None` when the count is not known.
     #[must_use]
-    pub fn of(&self, dimension: Dimension) -> Option<u64> {
+    pub fn count_of(&self, dimension: Dimension) -> Option<u64> {
         match dimension {
             Dimension::Gateways => Some(self.gateways),
             Dimension::Replicas => Some(self.replicas),
@@ -119,7 +119,7 @@
             Dimension::Jobs => self.jobs_per_day.map(|jobs| jobs * self.retention_days),
             Dimension::Items => self.items_per_day.map(|items| items * self.retention_days),
             Dimension::ItemsOfOneJob => self.items_of_one_job,
-            Dimension::ChangesInBurst => Some(BURST),
+            Dimension::ChangesInBurst => Some(CHANGES_PER_BURST),
         }
     }
 }
--- a/crates/scale/src/fleet.rs
+++ b/crates/scale/src/fleet.rs
@@ -1,40 +1,40 @@
-//! Generated fleets of any size.
+//! Generates fleet files of any size.
 
 use std::fmt::Write;
 
 use linnethitch_config::digest::key_sha256;
 
-/// Of so many tenants, one has limits of its own.
-const TENANTS_FOR_ONE_LIMITED: u64 = 4;
+/// One tenant in this many has its own limits.
+const TENANTS_PER_LIMITED_TENANT: u64 = 4;
 
-/// What a generated fleet file holds.
+/// Contents of a generated fleet file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FleetPlan {
-    /// Tenants.
+    /// Number of tenants.
     pub tenants: u64,
-    /// Engines over all models and zones.
+    /// Number of engines over all models and zones.
     pub replicas: u64,
-    /// Models; the replicas are shared out evenly.
+    /// Number of models; the replicas are divided evenly among the models.
     pub models: u64,
-    /// Zones.
+    /// Number of zones.
     pub zones: u64,
-    /// Regions; the zones are shared out evenly.
+    /// Number of regions; the zones are divided evenly among the regions.
     pub regions: u64,
 }
 
-/// The replicas of one model in one zone.
+/// Replicas of one model in one zone.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Cell {
-    /// The model.
+pub struct ModelPlacement {
+    /// Name of the model.
     pub model: String,
-    /// The zone.
+    /// Name of the zone.
     pub zone: String,
-    /// How many.
+    /// Number of replicas.
     pub replicas: u64,
 }
 
 impl FleetPlan {
-    /// The plan for the next two years.
+    /// Planned size for the next two years.
     pub const TWO_YEAR_PLAN: FleetPlan = FleetPlan {
         tenants: 45_000,
         replicas: 600,
@@ -43,54 +43,55 @@
         regions: 2,
     };
 
-    /// The same fleet with another number of tenants.
+    /// Returns the same plan with another number of tenants.
     #[must_use]
     pub fn with_tenants(self, tenants: u64) -> Self {
         FleetPlan { tenants, ..self }
     }
 
-    /// The name of a zone.
+    /// Name of the zone with this number.
     #[must_use]
     pub fn zone(&self, number: u64) -> String {
         format!("zone-{}", number % self.zones.max(1) + 1)
     }
 
-    /// The region of a zone.
+    /// Name of the region of the zone with this number.
     #[must_use]
     pub fn region(&self, zone: u64) -> String {
         format!("region-{}", zone % self.regions.max(1) + 1)
     }
 
-    /// The name of a model.
+    /// Name of the model with this number.
     #[must_use]
     pub fn model(&self, number: u64) -> String {
         format!("model-{}", number % self.models.max(1) + 1)
     }
 
-    /// The replicas by model and zone.
+    /// Replica counts by model and zone, sorted by model.
     #[must_use]
-    pub fn cells(&self) -> Vec<Cell> {
+    pub fn placements(&self) -> Vec<ModelPlacement> {
         let count = (self.models * self.zones).max(1);
-        let cell = |number: u64| Cell {
+        let placement = |number: u64| ModelPlacement {
             model: self.model(number / self.zones),
             zone: self.zone(number % self.zones),
             replicas: self.replicas / count + u64::from(number < self.replicas % count),
         };
-        (0..count).map(cell).collect()
+        (0..count).map(placement).collect()
     }
 
-    /// The fleet file. Files that differ only in `version` differ in one line of one tenant.
+    /// Text of the fleet file. Two versions of the file differ only in tenant weights: at
+    /// most one line for each of two tenants.
     #[must_use]
     pub fn text(&self, version: u64) -> String {
         let mut text = String::from("name = \"scale\"\n");
         for zone in 0..self.zones {
             let (name, region) = (self.zone(zone), self.region(zone));
-            push(
+            push_formatted(
                 &mut text,
                 format_args!("\n[[zone]]\nname = \"{name}\"\nregion = \"{region}\"\n"),
             );
         }
-        for model in self.cells().chunks(self.zones as usize) {
+        for model in self.placements().chunks(self.zones as usize) {
             push_model(&mut text, model);
         }
         for tenant in 0..self.tenants {
@@ -99,31 +100,32 @@
         text
     }
 
-    /// A tenant's weight: that of one tenant tells the version.
+    /// Weight of a tenant. The version selects one tenant and the weight of that tenant;
+    /// all other tenants have weight 1.
     fn weight(&self, tenant: u64, version: u64) -> u64 {
-        const WEIGHTS: u64 = 900;
-        let changed = version.wrapping_mul(7_919) % self.tenants.max(1);
-        if tenant == changed {
-            2 + version % WEIGHTS
+        const DISTINCT_WEIGHTS: u64 = 900;
+        let changed_tenant = version.wrapping_mul(7_919) % self.tenants.max(1);
+        if tenant == changed_tenant {
+            2 + version % DISTINCT_WEIGHTS
         } else {
             1
         }
     }
 }
 
-fn push(text: &mut String, part: std::fmt::Arguments<'_>) {
-    // Writing into a string cannot fail.
+fn push_formatted(text: &mut String, part: std::fmt::Arguments<'_>) {
+    // Writing to a `String` cannot fail.
     let _ = text.write_fmt(part);
 }
 
-fn push_model(text: &mut String, cells: &[Cell]) {
-    let name = &cells[0].model;
-    push(
+fn push_model(text: &mut String, placements: &[ModelPlacement]) {
+    let name = &placements[0].model;
+    push_formatted(
         text,
         format_args!("\n[[model]]\nname = \"{name}\"\nversion = \"1\"\nplacement = [\n"),
     );
-    for Cell { zone, replicas, .. } in cells {
-        push(
+    for ModelPlacement { zone, replicas, .. } in placements {
+        push_formatted(
             text,
             format_args!("    {{ zone = \"{zone}\", replicas = {replicas} }},\n"),
         );
@@ -134,13 +136,13 @@
 fn push_tenant(text: &mut String, tenant: u64, weight: u64) {
     let name = format!("tenant-{tenant:05}");
     let hash = key_sha256(&name);
-    push(
+    push_formatted(
         text,
         format_args!(
             "\n[[tenant]]\nname = \"{name}\"\nkey_sha256 = \"{hash}\"\nweight = {weight}\n"
         ),
     );
-    if tenant.is_multiple_of(TENANTS_FOR_ONE_LIMITED) {
+    if tenant.is_multiple_of(TENANTS_PER_LIMITED_TENANT) {
         text.push_str("requests_per_second = 20.0\nmax_in_flight = 16\n");
     }
 }
--- a/crates/scale/src/lib.rs
+++ b/crates/scale/src/lib.rs
@@ -1,7 +1,7 @@
-//! How large a fleet gets, what that costs, and the runs that measure it.
+//! Scale measurements and the capacity model.
 //!
-//! [`run`] puts a large fleet on one machine and measures it; [`capacity`] turns
-//! measured slopes into the tables of `docs/CAPACITY.md`.
+//! [`run`] runs a large fleet on one machine and measures its cost; [`capacity`]
+//! turns measured slopes into the tables of `docs/CAPACITY.md`.
 
 pub mod capacity;
 pub mod fleet;
--- a/crates/scale/src/run/back_ends.rs
+++ b/crates/scale/src/run/back_ends.rs
@@ -1,4 +1,4 @@
-//! Emulated engines and the platform, on a runtime of their own.
+//! Emulated engines and the emulated platform, on a separate runtime.
 
 use error_stack::{Report, ResultExt};
 use linnethitch_emulator::{
@@ -15,13 +15,13 @@
 
 use crate::fleet::FleetPlan;
 
-/// Name of this runtime's threads.
+/// Thread name of the runtime.
 const THREAD_NAME: &str = "back-end";
-const THREADS: usize = 2;
+const WORKER_THREADS: usize = 2;
 
 /// Running back ends.
 pub(super) struct BackEnds {
-    pub(super) platform: SocketAddr,
+    pub(super) platform_address: SocketAddr,
     pub(super) replicas: Vec<ReplicaId>,
     _engines: Vec<EngineServer>,
     _platform: PlatformServer,
@@ -29,21 +29,25 @@
 }
 
 impl BackEnds {
-    /// Starts an engine for each replica of the plan, its model loaded, and the platform's list.
-    pub(super) fn start(plan: &FleetPlan, say: &dyn Fn(&str)) -> Result<Self, Report<ErrorKind>> {
+    /// Starts an engine with its model loaded for each replica of the plan, and the platform that
+    /// lists all engines.
+    pub(super) fn start(
+        plan: &FleetPlan,
+        report_progress: &dyn Fn(&str),
+    ) -> Result<Self, Report<ErrorKind>> {
         let runtime = Builder::new_multi_thread()
-            .worker_threads(THREADS)
+            .worker_threads(WORKER_THREADS)
             .thread_name(THREAD_NAME)
             .enable_all()
             .build()
             .change_context(ErrorKind::Io)?;
         let (engines, platform) = runtime.block_on(start_servers(plan))?;
-        say(&format!("{} emulated engines run", engines.len()));
+        report_progress(&format!("{} emulated engines started", engines.len()));
         let replicas = engines
             .iter()
             .map(|engine| ReplicaId(engine.settings().name.clone()));
         Ok(BackEnds {
-            platform: platform.address(),
+            platform_address: platform.address(),
             replicas: replicas.collect(),
             _engines: engines,
             _platform: platform,
@@ -56,30 +60,30 @@
     plan: &FleetPlan,
 ) -> Result<(Vec<EngineServer>, PlatformServer), Report<ErrorKind>> {
     let mut engines = Vec::new();
-    for cell in plan.cells() {
-        for _ in 0..cell.replicas {
+    for placement in plan.placements() {
+        for _ in 0..placement.replicas {
             let name = format!("engine-{}", engines.len() + 1);
             let settings = EngineSettings {
                 state: EngineState {
-                    model: Some(ModelId(cell.model.clone())),
+                    model: Some(ModelId(placement.model.clone())),
                     version: "1".to_owned(),
                     ..EngineState::default()
                 },
-                ..EngineSettings::new(&name, &cell.zone)
+                ..EngineSettings::new(&name, &placement.zone)
             };
             let engine = EngineServer::start(settings).await;
             engines.push(engine.change_context(ErrorKind::Io)?);
         }
     }
     let settings = PlatformSettings {
-        machines: engines.iter().map(machine).collect(),
+        machines: engines.iter().map(list_entry).collect(),
         ..PlatformSettings::default()
     };
     let platform = PlatformServer::start(settings).await;
     Ok((engines, platform.change_context(ErrorKind::Io)?))
 }
 
-fn machine(engine: &EngineServer) -> Machine {
+fn list_entry(engine: &EngineServer) -> Machine {
     Machine {
         replica: ReplicaId(engine.settings().name.clone()),
         kind: BackEndKind::Engine,
--- a/crates/scale/src/run/evaluation.rs
+++ b/crates/scale/src/run/evaluation.rs
@@ -1,44 +1,45 @@
-//! Costs and budgets worked out from what processes have used.
+//! Computes costs and budget checks from the resource usage of processes.
 
 use std::time::{Duration, Instant};
 
 use super::{
-    hollow_fleet::HollowUsage,
-    results::{Check, Events, RoleCost, Step, TenantStep},
+    control_only_fleet::ControlOnlyUsage,
+    results::{BudgetCheck, Events, GatewayStep, RoleCost, TenantStep},
 };
 use crate::usage::ProcessUsage;
 
-/// Changes between two usages of a number of tenants.
-pub(super) const CHANGES: u64 = 3;
+/// Configuration changes applied between the two usage samples of a tenant step, and in each
+/// gateway step.
+pub(super) const CHANGES_PER_STEP: u64 = 3;
 pub(super) const MEBI: f64 = 1024.0 * 1024.0;
-/// Changes of the configuration in a second, at 2,000 a day.
-const CHANGES_A_SECOND: f64 = 2_000.0 / 86_400.0;
+/// Configuration changes per second, at 2,000 per day.
+const CHANGES_PER_SECOND: f64 = 2_000.0 / 86_400.0;
 
-/// What each process has used at a moment.
-pub(super) struct Usages {
-    pub(super) at: Instant,
-    pub(super) hollow: HollowUsage,
+/// Resource usage of all processes at one time.
+pub(super) struct UsageSample {
+    pub(super) taken_at: Instant,
+    pub(super) control_only: ControlOnlyUsage,
     pub(super) real: Vec<ProcessUsage>,
     pub(super) control: Vec<ProcessUsage>,
     pub(super) control_bytes: Vec<u64>,
 }
 
-/// Costs of a number of tenants, between two usages with [`CHANGES`] changes.
-pub(super) fn tenant_step_of(
+/// Costs with a number of tenants, from two samples with [`CHANGES_PER_STEP`] changes between them.
+pub(super) fn evaluate_tenant_step(
     tenants: u64,
     file_bytes: u64,
-    before: &Usages,
-    after: &Usages,
+    before: &UsageSample,
+    after: &UsageSample,
     leader: usize,
 ) -> TenantStep {
-    let real = changes_of(&before.real, &after.real);
-    let members = changes_of(&before.control, &after.control);
+    let real_gateways = cpu_seconds_per_change(&before.real, &after.real);
+    let members = cpu_seconds_per_change(&before.control, &after.control);
     let followers = || (0..members.len()).filter(|member| *member != leader);
     let memory = |used: &ProcessUsage| used.resident_bytes as f64;
     TenantStep {
         tenants,
         file_bytes,
-        gateway_change_seconds: mean(real.iter().copied()),
+        gateway_change_seconds: mean(real_gateways.iter().copied()),
         leader_change_seconds: members[leader],
         follower_change_seconds: mean(followers().map(|member| members[member])),
         gateway_memory_bytes: mean(after.real.iter().map(memory)),
@@ -47,24 +48,24 @@
     }
 }
 
-/// Processor time of one change in each process, in seconds.
-fn changes_of(before: &[ProcessUsage], after: &[ProcessUsage]) -> Vec<f64> {
+/// Processor time per change for each process, in seconds.
+fn cpu_seconds_per_change(before: &[ProcessUsage], after: &[ProcessUsage]) -> Vec<f64> {
     let pairs = before.iter().zip(after);
     pairs
-        .map(|(before, after)| (seconds(after.cpu) - seconds(before.cpu)) / CHANGES as f64)
+        .map(|(before, after)| (seconds(after.cpu) - seconds(before.cpu)) / CHANGES_PER_STEP as f64)
         .collect()
 }
 
-/// Costs of a number of gateways, between two usages of a quiet time.
-pub(super) fn step_of(
+/// Costs with a number of gateways, from two samples with no changes between them.
+pub(super) fn evaluate_gateway_step(
     gateways: u64,
-    before: &Usages,
-    after: &Usages,
+    before: &UsageSample,
+    after: &UsageSample,
     leader: usize,
     change_seconds: f64,
-) -> Step {
-    let elapsed = seconds(after.at - before.at);
-    let hollow = gateways.saturating_sub(before.real.len() as u64).max(1) as f64;
+) -> GatewayStep {
+    let elapsed = seconds(after.taken_at - before.taken_at);
+    let control_only_gateways = gateways.saturating_sub(before.real.len() as u64).max(1) as f64;
     let member = |index: usize| RoleCost {
         bytes_per_second: (after.control_bytes[index].saturating_sub(before.control_bytes[index]))
             as f64
@@ -81,15 +82,19 @@
         .zip(&after.real)
         .map(|(before, after)| cost(before, after, elapsed))
         .collect();
-    let per_hollow = |used: f64| used / elapsed / hollow;
-    Step {
+    let per_gateway = |used: f64| used / elapsed / control_only_gateways;
+    GatewayStep {
         gateways,
         hollow: RoleCost {
-            cores: per_hollow(seconds(after.hollow.cpu) - seconds(before.hollow.cpu)),
-            bytes_per_second: per_hollow((after.hollow.bytes - before.hollow.bytes) as f64),
+            cores: per_gateway(seconds(after.control_only.cpu) - seconds(before.control_only.cpu)),
+            bytes_per_second: per_gateway(
+                (after.control_only.bytes - before.control_only.bytes) as f64,
+            ),
             ..RoleCost::default()
         },
-        hollow_frames_per_second: per_hollow((after.hollow.frames - before.hollow.frames) as f64),
+        hollow_frames_per_second: per_gateway(
+            (after.control_only.frames - before.control_only.frames) as f64,
+        ),
         real: average(&real),
         leader: member(leader),
         follower: average(&followers),
@@ -107,27 +112,28 @@
 }
 
 fn average(costs: &[RoleCost]) -> RoleCost {
-    let of = |field: fn(&RoleCost) -> f64| mean(costs.iter().map(field));
+    let mean_of = |field: fn(&RoleCost) -> f64| mean(costs.iter().map(field));
     RoleCost {
-        cores: of(|cost| cost.cores),
-        bytes_per_second: of(|cost| cost.bytes_per_second),
-        memory_bytes: of(|cost| cost.memory_bytes),
-        peak_memory_bytes: of(|cost| cost.peak_memory_bytes),
+        cores: mean_of(|cost| cost.cores),
+        bytes_per_second: mean_of(|cost| cost.bytes_per_second),
+        memory_bytes: mean_of(|cost| cost.memory_bytes),
+        peak_memory_bytes: mean_of(|cost| cost.peak_memory_bytes),
     }
 }
 
-/// The budgets at the full size; `peak` is the most memory of a real gateway.
-pub(super) fn checks(
+/// Checks the budgets at the full size; `peak_bytes` is the highest peak memory of a real
+/// gateway.
+pub(super) fn check_budgets(
     tenants: &[TenantStep],
-    steps: &[Step],
+    steps: &[GatewayStep],
     events: &Events,
-    peak: f64,
-) -> Vec<Check> {
+    peak_bytes: f64,
+) -> Vec<BudgetCheck> {
     let (Some(full), Some(last)) = (tenants.last(), steps.last()) else {
         return Vec::new();
     };
-    let cores = last.hollow.cores + full.gateway_change_seconds * CHANGES_A_SECOND;
-    let check = |name: &str, limit, found, unit: &str| Check {
+    let cores = last.hollow.cores + full.gateway_change_seconds * CHANGES_PER_SECOND;
+    let check = |name: &str, limit, found, unit: &str| BudgetCheck {
         name: name.to_owned(),
         limit,
         found,
@@ -135,7 +141,7 @@
     };
     vec![
         check("processor of a node", 1.1, cores * 100.0, "% of a core"),
-        check("memory of a node, most", 256.0, peak / MEBI, "MiB"),
+        check("memory of a node, most", 256.0, peak_bytes / MEBI, "MiB"),
         check(
             "bytes of a node",
             2_048.0,
--- a/crates/scale/src/run/measurements.rs
+++ b/crates/scale/src/run/measurements.rs
@@ -1,68 +1,68 @@
-//! The figures of a run in the form of the capacity page.
+//! Converts the results of a run to measurements for the capacity page.
 
-use super::results::{ScaleResults, Step, TenantStep};
+use super::results::{GatewayStep, ScaleResults, TenantStep};
 use crate::capacity::{Dimension, Frequency, Kind, Measurement, Point, Role, Source};
 
-/// A figure of a number of gateways.
-struct OfStep {
+/// A measurement by number of gateways.
+struct GatewayFigure {
     id: &'static str,
     role: Role,
     kind: Kind,
     what: &'static str,
-    value: fn(&Step) -> f64,
+    value: fn(&GatewayStep) -> f64,
 }
 
-const OF_STEPS: [OfStep; 8] = [
-    OfStep {
+const GATEWAY_FIGURES: [GatewayFigure; 8] = [
+    GatewayFigure {
         id: "gateway.traffic.gateways",
         role: Role::Gateway,
         kind: Kind::Traffic,
         what: "everything with control in a quiet time, three responses a second",
         value: |step| step.hollow.bytes_per_second,
     },
-    OfStep {
+    GatewayFigure {
         id: "gateway.messages.gateways",
         role: Role::Gateway,
         kind: Kind::Messages,
         what: "everything with control in a quiet time",
         value: |step| step.hollow_frames_per_second,
     },
-    OfStep {
+    GatewayFigure {
         id: "gateway.cpu.gateways",
         role: Role::Gateway,
         kind: Kind::Cpu,
         what: "everything with control in a quiet time",
         value: |step| step.hollow.cores,
     },
-    OfStep {
+    GatewayFigure {
         id: "control-leader.cpu.gateways",
         role: Role::ControlLeader,
         kind: Kind::Cpu,
         what: "a quiet time",
         value: |step| step.leader.cores,
     },
-    OfStep {
+    GatewayFigure {
         id: "control-leader.traffic.gateways",
         role: Role::ControlLeader,
         kind: Kind::Traffic,
         what: "gateways and members in a quiet time",
         value: |step| step.leader.bytes_per_second,
     },
-    OfStep {
+    GatewayFigure {
         id: "control-follower.cpu.gateways",
         role: Role::ControlFollower,
         kind: Kind::Cpu,
         what: "a quiet time",
         value: |step| step.follower.cores,
     },
-    OfStep {
+    GatewayFigure {
         id: "control-follower.traffic.gateways",
         role: Role::ControlFollower,
         kind: Kind::Traffic,
         what: "gateways and members in a quiet time",
         value: |step| step.follower.bytes_per_second,
     },
-    OfStep {
+    GatewayFigure {
         id: "fleet.time.gateways",
         role: Role::Fleet,
         kind: Kind::Time,
@@ -71,8 +71,8 @@
     },
 ];
 
-/// A figure of a number of tenants.
-struct OfTenants {
+/// A measurement by number of tenants.
+struct TenantFigure {
     id: &'static str,
     role: Role,
     kind: Kind,
@@ -81,8 +81,8 @@
     value: fn(&TenantStep) -> f64,
 }
 
-const OF_TENANTS: [OfTenants; 7] = [
-    OfTenants {
+const TENANT_FIGURES: [TenantFigure; 7] = [
+    TenantFigure {
         id: "gateway.memory.tenants",
         role: Role::Gateway,
         kind: Kind::Memory,
@@ -90,7 +90,7 @@
         each: None,
         value: |step| step.gateway_memory_bytes,
     },
-    OfTenants {
+    TenantFigure {
         id: "gateway.disk.tenants",
         role: Role::Gateway,
         kind: Kind::Disk,
@@ -98,7 +98,7 @@
         each: None,
         value: |step| step.file_bytes as f64,
     },
-    OfTenants {
+    TenantFigure {
         id: "gateway.cpu.changes",
         role: Role::Gateway,
         kind: Kind::Cpu,
@@ -106,7 +106,7 @@
         each: Some(Frequency::Change),
         value: |step| step.gateway_change_seconds,
     },
-    OfTenants {
+    TenantFigure {
         id: "control-leader.memory.process",
         role: Role::ControlLeader,
         kind: Kind::Memory,
@@ -114,7 +114,7 @@
         each: None,
         value: |step| step.leader_memory_bytes,
     },
-    OfTenants {
+    TenantFigure {
         id: "control-leader.cpu.changes",
         role: Role::ControlLeader,
         kind: Kind::Cpu,
@@ -122,7 +122,7 @@
         each: Some(Frequency::Change),
         value: |step| step.leader_change_seconds,
     },
-    OfTenants {
+    TenantFigure {
         id: "control-follower.memory.process",
         role: Role::ControlFollower,
         kind: Kind::Memory,
@@ -130,7 +130,7 @@
         each: None,
         value: |step| step.follower_memory_bytes,
     },
-    OfTenants {
+    TenantFigure {
         id: "control-follower.cpu.changes",
         role: Role::ControlFollower,
         kind: Kind::Cpu,
@@ -140,50 +140,50 @@
     },
 ];
 
-/// A duration that was measured once, at the full size.
-struct OfEvent {
+/// A duration measured once, at the full size.
+struct EventFigure {
     id: &'static str,
     what: &'static str,
     value: fn(&ScaleResults) -> f64,
 }
 
-const OF_EVENTS: [OfEvent; 6] = [
-    OfEvent {
+const EVENT_FIGURES: [EventFigure; 6] = [
+    EventFigure {
         id: "fleet.time.burst-accepted",
         what: "100 changes one after the other, until the last is accepted",
         value: |results| results.events.burst_accepted_seconds,
     },
-    OfEvent {
+    EventFigure {
         id: "fleet.time.burst-slowest",
         what: "the slowest change of the burst, until it is in force in every hollow gateway",
         value: |results| results.events.burst_slowest_seconds,
     },
-    OfEvent {
+    EventFigure {
         id: "fleet.time.follower-killed",
         what: "all gateways attached again after the death of a follower's process",
         value: |results| results.events.follower_killed_seconds,
     },
-    OfEvent {
+    EventFigure {
         id: "fleet.time.leader-killed",
         what: "all gateways attached again after the death of the leader's process",
         value: |results| results.events.leader_killed_seconds,
     },
-    OfEvent {
+    EventFigure {
         id: "fleet.time.leader-killed-accepted",
         what: "a change accepted after the death of the leader's process",
         value: |results| results.events.leader_killed_accepted_seconds,
     },
-    OfEvent {
+    EventFigure {
         id: "fleet.time.control-restarted",
         what: "all gateways attached with a session after all members were killed and started",
         value: |results| results.events.control_restarted_seconds,
     },
 ];
 
-/// All figures that the capacity page has a place for.
+/// All results of a run that the capacity page shows, as measurements.
 #[must_use]
 pub fn measurements(results: &ScaleResults, source: &Source) -> Vec<Measurement> {
-    let steps = OF_STEPS.iter().map(|figure| Measurement {
+    let steps = GATEWAY_FIGURES.iter().map(|figure| Measurement {
         id: figure.id.to_owned(),
         role: figure.role,
         kind: figure.kind,
@@ -193,7 +193,7 @@
         points: points(&results.steps, |step| (step.gateways, (figure.value)(step))),
         source: source.clone(),
     });
-    let tenants = OF_TENANTS.iter().map(|figure| Measurement {
+    let tenants = TENANT_FIGURES.iter().map(|figure| Measurement {
         id: figure.id.to_owned(),
         role: figure.role,
         kind: figure.kind,
@@ -206,7 +206,7 @@
         source: source.clone(),
     });
     let full_size = results.steps.last().map_or(0, |step| step.gateways);
-    let events = OF_EVENTS.iter().map(|figure| Measurement {
+    let events = EVENT_FIGURES.iter().map(|figure| Measurement {
         id: figure.id.to_owned(),
         role: Role::Fleet,
         kind: Kind::Time,
--- a/crates/scale/src/run/mod.rs
+++ b/crates/scale/src/run/mod.rs
@@ -1,9 +1,9 @@
-//! The scale run: real control members and gateways as processes, hundreds of
-//! hollow gateways in this one, and the budgets of a node checked.
+//! The scale run: starts control members and real gateways as processes and hundreds of
+//! control-only gateways in this process, measures them and checks the budgets of a node.
 
 mod back_ends;
+mod control_only_fleet;
 mod evaluation;
-mod hollow_fleet;
 mod loads;
 mod measurements;
 mod operator;
@@ -21,48 +21,49 @@
 use crate::fleet::FleetPlan;
 use back_ends::BackEnds;
 pub use measurements::measurements;
-use phases::Phases;
+use phases::ScaleRun;
 pub use processes::{MemberRole, run_member};
-pub use results::{Check, ScaleResults, Step};
+pub use results::{BudgetCheck, GatewayStep, ScaleResults};
 
 /// Cluster name of the run.
 pub(crate) const CLUSTER: &str = "scale";
 
-/// What to run.
+/// Settings of a scale run.
 #[derive(Clone, Debug)]
 pub struct ScaleSettings {
-    /// Numbers of gateways that are measured, growing; the real ones are among them.
+    /// Numbers of gateways to measure, in ascending order; real gateways are included.
     pub steps: Vec<usize>,
-    /// Gateways that run as processes of their own.
+    /// Number of gateways that run in their own processes.
     pub real_gateways: usize,
-    /// Control members.
+    /// Number of control members.
     pub members: u32,
-    /// The fleet file and the emulated replicas.
+    /// Size of the fleet file and number of emulated replicas.
     pub fleet: FleetPlan,
-    /// Seconds of each steady measurement.
+    /// Length of each measurement without changes, in seconds.
     pub steady_seconds: u64,
-    /// Changes of the burst.
+    /// Number of configuration changes in the burst.
     pub burst: u64,
-    /// Where reports and data folders go.
+    /// Folder for reports and data folders.
     pub output: PathBuf,
-    /// The program that runs a member when called as the processes expect it.
+    /// Program that runs a control member or gateway when called as
+    /// `PROGRAM scale-member ROLE FILE`.
     pub program: PathBuf,
 }
 
-/// Runs everything; progress goes to `say`.
+/// Runs all phases and writes the reports; calls `report_progress` with each line of progress.
 ///
 /// # Errors
-/// When a part of the fleet cannot be started or answers nothing in time.
+/// When a part of the fleet cannot be started or does not respond in time.
 pub fn run(
     settings: &ScaleSettings,
     logger: &Logger,
-    say: &dyn Fn(&str),
+    report_progress: &dyn Fn(&str),
 ) -> Result<ScaleResults, Report<ErrorKind>> {
     std::fs::create_dir_all(&settings.output)
         .change_context(ErrorKind::Io)
         .attach_with(|| settings.output.display().to_string())?;
-    let back_ends = BackEnds::start(&settings.fleet, say)?;
-    let results = Phases::new(settings, &back_ends, logger, say)?.run()?;
+    let back_ends = BackEnds::start(&settings.fleet, report_progress)?;
+    let results = ScaleRun::new(settings, &back_ends, logger, report_progress)?.run()?;
     report::write(settings, &results)?;
     Ok(results)
 }
--- a/crates/scale/src/run/operator.rs
+++ b/crates/scale/src/run/operator.rs
@@ -1,4 +1,4 @@
-//! What an operator asks control for.
+//! Client of the operator interface of control.
 
 use std::{
     net::SocketAddr,
@@ -19,13 +19,13 @@
 
 use super::processes::OPERATOR_KEY;
 
-/// Longest wait for an answer.
-const ANSWER_LIMIT: Duration = Duration::from_secs(10);
-/// Longest that the operator tries.
-const TRY_LIMIT: Duration = Duration::from_secs(40);
-const PAUSE: Duration = Duration::from_millis(20);
+/// Time-out of one request.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time during which a failed request is retried.
+const RETRY_TIMEOUT: Duration = Duration::from_secs(40);
+const RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// `GET /v1/status`, in part.
+/// Fields of the response to `GET /v1/status` that the run needs.
 #[derive(Clone, Debug, Default, Deserialize)]
 pub(super) struct Status {
     pub(super) revision: u64,
@@ -52,12 +52,12 @@
     revision: u64,
 }
 
-/// Talks to whichever member answers.
+/// Sends requests to one control member and switches to the next when a request fails.
 pub(super) struct Operator {
     runtime: Runtime,
     client: Client<HttpConnector, Full<Bytes>>,
     members: Vec<SocketAddr>,
-    next: usize,
+    next_member: usize,
     changes: u64,
 }
 
@@ -73,46 +73,46 @@
             runtime,
             client: Client::builder(TokioExecutor::new()).build_http(),
             members: members.to_vec(),
-            next: 0,
+            next_member: 0,
             changes: 0,
         })
     }
 
-    /// Applies a file to a revision; tells the revision that it became and when
-    /// the accepting answer came.
+    /// Applies a fleet file on top of the expected revision. Returns the new revision and the time
+    /// of the accepting response.
     pub(super) fn apply(
         &mut self,
-        expected: u64,
+        expected_revision: u64,
         content: &str,
     ) -> Result<(u64, Instant), Report<ErrorKind>> {
         self.changes += 1;
-        let change = format!("change-{}", self.changes);
+        let change_id = format!("change-{}", self.changes);
         let body = Bytes::copy_from_slice(content.as_bytes());
-        let answer = self.until_answered(
+        let response = self.send_with_retries(
             |builder| {
                 builder
                     .method(Method::PUT)
-                    .header("linnethitch-change", &change)
-                    .header("linnethitch-expected-revision", expected)
+                    .header("linnethitch-change", &change_id)
+                    .header("linnethitch-expected-revision", expected_revision)
                     .body(Full::new(body.clone()))
             },
             "/v1/configuration",
         )?;
         let accepted: Accepted =
-            serde_json::from_slice(&answer).change_context(ErrorKind::Internal)?;
+            serde_json::from_slice(&response).change_context(ErrorKind::Internal)?;
         Ok((accepted.revision, Instant::now()))
     }
 
-    /// What the leader knows.
+    /// Status of the fleet.
     pub(super) fn status(&mut self) -> Result<Status, Report<ErrorKind>> {
-        let answer = self.until_answered(
+        let response = self.send_with_retries(
             |builder| builder.method(Method::GET).body(Full::default()),
             "/v1/status",
         )?;
-        serde_json::from_slice(&answer).change_context(ErrorKind::Internal)
+        serde_json::from_slice(&response).change_context(ErrorKind::Internal)
     }
 
-    /// Bytes that a member sent and received since its start.
+    /// Bytes that a member has sent and received since its start.
     pub(super) fn member_bytes(&self, member: usize) -> Result<u64, Report<ErrorKind>> {
         let request = self
             .request(self.members[member], "/metrics")
@@ -121,22 +121,26 @@
             .change_context(ErrorKind::Internal)?;
         let (_, body) = self.send(request)?;
         let text = String::from_utf8_lossy(&body);
-        let sent = metric(&text, "control_sent_bytes");
-        let received = metric(&text, "control_received_bytes");
+        let sent = gauge_value(&text, "control_sent_bytes");
+        let received = gauge_value(&text, "control_received_bytes");
         sent.zip(received)
             .map(|(sent, received)| sent + received)
-            .ok_or_else(|| Report::new(ErrorKind::Internal).attach("no such metric"))
+            .ok_or_else(|| {
+                Report::new(ErrorKind::Internal)
+                    .attach("metrics lack control_sent_bytes or control_received_bytes")
+            })
     }
 
-    /// Asks one member after another until one accepts, or refuses for good.
-    fn until_answered(
+    /// Sends a request to one member after another until a member returns 200 or a client error.
+    /// Retries other failures until [`RETRY_TIMEOUT`] has passed.
+    fn send_with_retries(
         &mut self,
         build: impl Fn(http::request::Builder) -> http::Result<Request<Full<Bytes>>>,
         path: &str,
     ) -> Result<Bytes, Report<ErrorKind>> {
-        let deadline = Instant::now() + TRY_LIMIT;
+        let deadline = Instant::now() + RETRY_TIMEOUT;
         loop {
-            let member = self.members[self.next % self.members.len()];
+            let member = self.members[self.next_member % self.members.len()];
             let request = build(self.request(member, path)).change_context(ErrorKind::Internal)?;
             let outcome = self.send(request);
             match outcome {
@@ -146,8 +150,8 @@
                     return Err(Report::new(ErrorKind::InvalidValue).attach(text));
                 }
                 Ok(_) | Err(_) if Instant::now() < deadline => {
-                    self.next += 1;
-                    std::thread::sleep(PAUSE);
+                    self.next_member += 1;
+                    std::thread::sleep(RETRY_DELAY);
                 }
                 Ok((status, _)) => {
                     let text = format!("{path}: {status}");
@@ -169,7 +173,7 @@
         request: Request<Full<Bytes>>,
     ) -> Result<(StatusCode, Bytes), Report<ErrorKind>> {
         let client = self.client.clone();
-        let answer = async move {
+        let exchange = async move {
             let response = client
                 .request(request)
                 .await
@@ -179,15 +183,15 @@
             Ok((status, body.change_context(ErrorKind::Io)?.to_bytes()))
         };
         self.runtime.block_on(async {
-            tokio::time::timeout(ANSWER_LIMIT, answer)
+            tokio::time::timeout(REQUEST_TIMEOUT, exchange)
                 .await
                 .change_context(ErrorKind::ControlUnavailable)?
         })
     }
 }
 
-/// The value of a gauge in Prometheus's text format.
-fn metric(text: &str, name: &str) -> Option<u64> {
+/// Value of a gauge in the Prometheus text format.
+fn gauge_value(text: &str, name: &str) -> Option<u64> {
     let line = text
         .lines()
         .find(|line| !line.starts_with('#') && line.contains(name))?;
--- a/crates/scale/src/run/processes.rs
+++ b/crates/scale/src/run/processes.rs
@@ -1,4 +1,4 @@
-//! Control members and real gateways as processes of their own.
+//! Control members and real gateways in their own processes.
 
 use std::{
     fs::{self, File},
@@ -26,14 +26,14 @@
 use super::CLUSTER;
 use crate::{fleet::FleetPlan, usage::ProcessUsage};
 
-/// The operators' key of the run.
+/// Operator key of the run.
 pub(super) const OPERATOR_KEY: &str = "scale-operator-key";
 const CLUSTER_KEY: &str = "the cluster key of a scale run";
 const CLUSTER_KEY_FILE: &str = "cluster-key";
-/// Threads of a process, so that many fit on one machine.
-const THREADS: usize = 2;
+/// Worker threads of each process; few, so that many processes fit on one machine.
+const WORKER_THREADS: usize = 2;
 
-/// What a member process is.
+/// Role of a process that the run starts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MemberRole {
     /// A control member.
@@ -43,7 +43,7 @@
 }
 
 impl MemberRole {
-    /// The word of the command line.
+    /// Name of the role on the command line.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -53,13 +53,13 @@
     }
 }
 
-/// Runs a control member or a gateway from a settings file until the process is ended.
+/// Runs a control member or a gateway from a settings file until the process is terminated.
 ///
 /// # Errors
-/// When the settings are wrong or it cannot start.
+/// When the settings are invalid or the member or gateway cannot start.
 pub fn run_member(role: MemberRole, settings: &Path) -> Result<(), Report<ErrorKind>> {
     let runtime = Builder::new_multi_thread()
-        .worker_threads(THREADS)
+        .worker_threads(WORKER_THREADS)
         .enable_all()
         .build()
         .change_context(ErrorKind::Io)?;
@@ -90,8 +90,8 @@
     }
 }
 
-/// A running process; ended when dropped.
-pub(super) struct Member {
+/// A control member or gateway process; killed when dropped.
+pub(super) struct MemberProcess {
     pub(super) name: String,
     role: MemberRole,
     settings: PathBuf,
@@ -99,9 +99,9 @@
     child: Option<Child>,
 }
 
-impl Member {
+impl MemberProcess {
     fn new(program: &Path, role: MemberRole, name: &str, settings: PathBuf) -> Self {
-        Member {
+        MemberProcess {
             name: name.to_owned(),
             role,
             settings,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Starts it, or starts it again on the same folder.
+    /// Starts or restarts the process with the same data folder.
     pub(super) fn start(&mut self) -> Result<(), Report<ErrorKind>> {
         let log = File::options()
             .create(true)
@@ -130,53 +130,53 @@
         Ok(())
     }
 
-    /// Ends it at once, as a crash would.
+    /// Kills the process without a shutdown, as a crash would.
     pub(super) fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
-            // It may have ended by itself.
+            // The process may have ended already.
             let _ = child.kill();
             let _ = child.wait();
         }
     }
 
-    /// What it has used so far.
+    /// Resources that the process has used so far.
     pub(super) fn usage(&self) -> Result<ProcessUsage, Report<ErrorKind>> {
         let child = self.child.as_ref();
         let process = child.ok_or_else(|| Report::new(ErrorKind::Internal))?.id();
         ProcessUsage::of(process)
             .change_context(ErrorKind::Io)
-            .attach_with(|| format!("{} has ended; see its log", self.name))
+            .attach_with(|| format!("process of {} has ended; see its log file", self.name))
     }
 }
 
-impl Drop for Member {
+impl Drop for MemberProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-/// Control members with their addresses, in the order of their machines.
+/// Control members with their addresses, ordered by machine number.
 pub(super) struct ControlMembers {
-    pub(super) members: Vec<Member>,
-    pub(super) operators: Vec<SocketAddr>,
-    pub(super) attach: Vec<SocketAddr>,
+    pub(super) members: Vec<MemberProcess>,
+    pub(super) operator_addresses: Vec<SocketAddr>,
+    pub(super) attach_addresses: Vec<SocketAddr>,
 }
 
 impl ControlMembers {
-    /// Starts members on blank folders.
+    /// Starts members with empty data folders.
     pub(super) fn start(
         folder: &Path,
         program: &Path,
         count: u32,
         plan: &FleetPlan,
-        platform: SocketAddr,
+        platform_address: SocketAddr,
     ) -> Result<Self, Report<ErrorKind>> {
         let key_file = write_cluster_key(folder)?;
-        let ports = free_addresses(3 * count as usize)?;
-        let (peer, rest) = ports.split_at(count as usize);
-        let (attach, operators) = rest.split_at(count as usize);
+        let addresses = free_addresses(3 * count as usize)?;
+        let (peer_addresses, remaining) = addresses.split_at(count as usize);
+        let (attach_addresses, operator_addresses) = remaining.split_at(count as usize);
         let peers: Vec<ControlPeer> = (1..)
-            .zip(peer)
+            .zip(peer_addresses)
             .map(|(machine, address)| ControlPeer {
                 machine,
                 address: *address,
@@ -191,60 +191,67 @@
                 machine,
                 zone: plan.zone(zone),
                 region: plan.region(zone),
-                peer_address: peer[index],
-                attach_address: attach[index],
-                operator_address: operators[index],
+                peer_address: peer_addresses[index],
+                attach_address: attach_addresses[index],
+                operator_address: operator_addresses[index],
                 peers: peers.clone(),
                 bootstrap: true,
                 cluster: CLUSTER.to_owned(),
                 cluster_key_file: key_file.clone(),
                 operator_key_sha256: key_sha256(OPERATOR_KEY),
-                platform_address: platform,
+                platform_address,
                 data_dir: folder.join(&name),
                 snapshot_log_bytes: DEFAULT_SNAPSHOT_LOG_BYTES,
                 log: log_settings(),
             };
             let file = write_settings(folder, &name, &settings)?;
-            let mut member = Member::new(program, MemberRole::Control, &name, file);
+            let mut member = MemberProcess::new(program, MemberRole::Control, &name, file);
             member.start()?;
             members.push(member);
         }
         Ok(ControlMembers {
             members,
-            operators: operators.to_vec(),
-            attach: attach.to_vec(),
+            operator_addresses: operator_addresses.to_vec(),
+            attach_addresses: attach_addresses.to_vec(),
         })
     }
 }
 
 /// Starts real gateways.
-pub(super) fn start_gateways(
+pub(super) fn start_real_gateways(
     folder: &Path,
     program: &Path,
     count: usize,
     plan: &FleetPlan,
-    control: &[SocketAddr],
-) -> Result<Vec<Member>, Report<ErrorKind>> {
+    attach_addresses: &[SocketAddr],
+) -> Result<Vec<MemberProcess>, Report<ErrorKind>> {
     let mut gateways = Vec::new();
     for number in 0..count {
         let name = format!("real-{number}");
-        let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-        let settings = gateway_settings(folder, &name, number, plan, control, listen);
+        let listen_address = SocketAddr::from(([127, 0, 0, 1], 0));
+        let settings = gateway_settings(
+            folder,
+            &name,
+            number,
+            plan,
+            attach_addresses,
+            listen_address,
+        );
         let file = write_settings(folder, &name, &settings)?;
-        let mut gateway = Member::new(program, MemberRole::Gateway, &name, file);
+        let mut gateway = MemberProcess::new(program, MemberRole::Gateway, &name, file);
         gateway.start()?;
         gateways.push(gateway);
     }
     Ok(gateways)
 }
 
-/// The settings of a gateway of the run, real or hollow.
+/// Settings of a real or control-only gateway of the run.
 pub(super) fn gateway_settings(
     folder: &Path,
     name: &str,
     number: usize,
     plan: &FleetPlan,
-    control: &[SocketAddr],
+    attach_addresses: &[SocketAddr],
     listen_address: SocketAddr,
 ) -> GatewaySettings {
     let zone = number as u64;
@@ -253,7 +260,7 @@
         zone: plan.zone(zone),
         region: plan.region(zone),
         listen_address,
-        control_addresses: control.to_vec(),
+        control_addresses: attach_addresses.to_vec(),
         cluster: CLUSTER.to_owned(),
         cluster_key_file: folder.join(CLUSTER_KEY_FILE),
         data_dir: folder.join(name),
@@ -282,7 +289,8 @@
     Ok(file)
 }
 
-/// Addresses whose ports were free a moment ago.
+/// Local addresses with ports that were free during this call. Another process may take a port
+/// before it is used.
 fn free_addresses(count: usize) -> Result<Vec<SocketAddr>, Report<ErrorKind>> {
     let sockets: std::io::Result<Vec<TcpListener>> = (0..count)
         .map(|_| TcpListener::bind(("127.0.0.1", 0)))
--- a/crates/scale/src/run/report.rs
+++ b/crates/scale/src/run/report.rs
@@ -1,4 +1,4 @@
-//! Files of a run: `results.json`, `report.md` and plots.
+//! Output files of a run: `results.json`, `report.md` and plots.
 
 use std::{fmt::Write, fs, path::Path};
 
@@ -8,17 +8,17 @@
 
 use super::{
     ScaleSettings,
-    results::{ScaleResults, Step},
+    results::{GatewayStep, ScaleResults},
 };
 
 const PLOT_SIZE: (u32, u32) = (640, 360);
 const MEBI: f64 = 1024.0 * 1024.0;
 
-/// A figure of a step against the number of gateways.
+/// Plot of one value of the gateway steps against the number of gateways.
 struct Plot {
     file: &'static str,
     title: &'static str,
-    value: fn(&Step) -> f64,
+    value: fn(&GatewayStep) -> f64,
 }
 
 const PLOTS: [Plot; 5] = [
@@ -49,7 +49,7 @@
     },
 ];
 
-/// Writes everything into the output folder.
+/// Writes all output files into the output folder.
 pub(super) fn write(
     settings: &ScaleSettings,
     results: &ScaleResults,
@@ -71,7 +71,7 @@
 
 fn markdown(results: &ScaleResults) -> String {
     let mut text = String::new();
-    // Writing into a string cannot fail.
+    // Writing to a `String` cannot fail.
     let _ = write_markdown(&mut text, results);
     text
 }
@@ -85,7 +85,7 @@
     )?;
     writeln!(text, "| Budget | Limit | Found | |\n|---|---|---|---|")?;
     for check in &results.checks {
-        let kept = if check.is_within_limit() {
+        let verdict = if check.is_within_limit() {
             "kept"
         } else {
             "BROKEN"
@@ -93,12 +93,12 @@
         let (limit, found, unit) = (check.limit, check.found, &check.unit);
         writeln!(
             text,
-            "| {} | {limit} {unit} | {found:.3} {unit} | {kept} |",
+            "| {} | {limit} {unit} | {found:.3} {unit} | {verdict} |",
             check.name
         )?;
     }
     write_tenants(text, results)?;
-    write_steps(text, results)?;
+    write_gateways(text, results)?;
     writeln!(text, "\n## Events at the full size\n\n```json")?;
     let events = serde_json::to_string_pretty(&results.events).unwrap_or_default();
     writeln!(text, "{events}\n```\n")?;
@@ -132,7 +132,7 @@
     Ok(())
 }
 
-fn write_steps(text: &mut String, results: &ScaleResults) -> std::fmt::Result {
+fn write_gateways(text: &mut String, results: &ScaleResults) -> std::fmt::Result {
     writeln!(text, "\n## Gateways\n")?;
     writeln!(
         text,
@@ -157,7 +157,7 @@
     Ok(())
 }
 
-fn draw(path: &Path, plot: &Plot, steps: &[Step]) -> Result<(), Report<ErrorKind>> {
+fn draw(path: &Path, plot: &Plot, steps: &[GatewayStep]) -> Result<(), Report<ErrorKind>> {
     let points: Vec<(f64, f64)> = steps
         .iter()
         .map(|step| (step.gateways as f64, (plot.value)(step)))
@@ -167,28 +167,28 @@
 }
 
 fn draw_points(path: &Path, title: &str, points: &[(f64, f64)]) -> Result<(), String> {
-    let text = |error: &dyn std::fmt::Display| error.to_string();
-    let largest =
+    let error_text = |error: &dyn std::fmt::Display| error.to_string();
+    let max_value =
         |of: fn(&(f64, f64)) -> f64| points.iter().map(of).fold(f64::MIN_POSITIVE, f64::max);
     let area = SVGBackend::new(path, PLOT_SIZE).into_drawing_area();
-    area.fill(&WHITE).map_err(|error| text(&error))?;
+    area.fill(&WHITE).map_err(|error| error_text(&error))?;
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(35)
         .y_label_area_size(70)
         .build_cartesian_2d(
-            0.0..largest(|point| point.0) * 1.05,
-            0.0..largest(|point| point.1) * 1.2,
+            0.0..max_value(|point| point.0) * 1.05,
+            0.0..max_value(|point| point.1) * 1.2,
         )
-        .map_err(|error| text(&error))?;
+        .map_err(|error| error_text(&error))?;
     chart
         .configure_mesh()
         .x_desc("gateways")
         .draw()
-        .map_err(|error| text(&error))?;
+        .map_err(|error| error_text(&error))?;
     chart
         .draw_series(LineSeries::new(points.iter().copied(), &BLUE).point_size(3))
-        .map_err(|error| text(&error))?;
-    area.present().map_err(|error| text(&error))
+        .map_err(|error| error_text(&error))?;
+    area.present().map_err(|error| error_text(&error))
 }
--- a/crates/scale/src/run/results.rs
+++ b/crates/scale/src/run/results.rs
@@ -1,142 +1,145 @@
-//! What a scale run found.
+//! Results of a scale run.
 
 use serde::{Deserialize, Serialize};
 
-/// Cost of a role in a steady time.
+/// Cost of a process with a role while no changes are applied.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoleCost {
-    /// Cores.
+    /// Processor use, in cores.
     pub cores: f64,
-    /// Bytes a second on the wire, both ways.
+    /// Bytes per second on the wire, sent and received.
     pub bytes_per_second: f64,
-    /// Memory resident at the end, in bytes.
+    /// Resident memory at the end, in bytes.
     pub memory_bytes: f64,
-    /// Most memory ever resident, in bytes.
+    /// Peak resident memory since the process started, in bytes.
     pub peak_memory_bytes: f64,
 }
 
-/// A number of tenants, with the real gateways attached.
+/// Costs with a number of tenants while only real gateways are attached.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TenantStep {
-    /// Tenants of the fleet file.
+    /// Number of tenants in the fleet file.
     pub tenants: u64,
-    /// Bytes of the fleet file.
+    /// Size of the fleet file, in bytes.
     pub file_bytes: u64,
-    /// Processor time of one change on a real gateway, in seconds.
+    /// Mean processor time of one change on a real gateway, in seconds.
     pub gateway_change_seconds: f64,
-    /// The same on the leader.
+    /// Processor time of one change on the leader, in seconds.
     pub leader_change_seconds: f64,
-    /// The same on a follower.
+    /// Mean processor time of one change on a follower, in seconds.
     pub follower_change_seconds: f64,
-    /// Memory of a real gateway.
+    /// Mean resident memory of a real gateway, in bytes.
     pub gateway_memory_bytes: f64,
-    /// Memory of the leader.
+    /// Resident memory of the leader, in bytes.
     pub leader_memory_bytes: f64,
-    /// Memory of a follower.
+    /// Mean resident memory of a follower, in bytes.
     pub follower_memory_bytes: f64,
 }
 
-/// A number of gateways.
+/// Costs with a number of gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Step {
-    /// Gateways, real ones included.
+pub struct GatewayStep {
+    /// Number of gateways, including real gateways.
     pub gateways: u64,
-    /// A hollow gateway: the loads of its callers included.
+    /// Mean cost of a control-only gateway, including the load reports of its responses.
     pub hollow: RoleCost,
-    /// Frames a second of a hollow gateway.
+    /// Mean frames per second of a control-only gateway, sent and received.
     pub hollow_frames_per_second: f64,
-    /// A real gateway without callers.
+    /// Mean cost of a real gateway without callers.
     pub real: RoleCost,
-    /// The leader.
+    /// Cost of the leader.
     pub leader: RoleCost,
-    /// A follower, on average.
+    /// Mean cost of a follower.
     pub follower: RoleCost,
-    /// From the answer that accepts a change until the last gateway has it in
-    /// force, in seconds, the slowest of some changes.
+    /// Time from the response that accepts a change until the change is in force in every
+    /// gateway, in seconds; the slowest of the measured changes.
     pub change_seconds: f64,
 }
 
-/// What happens once, at the full size.
+/// Events measured once, at the full size.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Events {
-    /// Changes of the burst.
+    /// Number of configuration changes in the burst.
     pub burst_changes: u64,
-    /// From the first request to the last accepting answer, in seconds.
+    /// Time from the first request of the burst to the last accepting response, in seconds.
     pub burst_accepted_seconds: f64,
-    /// From the last accepting answer until it is in force everywhere, in seconds.
+    /// Time from the last accepting response until the last change is in force in every gateway,
+    /// in seconds.
     pub burst_in_force_seconds: f64,
-    /// The longest from a change's accepting answer until it or a later one is
-    /// in force everywhere, in seconds.
+    /// Longest time from the accepting response of a change until that change or a later one is
+    /// in force in every control-only gateway, in seconds.
     pub burst_slowest_seconds: f64,
-    /// From the kill of a follower until all gateways are attached again, in seconds.
+    /// Time from killing a follower until all control-only gateways are attached again, in
+    /// seconds.
     pub follower_killed_seconds: f64,
-    /// From the kill of the leader until all gateways are attached again, in seconds.
+    /// Time from killing the leader until all control-only gateways are attached again, in
+    /// seconds.
     pub leader_killed_seconds: f64,
-    /// From the kill of the leader until a change is accepted, in seconds.
+    /// Time from killing the leader until a change is accepted, in seconds.
     pub leader_killed_accepted_seconds: f64,
-    /// From the kill of all members and their start until all gateways are
-    /// attached and have their sessions, in seconds.
+    /// Time from killing all members, which are restarted at once, until all control-only
+    /// gateways are attached and have sessions, in seconds.
     pub control_restarted_seconds: f64,
 }
 
-/// A budget and what was found.
+/// A budget and the measured value.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Check {
-    /// What is limited.
+pub struct BudgetCheck {
+    /// Name of the limited quantity.
     pub name: String,
-    /// The limit.
+    /// Upper limit, in `unit`.
     pub limit: f64,
-    /// What was found.
+    /// Measured value, in `unit`.
     pub found: f64,
-    /// The unit of both.
+    /// Unit of the limit and the measured value.
     pub unit: String,
 }
 
-impl Check {
-    /// Whether the budget is kept.
+impl BudgetCheck {
+    /// Whether the measured value is within the limit.
     #[must_use]
     pub fn is_within_limit(&self) -> bool {
         self.found <= self.limit
     }
 }
 
-/// Everything that was found.
+/// All results of a scale run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScaleResults {
-    /// Emulated replicas.
+    /// Number of emulated replicas.
     pub replicas: u64,
-    /// Control members.
+    /// Number of control members.
     pub members: u32,
-    /// Growing tenants.
+    /// Costs by number of tenants, ascending.
     pub tenant_steps: Vec<TenantStep>,
-    /// Growing gateways at all tenants.
-    pub steps: Vec<Step>,
-    /// Single events at the full size.
+    /// Costs by number of gateways, ascending, at the full number of tenants.
+    pub steps: Vec<GatewayStep>,
+    /// Events measured once, at the full size.
     pub events: Events,
-    /// The budgets.
-    pub checks: Vec<Check>,
+    /// Budget checks at the full size.
+    pub checks: Vec<BudgetCheck>,
 }
 
 impl ScaleResults {
-    /// Whether every budget is kept.
+    /// Whether all measured values are within their budgets.
     #[must_use]
     pub fn is_within_budgets(&self) -> bool {
-        self.checks.iter().all(Check::is_within_limit)
+        self.checks.iter().all(BudgetCheck::is_within_limit)
     }
 
-    /// The last line of a run.
+    /// Verdict that a run prints as its last line.
     #[must_use]
     pub fn verdict(&self) -> String {
-        let broken: Vec<&str> = self
+        let exceeded: Vec<&str> = self
             .checks
             .iter()
             .filter(|check| !check.is_within_limit())
             .map(|check| check.name.as_str())
             .collect();
-        if broken.is_empty() {
+        if exceeded.is_empty() {
             "PASS: every budget is kept".to_owned()
         } else {
-            format!("FAIL: over budget: {}", broken.join(", "))
+            format!("FAIL: over budget: {}", exceeded.join(", "))
         }
     }
 }
--- a/crates/scale/src/usage.rs
+++ b/crates/scale/src/usage.rs
@@ -1,37 +1,37 @@
-//! Processor time and memory as the operating system counts them.
+//! Processor time and memory use as reported by `/proc`.
 
 use std::{fs, io, path::Path, time::Duration};
 
-/// Clock ticks of `/proc/PID/stat` in a second; fixed on Linux.
+/// Clock ticks per second in `/proc/PID/stat`; fixed on Linux.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// Fields of `/proc/PID/stat` between the program's name and the user time.
+/// Number of fields of `/proc/PID/stat` between the program name and the user time.
 const FIELDS_BEFORE_USER_TIME: usize = 11;
 const KIBI: u64 = 1024;
 
-/// What a process has used.
+/// Resources used by a process.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct ProcessUsage {
-    /// Processor time of all its threads, ended ones included.
+    /// Processor time of all threads, including threads that have ended.
     pub cpu: Duration,
-    /// Memory resident now, in bytes.
+    /// Current resident memory, in bytes.
     pub resident_bytes: u64,
-    /// The most that was resident, in bytes.
+    /// Peak resident memory, in bytes.
     pub peak_bytes: u64,
 }
 
 impl ProcessUsage {
-    /// Reads what a process has used so far.
+    /// Reads the resources that a process has used so far.
     ///
     /// # Errors
-    /// There is no such process.
+    /// When the process does not exist or `/proc` has an unexpected format.
     pub fn of(process: u32) -> io::Result<Self> {
         let folder = Path::new("/proc").join(process.to_string());
         let status = fs::read_to_string(folder.join("status"))?;
         let stat = fs::read_to_string(folder.join("stat"))?;
         Ok(ProcessUsage {
-            cpu: cpu_of_stat(&stat).ok_or_else(malformed)?,
-            resident_bytes: kibibytes_of(&status, "VmRSS:").ok_or_else(malformed)?,
-            peak_bytes: kibibytes_of(&status, "VmHWM:").ok_or_else(malformed)?,
+            cpu: parse_stat_cpu(&stat).ok_or_else(unexpected_format)?,
+            resident_bytes: parse_kibibytes(&status, "VmRSS:").ok_or_else(unexpected_format)?,
+            peak_bytes: parse_kibibytes(&status, "VmHWM:").ok_or_else(unexpected_format)?,
         })
     }
 }
@@ -39,41 +39,44 @@
 /// Processor time of the calling thread.
 ///
 /// # Errors
-/// The system does not tell it.
+/// When `/proc` cannot be read or has an unexpected format.
 pub fn thread_cpu() -> io::Result<Duration> {
-    scheduled_time(Path::new("/proc/thread-self/schedstat"))
+    read_scheduled_time(Path::new("/proc/thread-self/schedstat"))
 }
 
-/// Processor time of this process's running threads whose name begins so.
+/// Processor time of the running threads of this process whose names start with `name_prefix`.
 ///
 /// # Errors
-/// The system does not tell it.
-pub fn cpu_of_threads(name: &str) -> io::Result<Duration> {
+/// When `/proc` cannot be read.
+pub fn cpu_of_threads(name_prefix: &str) -> io::Result<Duration> {
     let mut sum = Duration::ZERO;
     for entry in fs::read_dir("/proc/self/task")? {
         let folder = entry?.path();
-        // A thread may end between the listing and the reading.
-        let Ok(found) = fs::read_to_string(folder.join("comm")) else {
+        // A thread may end after the directory is listed and before its files are read.
+        let Ok(thread_name) = fs::read_to_string(folder.join("comm")) else {
             continue;
         };
-        if found.trim_end().starts_with(name) {
-            sum += scheduled_time(&folder.join("schedstat")).unwrap_or_default();
+        if thread_name.trim_end().starts_with(name_prefix) {
+            sum += read_scheduled_time(&folder.join("schedstat")).unwrap_or_default();
         }
     }
     Ok(sum)
 }
 
-fn scheduled_time(path: &Path) -> io::Result<Duration> {
+fn read_scheduled_time(path: &Path) -> io::Result<Duration> {
     let text = fs::read_to_string(path)?;
     let nanoseconds = text
         .split_whitespace()
         .next()
         .and_then(|field| field.parse().ok());
-    nanoseconds.map(Duration::from_nanos).ok_or_else(malformed)
+    nanoseconds
+        .map(Duration::from_nanos)
+        .ok_or_else(unexpected_format)
 }
 
-/// User and system time; the program's name may hold spaces and brackets.
-fn cpu_of_stat(stat: &str) -> Option<Duration> {
+/// User plus system time. Searches for the last `)` because the program name may contain
+/// spaces and brackets.
+fn parse_stat_cpu(stat: &str) -> Option<Duration> {
     let (_, after_name) = stat.rsplit_once(')')?;
     let mut fields = after_name.split_whitespace().skip(FIELDS_BEFORE_USER_TIME);
     let user: u64 = fields.next()?.parse().ok()?;
@@ -83,12 +86,15 @@
     ))
 }
 
-fn kibibytes_of(status: &str, field: &str) -> Option<u64> {
+fn parse_kibibytes(status: &str, field: &str) -> Option<u64> {
     let line = status.lines().find(|line| line.starts_with(field))?;
     let count: u64 = line.split_whitespace().nth(1)?.parse().ok()?;
     Some(count * KIBI)
 }
 
-fn malformed() -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, "unexpected form")
+fn unexpected_format() -> io::Error {
+    io::Error::new(
+        io::ErrorKind::InvalidData,
+        "unexpected format of a file in /proc",
+    )
 }
--- a/crates/scale/tests/all/budget.rs
+++ b/crates/scale/tests/all/budget.rs
@@ -1,22 +1,22 @@
 use linnethitch_scale::capacity::{Budget, Kind, MeasuredFile, TWO_YEAR_PLAN};
 use rstest::rstest;
 
-use crate::support::{each_change, measurement};
+use crate::support::{measurement, per_change};
 
 const LIMIT: f64 = 1_000.0;
 
-/// 180 + 2 x 410 = 1,000 at the plan.
+/// 180 + 2 x 410 = 1,000 at the planned size of 410 gateways.
 const EXACT: &[(u64, f64)] = &[(0, 180.0), (10, 200.0)];
 const HALF: &[(u64, f64)] = &[(0, 0.0), (410, 500.0)];
 const FLAT: &[(u64, f64)] = &[(0, 300.0), (410, 300.0)];
 
 #[rstest]
 #[case::nothing_measured(&[], None, None)]
-#[case::just_kept(&[EXACT], Some(1_000.0), Some(1.0))]
+#[case::exactly_at_limit(&[EXACT], Some(1_000.0), Some(1.0))]
 #[case::half(&[HALF], Some(500.0), Some(2.0))]
 #[case::summed(&[HALF, FLAT], Some(800.0), Some(1.4))]
-#[case::never_reached(&[FLAT], Some(300.0), None)]
-fn what_is_used_and_when_it_is_used_up(
+#[case::no_growth(&[FLAT], Some(300.0), None)]
+fn the_use_at_the_plan_and_the_multiple_that_exhausts_the_budget(
     #[case] rows: &[&[(u64, f64)]],
     #[case] used: Option<f64>,
     #[case] multiple: Option<f64>,
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn a_cost_of_each_change_counts_as_often_as_changes_come() {
+fn a_cost_per_change_is_multiplied_by_the_changes_per_second() {
     let mut measured = MeasuredFile::default();
     let row = measurement("row", Kind::Cpu, &[(0, 0.0), (410, 86_400.0)]);
-    measured.merge(vec![each_change(row)]);
+    measured.merge(vec![per_change(row)]);
     let budget = Budget {
         kind: Kind::Cpu,
         limit: LIMIT,
--- a/crates/scale/tests/all/measured_file.rs
+++ b/crates/scale/tests/all/measured_file.rs
@@ -4,10 +4,10 @@
 use rstest::rstest;
 use tempfile::TempDir;
 
-use crate::support::{each_change, measurement};
+use crate::support::{measurement, per_change};
 
 #[test]
-fn a_file_is_read_back_as_written_and_newer_rows_replace_older_ones() {
+fn a_file_is_read_back_as_written_and_newer_measurements_replace_older_ones() {
     let folder = TempDir::new().unwrap();
     let path = folder.path().join("measured.json");
     let mut file = MeasuredFile::read(&path).unwrap();
@@ -16,7 +16,7 @@
         measurement("b", Kind::Memory, &[(1, 1.0)]),
         measurement("a", Kind::Memory, &[(1, 2.0)]),
     ]);
-    file.merge(vec![each_change(measurement("b", Kind::Cpu, &[(1, 0.3)]))]);
+    file.merge(vec![per_change(measurement("b", Kind::Cpu, &[(1, 0.3)]))]);
     file.write(&path).unwrap();
     let read = MeasuredFile::read(&path).unwrap();
     assert_eq!(read, file);
@@ -32,9 +32,9 @@
 #[rstest]
 #[case::not_json("{", "EOF")]
 #[case::unknown_field(r#"{"measurements":[],"more":1}"#, "unknown field")]
-#[case::repeated(&both("a", "a"), "`a` stands twice")]
+#[case::repeated(&two_measurements("a", "a"), "`a` stands twice")]
 #[case::without_points(&without_points(), "`a` has no points")]
-fn a_wrong_file_is_refused(#[case] text: &str, #[case] expected: &str) {
+fn an_invalid_file_is_refused(#[case] text: &str, #[case] expected: &str) {
     let folder = TempDir::new().unwrap();
     let path = folder.path().join("measured.json");
     fs::write(&path, text).unwrap();
@@ -42,17 +42,17 @@
     assert!(error.contains(expected), "{error}");
 }
 
-fn both(first: &str, second: &str) -> String {
-    text_of(vec![
+fn two_measurements(first: &str, second: &str) -> String {
+    json_of(vec![
         measurement(first, Kind::Memory, &[(1, 1.0)]),
         measurement(second, Kind::Memory, &[(1, 1.0)]),
     ])
 }
 
 fn without_points() -> String {
-    text_of(vec![measurement("a", Kind::Memory, &[])])
+    json_of(vec![measurement("a", Kind::Memory, &[])])
 }
 
-fn text_of(measurements: Vec<linnethitch_scale::capacity::Measurement>) -> String {
+fn json_of(measurements: Vec<linnethitch_scale::capacity::Measurement>) -> String {
     serde_json::to_string(&MeasuredFile { measurements }).unwrap()
 }
--- a/crates/scale/tests/all/page.rs
+++ b/crates/scale/tests/all/page.rs
@@ -6,7 +6,7 @@
 use linnethitch_scale::capacity::{Kind, MeasuredFile, PageError, Role, render_page};
 use rstest::rstest;
 
-use crate::support::{each_change, measurement};
+use crate::support::{measurement, per_change};
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..")
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn the_committed_page_is_what_its_measurements_give() {
+fn the_committed_page_matches_the_committed_measurements() {
     let measured = MeasuredFile::read(&root().join("docs/capacity/measured.json")).unwrap();
     let page = committed_page();
     let rendered = render_page(&page, &measured).unwrap();
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn only_measured_parts_change_and_rendering_twice_changes_nothing() {
+fn only_generated_parts_change_and_rendering_is_idempotent() {
     let measured = MeasuredFile::default();
     let once = render_page(&page_with_all_roles(), &measured).unwrap();
     assert!(once.starts_with("# Title\n") && once.ends_with("The end\n"));
@@ -46,16 +46,16 @@
 }
 
 #[rstest]
-#[case::worked_out(
+#[case::extrapolated(
     measurement("a", Kind::Memory, &[(0, 1024.0), (10, 2048.0)]),
     "1.00 KiB + 102 B × 410 = 42.0 KiB (extrapolated)"
 )]
-#[case::measured_beyond(
+#[case::within_measured_sizes(
     measurement("a", Kind::Time, &[(0, 0.0), (500, 0.5)]),
     "0 ns + 1.00 ms × 410 = 410 ms |"
 )]
-#[case::of_each_change(
-    each_change(measurement("a", Kind::Cpu, &[(0, 0.01), (410, 0.01)])),
+#[case::per_change(
+    per_change(measurement("a", Kind::Cpu, &[(0, 0.01), (410, 0.01)])),
     "10.0 ms + 0 ns × 410 = 10.0 ms, × 0.0231/s | – | – | 0.0231 % of a core |"
 )]
 #[case::source(
@@ -92,22 +92,22 @@
     "<!-- measured: nobody -->\n<!-- end measured -->\n",
     PageError::UnknownMarker("nobody".to_owned())
 )]
-#[case::not_ended(
+#[case::unterminated(
     "<!-- measured: gateway -->\ntext\n",
     PageError::UnterminatedPart("gateway".to_owned())
 )]
 #[case::missing("# Title\n", PageError::MissingRole("gateway"))]
-fn wrong_markers_are_refused(#[case] page: &str, #[case] expected: PageError) {
+fn invalid_markers_are_refused(#[case] page: &str, #[case] expected: PageError) {
     let found = render_page(page, &MeasuredFile::default()).unwrap_err();
     assert_eq!(found, expected);
 }
 
-/// The backquoted parts of a text.
-fn quoted(text: &str) -> impl Iterator<Item = &str> {
+/// Parts of a text between backquotes.
+fn backquoted(text: &str) -> impl Iterator<Item = &str> {
     text.split('`').skip(1).step_by(2)
 }
 
-/// Whether a source text defines an item of this name.
+/// Whether a source file defines an item with this name.
 fn defines(source: &str, item: &str) -> bool {
     ["struct", "enum", "fn", "const", "trait", "mod", "type"]
         .iter()
@@ -125,7 +125,7 @@
 #[test]
 fn every_file_and_item_that_the_page_names_exists() {
     let page = committed_page();
-    let references: Vec<&str> = quoted(&page)
+    let references: Vec<&str> = backquoted(&page)
         .filter(|part| part.starts_with("crates/") || part.starts_with("docs/"))
         .collect();
     assert!(references.len() >= 10, "only {references:?}");
--- a/crates/scale/tests/all/support.rs
+++ b/crates/scale/tests/all/support.rs
@@ -1,4 +1,4 @@
-//! Measurements for the tests.
+//! Builders for the measurements of the tests.
 
 use linnethitch_scale::capacity::{Dimension, Frequency, Kind, Measurement, Point, Role, Source};
 
@@ -23,8 +23,8 @@
     }
 }
 
-/// The same, as the cost of each change of the configuration.
-pub(crate) fn each_change(measurement: Measurement) -> Measurement {
+/// Returns the measurement as a cost per configuration change.
+pub(crate) fn per_change(measurement: Measurement) -> Measurement {
     Measurement {
         each: Some(Frequency::Change),
         ..measurement
